--- a/crates/foxledge-admission/src/accounts.rs
+++ b/crates/foxledge-admission/src/accounts.rs
@@ -35,15 +35,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct HeavyAccount {
     /// Openings a second, refused ones included.
-    pub rate: f64,
+    #[serde(rename = "rate")]
+    pub openings_per_s: f64,
     /// Openings a second that are admitted, but for the share of their priority.
-    pub allowed: f64,
+    #[serde(rename = "allowed")]
+    pub admitted_per_s: f64,
 }
 
 impl HeavyAccount {
     /// Share of its openings that is admitted.
-    pub fn share(&self) -> f64 {
-        (self.allowed / self.rate).clamp(0.0, 1.0)
+    pub fn admitted_share(&self) -> f64 {
+        (self.admitted_per_s / self.openings_per_s).clamp(0.0, 1.0)
     }
 
     /// True when an opening of it at `now` is admitted, of whose priority `share` is.
@@ -52,7 +54,7 @@
     /// evenly; an account in the window of readmission would take its share at once.
     pub fn admits(&self, now: ClockTime, caller: Ipv4Addr, share: f64) -> bool {
         let draw = xxh3_64_with_seed(&caller.octets(), now.as_micros());
-        (draw as f64) < share * self.share() * u64::MAX as f64
+        (draw as f64) < share * self.admitted_share() * u64::MAX as f64
     }
 }
 
@@ -142,9 +144,16 @@
         let fair = fair_level(rates, all_per_s * served.clamp(0.0, 1.0));
         let account = |(key, count): &(&AccountKey, &AccountCount)| {
             let rate = rate(count);
-            (**key, HeavyAccount { rate, allowed: rate.min(fair * multiple) })
+            (
+                **key,
+                HeavyAccount { openings_per_s: rate, admitted_per_s: rate.min(fair * multiple) },
+            )
         };
-        heavy.iter().map(account).filter(|(_, heavy)| heavy.allowed < heavy.rate).collect()
+        heavy
+            .iter()
+            .map(account)
+            .filter(|(_, heavy)| heavy.admitted_per_s < heavy.openings_per_s)
+            .collect()
     }
 
     /// Accounts that are remembered.
--- a/crates/foxledge-admission/src/lib.rs
+++ b/crates/foxledge-admission/src/lib.rs
@@ -15,6 +15,6 @@
 mod turns;
 
 pub use accounts::{AccountKey, HeavyAccount};
-pub use interface::{AdmissionPolicy, AdmissionVerdict, FlowOpening, ServiceRoom};
+pub use interface::{AdmissionDecision, AdmissionPolicy, FlowOpening, ServiceSnapshot};
 pub use options::AdmissionOptions;
 pub use policy::ShareAdmission;
--- a/crates/foxledge-admission/src/policy.rs
+++ b/crates/foxledge-admission/src/policy.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     accounts::{AccountKey, AccountTable, HeavyAccount},
-    interface::{AdmissionPolicy, AdmissionVerdict, FlowOpening, ServiceRoom},
+    interface::{AdmissionDecision, AdmissionPolicy, FlowOpening, ServiceSnapshot},
     options::AdmissionOptions,
     shares::priority_shares,
     shortage::{ServiceShortage, arrivals_per_s},
@@ -72,7 +72,7 @@
     }
 
     /// Client accounts whose samples are remembered; bounded.
-    pub fn remembered_accounts(&self) -> usize {
+    pub fn tracked_accounts(&self) -> usize {
         self.accounts.len()
     }
 
@@ -95,11 +95,12 @@
     fn refusals(
         &self,
         now: ClockTime,
-        room: &ServiceRoom,
+        room: &ServiceSnapshot,
         shortage: &ServiceShortage,
     ) -> RefusalPlan {
         let heavy = self.heavy(now, room, shortage);
-        let excess_per_s: f64 = heavy.values().map(|account| account.rate - account.allowed).sum();
+        let excess_per_s: f64 =
+            heavy.values().map(|account| account.openings_per_s - account.admitted_per_s).sum();
         let kept = 1.0 - (excess_per_s / openings_per_s(room)).clamp(0.0, 1.0);
         let demands = shortage.demands.iter().map(|(priority, demand)| (*priority, demand * kept));
         let floor_part = self.options.floor_percent / 100.0;
@@ -107,15 +108,15 @@
         RefusalPlan {
             planned: PlannedShares { shares, kept },
             heavy,
-            turn: ReturnTurn::new(now, room.turn_ms, room.aim_ms),
-            expires_at: room.told_at.after_millis(VIEW_LIFE_MS),
+            turn: ReturnTurn::new(now, room.fleet_clock_ms, room.latency_target_ms),
+            expires_at: room.reported_at.after_millis(VIEW_LIFE_MS),
         }
     }
 
     fn heavy(
         &self,
         now: ClockTime,
-        room: &ServiceRoom,
+        room: &ServiceSnapshot,
         shortage: &ServiceShortage,
     ) -> BTreeMap<AccountKey, HeavyAccount> {
         if !self.options.has_account_share() {
@@ -124,15 +125,16 @@
         // Account rates are those of openings, of which a refused request makes several.
         let requests = shortage.requests_per_s / openings_per_s(room);
         let served = shortage.room / shortage.demand() * requests;
-        self.accounts.heavy(now, room.sampled_per_s, served, self.options.account_share)
+        self.accounts.heavy(now, room.sampled_arrivals_per_s, served, self.options.account_share)
     }
 }
 
 impl AdmissionPolicy for ShareAdmission {
-    fn plan(&mut self, now: ClockTime, room: &ServiceRoom) {
-        self.accounts.take(now, &room.accounts);
-        let is_known = room.is_sure && !room.told_at.after_millis(VIEW_LIFE_MS).is_past(now);
-        let requests_per_s = self.tries.requests_per_s(room.told_at, &room.priorities);
+    fn update(&mut self, now: ClockTime, room: &ServiceSnapshot) {
+        self.accounts.take(now, &room.account_samples);
+        let is_known =
+            room.is_reliable && !room.reported_at.after_millis(VIEW_LIFE_MS).is_past(now);
+        let requests_per_s = self.tries.requests_per_s(room.reported_at, &room.priorities);
         let shortage = ServiceShortage::of(room, &requests_per_s)
             .map(|shortage| {
                 let (age_s, admitted_s) = self.tries.admitted_until(now, &shortage.demands);
@@ -140,8 +142,8 @@
             })
             .filter(|shortage| is_known && shortage.is_short());
         self.note_shortage(now, shortage.is_some());
-        let may_refuse =
-            !room.is_partial || self.shown.is_some_and(|shown| shown.partial_until.is_past(now));
+        let may_refuse = !room.has_unreported_centre
+            || self.shown.is_some_and(|shown| shown.partial_until.is_past(now));
         self.plan = match shortage.filter(|_| may_refuse) {
             Some(shortage) => {
                 self.tries.learn(now, shortage.expected - shortage.target);
@@ -152,34 +154,34 @@
         self.tries.note_plan(now, self.plan.planned.clone());
     }
 
-    fn admit(&self, now: ClockTime, opening: &FlowOpening) -> AdmissionVerdict {
+    fn admit(&self, now: ClockTime, opening: &FlowOpening) -> AdmissionDecision {
         let plan = &self.plan;
         let share = plan.planned.shares.get(&opening.priority).copied().unwrap_or(1.0);
         if plan.planned.shares.is_empty() || plan.expires_at.is_past(now) {
-            return AdmissionVerdict::Admitted;
+            return AdmissionDecision::Admitted;
         }
         if let Some(heavy) = plan.heavy.get(&AccountKey::of(opening.caller)) {
             return match heavy.admits(now, opening.caller, share) {
-                true => AdmissionVerdict::Admitted,
-                false => AdmissionVerdict::AccountShare,
+                true => AdmissionDecision::Admitted,
+                false => AdmissionDecision::AccountShare,
             };
         }
         match plan.turn.covers(now, opening.caller, share) {
-            true => AdmissionVerdict::Admitted,
-            false => AdmissionVerdict::Shortage,
+            true => AdmissionDecision::Admitted,
+            false => AdmissionDecision::Shortage,
         }
     }
 
-    fn shares(&self) -> &BTreeMap<u32, f64> {
+    fn admitted_shares(&self) -> &BTreeMap<u32, f64> {
         &self.plan.planned.shares
     }
 
-    fn short_since(&self) -> Option<ClockTime> {
+    fn shortage_since(&self) -> Option<ClockTime> {
         self.shown.map(|shown| shown.since)
     }
 }
 
 /// Openings of all priorities that arrive a second.
-fn openings_per_s(room: &ServiceRoom) -> f64 {
+fn openings_per_s(room: &ServiceSnapshot) -> f64 {
     room.priorities.values().map(arrivals_per_s).sum()
 }
--- a/crates/foxledge-admission/src/shortage.rs
+++ b/crates/foxledge-admission/src/shortage.rs
@@ -4,7 +4,7 @@
 
 use foxledge_load::PriorityLoad;
 
-use crate::interface::ServiceRoom;
+use crate::interface::ServiceSnapshot;
 
 /// Range of the target load, in requests a slot: slots stay busy at the least, and at the most
 /// requests wait as long as they run.
@@ -48,7 +48,10 @@
     /// slots.
     ///
     /// Answers the load that is above what the slots can serve within the aim.
-    pub fn of(room: &ServiceRoom, requests_per_s: &BTreeMap<u32, f64>) -> Option<ServiceShortage> {
+    pub fn of(
+        room: &ServiceSnapshot,
+        requests_per_s: &BTreeMap<u32, f64>,
+    ) -> Option<ServiceShortage> {
         if !(room.slots > 0.0 && room.running.is_finite()) {
             return None;
         }
@@ -61,7 +64,7 @@
             let known_s = room.priorities.get(priority).and_then(known_work_s);
             (*priority, per_s * known_s.unwrap_or(usual_s))
         };
-        let target = target_load(room.aim_ms, work_s);
+        let target = target_load(room.latency_target_ms, work_s);
         Some(ServiceShortage {
             load,
             expected: load,
--- a/crates/foxledge-admission/tests/account_shares.rs
+++ b/crates/foxledge-admission/tests/account_shares.rs
@@ -4,7 +4,8 @@
 
 use common::{ModelGate, ModelPlan, ModelTally, QueueModel, at, caller, planned, room, verdict};
 use foxledge_admission::{
-    AccountKey, AdmissionOptions, AdmissionPolicy, AdmissionVerdict, ServiceRoom, ShareAdmission,
+    AccountKey, AdmissionDecision, AdmissionOptions, AdmissionPolicy, ServiceSnapshot,
+    ShareAdmission,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -75,11 +76,11 @@
 }
 
 /// What 19 instances tell in 50 ms of 100 accounts, of which the first asks for a multiple.
-fn view(random: &mut StdRng, millis: u64, multiple: f64) -> ServiceRoom {
+fn view(random: &mut StdRng, millis: u64, multiple: f64) -> ServiceSnapshot {
     let mut draw = || random.random_range(0.0..f64::from(ACCOUNTS) + multiple) as u32;
     let key = |number: u32| (AccountKey::of(caller(number.min(ACCOUNTS))).0, 2);
     let accounts = (0..114).map(|_| key(draw())).collect();
-    ServiceRoom { accounts, ..room(millis, 2.0, &[(1, 8_000.0)]) }
+    ServiceSnapshot { account_samples: accounts, ..room(millis, 2.0, &[(1, 8_000.0)]) }
 }
 
 // Accounts that ask for as much as each other are cut by chance.
@@ -88,7 +89,7 @@
     let mut random = StdRng::seed_from_u64(1);
     let mut policy = ShareAdmission::new(AdmissionOptions::default());
     for millis in (0..6000).step_by(50) {
-        policy.plan(at(millis), &view(&mut random, millis, 1.0));
+        policy.update(at(millis), &view(&mut random, millis, 1.0));
         assert!(policy.heavy_accounts().is_empty(), "at {millis} ms");
     }
 }
@@ -98,13 +99,14 @@
 fn two_accounts() {
     let samples = |number, count| vec![(AccountKey::of(caller(number)).0, 10); count];
     let accounts = [samples(1, 40), samples(2, 4)].concat();
-    let policy = planned(&ServiceRoom { accounts, ..room(1000, 2.0, &[(1, 8_000.0)]) });
+    let policy =
+        planned(&ServiceSnapshot { account_samples: accounts, ..room(1000, 2.0, &[(1, 8_000.0)]) });
     assert_eq!(
         policy.heavy_accounts().keys().copied().collect::<Vec<_>>(),
         [AccountKey::of(caller(1))]
     );
     let refused = (1000..1200).map(|millis| verdict(&policy, millis, 1, 1));
-    assert!(refused.into_iter().any(|one| one == AdmissionVerdict::AccountShare));
+    assert!(refused.into_iter().any(|one| one == AdmissionDecision::AccountShare));
 }
 
 // Made-up addresses fill the memory, or push the heavy account out.
@@ -115,8 +117,11 @@
     for millis in (0..2000).step_by(50) {
         let mut accounts: Vec<_> = (0..2_000).map(|_| (random.random(), 2)).collect();
         accounts.extend([(AccountKey::of(caller(1)).0, 2); 40]);
-        policy.plan(at(millis), &ServiceRoom { accounts, ..room(millis, 2.0, &[(1, 80_000.0)]) });
-        assert!(policy.remembered_accounts() <= 4096);
+        policy.update(
+            at(millis),
+            &ServiceSnapshot { account_samples: accounts, ..room(millis, 2.0, &[(1, 80_000.0)]) },
+        );
+        assert!(policy.tracked_accounts() <= 4096);
     }
     assert!(policy.heavy_accounts().contains_key(&AccountKey::of(caller(1))));
 }
@@ -127,12 +132,12 @@
     let mut random = StdRng::seed_from_u64(1);
     let mut policy = ShareAdmission::new(AdmissionOptions::default());
     for millis in (0..2000).step_by(50) {
-        policy.plan(at(millis), &view(&mut random, millis, 10.0));
+        policy.update(at(millis), &view(&mut random, millis, 10.0));
     }
     assert_eq!(policy.heavy_accounts().len(), 1);
     for millis in (2000..4000).step_by(50) {
-        policy.plan(at(millis), &room(millis, 2.0, &[(1, 8_000.0)]));
+        policy.update(at(millis), &room(millis, 2.0, &[(1, 8_000.0)]));
     }
     assert!(policy.heavy_accounts().is_empty());
-    assert_eq!(policy.remembered_accounts(), 0);
+    assert_eq!(policy.tracked_accounts(), 0);
 }
--- a/crates/foxledge-admission/tests/common/mod.rs
+++ b/crates/foxledge-admission/tests/common/mod.rs
@@ -7,7 +7,8 @@
 use std::{collections::BTreeMap, net::Ipv4Addr};
 
 use foxledge_admission::{
-    AdmissionOptions, AdmissionPolicy, AdmissionVerdict, FlowOpening, ServiceRoom, ShareAdmission,
+    AdmissionDecision, AdmissionOptions, AdmissionPolicy, FlowOpening, ServiceSnapshot,
+    ShareAdmission,
 };
 use foxledge_core::time::ClockTime;
 use foxledge_load::PriorityLoad;
@@ -41,7 +42,7 @@
             ModelGate::Limits(limits) => own < limits[&opening.priority],
             ModelGate::Policies(policies) => {
                 let verdict = policies[instance].admit(ClockTime::from_micros(now_us), opening);
-                verdict == AdmissionVerdict::Admitted
+                verdict == AdmissionDecision::Admitted
             }
         }
     }
@@ -137,26 +138,26 @@
 
 /// A sure view of 240 slots, told at `millis`, at `load` requests a slot, with demands in
 /// requests a second of 60 ms by priority.
-pub fn room(millis: u64, load: f64, per_s: &[(u32, f64)]) -> ServiceRoom {
+pub fn room(millis: u64, load: f64, per_s: &[(u32, f64)]) -> ServiceSnapshot {
     let priority = |(priority, per_s): &(u32, f64)| {
         (*priority, PriorityLoad { arrivals_per_s: *per_s, work_us: 60_000.0 })
     };
-    ServiceRoom {
+    ServiceSnapshot {
         slots: SLOTS,
         running: load * SLOTS,
         priorities: per_s.iter().map(priority).collect(),
-        aim_ms: AIM_MS,
-        told_at: at(millis),
-        is_sure: true,
-        turn_ms: millis as u32,
-        ..ServiceRoom::default()
+        latency_target_ms: AIM_MS,
+        reported_at: at(millis),
+        is_reliable: true,
+        fleet_clock_ms: millis as u32,
+        ..ServiceSnapshot::default()
     }
 }
 
 /// A policy that has seen one view.
-pub fn planned(room: &ServiceRoom) -> ShareAdmission {
+pub fn planned(room: &ServiceSnapshot) -> ShareAdmission {
     let mut policy = ShareAdmission::new(AdmissionOptions::default());
-    policy.plan(room.told_at, room);
+    policy.update(room.reported_at, room);
     policy
 }
 
@@ -171,14 +172,14 @@
     millis: u64,
     priority: u32,
     number: u32,
-) -> AdmissionVerdict {
+) -> AdmissionDecision {
     policy.admit(at(millis), &FlowOpening { priority, caller: caller(number) })
 }
 
 /// Part of 4,000 callers whose opening is admitted.
 pub fn admitted_part(policy: &ShareAdmission, millis: u64, priority: u32) -> f64 {
     let is_admitted =
-        |number: &u32| verdict(policy, millis, priority, *number) == AdmissionVerdict::Admitted;
+        |number: &u32| verdict(policy, millis, priority, *number) == AdmissionDecision::Admitted;
     (0..4000).filter(is_admitted).count() as f64 / 4000.0
 }
 
--- a/crates/foxledge-admission/tests/common/model.rs
+++ b/crates/foxledge-admission/tests/common/model.rs
@@ -5,7 +5,7 @@
     collections::{BinaryHeap, VecDeque},
 };
 
-use foxledge_admission::{AccountKey, AdmissionPolicy, FlowOpening, ServiceRoom};
+use foxledge_admission::{AccountKey, AdmissionPolicy, FlowOpening, ServiceSnapshot};
 use foxledge_core::time::ClockTime;
 use foxledge_load::PriorityLoad;
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -62,7 +62,7 @@
     openings: Vec<Vec<u32>>,
     /// Arrivals a second by kind, up to the last step.
     rates: [f64; USUAL.len()],
-    views: VecDeque<ServiceRoom>,
+    views: VecDeque<ServiceSnapshot>,
     tally: ModelTally,
 }
 
@@ -124,14 +124,14 @@
             let load = PriorityLoad { arrivals_per_s: *rate, work_us: USUAL[kind].2 };
             (USUAL[kind].0, load)
         };
-        self.views.push_back(ServiceRoom {
+        self.views.push_back(ServiceSnapshot {
             slots: SLOTS,
             running: self.running,
             priorities: self.rates.iter().enumerate().map(load).collect(),
-            aim_ms: AIM_MS,
-            told_at: now,
-            is_sure: true,
-            ..ServiceRoom::default()
+            latency_target_ms: AIM_MS,
+            reported_at: now,
+            is_reliable: true,
+            ..ServiceSnapshot::default()
         });
         let decay = (-(STEP_US as f64) / DECAY_US).exp();
         self.rates.iter_mut().for_each(|rate| *rate *= decay);
@@ -147,12 +147,13 @@
             let mut noise = || 1.0 + NOISE * normal(&mut self.random);
             seen.running *= noise();
             seen.priorities.values_mut().for_each(|load| load.arrivals_per_s *= noise());
-            seen.sampled_per_s = seen.priorities.values().map(|load| load.arrivals_per_s).sum();
+            seen.sampled_arrivals_per_s =
+                seen.priorities.values().map(|load| load.arrivals_per_s).sum();
             let heard = |_: &&Vec<_>| self.random.random_bool(self.plan.heard);
-            seen.accounts = parts.iter().filter(heard).flatten().copied().collect();
-            seen.is_sure = !self.plan.unsure.get(number).is_some_and(|is_unsure| *is_unsure);
-            seen.turn_ms = (self.now / 1000) as u32;
-            policy.plan(now, &seen);
+            seen.account_samples = parts.iter().filter(heard).flatten().copied().collect();
+            seen.is_reliable = !self.plan.unsure.get(number).is_some_and(|is_unsure| *is_unsure);
+            seen.fleet_clock_ms = (self.now / 1000) as u32;
+            policy.update(now, &seen);
         }
     }
 
--- a/crates/foxledge-admission/tests/priority_shares.rs
+++ b/crates/foxledge-admission/tests/priority_shares.rs
@@ -6,12 +6,12 @@
 
 use common::{SLOTS, admitted_part, at, planned, room};
 use foxledge_admission::{
-    AdmissionOptions, AdmissionPolicy, AdmissionVerdict, ServiceRoom, ShareAdmission,
+    AdmissionDecision, AdmissionOptions, AdmissionPolicy, ServiceSnapshot, ShareAdmission,
 };
 use proptest::prelude::*;
 
 fn shares(per_s: &[(u32, f64)]) -> BTreeMap<u32, f64> {
-    planned(&room(1000, 2.0, per_s)).shares().clone()
+    planned(&room(1000, 2.0, per_s)).admitted_shares().clone()
 }
 
 // Urgent requests lose while less urgent ones are served.
@@ -49,14 +49,14 @@
     let mut tries = others;
     for step in 0..40 {
         let view = room(1000 + 50 * step, 2.0, &[(0, urgent), (1, tries)]);
-        policy.plan(view.told_at, &view);
-        let share = policy.shares()[&1];
+        policy.update(view.reported_at, &view);
+        let share = policy.admitted_shares()[&1];
         let arriving = others * (share + 3.0 * (1.0 - share));
         tries += (arriving - tries) * (1.0 - (-0.05f64 / 0.25).exp());
     }
-    assert_eq!(policy.shares()[&0], 1.0);
+    assert_eq!(policy.admitted_shares()[&0], 1.0);
     // A third of what the others ask for fits, also when they ask three times.
-    let share = policy.shares()[&1];
+    let share = policy.admitted_shares()[&1];
     assert!((0.28..0.40).contains(&share), "{share}");
     assert!(tries > 2.0 * others);
 }
@@ -67,8 +67,8 @@
     let mut policy = planned(&room(1000, 2.0, &[(0, 3_000.0), (1, 5_000.0)]));
     assert!(admitted_part(&policy, 1000, 1) < 0.5);
     let changed = room(1050, 2.0, &[(2, 3_000.0), (1, 3_000.0)]);
-    policy.plan(changed.told_at, &changed);
-    assert_eq!(policy.shares().keys().copied().collect::<Vec<_>>(), [1, 2]);
+    policy.update(changed.reported_at, &changed);
+    assert_eq!(policy.admitted_shares().keys().copied().collect::<Vec<_>>(), [1, 2]);
     assert_eq!(admitted_part(&policy, 1050, 1), 1.0);
     assert!(admitted_part(&policy, 1050, 2) < 0.6);
 }
@@ -77,14 +77,14 @@
 #[test]
 fn new_priority() {
     let policy = planned(&room(1000, 2.0, &[(0, 3_000.0), (1, 5_000.0)]));
-    assert_eq!(common::verdict(&policy, 1000, 7, 1), AdmissionVerdict::Admitted);
+    assert_eq!(common::verdict(&policy, 1000, 7, 1), AdmissionDecision::Admitted);
 }
 
 // What is admitted isn't the share that the plan says.
 #[test]
 fn true_shares() {
     let policy = planned(&room(1000, 2.0, &[(0, 2_000.0), (1, 6_000.0)]));
-    let wanted = policy.shares()[&1];
+    let wanted = policy.admitted_shares()[&1];
     for millis in [1000, 1111, 1390] {
         let part = admitted_part(&policy, millis, 1);
         assert!((part - wanted).abs() < 0.03, "{part} of {wanted} at {millis} ms");
@@ -97,8 +97,8 @@
     let view = room(1000, 2.0, &[(0, 40_000.0), (1, 40_000.0)]);
     let share = |percent| {
         let mut policy = ShareAdmission::new(AdmissionOptions::default().floor_percent(percent));
-        policy.plan(at(1000), &view);
-        policy.shares()[&1]
+        policy.update(at(1000), &view);
+        policy.admitted_shares()[&1]
     };
     assert!((share(10.0) - 0.01).abs() < 1e-6);
     assert!((share(50.0) - 0.05).abs() < 1e-6);
@@ -113,8 +113,8 @@
         load in 1.0f64..8.0,
     ) {
         let asked: Vec<_> = per_s.iter().map(|(priority, per_s)| (*priority, *per_s)).collect();
-        let view: ServiceRoom = room(1000, load, &asked);
-        let shares = planned(&view).shares().clone();
+        let view: ServiceSnapshot = room(1000, load, &asked);
+        let shares = planned(&view).admitted_shares().clone();
         let given: f64 = shares.iter().map(|(priority, share)| share * per_s[priority] * 0.06).sum();
         let demand: f64 = per_s.values().map(|per_s| per_s * 0.06).sum();
         // The target is 2 with work of 60 ms and an aim of 400 ms, the gain 0.3.
--- a/crates/foxledge-admission/tests/return_order.rs
+++ b/crates/foxledge-admission/tests/return_order.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::{at, planned, room, verdict};
-use foxledge_admission::{AdmissionPolicy, AdmissionVerdict, ServiceRoom, ShareAdmission};
+use foxledge_admission::{AdmissionDecision, AdmissionPolicy, ServiceSnapshot, ShareAdmission};
 
 /// A view with a third of priority 1 admitted, renewed each 50 ms.
-fn view(millis: u64) -> ServiceRoom {
+fn view(millis: u64) -> ServiceSnapshot {
     room(millis, 2.0, &[(0, 2_000.0), (1, 6_000.0)])
 }
 
@@ -19,7 +19,7 @@
             // A policy that is fresh each time holds the share at a third.
             policy = planned(&view(millis));
         }
-        if verdict(&policy, millis, 1, number) == AdmissionVerdict::Admitted {
+        if verdict(&policy, millis, 1, number) == AdmissionDecision::Admitted {
             admitted.push(millis);
         }
     }
@@ -45,7 +45,7 @@
     let first = planned(&view(1000));
     // Another process's clock shows another time at the same moment.
     let far = 5_000_000;
-    let second = planned(&ServiceRoom { turn_ms: 1000, ..view(far) });
+    let second = planned(&ServiceSnapshot { fleet_clock_ms: 1000, ..view(far) });
     for number in 0..500 {
         for passed in [0, 130, 390] {
             let here = verdict(&first, 1000 + passed, 1, number);
@@ -58,7 +58,7 @@
 #[test]
 fn slight_deviation() {
     let first = planned(&view(1000));
-    let second = planned(&ServiceRoom { turn_ms: 1008, ..view(1000) });
+    let second = planned(&ServiceSnapshot { fleet_clock_ms: 1008, ..view(1000) });
     let differs =
         |number: &u32| verdict(&first, 1000, 1, *number) != verdict(&second, 1000, 1, *number);
     // 8 of 800 ms at each end of the window.
@@ -71,7 +71,7 @@
 fn admitted_wait() {
     let policy = planned(&view(1000));
     let is_admitted =
-        |millis, number| verdict(&policy, millis, 1, number) == AdmissionVerdict::Admitted;
+        |millis, number| verdict(&policy, millis, 1, number) == AdmissionDecision::Admitted;
     for number in 0..2000 {
         // The window moves by an eighth of the ring and covers a third of it.
         if is_admitted(1000, number) && !is_admitted(1100, number) {
@@ -83,10 +83,11 @@
 // The shared clock's wrap stops the window.
 #[test]
 fn clock_wrap() {
-    let policy: ShareAdmission = planned(&ServiceRoom { turn_ms: u32::MAX - 10, ..view(1000) });
+    let policy: ShareAdmission =
+        planned(&ServiceSnapshot { fleet_clock_ms: u32::MAX - 10, ..view(1000) });
     let admitted = |millis| {
         (0..1000)
-            .filter(|number| verdict(&policy, millis, 1, *number) == AdmissionVerdict::Admitted)
+            .filter(|number| verdict(&policy, millis, 1, *number) == AdmissionDecision::Admitted)
             .count()
     };
     for millis in [1000, 1100, 1200] {
@@ -98,7 +99,7 @@
 #[test]
 fn earlier_packet() {
     let policy = planned(&view(1000));
-    assert_eq!(policy.short_since(), Some(at(1000)));
+    assert_eq!(policy.shortage_since(), Some(at(1000)));
     for number in 0..100 {
         assert_eq!(verdict(&policy, 990, 1, number), verdict(&policy, 1000, 1, number));
     }
--- a/crates/foxledge-admission/tests/split_views.rs
+++ b/crates/foxledge-admission/tests/split_views.rs
@@ -3,12 +3,12 @@
 mod common;
 
 use common::{ModelPlan, QueueModel, admitted_part, at, planned, room, share_gate};
-use foxledge_admission::{AdmissionOptions, AdmissionPolicy, ServiceRoom, ShareAdmission};
+use foxledge_admission::{AdmissionOptions, AdmissionPolicy, ServiceSnapshot, ShareAdmission};
 
 // Two halves that don't hear of each other admit more than fits, or keep refusing when they meet.
 #[test]
 fn two_halves() {
-    let half = |millis, load: f64| ServiceRoom {
+    let half = |millis, load: f64| ServiceSnapshot {
         slots: 120.0,
         running: 120.0 * load,
         ..room(millis, 0.0, &[(0, 1_000.0), (1, 3_000.0)])
@@ -18,7 +18,7 @@
     assert!(admitted_part(&full, 1000, 1) < 0.5);
     assert_eq!(admitted_part(&free, 1000, 1), 1.0);
     // Both see the whole again.
-    full.plan(at(1050), &room(1050, 0.9, &[(0, 1_000.0), (1, 2_000.0)]));
+    full.update(at(1050), &room(1050, 0.9, &[(0, 1_000.0), (1, 2_000.0)]));
     assert_eq!(admitted_part(&full, 1050, 1), 1.0);
 }
 
@@ -41,13 +41,13 @@
     let mut new = ShareAdmission::new(AdmissionOptions::default());
     for step in 0..40 {
         let view = room(1000 + 50 * step, 2.0, &[(0, 2_000.0), (1, 6_000.0)]);
-        old.plan(view.told_at, &view);
+        old.update(view.reported_at, &view);
         if step < 20 {
-            new.plan(view.told_at, &ServiceRoom { is_sure: false, ..view });
+            new.update(view.reported_at, &ServiceSnapshot { is_reliable: false, ..view });
         } else {
-            new.plan(view.told_at, &view);
+            new.update(view.reported_at, &view);
         }
     }
-    let (old, new) = (old.shares()[&1], new.shares()[&1]);
+    let (old, new) = (old.admitted_shares()[&1], new.admitted_shares()[&1]);
     assert!((old - new).abs() < 0.05, "{old} and {new}");
 }
--- a/crates/foxledge-bench/src/arrivals.rs
+++ b/crates/foxledge-bench/src/arrivals.rs
@@ -59,8 +59,8 @@
     type Item = RequestArrival;
 
     fn next(&mut self) -> Option<RequestArrival> {
-        let share_at = self.shares.peek().map_or(ClockTime::FAR, |arrival| arrival.at);
-        let surplus_at = self.surplus.peek().map_or(ClockTime::FAR, |arrival| arrival.at);
+        let share_at = self.shares.peek().map_or(ClockTime::MAX, |arrival| arrival.at);
+        let surplus_at = self.surplus.peek().map_or(ClockTime::MAX, |arrival| arrival.at);
         if share_at <= surplus_at { self.shares.next() } else { self.surplus.next() }
     }
 }
--- a/crates/foxledge-bench/src/cost.rs
+++ b/crates/foxledge-bench/src/cost.rs
@@ -188,7 +188,7 @@
             when_full: FullAction::Queue,
             idempotent: false,
             deadline: self.now.after_millis(3_600_000),
-            start_deadline: ClockTime::FAR,
+            start_deadline: ClockTime::MAX,
         };
         let effects = self.desk.offer(self.now, item);
         self.note(effects);
--- a/crates/foxledge-core/src/audit.rs
+++ b/crates/foxledge-core/src/audit.rs
@@ -86,14 +86,18 @@
     }
 
     /// Sets the values before and after.
-    pub fn values(mut self, old: impl Into<String>, new: impl Into<String>) -> AuditChange {
+    pub fn with_values(mut self, old: impl Into<String>, new: impl Into<String>) -> AuditChange {
         self.old = old.into();
         self.new = new.into();
         self
     }
 
     /// Sets why, and on whose word.
-    pub fn because(mut self, cause: impl Into<String>, source: impl Into<String>) -> AuditChange {
+    pub fn with_cause(
+        mut self,
+        cause: impl Into<String>,
+        source: impl Into<String>,
+    ) -> AuditChange {
         self.cause = cause.into();
         self.source = source.into();
         self
--- a/crates/foxledge-core/src/lists.rs
+++ b/crates/foxledge-core/src/lists.rs
@@ -204,7 +204,7 @@
 
 impl RuleList {
     /// The first rule that matches, or none.
-    pub fn decide(&self, flow: &FlowTraits<'_>) -> Option<&FlowRule> {
+    pub fn first_match(&self, flow: &FlowTraits<'_>) -> Option<&FlowRule> {
         self.rules.iter().find(|rule| rule.when.matches(flow))
     }
 
--- a/crates/foxledge-core/src/peers.rs
+++ b/crates/foxledge-core/src/peers.rs
@@ -27,12 +27,12 @@
 
 impl PeerState {
     /// True when the instance can be the home of a service.
-    pub fn holds_homes(self) -> bool {
+    pub fn can_be_home(self) -> bool {
         matches!(self, PeerState::Alive | PeerState::Suspect)
     }
 
     /// The state's word in audit trails and reports.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             PeerState::Joining => "joining",
             PeerState::Alive => "alive",
@@ -100,15 +100,15 @@
     ///
     /// Stops at the first `ranks` that are better, about `ranks * ln(n)` of `n`
     /// instances on average, where a whole ranking weighs and sorts all.
-    pub fn holds_rank(&self, key: &str, name: &str, ranks: usize) -> bool {
-        let Some(me) = self.find(name).filter(|peer| peer.state.holds_homes()) else {
+    pub fn is_among_best_homes(&self, key: &str, name: &str, ranks: usize) -> bool {
+        let Some(me) = self.find(name).filter(|peer| peer.state.can_be_home()) else {
             return false;
         };
         let mine = rendezvous_weight(key, &me.name);
         let better = self
             .peers
             .iter()
-            .filter(|peer| peer.state.holds_homes())
+            .filter(|peer| peer.state.can_be_home())
             .filter(|peer| {
                 let weight = rendezvous_weight(key, &peer.name);
                 weight > mine || (weight == mine && peer.name < me.name)
@@ -123,7 +123,7 @@
         let mut ranked: Vec<_> = self
             .peers
             .iter()
-            .filter(|peer| peer.state.holds_homes())
+            .filter(|peer| peer.state.can_be_home())
             .map(|peer| (rendezvous_weight(key, &peer.name), peer))
             .collect();
         ranked.sort_by(|a, b| b.0.cmp(&a.0).then_with(|| a.1.name.cmp(&b.1.name)));
--- a/crates/foxledge-core/src/time.rs
+++ b/crates/foxledge-core/src/time.rs
@@ -13,7 +13,7 @@
     /// The start of the clock.
     pub const ZERO: ClockTime = ClockTime(0);
     /// Later than every other point.
-    pub const FAR: ClockTime = ClockTime(u64::MAX);
+    pub const MAX: ClockTime = ClockTime(u64::MAX);
 
     /// Makes a point from microseconds since the clock's start.
     pub fn from_micros(micros: u64) -> ClockTime {
@@ -46,13 +46,13 @@
     }
 
     /// Time left until `self`; zero when it has passed.
-    pub fn left(self, now: ClockTime) -> Duration {
+    pub fn remaining(self, now: ClockTime) -> Duration {
         Duration::from_micros(self.0.saturating_sub(now.0))
     }
 
     /// Whole milliseconds left until `self`, as they travel in messages.
-    pub fn left_millis(self, now: ClockTime) -> u32 {
-        u32::try_from(self.left(now).as_millis()).unwrap_or(u32::MAX)
+    pub fn remaining_millis(self, now: ClockTime) -> u32 {
+        u32::try_from(self.remaining(now).as_millis()).unwrap_or(u32::MAX)
     }
 
     /// Time since `earlier`; zero when that lies ahead.
--- a/crates/foxledge-daemon/src/control_link.rs
+++ b/crates/foxledge-daemon/src/control_link.rs
@@ -80,8 +80,8 @@
             }
             LinkEvent::PlatformOlder { shown, newest } => self.context.record(
                 AuditChange::new(AuditKind::ListIgnored, "rule list")
-                    .values(format!("revision {newest}"), format!("revision {shown}"))
-                    .because("the platform is at an older revision", "platform"),
+                    .with_values(format!("revision {newest}"), format!("revision {shown}"))
+                    .with_cause("the platform is at an older revision", "platform"),
             ),
             LinkEvent::Ended(why) => {
                 warn!("link: the side thread ended: {why}");
--- a/crates/foxledge-daemon/src/daemon.rs
+++ b/crates/foxledge-daemon/src/daemon.rs
@@ -113,8 +113,8 @@
     context.set_audit(fwd_to!([root], record() as (AuditChange)));
     context.record(
         AuditChange::new(AuditKind::ProcessChanged, context.me.borrow().name.as_str())
-            .values("", "joining")
-            .because("start", "daemon"),
+            .with_values("", "joining")
+            .with_cause("start", "daemon"),
     );
     root
 }
--- a/crates/foxledge-daemon/src/life_cycle.rs
+++ b/crates/foxledge-daemon/src/life_cycle.rs
@@ -146,8 +146,8 @@
         info!("life: stops with {left} unfinished");
         self.context.record(
             AuditChange::new(AuditKind::ProcessChanged, self.context.me.borrow().name.as_str())
-                .values("leaving", format!("stopped with {left} unfinished"))
-                .because(if left == 0 { "all finished" } else { "limit of the stop" }, "life"),
+                .with_values("leaving", format!("stopped with {left} unfinished"))
+                .with_cause(if left == 0 { "all finished" } else { "limit of the stop" }, "life"),
         );
         // A later turn of the loop, so that the entry is logged and the last datagrams are out.
         after!(TICK, [cx], |_this, cx| cx.shutdown(StopCause::Stopped));
@@ -176,8 +176,8 @@
         }
         self.context.record(
             AuditChange::new(AuditKind::ProcessChanged, self.context.me.borrow().name.as_str())
-                .values(before, after)
-                .because(cause, source),
+                .with_values(before, after)
+                .with_cause(cause, source),
         );
     }
 }
--- a/crates/foxledge-daemon/src/member_keeper.rs
+++ b/crates/foxledge-daemon/src/member_keeper.rs
@@ -156,7 +156,7 @@
         *self.context.view.borrow_mut() = view.clone();
         self.context.metrics.peers.reset();
         for peer in &view.peers {
-            let state = peer.state.word();
+            let state = peer.state.as_str();
             self.context.metrics.peers.with_label_values(&[state]).inc();
         }
         if let Some(engine) = self.context.directory.get::<EnginePart>() {
--- a/crates/foxledge-daemon/src/packets/daemon.rs
+++ b/crates/foxledge-daemon/src/packets/daemon.rs
@@ -178,7 +178,7 @@
         phase: Arc::new(PhaseCell::default()),
         log: RefCell::new(log),
         member: RefCell::new(FleetMember::new(options, clock.now())),
-        due_at: Cell::new(ClockTime::FAR),
+        due_at: Cell::new(ClockTime::MAX),
         last_pause: Cell::new((ClockTime::ZERO, Duration::ZERO)),
         packet_at: Cell::new(ClockTime::ZERO),
         side,
--- a/crates/foxledge-daemon/src/packets/fleet_part.rs
+++ b/crates/foxledge-daemon/src/packets/fleet_part.rs
@@ -136,7 +136,7 @@
             call!([flows], note_pause());
         }
         self.context.last_pause.set((self.context.clock.now(), pause));
-        self.context.due_at.set(ClockTime::FAR);
+        self.context.due_at.set(ClockTime::MAX);
     }
 
     fn drain(&mut self, cx: CX![]) {
@@ -260,8 +260,8 @@
                 _ => format!("{revision} of epoch {epoch}"),
             };
             let change = AuditChange::new(AuditKind::ListAccepted, format!("version {version}"))
-                .values(former_revision.to_string(), newer)
-                .because("newer", source.as_str());
+                .with_values(former_revision.to_string(), newer)
+                .with_cause("newer", source.as_str());
             self.context.record(change);
         }
     }
@@ -276,7 +276,7 @@
     fn set_timer(&mut self, cx: CX![]) {
         let now = self.context.clock.now();
         let next = self.context.member.borrow().next_at(now);
-        let wait = next.left(now).max(Duration::from_millis(TICK_MS));
+        let wait = next.remaining(now).max(Duration::from_millis(TICK_MS));
         self.context.due_at.set(now.after(wait));
         if let Some(key) = self.timer.take() {
             cx.timer_del(key);
--- a/crates/foxledge-daemon/src/packets/flow_part.rs
+++ b/crates/foxledge-daemon/src/packets/flow_part.rs
@@ -259,7 +259,7 @@
         let now = self.context.clock.now();
         match self.held_until.filter(|until| !until.is_past(now)) {
             Some(until) => {
-                after!(until.left(now).max(LOOK_AGAIN), [cx], end_hold());
+                after!(until.remaining(now).max(LOOK_AGAIN), [cx], end_hold());
             }
             None => self.drain(cx),
         }
--- a/crates/foxledge-daemon/src/packets/life_part.rs
+++ b/crates/foxledge-daemon/src/packets/life_part.rs
@@ -101,7 +101,7 @@
             return self.begin_serving();
         }
         // The loop's clock may be behind this one, so the time is looked at again.
-        after!(until.left(now).max(LOOK_AGAIN), [cx], consider_serving());
+        after!(until.remaining(now).max(LOOK_AGAIN), [cx], consider_serving());
     }
 
     /// Acts on a signal.
@@ -198,8 +198,8 @@
         self.context.phase.set(phase);
         let name = self.context.settings.borrow().name.to_string();
         let change = AuditChange::new(AuditKind::ProcessChanged, name)
-            .values(before, self.context.phase.word())
-            .because(cause, "life");
+            .with_values(before, self.context.phase.word())
+            .with_cause(cause, "life");
         self.context.record(change);
     }
 }
--- a/crates/foxledge-daemon/src/packets/reports.rs
+++ b/crates/foxledge-daemon/src/packets/reports.rs
@@ -94,7 +94,7 @@
             health: backend.health.class(now),
             takes_flows: router.takes_flows(now, backend),
             is_draining: backend.is_draining,
-            cold_ms: backend.warm_at.left(now).as_millis() as u64,
+            cold_ms: backend.warm_at.remaining(now).as_millis() as u64,
             running: backend.running,
             flows: backend.flows,
             revision: backend.revision,
--- a/crates/foxledge-daemon/src/supervisor.rs
+++ b/crates/foxledge-daemon/src/supervisor.rs
@@ -184,10 +184,13 @@
         warn!("supervisor: {name} ended: {cause}");
         self.add_entry(
             AuditChange::new(AuditKind::PartRestarted, name)
-                .values("running", format!("starts again in {} ms", restart_at.left_millis(now)))
-                .because(cause.to_string(), "supervisor"),
+                .with_values(
+                    "running",
+                    format!("starts again in {} ms", restart_at.remaining_millis(now)),
+                )
+                .with_cause(cause.to_string(), "supervisor"),
         );
-        self.schedule_restart(cx, index, start, restart_at.left(now));
+        self.schedule_restart(cx, index, start, restart_at.remaining(now));
     }
 
     fn schedule_restart(&mut self, cx: CX![], index: usize, start: u64, delay: Duration) {
--- a/crates/foxledge-daemon/tests/restart_plan.rs
+++ b/crates/foxledge-daemon/tests/restart_plan.rs
@@ -25,7 +25,7 @@
         for failure in 0..40_u32 {
             let restart_at = plan.on_failure(now, &mut rng);
             let full = Duration::from_millis(100 << failure.min(10)).min(Duration::from_secs(1));
-            let delay = restart_at.left(now);
+            let delay = restart_at.remaining(now);
             assert!(delay >= full / 2 && delay <= full, "failure {failure}: {delay:?}");
             now = restart_at;
         }
@@ -42,7 +42,7 @@
     }
     assert_eq!(plan.failures(), 5);
     now = now.after(Duration::from_secs(10));
-    let delay = plan.on_failure(now, &mut rng).left(now);
+    let delay = plan.on_failure(now, &mut rng).remaining(now);
     assert_eq!(plan.failures(), 1);
     assert!(delay <= Duration::from_millis(100), "{delay:?}");
 }
--- a/crates/foxledge-engine/src/desks.rs
+++ b/crates/foxledge-engine/src/desks.rs
@@ -166,7 +166,7 @@
             if old != new {
                 let subject = target_subject(&service.name, target.name.as_str());
                 let change = AuditChange::new(AuditKind::TargetDraining, subject);
-                changes.push(change.values(old, new).because("published", "list"));
+                changes.push(change.with_values(old, new).with_cause("published", "list"));
             }
         }
     }
--- a/crates/foxledge-engine/src/dispatch.rs
+++ b/crates/foxledge-engine/src/dispatch.rs
@@ -143,7 +143,7 @@
             target_incarnation: target.incarnation,
             dispatch,
             return_path,
-            time_left_ms: deadline.left_millis(now),
+            time_left_ms: deadline.remaining_millis(now),
             ticket: Vec::new(),
             token: Vec::new(),
             credential: Vec::new(),
--- a/crates/foxledge-engine/src/engine.rs
+++ b/crates/foxledge-engine/src/engine.rs
@@ -267,8 +267,8 @@
         self.next_unknown_audit = now.after(UNKNOWN_AUDIT_GAP);
         let subject = format!("flow {:016x} request {}", key.flow, key.request);
         let change = AuditChange::new(AuditKind::FlowDecided, subject)
-            .values("", refusal_text(refusal))
-            .because("may have run", "engine");
+            .with_values("", refusal_text(refusal))
+            .with_cause("may have run", "engine");
         self.out.push(EngineEffect::Audit(change));
     }
 
--- a/crates/foxledge-engine/src/entry.rs
+++ b/crates/foxledge-engine/src/entry.rs
@@ -211,7 +211,7 @@
             SealError::UnknownKey(_) | SealError::NoKey => {
                 unknown(RefusalReason::BadTicket, DEFAULT_RETRY)
             }
-            SealError::WrongCode | SealError::Malformed => {
+            SealError::InvalidMac | SealError::Malformed => {
                 not_run(RefusalReason::BadTicket, DEFAULT_RETRY)
             }
         };
--- a/crates/foxledge-engine/src/home.rs
+++ b/crates/foxledge-engine/src/home.rs
@@ -91,7 +91,7 @@
         }
         let terms = RunTerms {
             tracking: RunTracking::Untracked,
-            start_deadline: ClockTime::FAR,
+            start_deadline: ClockTime::MAX,
             forget_at: now.after(self.options.ledger_keep),
         };
         self.open_request(now, caller, packet, terms);
--- a/crates/foxledge-engine/src/homes.rs
+++ b/crates/foxledge-engine/src/homes.rs
@@ -144,7 +144,7 @@
         forward: &PendingForward,
     ) -> Option<(InstanceName, SocketAddr)> {
         let can_relay = |peer: &&PeerInfo| {
-            peer.state.holds_homes()
+            peer.state.can_be_home()
                 && peer.name != self.me.name
                 && !forward.tried.contains(&peer.name)
                 && !self.silent.is_silent(&peer.name, now)
--- a/crates/foxledge-engine/src/placement.rs
+++ b/crates/foxledge-engine/src/placement.rs
@@ -58,7 +58,7 @@
 
     /// True when `me` is among the best `ranks` homes of the desk.
     fn holds_rank(&self, key: &DeskKey, me: &InstanceName, view: &PeerView, ranks: usize) -> bool {
-        view.holds_rank(&key.hash_text(), me, ranks)
+        view.is_among_best_homes(&key.hash_text(), me, ranks)
     }
 
     /// Instances that can be home for the desk, the best first.
--- a/crates/foxledge-engine/src/refresh.rs
+++ b/crates/foxledge-engine/src/refresh.rs
@@ -61,8 +61,8 @@
             return;
         }
         let change = AuditChange::new(AuditKind::KeysRotated, "token keys")
-            .values(format!("{old:?}"), format!("{new:?}"))
-            .because(format!("list {revision}"), "list");
+            .with_values(format!("{old:?}"), format!("{new:?}"))
+            .with_cause(format!("list {revision}"), "list");
         self.out.push(EngineEffect::Audit(change));
     }
 
--- a/crates/foxledge-engine/tests/common/mod.rs
+++ b/crates/foxledge-engine/tests/common/mod.rs
@@ -235,7 +235,7 @@
     }
 
     fn step(&mut self, end: ClockTime) -> bool {
-        let next = self.queue.first().map_or(ClockTime::FAR, |(at, ..)| *at);
+        let next = self.queue.first().map_or(ClockTime::MAX, |(at, ..)| *at);
         if next.min(self.next_tick) > end {
             return false;
         }
--- a/crates/foxledge-engine/tests/flow_reports.rs
+++ b/crates/foxledge-engine/tests/flow_reports.rs
@@ -85,8 +85,8 @@
     // Sequence: a bid by ticket is dispatched, and its target falls silent.
     // Cause: what the home keeps of an open request has no ticket, as if it were idempotent.
     let wanted = AuditChange::new(AuditKind::FlowDecided, "flow 0000000000000001 request 1")
-        .values("", "refused Unknown TargetLost")
-        .because("may have run", "engine");
+        .with_values("", "refused Unknown TargetLost")
+        .with_cause("may have run", "engine");
     assert_eq!(audit_lost_bids(1), [wanted]);
 }
 
@@ -121,7 +121,9 @@
     net.targets[0].spec.draining = false;
     net.publish(0, net.list(3));
     let drain = |subject: &str, old: &str, new: &str, cause: &str, source: &str| {
-        AuditChange::new(AuditKind::TargetDraining, subject).values(old, new).because(cause, source)
+        AuditChange::new(AuditKind::TargetDraining, subject)
+            .with_values(old, new)
+            .with_cause(cause, source)
     };
     let wanted = [
         drain("auction-desk/t0", "open", "draining", "published", "list"),
--- a/crates/foxledge-fakes/src/backend/server.rs
+++ b/crates/foxledge-fakes/src/backend/server.rs
@@ -117,7 +117,7 @@
 
 fn sleep_span(shared: &SharedState) -> Duration {
     let next = shared.lock().next_wake();
-    next.map_or(LONGEST_SLEEP, |at| at.left(shared.now()).min(LONGEST_SLEEP))
+    next.map_or(LONGEST_SLEEP, |at| at.remaining(shared.now()).min(LONGEST_SLEEP))
 }
 
 async fn receive_batch(socket: &UdpSocket, shared: &SharedState) {
--- a/crates/foxledge-fakes/src/caller/feed.rs
+++ b/crates/foxledge-fakes/src/caller/feed.rs
@@ -260,7 +260,7 @@
         work.idempotent = true;
         work.parts = 1;
         work.sequence = self.last;
-        work.time_left_ms = now.after_millis(OPENING_MS).left_millis(now);
+        work.time_left_ms = now.after_millis(OPENING_MS).remaining_millis(now);
         if let FeedPhase::Opening(pace) = &self.phase {
             work.attempt = pace.resends();
         }
--- a/crates/foxledge-fakes/src/caller/flow.rs
+++ b/crates/foxledge-fakes/src/caller/flow.rs
@@ -180,7 +180,7 @@
             return self.tickets.stop_asking();
         };
         let mut packet = self.identity.packet(PacketKind::TicketRequest, 0);
-        packet.time_left_ms = piece.deadline.left_millis(now);
+        packet.time_left_ms = piece.deadline.remaining_millis(now);
         packet.payload = vec![0; TICKET_PADDING];
         self.effects.push(CallerEffect::send(&packet));
     }
--- a/crates/foxledge-fakes/src/caller/requests.rs
+++ b/crates/foxledge-fakes/src/caller/requests.rs
@@ -56,7 +56,7 @@
             window: PartWindow::new(payload.parts.len()),
             payload,
             pace: SendPace::first(now),
-            pump_at: ClockTime::FAR,
+            pump_at: ClockTime::MAX,
             deadline,
         }
     }
@@ -137,14 +137,14 @@
         }
         let mut poll = identity.packet(PacketKind::Poll, self.request);
         poll.missing = self.answer.missing();
-        poll.time_left_ms = self.deadline.left_millis(now);
+        poll.time_left_ms = self.deadline.remaining_millis(now);
         vec![DuePacket { packet: self.addressed(poll), turn: SendTurn::Again }]
     }
 
     fn work_packet(&self, now: ClockTime, identity: &FlowIdentity, part: u32) -> Packet {
         let mut packet = identity.packet(PacketKind::Work, self.request);
         packet.attempt = self.pace.resends();
-        packet.time_left_ms = self.deadline.left_millis(now);
+        packet.time_left_ms = self.deadline.remaining_millis(now);
         packet.part = part;
         packet.parts = self.payload.parts.len() as u32;
         packet.payload = self.payload.parts[part as usize].clone();
--- a/crates/foxledge-fakes/src/caller/runner.rs
+++ b/crates/foxledge-fakes/src/caller/runner.rs
@@ -37,7 +37,7 @@
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let mut state = LoadState::new(clock(), unix.as_millis() as u64, options);
     while !state.is_finished(clock()) {
-        let sleep = state.next_wake().left(clock()).min(LONGEST_SLEEP);
+        let sleep = state.next_wake().remaining(clock()).min(LONGEST_SLEEP);
         tokio::select! {
             ready = socket.readable() => {
                 ready?;
--- a/crates/foxledge-fakes/tests/caller_path.rs
+++ b/crates/foxledge-fakes/tests/caller_path.rs
@@ -65,7 +65,7 @@
             hop_count: 0,
             loss,
             now: ClockTime::ZERO,
-            stop_at: ClockTime::FAR,
+            stop_at: ClockTime::MAX,
         }
     }
 
@@ -79,7 +79,7 @@
         while !self.load.is_finished(self.now) {
             let wakes = self.targets.iter().filter_map(BackendState::next_wake);
             let hop = self.hops.first_key_value().map(|((at, _), _)| *at);
-            let next = wakes.chain(hop).min().unwrap_or(ClockTime::FAR).min(self.load.next_wake());
+            let next = wakes.chain(hop).min().unwrap_or(ClockTime::MAX).min(self.load.next_wake());
             self.now = self.now.max(next);
             self.step();
         }
@@ -92,7 +92,7 @@
 
     fn step(&mut self) {
         if self.stop_at.is_past(self.now) {
-            self.stop_at = ClockTime::FAR;
+            self.stop_at = ClockTime::MAX;
             self.targets[0].on_order(self.now, BackendOrder::StopGracefully { ms: 10_000 });
         }
         for number in 0..TARGETS {
--- a/crates/foxledge-flows/src/cold.rs
+++ b/crates/foxledge-flows/src/cold.rs
@@ -118,12 +118,12 @@
 impl NeighbourView {
     /// The view of an instance at `own` that has just started and knows nobody.
     pub fn new(own: SocketAddrV4) -> NeighbourView {
-        NeighbourView { own, others: Vec::new(), version: 0, settled_at: ClockTime::FAR }
+        NeighbourView { own, others: Vec::new(), version: 0, settled_at: ClockTime::MAX }
     }
 
     /// Takes the other instances that are known, those that fell silent lately included.
     pub fn set_others(&mut self, now: ClockTime, others: Vec<SocketAddrV4>) {
-        let is_first = self.settled_at == ClockTime::FAR;
+        let is_first = self.settled_at == ClockTime::MAX;
         if is_first || self.others.iter().any(|known| !others.contains(known)) {
             // One that isn't known any more may have sent its share just now.
             self.settled_at = now.after_millis(SPAN_MS);
--- a/crates/foxledge-flows/src/ends.rs
+++ b/crates/foxledge-flows/src/ends.rs
@@ -122,7 +122,7 @@
         let around = || self.backends.iter().filter(is_around);
         let silences = around().filter_map(|other| other.health.recent_silence(now));
         let (count, first) = silences
-            .fold((0, ClockTime::FAR), |(count, first), silent| (count + 1, first.min(silent)));
+            .fold((0, ClockTime::MAX), |(count, first), silent| (count + 1, first.min(silent)));
         let is_alive = around().any(|other| other.seen_at.is_some_and(|seen| seen > first));
         if is_alive { 0 } else { count }
     }
--- a/crates/foxledge-flows/src/load_control/mod.rs
+++ b/crates/foxledge-flows/src/load_control/mod.rs
@@ -10,9 +10,9 @@
 
 use std::{net::Ipv4Addr, sync::Arc, time::Duration};
 
-use foxledge_admission::{AdmissionOptions, AdmissionVerdict, FlowOpening};
+use foxledge_admission::{AdmissionDecision, AdmissionOptions, FlowOpening};
 use foxledge_core::{names::CentreName, time::ClockTime};
-use foxledge_load::{LoadView, OwnLoad, ServiceLoad};
+use foxledge_load::{LoadView, LocalLoad, ServiceLoad};
 
 use crate::{
     cold::NeighbourView,
@@ -127,14 +127,14 @@
         groups: &GroupTable,
         running: &GroupCounts,
         under_way: &GroupCounts,
-    ) -> OwnLoad {
+    ) -> LocalLoad {
         if !self.is_on() {
-            return OwnLoad::default();
+            return LocalLoad::default();
         }
         let total = running.total() + under_way.total();
         self.set_due(now, total);
         self.plans_of(groups);
-        let mut load = OwnLoad::default();
+        let mut load = LocalLoad::default();
         for (service, plan) in groups.services().iter().zip(&self.plans) {
             let mut own =
                 ServiceLoad { priorities: plan.counters.loads(now), ..Default::default() };
@@ -149,7 +149,7 @@
                 load.services.insert(service.key, own);
             }
         }
-        (load.accounts, load.one_in) = self.samples.take();
+        (load.sampled_accounts, load.openings_per_sample) = self.samples.take();
         load
     }
 
@@ -223,8 +223,8 @@
 
     /// Takes the load of all data centres as it is now, and changes all plans.
     pub fn set_view(&mut self, now: ClockTime, view: Arc<LoadView>) {
-        let former = self.basis.view.as_ref().map(|former| former.made_at);
-        let is_new = former != Some(view.made_at);
+        let former = self.basis.view.as_ref().map(|former| former.created_at);
+        let is_new = former != Some(view.created_at);
         self.basis = LoadBasis::of(&self.data_centre, view);
         let Some(view) = self.basis.view.clone() else { return };
         let basis = ViewBasis {
@@ -232,7 +232,7 @@
             own: &self.data_centre,
             steers_until: self.basis.steers_until,
             told_at: self.basis.told_at,
-            accounts: if is_new { &view.accounts } else { &[] },
+            accounts: if is_new { &view.account_samples } else { &[] },
         };
         let (parts, age_ms) = (self.basis.parts, self.basis.age_ms(now));
         for plan in &mut self.plans {
@@ -297,11 +297,16 @@
     }
 
     /// What becomes of a new flow to a service.
-    pub fn admit(&self, now: ClockTime, service: usize, opening: &FlowOpening) -> AdmissionVerdict {
+    pub fn admit(
+        &self,
+        now: ClockTime,
+        service: usize,
+        opening: &FlowOpening,
+    ) -> AdmissionDecision {
         let is_old = self.basis.told_at.after_millis(ADMISSION_LIFE_MS).is_past(now);
         match self.plans.get(service).filter(|_| self.is_sure() && !is_old) {
             Some(plan) => plan.admit(now, opening),
-            None => AdmissionVerdict::Admitted,
+            None => AdmissionDecision::Admitted,
         }
     }
 
@@ -343,7 +348,7 @@
     }
 
     fn is_sure(&self) -> bool {
-        self.basis.view.as_ref().is_some_and(|view| view.is_sure)
+        self.basis.view.as_ref().is_some_and(|view| view.is_reliable)
     }
 
     fn has_jumped(&self, running: u32) -> bool {
@@ -371,9 +376,12 @@
 
 impl LoadBasis {
     fn of(own: &CentreName, view: Arc<LoadView>) -> LoadBasis {
-        let (told_at, parts) =
-            view.centres.get(own).map(|one| (one.told_at, one.parts)).unwrap_or_default();
-        let steers_until = match view.is_sure {
+        let (told_at, parts) = view
+            .centres
+            .get(own)
+            .map(|one| (one.reported_at, one.report_count))
+            .unwrap_or_default();
+        let steers_until = match view.is_reliable {
             true => told_at.after_millis(VIEW_LIFE_MS),
             false => ClockTime::ZERO,
         };
--- a/crates/foxledge-flows/src/load_control/own_load.rs
+++ b/crates/foxledge-flows/src/load_control/own_load.rs
@@ -30,7 +30,7 @@
 impl ServiceCounters {
     /// Counts a request that began, or an opening that was refused for want of slots.
     pub fn arrived(&mut self, now: ClockTime, priority: u32) {
-        self.priorities.entry(priority).or_default().arrivals.add(now);
+        self.priorities.entry(priority).or_default().arrivals.record_event(now);
     }
 
     /// Takes the time of an answer.
@@ -50,7 +50,7 @@
     /// The load by priority; priorities of which nothing arrives are left out.
     pub fn loads(&self, now: ClockTime) -> BTreeMap<u32, PriorityLoad> {
         let loads = self.priorities.iter().map(|(priority, counters)| {
-            let arrivals_per_s = counters.arrivals.per_s(now);
+            let arrivals_per_s = counters.arrivals.events_per_s(now);
             (*priority, PriorityLoad { arrivals_per_s, work_us: counters.work.mean_us })
         });
         loads.filter(|(_, load)| load.arrivals_per_s >= LEAST_PER_S).collect()
--- a/crates/foxledge-flows/src/load_control/reports.rs
+++ b/crates/foxledge-flows/src/load_control/reports.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use foxledge_admission::AdmissionVerdict;
+use foxledge_admission::AdmissionDecision;
 use foxledge_core::names::{CentreName, ServiceName};
 use serde::Serialize;
 
@@ -121,7 +121,7 @@
     /// The other data centre that overflow names for it; none when it stays near.
     pub overflow_to: Option<CentreName>,
     /// What becomes of its first opening packet.
-    pub verdict: AdmissionVerdict,
+    pub verdict: AdmissionDecision,
     /// Why.
     pub basis: AdmissionBasis,
 }
--- a/crates/foxledge-flows/src/load_control/service_plan.rs
+++ b/crates/foxledge-flows/src/load_control/service_plan.rs
@@ -3,13 +3,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use foxledge_admission::{
-    AdmissionOptions, AdmissionPolicy, AdmissionVerdict, FlowOpening, ServiceRoom, ShareAdmission,
+    AdmissionDecision, AdmissionOptions, AdmissionPolicy, FlowOpening, ServiceSnapshot,
+    ShareAdmission,
 };
 use foxledge_core::{
     names::{CentreName, RegionName, ServiceName},
     time::ClockTime,
 };
-use foxledge_load::{CentreRoom, LoadView, OverflowPlan, ServiceKey};
+use foxledge_load::{CentreCapacity, LoadView, OverflowPlan, ServiceKey};
 
 use crate::{
     load_control::{
@@ -134,9 +135,9 @@
     }
 
     /// What becomes of a new flow.
-    pub fn admit(&self, now: ClockTime, opening: &FlowOpening) -> AdmissionVerdict {
+    pub fn admit(&self, now: ClockTime, opening: &FlowOpening) -> AdmissionDecision {
         let policy = self.admission.as_ref();
-        policy.map_or(AdmissionVerdict::Admitted, |policy| policy.admit(now, opening))
+        policy.map_or(AdmissionDecision::Admitted, |policy| policy.admit(now, opening))
     }
 
     /// Counts a refused opening, which is asked for as much as a request that began.
@@ -152,7 +153,7 @@
 
     /// True while it is short of slots, as it is logged.
     pub fn is_short(&self) -> bool {
-        self.admission.as_ref().is_some_and(|policy| policy.short_since().is_some())
+        self.admission.as_ref().is_some_and(|policy| policy.shortage_since().is_some())
     }
 
     /// True while overflow sends new flows to other data centres.
@@ -162,7 +163,7 @@
 
     /// True while some of the new flows are refused.
     pub fn is_refusing(&self) -> bool {
-        self.admission.as_ref().is_some_and(|policy| !policy.shares().is_empty())
+        self.admission.as_ref().is_some_and(|policy| !policy.admitted_shares().is_empty())
     }
 
     /// Requests a slot in a data centre.
@@ -221,7 +222,7 @@
             slots,
             centres: self.centres.clone(),
             is_short: self.is_short(),
-            admitted: policy.map(|policy| policy.shares().clone()).unwrap_or_default(),
+            admitted: policy.map(|policy| policy.admitted_shares().clone()).unwrap_or_default(),
             refused: self.refused.clone(),
             parts,
             age_ms,
@@ -252,8 +253,8 @@
             return;
         }
         let heard = self.centres.iter().filter(|one| one.is_heard);
-        let rooms: Vec<CentreRoom> = heard
-            .map(|one| CentreRoom {
+        let rooms: Vec<CentreCapacity> = heard
+            .map(|one| CentreCapacity {
                 data_centre: one.data_centre.clone(),
                 slots: one.slots,
                 demand: one.demand,
@@ -278,20 +279,20 @@
         };
         let (slots, running, _) = self.totals();
         let has_slots = |centre: &CentreName| self.slots.get(centre).is_some_and(|one| *one > 0.0);
-        let room = ServiceRoom {
+        let room = ServiceSnapshot {
             slots,
             running,
             priorities: demand.priorities.clone(),
-            aim_ms: self.routes.aim_ms,
-            told_at: basis.told_at,
-            is_sure: basis.view.is_sure,
-            is_partial: basis.view.unheard.iter().any(has_slots),
-            accounts: basis.accounts.to_vec(),
-            sampled_per_s: demand.arrivals_in(basis.own),
-            turn_ms: basis.view.turn_ms,
+            latency_target_ms: self.routes.aim_ms,
+            reported_at: basis.told_at,
+            is_reliable: basis.view.is_reliable,
+            has_unreported_centre: basis.view.unreported_centres.iter().any(has_slots),
+            account_samples: basis.accounts.to_vec(),
+            sampled_arrivals_per_s: demand.arrivals_in(basis.own),
+            fleet_clock_ms: basis.view.fleet_clock_ms,
         };
         let policy = self.admission.get_or_insert_with(|| Box::new(ShareAdmission::new(options)));
-        policy.plan(now, &room);
+        policy.update(now, &room);
     }
 
     /// True when the list or the settings call for admission: routes of one priority and no share
--- a/crates/foxledge-flows/src/steering.rs
+++ b/crates/foxledge-flows/src/steering.rs
@@ -6,12 +6,12 @@
     time::Duration,
 };
 
-use foxledge_admission::{AdmissionVerdict, FlowOpening};
+use foxledge_admission::{AdmissionDecision, FlowOpening};
 use foxledge_core::{
     names::{CentreName, ServiceName},
     time::ClockTime,
 };
-use foxledge_load::{LoadView, OwnLoad};
+use foxledge_load::{LoadView, LocalLoad};
 
 use crate::{
     backends::Backend,
@@ -39,7 +39,7 @@
     }
 
     /// What this instance sees of each service's load; sets when it is due again.
-    pub fn own_load(&mut self, now: ClockTime) -> OwnLoad {
+    pub fn own_load(&mut self, now: ClockTime) -> LocalLoad {
         self.tracks.expire_requests(now, self.counted_request_ms);
         let (running, under_way) = (self.tracks.running(), self.openings.under_way());
         self.load.own_load(now, self.backends.groups(), running, under_way)
@@ -100,9 +100,9 @@
             return None;
         }
         let reason = match self.load.admit(now, service, &opening) {
-            AdmissionVerdict::Admitted => return None,
-            AdmissionVerdict::Shortage => RefuseReason::Shortage,
-            AdmissionVerdict::AccountShare => RefuseReason::AccountShare,
+            AdmissionDecision::Admitted => return None,
+            AdmissionDecision::Shortage => RefuseReason::Shortage,
+            AdmissionDecision::AccountShare => RefuseReason::AccountShare,
         };
         self.load.refused(now, service, route.priority);
         Some(reason)
@@ -119,7 +119,7 @@
         let service = self.backends.groups().service_index(service)?;
         let report = self.load.report(now, service)?;
         let (verdict, basis) = match self.doubt(now) {
-            Some(_) => (AdmissionVerdict::Admitted, AdmissionBasis::ListDoubt),
+            Some(_) => (AdmissionDecision::Admitted, AdmissionBasis::ListDoubt),
             None => (
                 self.load.admit(now, service, &opening_of(route, key)),
                 self.load.basis(now, service),
--- a/crates/foxledge-flows/tests/common/load.rs
+++ b/crates/foxledge-flows/tests/common/load.rs
@@ -25,14 +25,14 @@
 /// A sure view of the service `desk`, told just now.
 pub fn view(now: ClockTime, centres: &[(&str, ServiceLoad)]) -> LoadView {
     let centre = |load: &ServiceLoad| CentreView {
-        told_at: now,
+        reported_at: now,
         instances: 19,
-        parts: 8,
+        report_count: 8,
         services: BTreeMap::from([(ServiceKey::of("desk"), load.clone())]),
     };
     LoadView {
-        made_at: now,
-        is_sure: true,
+        created_at: now,
+        is_reliable: true,
         centres: centres.iter().map(|(name, load)| (CentreName::new(name), centre(load))).collect(),
         ..LoadView::default()
     }
--- a/crates/foxledge-flows/tests/load_off.rs
+++ b/crates/foxledge-flows/tests/load_off.rs
@@ -9,7 +9,7 @@
 use foxledge_flows::{
     BackendNews, FlowDecision, FlowKey, FlowRouter, PacketKind, RouterOptions, rows::ListRow,
 };
-use foxledge_load::OwnLoad;
+use foxledge_load::LocalLoad;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Hash of the decisions on the sequence by the router from before load control.
@@ -134,7 +134,7 @@
     let mut is_asked = false;
     let text = decisions(&mut off_router(), |router, now| {
         is_asked |= router.load_due(at(now));
-        assert_eq!(router.own_load(at(now)), OwnLoad::default());
+        assert_eq!(router.own_load(at(now)), LocalLoad::default());
         let centres = [(NEAR, burst.clone()), (FAR, calm.clone())];
         router.set_load(at(now), Arc::new(view(at(now), &centres)));
         assert_eq!((router.pressure(), router.load_reports(at(now)).len()), (0.0, 0));
--- a/crates/foxledge-flows/tests/load_overflow.rs
+++ b/crates/foxledge-flows/tests/load_overflow.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use common::{load::*, *};
-use foxledge_admission::AdmissionVerdict;
+use foxledge_admission::AdmissionDecision;
 use foxledge_core::names::{CentreName, RegionName};
 use foxledge_flows::{
     FlowDecision, FlowRouter, LoadChange, PacketKind, RouterOptions, rows::ListRow,
@@ -160,7 +160,7 @@
     let mut router = load_router(&backends());
     for step in 0..20 {
         let mut unsure = view(at(step * 50), &centres);
-        unsure.is_sure = false;
+        unsure.is_reliable = false;
         router.set_load(at(step * 50), Arc::new(unsure));
     }
     assert_eq!(spread(&mut router, 950, 500), [500, 0, 0]);
@@ -193,7 +193,7 @@
         .find(|one| one.load.as_ref().is_some_and(|load| load.overflow_to.is_some()))
         .expect("some leave");
     let load = explanation.load.expect("is on");
-    assert_eq!((load.priority, load.verdict), (1, AdmissionVerdict::Admitted));
+    assert_eq!((load.priority, load.verdict), (1, AdmissionDecision::Admitted));
     let chosen = explanation.choice.and_then(|(index, _)| router.backend(index));
     assert_eq!(chosen.map(|one| one.data_centre.clone()), load.overflow_to);
 
--- a/crates/foxledge-flows/tests/load_shortage.rs
+++ b/crates/foxledge-flows/tests/load_shortage.rs
@@ -92,11 +92,11 @@
 #[test]
 fn weak_views_refuse_nothing() {
     assert!(refused_by(|_| ()) > 100);
-    assert_eq!(refused_by(|view| view.is_sure = false), 0);
+    assert_eq!(refused_by(|view| view.is_reliable = false), 0);
     let own = foxledge_core::names::CentreName::new(NEAR);
     let old = |view: &mut LoadView| {
         let centre = view.centres.get_mut(&own).expect("is known");
-        centre.told_at = centre.told_at.before_millis(401);
+        centre.reported_at = centre.reported_at.before_millis(401);
     };
     assert_eq!(refused_by(old), 0);
 }
@@ -107,7 +107,7 @@
     let mut router = load_router(&backends());
     let partial = |now: u64| {
         let mut partial = view(at(now), &burst()[..1]);
-        partial.unheard.push(foxledge_core::names::CentreName::new(FAR));
+        partial.unreported_centres.push(foxledge_core::names::CentreName::new(FAR));
         Arc::new(partial)
     };
     for step in 0..10 {
@@ -275,7 +275,7 @@
         now = step * 50;
         let mut last = view(at(now), &burst());
         let others = (0..20).map(|caller| (account(caller), 5));
-        last.accounts = others.chain([(account(250), 5); 10]).collect();
+        last.account_samples = others.chain([(account(250), 5); 10]).collect();
         router.set_confirmed(at(now));
         router.set_load(at(now), Arc::new(last));
     }
@@ -313,7 +313,7 @@
         assert_eq!((load.basis, load.priority), (AdmissionBasis::Shortage, 2));
         let decision = router.on_packet(at(now), &opening(key, 0));
         let is_refused = matches!(decision, FlowDecision::Refuse(_));
-        assert_eq!(is_refused, load.verdict != foxledge_admission::AdmissionVerdict::Admitted);
+        assert_eq!(is_refused, load.verdict != foxledge_admission::AdmissionDecision::Admitted);
     }
 
     let calm = callers(&[(1, 10.0), (2, 10.0)], &[(NEAR, 1.0)]);
--- a/crates/foxledge-flows/tests/own_load.rs
+++ b/crates/foxledge-flows/tests/own_load.rs
@@ -304,10 +304,10 @@
         router.on_packet(at(now), &opening(key, 0));
     }
     let load = router.own_load(at(now + 50));
-    assert_eq!((load.accounts.len(), load.one_in), (6, 100));
+    assert_eq!((load.sampled_accounts.len(), load.openings_per_sample), (6, 100));
     let heavy = foxledge_admission::AccountKey::of(*key(77, 1).caller.ip()).0;
-    assert!(load.accounts.iter().filter(|account| **account == heavy).count() >= 1);
+    assert!(load.sampled_accounts.iter().filter(|account| **account == heavy).count() >= 1);
     // Told every other time, each opening stands in one part.
-    assert_eq!(router.own_load(at(now + 100)).accounts, load.accounts);
-    assert_eq!(router.own_load(at(now + 150)).one_in, 0);
+    assert_eq!(router.own_load(at(now + 100)).sampled_accounts, load.sampled_accounts);
+    assert_eq!(router.own_load(at(now + 150)).openings_per_sample, 0);
 }
--- a/crates/foxledge-gossip/examples/load_scale.rs
+++ b/crates/foxledge-gossip/examples/load_scale.rs
@@ -75,13 +75,13 @@
             let Some(view) = fleet.load_view(seat) else { continue };
             let now = fleet.now();
             self.views += 1;
-            self.sure += u64::from(view.is_sure);
+            self.sure += u64::from(view.is_reliable);
             let member = fleet.seats[seat].member.as_ref().expect("lives");
-            self.busy += u64::from(member.load_pace(now).is_busy());
+            self.busy += u64::from(member.load_pace(now).is_fast());
             for (index, centre) in model.centres.iter().enumerate() {
                 let Some(viewed) = model.viewed(&view, index) else { continue };
                 let error = (viewed - model.running(index)).abs() / centre.slots;
-                let told_at = view.centres[&centre.name].told_at;
+                let told_at = view.centres[&centre.name].reported_at;
                 let age_ms = now.since(told_at).as_micros() as f64 / 1e3;
                 let is_near = model.centre_of(seat) == index;
                 let (errors, ages) = match is_near {
--- a/crates/foxledge-gossip/src/backend_evidence.rs
+++ b/crates/foxledge-gossip/src/backend_evidence.rs
@@ -92,7 +92,7 @@
 impl BackendEvidence {
     /// Nothing yet.
     pub fn new(origin: SignOrigin) -> BackendEvidence {
-        BackendEvidence { signs: Vec::new(), told: 0, heard: 0, tell_at: ClockTime::FAR, origin }
+        BackendEvidence { signs: Vec::new(), told: 0, heard: 0, tell_at: ClockTime::MAX, origin }
     }
 
     /// Takes a sign; returns what it means if it is news.
@@ -135,7 +135,7 @@
             ..PROMPT_TELLINGS => now,
             // A suspicion has lapsed by then.
             ..TELLINGS if self.belief() != HealthBelief::Suspected => now.after_millis(REPEAT_MS),
-            _ => ClockTime::FAR,
+            _ => ClockTime::MAX,
         }
     }
 
--- a/crates/foxledge-gossip/src/evidence.rs
+++ b/crates/foxledge-gossip/src/evidence.rs
@@ -98,7 +98,7 @@
     /// When something is to be told next, if anything is.
     pub fn tell_at(&self) -> Option<ClockTime> {
         let times = self.states.values().map(|state| state.tell_at);
-        times.min().filter(|at| *at < ClockTime::FAR)
+        times.min().filter(|at| *at < ClockTime::MAX)
     }
 
     /// What is to be told now, the least told first.
--- a/crates/foxledge-gossip/src/load.rs
+++ b/crates/foxledge-gossip/src/load.rs
@@ -8,8 +8,8 @@
 
 use foxledge_core::{names::CentreName, time::ClockTime};
 use foxledge_load::{
-    ENOUGH_OTHER_PARTS, FRESH_PART_MS, LoadPart, LoadTable, LoadView, OwnLoad, TellerId,
-    TellingPace, TellingSchedule,
+    InstanceReport, LoadTable, LoadView, LocalLoad, REPORT_FRESHNESS_MS, ReportPace,
+    ReportSchedule, ReporterId, SUFFICIENT_PEER_REPORTS,
 };
 use prost::Message;
 use rand::Rng;
@@ -70,7 +70,7 @@
 /// The same while the parts known are mostly those of instances whose load has jumped.
 const BIASED_CHANCE: f64 = 4.0;
 /// Parts on which the view rests at least where there are as many, the own one included.
-const FEWEST_PARTS: usize = ENOUGH_OTHER_PARTS + 1;
+const FEWEST_PARTS: usize = SUFFICIENT_PEER_REPORTS + 1;
 /// Fresh parts of others that are enough to tell a burst from chance.
 const ENOUGH_PARTS: usize = 10;
 /// Bytes of the fields of a message other than parts and sums.
@@ -92,10 +92,10 @@
 /// `LoadTeller` is what an instance knows of load, and when it tells it.
 #[derive(Debug)]
 pub(crate) struct LoadTeller {
-    own: TellerId,
+    own: ReporterId,
     near: CentreName,
     table: LoadTable,
-    schedule: TellingSchedule,
+    schedule: ReportSchedule,
     /// Other instances of the own data centre.
     others: usize,
     /// When an instance that knows no other of its data centre counts as the only one.
@@ -129,10 +129,10 @@
     pub fn new(now: ClockTime, options: &MemberOptions) -> LoadTeller {
         let (address, incarnation) = (options.address, options.incarnation as u32);
         LoadTeller {
-            own: TellerId { address, incarnation },
+            own: ReporterId { address, incarnation },
             near: options.data_centre.clone(),
             table: LoadTable::new(options.data_centre.clone()),
-            schedule: TellingSchedule::new(now),
+            schedule: ReportSchedule::new(now),
             others: 0,
             alone_at: now.after_millis(ALONE_MS),
             has_own: false,
@@ -155,10 +155,10 @@
             return Some(now);
         }
         let free_at = match self.schedule.pace(now) {
-            TellingPace::Busy => self.busy_free_at,
-            TellingPace::Calm => self.calm_free_at,
+            ReportPace::Fast => self.busy_free_at,
+            ReportPace::Slow => self.calm_free_at,
         };
-        self.has_own.then(|| self.schedule.due_at().max(free_at))
+        self.has_own.then(|| self.schedule.next_report_at().max(free_at))
     }
 
     /// True while any data centre counts as pressed.
@@ -183,11 +183,11 @@
         let was_pressed = self.pressed_until.get(&self.near).is_some_and(|at| !at.is_past(now));
         let lasting = if was_pressed { self.usual_pressure * LASTING_SHARE } else { 0.0 };
         let pressure = lasting.max(pressure * self.sure_share(now));
-        self.schedule.note_own(now, running, pressure);
-        if self.schedule.is_pressed() {
+        self.schedule.update_local_load(now, running, pressure);
+        if self.schedule.is_loaded() {
             let near = self.near.clone();
             self.note_pressed(now, near, now.after_millis(PRESSED_MS), LoadOnset::Pressed);
-        } else if !former_pace.is_busy() && self.schedule.pace(now).is_busy() {
+        } else if !former_pace.is_fast() && self.schedule.pace(now).is_fast() {
             self.onset = self.onset.max(Some(LoadOnset::Jump));
         }
     }
@@ -197,11 +197,12 @@
     ///
     /// While few parts are fresh, most are of instances whose load has jumped.
     fn sure_share(&self, now: ClockTime) -> f64 {
-        let requests = |part: &LoadPart| -> f64 {
+        let requests = |part: &InstanceReport| -> f64 {
             part.load.services.values().flat_map(|load| load.running.values()).sum()
         };
-        let is_fresh = |told_at: &ClockTime| !told_at.after_millis(FRESH_PART_MS).is_past(now);
-        let parts: Vec<_> = self.table.parts().collect();
+        let is_fresh =
+            |told_at: &ClockTime| !told_at.after_millis(REPORT_FRESHNESS_MS).is_past(now);
+        let parts: Vec<_> = self.table.reports().collect();
         let fresh = parts.iter().filter(|(_, told_at)| is_fresh(told_at)).count();
         let is_fair = fresh > ENOUGH_PARTS.min(self.others / 2);
         let chance = if is_fair { CHANCE } else { BIASED_CHANCE };
@@ -245,7 +246,7 @@
             self.next_sum = self.newest_sum();
         }
         self.add_sums(now, &mut message, &mut bytes, most);
-        for (part, told_at) in self.table.parts().skip(1).take(MOST_PARTS - 1) {
+        for (part, told_at) in self.table.reports().skip(1).take(MOST_PARTS - 1) {
             let row = pack_part(now, part, told_at, &self.near, LARGEST_BODY);
             let size = framed(row.encoded_len());
             if bytes + size > most {
@@ -259,7 +260,7 @@
 
     /// Place of the newest sum of another data centre.
     fn newest_sum(&self) -> usize {
-        let sums = self.table.sums().enumerate();
+        let sums = self.table.aggregates().enumerate();
         sums.max_by_key(|(_, (_, told_at))| *told_at).map_or(0, |(place, _)| place)
     }
 
@@ -272,7 +273,7 @@
         bytes: &mut usize,
         most: usize,
     ) {
-        let sums: Vec<_> = self.table.sums().collect();
+        let sums: Vec<_> = self.table.aggregates().collect();
         let most = (most + *bytes) / 2;
         let first = self.next_sum.checked_rem(sums.len()).unwrap_or(0);
         let (later, sooner) = sums.split_at(first);
@@ -293,11 +294,11 @@
     /// The message to another data centre: the sum of the own one.
     fn far_message(&self, now: ClockTime) -> LoadMessage {
         let budget = LARGEST_BODY - HEAD_BYTES;
-        let until = match self.schedule.is_pressed() {
+        let until = match self.schedule.is_loaded() {
             true => now.after_millis(PRESSED_MS),
             false => ClockTime::ZERO,
         };
-        let row = pack_sum(now, &self.table.own_sum(now), now, until, budget);
+        let row = pack_sum(now, &self.table.local_aggregate(now), now, until, budget);
         LoadMessage { is_far: true, centres: vec![row], ..self.empty_message(now) }
     }
 
@@ -306,15 +307,15 @@
             is_far: false,
             parts: Vec::new(),
             centres: Vec::new(),
-            turn_ms: self.table.turn_ms(now),
-            is_pressed: self.schedule.is_pressed(),
-            is_busy: self.schedule.pace(now).is_busy(),
+            turn_ms: self.table.fleet_clock_ms(now),
+            is_pressed: self.schedule.is_loaded(),
+            is_busy: self.schedule.pace(now).is_fast(),
         }
     }
 
     fn own_row(&self, now: ClockTime) -> Vec<LoadPartRow> {
         let budget = LARGEST_BODY - HEAD_BYTES;
-        let own = self.table.parts().take(1);
+        let own = self.table.reports().take(1);
         own.map(|(part, told_at)| pack_part(now, part, told_at, &self.near, budget)).collect()
     }
 
@@ -335,12 +336,12 @@
     fn take_sum(&mut self, now: ClockTime, row: &CentreLoadRow) {
         let (sum, told_at) = unpack_sum(now, row);
         let data_centre = sum.data_centre.clone();
-        let is_newer = self.table.take_sum(now, sum, told_at);
+        let is_newer = self.table.apply_aggregate(now, sum, told_at);
         if is_newer && row.pressed_ms > 0 && data_centre != self.near {
             let left_ms = u64::from(row.pressed_ms).min(PRESSED_MS);
             let until = now.after_millis(left_ms);
             self.note_pressed(now, data_centre, until, LoadOnset::Heard);
-            self.schedule.note_pressed_centre(until.before_millis(PRESSED_MS));
+            self.schedule.record_loaded_centre(until.before_millis(PRESSED_MS));
         }
     }
 }
@@ -349,13 +350,13 @@
     /// Sets the load that this instance sees, and the largest load of a service in its data
     /// centre in requests a slot; tells them when that is due. Does nothing unless load is
     /// reported.
-    pub fn set_own_load(&mut self, now: ClockTime, own: OwnLoad, pressure: f64) {
+    pub fn set_own_load(&mut self, now: ClockTime, own: LocalLoad, pressure: f64) {
         self.count_instances(now);
         let Some(load) = &mut self.load else { return };
         let running = own.services.values().flat_map(|service| service.running.values()).sum();
-        load.table.set_own(now, load.own, own);
+        load.table.set_local_load(now, load.own, own);
         load.has_own = true;
-        load.table.forget(now);
+        load.table.remove_expired(now);
         load.note_own(now, running, pressure);
         self.tell_load(now);
     }
@@ -364,12 +365,12 @@
     /// samples are handed out once.
     pub fn load_view(&mut self, now: ClockTime) -> Option<Arc<LoadView>> {
         self.count_instances(now);
-        Some(self.load.as_mut()?.table.view(now))
+        Some(self.load.as_mut()?.table.build_view(now))
     }
 
     /// How often this instance tells its load.
-    pub fn load_pace(&self, now: ClockTime) -> TellingPace {
-        self.load.as_ref().map_or(TellingPace::Calm, |load| load.schedule.pace(now))
+    pub fn load_pace(&self, now: ClockTime) -> ReportPace {
+        self.load.as_ref().map_or(ReportPace::Slow, |load| load.schedule.pace(now))
     }
 
     /// Messages of load sent since the start.
@@ -394,14 +395,14 @@
         let most = if is_first { ONSET_BYTES } else { RELAY_BYTES };
         let near = self.peers.pick_near(&mut self.rng, now, fanout);
         let instances = self.peers.near_size(now) as u32 + 1;
-        load.schedule.told(now);
-        load.table.forget(now);
+        load.schedule.record_report_sent(now);
+        load.table.remove_expired(now);
         let message = match load.schedule.pace(now) {
-            TellingPace::Calm => load.calm_message(now),
-            TellingPace::Busy if load.is_any_pressed(now) => load.busy_message(now, onset, most),
-            TellingPace::Busy => load.calm_message(now),
+            ReportPace::Slow => load.calm_message(now),
+            ReportPace::Fast if load.is_any_pressed(now) => load.busy_message(now, onset, most),
+            ReportPace::Fast => load.calm_message(now),
         };
-        let tells_far = load.is_any_pressed(now) && load.table.is_sure(now);
+        let tells_far = load.is_any_pressed(now) && load.table.is_reliable(now);
         let far_message = tells_far.then(|| load.far_message(now));
         let mut bytes = self.send_load(near, message);
         if let Some(message) = far_message
@@ -420,7 +421,7 @@
     pub(crate) fn take_load(&mut self, now: ClockTime, from: SocketAddrV4, message: LoadMessage) {
         let is_far = message.is_far || self.peers.is_far(&from);
         let Some(load) = &mut self.load else { return };
-        load.table.take_turn(now, message.turn_ms);
+        load.table.adopt_fleet_clock(now, message.turn_ms);
         let most_sums = if is_far { 1 } else { MOST_SUMS };
         for row in message.centres.iter().take(most_sums) {
             if self.peers.knows_centre(&row.data_centre) {
@@ -438,7 +439,7 @@
     fn answer_load(&mut self, now: ClockTime, to: SocketAddrV4, message: &LoadMessage) {
         let Some(load) = &mut self.load else { return };
         let is_asked = message.is_busy && !message.is_pressed && message.centres.is_empty();
-        let is_calm = load.has_own && !load.schedule.pace(now).is_busy();
+        let is_calm = load.has_own && !load.schedule.pace(now).is_fast();
         if !is_asked || !is_calm || self.card.is_leaving || !load.answer_at.is_past(now) {
             return;
         }
@@ -450,21 +451,21 @@
     /// Takes parts of the own data centre; the first is the sender's own.
     fn take_parts(&mut self, now: ClockTime, message: &LoadMessage) {
         let Some(load) = &mut self.load else { return };
-        let sender_pace = if message.is_busy { TellingPace::Busy } else { TellingPace::Calm };
+        let sender_pace = if message.is_busy { ReportPace::Fast } else { ReportPace::Slow };
         let mut pace = sender_pace;
         for row in message.parts.iter().take(MOST_PARTS) {
-            let pace = std::mem::replace(&mut pace, TellingPace::Busy);
+            let pace = std::mem::replace(&mut pace, ReportPace::Fast);
             let Some((part, told_at)) = unpack_part(now, row, &load.near) else { continue };
-            let TellerId { address, incarnation } = part.teller;
+            let ReporterId { address, incarnation } = part.reporter;
             if address == load.own.address || self.peers.has_left(&address, incarnation) {
                 continue;
             }
-            load.table.take_part(now, part, told_at, pace);
+            load.table.apply_report(now, part, told_at, pace);
         }
         if message.is_pressed {
             let near = load.near.clone();
             load.note_pressed(now, near, now.after_millis(PRESSED_MS), LoadOnset::Heard);
-            load.schedule.note_pressed_centre(now);
+            load.schedule.record_loaded_centre(now);
         }
     }
 
@@ -473,21 +474,21 @@
         let (Some(load), Some(address)) = (&mut self.load, card.address()) else { return };
         let is_gone = match change {
             PeerChange::Left => true,
-            PeerChange::Found => load.table.parts().any(|(part, _)| {
-                let TellerId { address: of, incarnation } = part.teller;
+            PeerChange::Found => load.table.reports().any(|(part, _)| {
+                let ReporterId { address: of, incarnation } = part.reporter;
                 of == address && incarnation != card.incarnation as u32
             }),
             PeerChange::None | PeerChange::CentreFound => false,
         };
         if is_gone {
-            load.table.remove(&address);
+            load.table.remove_instance(&address);
         }
     }
 
     /// Drops the part of an instance that doesn't answer.
     pub(crate) fn drop_lost_load(&mut self, loss: &PeerLoss) {
         if let (Some(load), PeerLoss::Peer { address, .. }) = (&mut self.load, loss) {
-            load.table.remove(address);
+            load.table.remove_instance(address);
         }
     }
 
--- a/crates/foxledge-gossip/src/load_packing.rs
+++ b/crates/foxledge-gossip/src/load_packing.rs
@@ -11,7 +11,7 @@
 
 use foxledge_core::{names::CentreName, time::ClockTime};
 use foxledge_load::{
-    CentreSum, LoadPart, OwnLoad, PriorityLoad, ServiceKey, ServiceLoad, TellerId,
+    CentreAggregate, InstanceReport, LocalLoad, PriorityLoad, ReporterId, ServiceKey, ServiceLoad,
 };
 use prost::{Message, encoding::encoded_len_varint};
 
@@ -36,21 +36,21 @@
 /// A part as it is told now, in `budget` bytes at most.
 pub(crate) fn pack_part(
     now: ClockTime,
-    part: &LoadPart,
+    part: &InstanceReport,
     told_at: ClockTime,
     near: &CentreName,
     budget: usize,
 ) -> LoadPartRow {
-    let accounts = part.load.accounts.iter().take(MOST_ACCOUNTS);
+    let accounts = part.load.sampled_accounts.iter().take(MOST_ACCOUNTS);
     let mut row = LoadPartRow {
-        ip: u32::from(*part.teller.address.ip()),
-        port: u32::from(part.teller.address.port()),
-        incarnation: part.teller.incarnation,
+        ip: u32::from(*part.reporter.address.ip()),
+        port: u32::from(part.reporter.address.port()),
+        incarnation: part.reporter.incarnation,
         serial: part.serial,
         age_ms: age_ms(now, told_at),
         services: Vec::new(),
         accounts: accounts.flat_map(|account| account.to_le_bytes()).collect(),
-        one_in: part.load.one_in,
+        one_in: part.load.openings_per_sample,
     };
     row.services = pack_services(&part.load.services, near, budget, row.encoded_len());
     row
@@ -61,25 +61,25 @@
     now: ClockTime,
     row: &LoadPartRow,
     near: &CentreName,
-) -> Option<(LoadPart, ClockTime)> {
+) -> Option<(InstanceReport, ClockTime)> {
     let port = u16::try_from(row.port).ok().filter(|port| *port > 0)?;
     let address = SocketAddrV4::new(Ipv4Addr::from(row.ip), port);
     let words = row.accounts.chunks_exact(ACCOUNT_BYTES).take(MOST_ACCOUNTS);
     let accounts = words.filter_map(|word| Some(u32::from_le_bytes(word.try_into().ok()?)));
-    let load = OwnLoad {
+    let load = LocalLoad {
         services: unpack_services(&row.services, near),
-        accounts: accounts.collect(),
-        one_in: row.one_in,
+        sampled_accounts: accounts.collect(),
+        openings_per_sample: row.one_in,
     };
-    let teller = TellerId { address, incarnation: row.incarnation };
+    let teller = ReporterId { address, incarnation: row.incarnation };
     let told_at = now.before_millis(u64::from(row.age_ms));
-    Some((LoadPart { teller, serial: row.serial, load }, told_at))
+    Some((InstanceReport { reporter: teller, serial: row.serial, load }, told_at))
 }
 
 /// A sum as it is told now, in `budget` bytes at most.
 pub(crate) fn pack_sum(
     now: ClockTime,
-    sum: &CentreSum,
+    sum: &CentreAggregate,
     told_at: ClockTime,
     pressed_until: ClockTime,
     budget: usize,
@@ -90,17 +90,18 @@
         age_ms: age_ms(now, told_at),
         instances: sum.instances,
         services: Vec::new(),
-        pressed_ms: pressed_until.left_millis(now),
+        pressed_ms: pressed_until.remaining_millis(now),
     };
     row.services = pack_services(&sum.services, &sum.data_centre, budget, row.encoded_len());
     row
 }
 
 /// A sum that was told, and when.
-pub(crate) fn unpack_sum(now: ClockTime, row: &CentreLoadRow) -> (CentreSum, ClockTime) {
+pub(crate) fn unpack_sum(now: ClockTime, row: &CentreLoadRow) -> (CentreAggregate, ClockTime) {
     let data_centre = CentreName::new(&row.data_centre);
     let services = unpack_services(&row.services, &data_centre);
-    let sum = CentreSum { data_centre, serial: row.serial, instances: row.instances, services };
+    let sum =
+        CentreAggregate { data_centre, serial: row.serial, instances: row.instances, services };
     (sum, now.before_millis(u64::from(row.age_ms)))
 }
 
--- a/crates/foxledge-gossip/tests/common/load_model.rs
+++ b/crates/foxledge-gossip/tests/common/load_model.rs
@@ -5,7 +5,7 @@
 
 use foxledge_core::{names::CentreName, time::ClockTime};
 use foxledge_load::{
-    LoadView, OwnLoad, PriorityLoad, RateGauge, ServiceKey, ServiceLoad, TellingPace,
+    LoadView, LocalLoad, PriorityLoad, RateGauge, ReportPace, ServiceKey, ServiceLoad,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -131,7 +131,7 @@
                     for _ in 0..poisson(&mut self.rng, begun * part) {
                         router.running[kind] += room.min(1);
                         room = room.saturating_sub(1);
-                        router.gauges[kind].add(now);
+                        router.gauges[kind].record_event(now);
                     }
                 }
             }
@@ -152,7 +152,7 @@
             fleet.set_own_load(seat, load, pressure);
             let member = fleet.seats[seat].member.as_ref();
             let wait = match member.map(|member| member.load_pace(now)) {
-                Some(TellingPace::Busy) => BUSY_MEASURE_MS,
+                Some(ReportPace::Fast) => BUSY_MEASURE_MS,
                 _ => self.calm_measure_ms,
             };
             self.routers[seat].due_at = now.after_millis(wait);
@@ -167,10 +167,10 @@
     }
 
     /// The load that an instance sees.
-    pub fn own_load(&self, seat: usize, now: ClockTime) -> OwnLoad {
+    pub fn own_load(&self, seat: usize, now: ClockTime) -> LocalLoad {
         let router = &self.routers[seat];
         let priority = |(kind, (work_us, _)): (usize, &(f64, f64))| {
-            let arrivals_per_s = router.gauges[kind].per_s(now);
+            let arrivals_per_s = router.gauges[kind].events_per_s(now);
             (kind as u32 + 1, PriorityLoad { arrivals_per_s, work_us: *work_us })
         };
         let running = f64::from(router.running.iter().sum::<u32>());
@@ -179,7 +179,7 @@
             priorities: KINDS.iter().enumerate().map(priority).collect(),
             running: BTreeMap::from([(name, running)]),
         };
-        OwnLoad { services: BTreeMap::from([(desk(), load)]), ..OwnLoad::default() }
+        LocalLoad { services: BTreeMap::from([(desk(), load)]), ..LocalLoad::default() }
     }
 }
 
--- a/crates/foxledge-gossip/tests/common/mod.rs
+++ b/crates/foxledge-gossip/tests/common/mod.rs
@@ -16,7 +16,7 @@
     source::{ConfigReading, ReadMode},
 };
 use foxledge_gossip::{FleetEffect, FleetEvent, FleetMember, MemberOptions, ReadCall, ReadOrder};
-use foxledge_load::{LoadView, OwnLoad};
+use foxledge_load::{LoadView, LocalLoad};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 /// Time that the store takes for an answer, in microseconds.
@@ -494,7 +494,7 @@
     }
 
     /// Sets the load that a member sees.
-    pub fn set_own_load(&mut self, index: usize, load: OwnLoad, pressure: f64) {
+    pub fn set_own_load(&mut self, index: usize, load: LocalLoad, pressure: f64) {
         let now = self.now();
         if let Some(member) = &mut self.seats[index].member {
             member.set_own_load(now, load, pressure);
--- a/crates/foxledge-gossip/tests/load_faults.rs
+++ b/crates/foxledge-gossip/tests/load_faults.rs
@@ -8,7 +8,7 @@
 
 use common::{StoreState, VirtualFleet, settle};
 use foxledge_core::names::CentreName;
-use foxledge_load::{OwnLoad, PriorityLoad, ServiceLoad};
+use foxledge_load::{LocalLoad, PriorityLoad, ServiceLoad};
 use load_model::{LoadModel, desk};
 use prost::Message;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -25,13 +25,13 @@
 }
 
 /// Load of some requests that run in a data centre.
-fn running_in(centre: &str, running: f64) -> OwnLoad {
+fn running_in(centre: &str, running: f64) -> LocalLoad {
     let priority = PriorityLoad { arrivals_per_s: running * 16.0, work_us: 60_000.0 };
     let load = ServiceLoad {
         priorities: BTreeMap::from([(1, priority)]),
         running: BTreeMap::from([(CentreName::new(centre), running)]),
     };
-    OwnLoad { services: BTreeMap::from([(desk(), load)]), ..OwnLoad::default() }
+    LocalLoad { services: BTreeMap::from([(desk(), load)]), ..LocalLoad::default() }
 }
 
 /// Lets members report the same load every 50 ms, in a pressed fleet.
@@ -136,7 +136,7 @@
     assert!(knowing * 100 >= fleet.seats.len() * 95, "{knowing} know");
     model.run(&mut fleet, 1_000);
     for seat in 0..fleet.seats.len() {
-        assert!(fleet.load_view(seat).expect("reports load").is_sure, "instance {seat}");
+        assert!(fleet.load_view(seat).expect("reports load").is_reliable, "instance {seat}");
     }
 }
 
@@ -155,9 +155,9 @@
     report(&mut fleet, 2_200, |_| 4.0);
     for seat in 0..18 {
         let view = fleet.load_view(seat).expect("reports load");
-        assert!(view.is_sure, "instance {seat}");
+        assert!(view.is_reliable, "instance {seat}");
         assert_eq!(view.centres.contains_key(&lost), seat >= 12, "instance {seat}");
-        assert_eq!(view.unheard.contains(&lost), seat < 12, "instance {seat}");
+        assert_eq!(view.unreported_centres.contains(&lost), seat < 12, "instance {seat}");
     }
     fleet.cut.clear();
     report(&mut fleet, 500, |_| 4.0);
@@ -175,7 +175,7 @@
         let view = fleet.load_view(seat);
         assert_eq!(view.is_some(), seat % 2 == 0, "instance {seat}");
         let Some(view) = view else { continue };
-        assert!(view.is_sure, "instance {seat}");
+        assert!(view.is_reliable, "instance {seat}");
         for centre in ["centre-0", "centre-1"] {
             assert_viewed(&mut fleet, seat, centre, 32.0);
         }
@@ -208,9 +208,9 @@
     fleet.run(200);
     fleet.start(3);
     fleet.set_own_load(3, running_in("centre-0", 4.0), 0.0);
-    assert!(!fleet.load_view(3).expect("reports load").is_sure);
+    assert!(!fleet.load_view(3).expect("reports load").is_reliable);
     report(&mut fleet, 500, |_| 4.0);
-    assert!(fleet.load_view(3).expect("reports load").is_sure);
+    assert!(fleet.load_view(3).expect("reports load").is_reliable);
     report(&mut fleet, 3_000, |_| 4.0);
     let view = fleet.load_view(3).expect("reports load");
     assert_eq!(view.centres[&CentreName::new("centre-0")].instances, 8);
@@ -221,7 +221,7 @@
 fn only_instance() {
     let mut fleet = telling_fleet(&[1], |_| true);
     report(&mut fleet, 200, |_| 4.0);
-    assert!(fleet.load_view(0).expect("reports load").is_sure);
+    assert!(fleet.load_view(0).expect("reports load").is_reliable);
     assert_eq!(load_bytes(&fleet), 0);
 }
 
--- a/crates/foxledge-gossip/tests/load_messages.rs
+++ b/crates/foxledge-gossip/tests/load_messages.rs
@@ -7,7 +7,7 @@
 
 use foxledge_core::{names::CentreName, time::ClockTime};
 use foxledge_gossip::{FleetEffect, FleetMember, LARGEST_MESSAGE, MemberOptions};
-use foxledge_load::{OwnLoad, PriorityLoad, ServiceKey, ServiceLoad};
+use foxledge_load::{LocalLoad, PriorityLoad, ServiceKey, ServiceLoad};
 
 fn start() -> ClockTime {
     ClockTime::from_micros(3_600_000_000)
@@ -70,16 +70,16 @@
     let load = service(7.0, &[("dublin", 3.0)]);
     let accounts: Vec<_> = (0..12).map(|index| index * 0x0101_0101).collect();
     let services = BTreeMap::from([(desk, load.clone())]);
-    let own = OwnLoad { services, accounts: accounts.clone(), one_in: 9 };
+    let own = LocalLoad { services, sampled_accounts: accounts.clone(), openings_per_sample: 9 };
     pair[0].set_own_load(start(), own, 0.0);
     exchange(&mut pair, 0, start());
-    pair[1].set_own_load(start(), OwnLoad::default(), 0.0);
+    pair[1].set_own_load(start(), LocalLoad::default(), 0.0);
     let view = pair[1].load_view(start()).expect("reports load");
     let told = &view.centres[&CentreName::new("toledo")];
     // The mean of the part and an empty one, times two instances.
-    assert_eq!((told.instances, told.parts), (2, 2));
+    assert_eq!((told.instances, told.report_count), (2, 2));
     assert_eq!(told.services[&desk], load);
-    assert_eq!(view.accounts, accounts.iter().map(|one| (*one, 9)).collect::<Vec<_>>());
+    assert_eq!(view.account_samples, accounts.iter().map(|one| (*one, 9)).collect::<Vec<_>>());
 }
 
 // Guards against messages that are larger than a datagram, and against the loss of the services
@@ -91,12 +91,12 @@
         let load = service(f64::from(number), &[("dublin", f64::from(number))]);
         (ServiceKey(number), load)
     });
-    let own = OwnLoad { services: services.collect(), ..OwnLoad::default() };
+    let own = LocalLoad { services: services.collect(), ..LocalLoad::default() };
     pair[0].set_own_load(start(), own.clone(), 10.0);
     let sizes = exchange(&mut pair, 0, start());
     assert!(!sizes.is_empty());
     assert!(sizes.iter().all(|size| *size <= LARGEST_MESSAGE), "{sizes:?}");
-    pair[1].set_own_load(start(), OwnLoad::default(), 0.0);
+    pair[1].set_own_load(start(), LocalLoad::default(), 0.0);
     let view = pair[1].load_view(start()).expect("reports load");
     let told = &view.centres[&CentreName::new("toledo")].services;
     assert!((20..500).contains(&told.len()), "{} services", told.len());
@@ -113,11 +113,11 @@
 #[test]
 fn none_after_leaving() {
     let mut pair = pair();
-    pair[0].set_own_load(start(), OwnLoad::default(), 0.0);
+    pair[0].set_own_load(start(), LocalLoad::default(), 0.0);
     exchange(&mut pair, 0, start());
     pair[0].leave(start());
     exchange(&mut pair, 0, start());
     let later = start().after_millis(5_000);
-    pair[0].set_own_load(later, OwnLoad::default(), 10.0);
+    pair[0].set_own_load(later, LocalLoad::default(), 10.0);
     assert!(pair[0].take_effects().is_empty());
 }
--- a/crates/foxledge-gossip/tests/load_spread.rs
+++ b/crates/foxledge-gossip/tests/load_spread.rs
@@ -168,7 +168,7 @@
             let Some(known) = model.viewed(&view, 0) else { continue };
             viewed[place] += known;
             true_sum[place] += model.running(0);
-            let told_at = view.centres[&model.centres[0].name].told_at;
+            let told_at = view.centres[&model.centres[0].name].reported_at;
             let age_ms = fleet.now().since(told_at).as_millis();
             ages[place].push(age_ms);
         }
--- a/crates/foxledge-load/src/bounds.rs
+++ b/crates/foxledge-load/src/bounds.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::own::{CentreSum, OwnLoad, ServiceKey, ServiceLoad};
+use crate::own::{CentreAggregate, LocalLoad, ServiceKey, ServiceLoad};
 
 /// Arrivals of one instance, a second.
 const MOST_ARRIVALS_PER_S: f64 = 100_000.0;
@@ -19,13 +19,13 @@
 /// Instances of one data centre, several times the largest design size.
 const MOST_INSTANCES: u32 = 10_000;
 
-pub(crate) fn bound_load(load: &mut OwnLoad) {
+pub(crate) fn bound_load(load: &mut LocalLoad) {
     bound_services(&mut load.services, 1.0);
-    load.accounts.truncate(MOST_ACCOUNTS);
-    load.one_in = load.one_in.min(MOST_ONE_IN);
+    load.sampled_accounts.truncate(MOST_ACCOUNTS);
+    load.openings_per_sample = load.openings_per_sample.min(MOST_ONE_IN);
 }
 
-pub(crate) fn bound_sum(sum: &mut CentreSum) {
+pub(crate) fn bound_sum(sum: &mut CentreAggregate) {
     sum.instances = sum.instances.clamp(1, MOST_INSTANCES);
     bound_services(&mut sum.services, f64::from(sum.instances));
 }
--- a/crates/foxledge-load/src/lib.rs
+++ b/crates/foxledge-load/src/lib.rs
@@ -1,7 +1,7 @@
 //! Load of services, known across instances.
 //!
 //! Each instance sees a part of a service's requests only. It tells its part to others as a
-//! [`LoadPart`]; a [`LoadTable`] holds the parts that were heard and sums them up to a
+//! [`InstanceReport`]; a [`LoadTable`] holds the parts that were heard and sums them up to a
 //! [`LoadView`], from which overflow and admission are decided. Everything here is decision
 //! logic: parts and the time go in, views and plans come out.
 
@@ -13,9 +13,11 @@
 mod table;
 mod view;
 
-pub use overflow::{CentreRoom, OverflowPlan};
-pub use own::{CentreSum, LoadPart, OwnLoad, PriorityLoad, ServiceKey, ServiceLoad, TellerId};
+pub use overflow::{CentreCapacity, OverflowPlan};
+pub use own::{
+    CentreAggregate, InstanceReport, LocalLoad, PriorityLoad, ReporterId, ServiceKey, ServiceLoad,
+};
 pub use rates::RateGauge;
-pub use schedule::{TellingPace, TellingSchedule};
-pub use table::{ENOUGH_OTHER_PARTS, FRESH_PART_MS, LoadTable};
+pub use schedule::{ReportPace, ReportSchedule};
+pub use table::{LoadTable, REPORT_FRESHNESS_MS, SUFFICIENT_PEER_REPORTS};
 pub use view::{CentreView, LoadView, ServiceView};
--- a/crates/foxledge-load/src/overflow.rs
+++ b/crates/foxledge-load/src/overflow.rs
@@ -13,9 +13,9 @@
 /// Share below which a share that falls to zero is zero.
 const LEAST_SHARE: f64 = 0.001;
 
-/// `CentreRoom` is the slots of one data centre for a service, and what its callers ask for.
+/// `CentreCapacity` is the slots of one data centre for a service, and what its callers ask for.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CentreRoom {
+pub struct CentreCapacity {
     /// The data centre.
     pub data_centre: CentreName,
     /// Usable slots: healthy, allowed, not evacuated; slower ones count in proportion.
@@ -46,7 +46,7 @@
     ///
     /// Data centres that are absent from `rooms` or have no slots get nothing at once. Without
     /// the own one nothing is known, and all flows stay near.
-    pub fn update(&mut self, now: ClockTime, rooms: &[CentreRoom]) {
+    pub fn update(&mut self, now: ClockTime, rooms: &[CentreCapacity]) {
         if !rooms.iter().any(|room| room.data_centre == self.own) {
             self.shares.clear();
             return;
@@ -95,14 +95,14 @@
 
 /// The undamped shares: the own data centre sends away its excess over the level, in proportion
 /// to the others' room below it.
-fn wanted_shares(own: &CentreName, rooms: &[CentreRoom]) -> BTreeMap<CentreName, f64> {
+fn wanted_shares(own: &CentreName, rooms: &[CentreCapacity]) -> BTreeMap<CentreName, f64> {
     let slots: f64 = rooms.iter().map(|room| sane(room.slots)).sum();
     let demand: f64 = rooms.iter().map(|room| sane(room.demand)).sum();
     if slots <= 0.0 {
         return BTreeMap::new();
     }
     let level = (demand / slots).max(LEAST_LEVEL);
-    let spare = |room: &CentreRoom| level * sane(room.slots) - sane(room.demand);
+    let spare = |room: &CentreCapacity| level * sane(room.slots) - sane(room.demand);
     let Some(near) = rooms.iter().find(|room| room.data_centre == *own) else {
         return BTreeMap::new();
     };
@@ -110,7 +110,7 @@
     if excess <= 0.0 {
         return BTreeMap::new();
     }
-    let takers: Vec<&CentreRoom> = rooms.iter().filter(|room| spare(room) > 0.0).collect();
+    let takers: Vec<&CentreCapacity> = rooms.iter().filter(|room| spare(room) > 0.0).collect();
     let room_of_all: f64 = takers.iter().map(|room| spare(room)).sum();
     let share = excess / sane(near.demand);
     takers
--- a/crates/foxledge-load/src/own.rs
+++ b/crates/foxledge-load/src/own.rs
@@ -64,40 +64,40 @@
     }
 }
 
-/// `OwnLoad` is what an instance sees of each service's load.
+/// `LocalLoad` is what an instance sees of each service's load.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct OwnLoad {
+pub struct LocalLoad {
     /// Services with anything running or arriving.
     pub services: BTreeMap<ServiceKey, ServiceLoad>,
     /// Hashes of the client accounts of a sample of its openings.
-    pub accounts: Vec<u32>,
+    pub sampled_accounts: Vec<u32>,
     /// Openings of which one is in the sample; 0 when there is none.
-    pub one_in: u32,
+    pub openings_per_sample: u32,
 }
 
-/// `TellerId` is one start of an instance.
+/// `ReporterId` is one start of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct TellerId {
+pub struct ReporterId {
     /// Where it takes messages.
     pub address: SocketAddrV4,
     /// Low half of the number of its start.
     pub incarnation: u32,
 }
 
-/// `LoadPart` is the load that one instance told.
+/// `InstanceReport` is the load that one instance told.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LoadPart {
+pub struct InstanceReport {
     /// Who told it.
-    pub teller: TellerId,
+    pub reporter: ReporterId,
     /// Counts the teller's parts.
     pub serial: u32,
     /// What it sees.
-    pub load: OwnLoad,
+    pub load: LocalLoad,
 }
 
-/// `CentreSum` is the load of all callers of one data centre, as an instance of it reckons it.
+/// `CentreAggregate` is the load of all callers of one data centre, as an instance of it reckons it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CentreSum {
+pub struct CentreAggregate {
     /// The data centre.
     pub data_centre: CentreName,
     /// Rises with time at each teller, so that an older sum replaces no newer one.
--- a/crates/foxledge-load/src/rates.rs
+++ b/crates/foxledge-load/src/rates.rs
@@ -22,13 +22,13 @@
     }
 
     /// Counts an event.
-    pub fn add(&mut self, now: ClockTime) {
-        self.rate = self.per_s(now) + 1.0 / DECAY_S;
+    pub fn record_event(&mut self, now: ClockTime) {
+        self.rate = self.events_per_s(now) + 1.0 / DECAY_S;
         self.as_of = self.as_of.max(now);
     }
 
     /// Events a second.
-    pub fn per_s(&self, now: ClockTime) -> f64 {
+    pub fn events_per_s(&self, now: ClockTime) -> f64 {
         self.rate * (-now.since(self.as_of).as_secs_f64() / DECAY_S).exp()
     }
 }
--- a/crates/foxledge-load/src/schedule.rs
+++ b/crates/foxledge-load/src/schedule.rs
@@ -18,28 +18,28 @@
 /// Share of the reported running requests by which the own load must differ from them.
 const CHANGE_SHARE: f64 = 0.5;
 
-/// `TellingPace` is how often an instance tells its load.
+/// `ReportPace` is how often an instance tells its load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TellingPace {
+pub enum ReportPace {
     /// Once a second, near instances only.
-    Calm,
+    Slow,
     /// Every 100 ms, other data centres included.
-    Busy,
+    Fast,
 }
 
-impl TellingPace {
-    /// True when the pace is [`TellingPace::Busy`].
-    pub fn is_busy(self) -> bool {
-        self == TellingPace::Busy
+impl ReportPace {
+    /// True when the pace is [`ReportPace::Busy`].
+    pub fn is_fast(self) -> bool {
+        self == ReportPace::Fast
     }
 }
 
-/// `TellingSchedule` is when the next report of the own load is due.
+/// `ReportSchedule` is when the next report of the own load is due.
 ///
 /// It answers the start of a burst with a report at once, and calm days with few messages.
 #[derive(Clone, Debug)]
-pub struct TellingSchedule {
-    due_at: ClockTime,
+pub struct ReportSchedule {
+    next_report_at: ClockTime,
     /// When a report of a busy instance may follow the last one.
     busy_due_at: ClockTime,
     busy_until: ClockTime,
@@ -48,11 +48,11 @@
     pressure: f64,
 }
 
-impl TellingSchedule {
+impl ReportSchedule {
     /// A calm schedule whose first report is due.
-    pub fn new(now: ClockTime) -> TellingSchedule {
-        TellingSchedule {
-            due_at: now,
+    pub fn new(now: ClockTime) -> ReportSchedule {
+        ReportSchedule {
+            next_report_at: now,
             busy_due_at: now,
             busy_until: ClockTime::ZERO,
             running: 0.0,
@@ -63,41 +63,41 @@
 
     /// Takes the own running requests, and the largest load of a service in the own data centre
     /// in requests a slot. It may make the instance busy and a report due.
-    pub fn note_own(&mut self, now: ClockTime, running: f64, pressure: f64) {
+    pub fn update_local_load(&mut self, now: ClockTime, running: f64, pressure: f64) {
         self.running = running;
         self.pressure = pressure;
-        if self.is_pressed() || self.has_changed() {
+        if self.is_loaded() || self.has_changed() {
             self.stay_busy(now, now.after_millis(BUSY_MS));
         }
     }
 
     /// Takes that another data centre said that it is pressed.
-    pub fn note_pressed_centre(&mut self, now: ClockTime) {
+    pub fn record_loaded_centre(&mut self, now: ClockTime) {
         self.stay_busy(now, now.after_millis(PRESSED_MS + BUSY_MS));
     }
 
-    /// True when the own data centre is pressed, as of the last [`TellingSchedule::note_own`].
-    pub fn is_pressed(&self) -> bool {
+    /// True when the own data centre is pressed, as of the last [`ReportSchedule::note_own`].
+    pub fn is_loaded(&self) -> bool {
         self.pressure >= PRESSED
     }
 
     /// How often the instance tells its load.
-    pub fn pace(&self, now: ClockTime) -> TellingPace {
-        if self.busy_until.is_past(now) { TellingPace::Calm } else { TellingPace::Busy }
+    pub fn pace(&self, now: ClockTime) -> ReportPace {
+        if self.busy_until.is_past(now) { ReportPace::Slow } else { ReportPace::Fast }
     }
 
     /// When the next report is due.
-    pub fn due_at(&self) -> ClockTime {
-        self.due_at
+    pub fn next_report_at(&self) -> ClockTime {
+        self.next_report_at
     }
 
     /// Takes that the own load was told.
-    pub fn told(&mut self, now: ClockTime) {
+    pub fn record_report_sent(&mut self, now: ClockTime) {
         self.told_running = self.running;
         self.busy_due_at = now.after_millis(BUSY_ROUND_MS);
-        self.due_at = match self.pace(now) {
-            TellingPace::Calm => now.after_millis(CALM_ROUND_MS),
-            TellingPace::Busy => self.busy_due_at,
+        self.next_report_at = match self.pace(now) {
+            ReportPace::Slow => now.after_millis(CALM_ROUND_MS),
+            ReportPace::Fast => self.busy_due_at,
         };
     }
 
@@ -108,6 +108,6 @@
 
     fn stay_busy(&mut self, now: ClockTime, until: ClockTime) {
         self.busy_until = self.busy_until.max(until);
-        self.due_at = self.due_at.min(self.busy_due_at.max(now));
+        self.next_report_at = self.next_report_at.min(self.busy_due_at.max(now));
     }
 }
--- a/crates/foxledge-load/src/table.rs
+++ b/crates/foxledge-load/src/table.rs
@@ -12,8 +12,11 @@
 
 use crate::{
     bounds::{bound_load, bound_sum},
-    own::{CentreSum, LoadPart, OwnLoad, PriorityLoad, ServiceKey, ServiceLoad, TellerId},
-    schedule::TellingPace,
+    own::{
+        CentreAggregate, InstanceReport, LocalLoad, PriorityLoad, ReporterId, ServiceKey,
+        ServiceLoad,
+    },
+    schedule::ReportPace,
     view::{CentreView, LoadView},
 };
 
@@ -22,11 +25,11 @@
 /// Time after which a busy teller's part expires, in milliseconds.
 const BUSY_PART_MS: u64 = 1000;
 /// Time for which a part is fresh, in milliseconds.
-pub const FRESH_PART_MS: u64 = 200;
+pub const REPORT_FRESHNESS_MS: u64 = 200;
 /// Time after which another data centre's sum expires, in milliseconds.
 const SUM_MS: u64 = 2000;
 /// Parts of other instances that are enough for a sum, whatever the number of instances.
-pub const ENOUGH_OTHER_PARTS: usize = 6;
+pub const SUFFICIENT_PEER_REPORTS: usize = 6;
 /// One in so many of the instances is enough for a sum.
 const ENOUGH_ONE_IN: usize = 3;
 /// Parts held, several times the instances of the largest data centre.
@@ -47,8 +50,8 @@
     /// Instances of the own data centre; 0 until it is known.
     instances: u32,
     alive: Vec<CentreName>,
-    parts: BTreeMap<SocketAddrV4, HeardPart>,
-    sums: BTreeMap<CentreName, HeardSum>,
+    reports: BTreeMap<SocketAddrV4, HeardPart>,
+    aggregates: BTreeMap<CentreName, HeardSum>,
     samples: Vec<(u32, u32)>,
     turn: TurnClock,
 }
@@ -61,21 +64,21 @@
             own: None,
             instances: 0,
             alive: Vec::new(),
-            parts: BTreeMap::new(),
-            sums: BTreeMap::new(),
+            reports: BTreeMap::new(),
+            aggregates: BTreeMap::new(),
             samples: Vec::new(),
             turn: TurnClock::default(),
         }
     }
 
     /// Sets the own load, as the next part of this teller.
-    pub fn set_own(&mut self, now: ClockTime, teller: TellerId, mut load: OwnLoad) {
+    pub fn set_local_load(&mut self, now: ClockTime, teller: ReporterId, mut load: LocalLoad) {
         bound_load(&mut load);
-        self.parts.remove(&teller.address);
+        self.reports.remove(&teller.address);
         self.collect_samples(&load);
         let serial = self.own.as_ref().map_or(1, |own| own.part.serial.wrapping_add(1));
-        let part = LoadPart { teller, serial, load };
-        self.own = Some(HeardPart::new(part, now, TellingPace::Busy));
+        let part = InstanceReport { reporter: teller, serial, load };
+        self.own = Some(HeardPart::new(part, now, ReportPace::Fast));
     }
 
     /// Sets the number of instances of the own data centre, the own one included.
@@ -89,82 +92,87 @@
     }
 
     /// Takes a part told at `told_at` by an instance of the own data centre; true when it is
-    /// news. A relayed part is taken at the pace [`TellingPace::Busy`].
-    pub fn take_part(
+    /// news. A relayed part is taken at the pace [`ReportPace::Busy`].
+    pub fn apply_report(
         &mut self,
         now: ClockTime,
-        mut part: LoadPart,
+        mut part: InstanceReport,
         told_at: ClockTime,
-        pace: TellingPace,
+        pace: ReportPace,
     ) -> bool {
         bound_load(&mut part.load);
         let heard = HeardPart::new(part, told_at.min(now), pace);
-        let address = heard.part.teller.address;
+        let address = heard.part.reporter.address;
         if heard.expires_at.is_past(now) || self.is_own(&address) {
             return false;
         }
-        let held = self.parts.get(&address).filter(|held| !held.expires_at.is_past(now));
+        let held = self.reports.get(&address).filter(|held| !held.expires_at.is_past(now));
         if held.is_some_and(|held| !heard.follows(held)) {
             return false;
         }
-        if !self.parts.contains_key(&address) && self.parts.len() >= MOST_PARTS {
+        if !self.reports.contains_key(&address) && self.reports.len() >= MOST_PARTS {
             return false;
         }
         self.collect_samples(&heard.part.load);
-        self.parts.insert(address, heard);
+        self.reports.insert(address, heard);
         true
     }
 
     /// Takes the sum of another data centre told at `told_at`; true when it is news.
-    pub fn take_sum(&mut self, now: ClockTime, mut sum: CentreSum, told_at: ClockTime) -> bool {
+    pub fn apply_aggregate(
+        &mut self,
+        now: ClockTime,
+        mut sum: CentreAggregate,
+        told_at: ClockTime,
+    ) -> bool {
         bound_sum(&mut sum);
         let heard = HeardSum::new(sum, told_at.min(now));
         let centre = heard.sum.data_centre.clone();
         if heard.expires_at.is_past(now) || centre == self.data_centre {
             return false;
         }
-        let held = self.sums.get(&centre).filter(|held| !held.expires_at.is_past(now));
+        let held = self.aggregates.get(&centre).filter(|held| !held.expires_at.is_past(now));
         if held.is_some_and(|held| !heard.follows(held)) {
             return false;
         }
-        if !self.sums.contains_key(&centre) && self.sums.len() >= MOST_SUMS {
+        if !self.aggregates.contains_key(&centre) && self.aggregates.len() >= MOST_SUMS {
             return false;
         }
-        self.sums.insert(centre, heard);
+        self.aggregates.insert(centre, heard);
         true
     }
 
     /// Removes the part of an instance that left or restarted.
-    pub fn remove(&mut self, address: &SocketAddrV4) {
-        self.parts.remove(address);
+    pub fn remove_instance(&mut self, address: &SocketAddrV4) {
+        self.reports.remove(address);
     }
 
     /// Removes what has expired.
-    pub fn forget(&mut self, now: ClockTime) {
-        self.parts.retain(|_, heard| !heard.expires_at.is_past(now));
-        self.sums.retain(|_, heard| !heard.expires_at.is_past(now));
+    pub fn remove_expired(&mut self, now: ClockTime) {
+        self.reports.retain(|_, heard| !heard.expires_at.is_past(now));
+        self.aggregates.retain(|_, heard| !heard.expires_at.is_past(now));
     }
 
     /// Parts of the own data centre with the times when they were told: the own one first, then
     /// the newest. Those that expired since [`LoadTable::forget`] are included.
-    pub fn parts(&self) -> impl Iterator<Item = (&LoadPart, ClockTime)> {
-        let mut others: Vec<&HeardPart> = self.parts.values().collect();
+    pub fn reports(&self) -> impl Iterator<Item = (&InstanceReport, ClockTime)> {
+        let mut others: Vec<&HeardPart> = self.reports.values().collect();
         others.sort_by_key(|heard| Reverse(heard.told_at));
         self.own.iter().chain(others).map(|heard| (&heard.part, heard.told_at))
     }
 
     /// Sums of other data centres with the times when they were told.
-    pub fn sums(&self) -> impl Iterator<Item = (&CentreSum, ClockTime)> {
-        self.sums.values().map(|heard| (&heard.sum, heard.told_at))
+    pub fn aggregates(&self) -> impl Iterator<Item = (&CentreAggregate, ClockTime)> {
+        self.aggregates.values().map(|heard| (&heard.sum, heard.told_at))
     }
 
     /// The sum of the own data centre: the mean of its parts times its instances.
     ///
     /// Its serial is the shared turn clock, so that sums of different tellers compare.
-    pub fn own_sum(&self, now: ClockTime) -> CentreSum {
-        CentreSum {
+    pub fn local_aggregate(&self, now: ClockTime) -> CentreAggregate {
+        CentreAggregate {
             data_centre: self.data_centre.clone(),
-            serial: self.turn_ms(now),
+            serial: self.fleet_clock_ms(now),
             instances: self.instances.max(1),
             services: mean_times(&self.basis(now), f64::from(self.instances.max(1))),
         }
@@ -172,7 +180,7 @@
 
     /// True when enough other instances of the own data centre were heard of for its sum to be
     /// relied on, or when there is no other.
-    pub fn is_sure(&self, now: ClockTime) -> bool {
+    pub fn is_reliable(&self, now: ClockTime) -> bool {
         match self.instances {
             0 => false,
             1 => self.own.is_some(),
@@ -181,43 +189,43 @@
     }
 
     /// The load of all data centres. Account samples are handed out once.
-    pub fn view(&mut self, now: ClockTime) -> Arc<LoadView> {
-        self.forget(now);
+    pub fn build_view(&mut self, now: ClockTime) -> Arc<LoadView> {
+        self.remove_expired(now);
         let mut centres: BTreeMap<CentreName, CentreView> =
-            self.sums.iter().map(|(centre, heard)| (centre.clone(), heard.view())).collect();
+            self.aggregates.iter().map(|(centre, heard)| (centre.clone(), heard.view())).collect();
         centres.insert(self.data_centre.clone(), self.own_view(now));
         let unheard =
             self.alive.iter().filter(|centre| !centres.contains_key(*centre)).cloned().collect();
         Arc::new(LoadView {
-            made_at: now,
-            is_sure: self.is_sure(now),
+            created_at: now,
+            is_reliable: self.is_reliable(now),
             centres,
-            unheard,
-            accounts: mem::take(&mut self.samples),
-            turn_ms: self.turn_ms(now),
+            unreported_centres: unheard,
+            account_samples: mem::take(&mut self.samples),
+            fleet_clock_ms: self.fleet_clock_ms(now),
         })
     }
 
     /// Takes the shared turn clock as another instance told it; a later one is adopted.
-    pub fn take_turn(&mut self, now: ClockTime, turn_ms: u32) {
+    pub fn adopt_fleet_clock(&mut self, now: ClockTime, turn_ms: u32) {
         self.turn.take(now, turn_ms);
     }
 
     /// The shared turn clock, in milliseconds; it wraps.
-    pub fn turn_ms(&self, now: ClockTime) -> u32 {
+    pub fn fleet_clock_ms(&self, now: ClockTime) -> u32 {
         self.turn.at(now)
     }
 
     fn own_view(&self, now: ClockTime) -> CentreView {
         let basis = self.basis(now);
-        let others = basis.iter().filter(|heard| !self.is_own(&heard.part.teller.address));
+        let others = basis.iter().filter(|heard| !self.is_own(&heard.part.reporter.address));
         let newest = others.map(|heard| heard.told_at).max();
         CentreView {
-            told_at: newest
+            reported_at: newest
                 .or_else(|| self.own.as_ref().map(|own| own.told_at))
                 .unwrap_or_default(),
             instances: self.instances.max(1),
-            parts: basis.len() as u32,
+            report_count: basis.len() as u32,
             services: mean_times(&basis, f64::from(self.instances.max(1))),
         }
     }
@@ -233,7 +241,7 @@
     }
 
     fn unexpired(&self, now: ClockTime) -> impl Iterator<Item = &HeardPart> {
-        self.parts.values().filter(move |heard| !heard.expires_at.is_past(now))
+        self.reports.values().filter(move |heard| !heard.expires_at.is_past(now))
     }
 
     fn is_enough(&self, others: usize) -> bool {
@@ -241,41 +249,46 @@
     }
 
     fn enough(&self) -> usize {
-        (self.instances as usize).div_ceil(ENOUGH_ONE_IN).min(ENOUGH_OTHER_PARTS)
+        (self.instances as usize).div_ceil(ENOUGH_ONE_IN).min(SUFFICIENT_PEER_REPORTS)
     }
 
     fn is_own(&self, address: &SocketAddrV4) -> bool {
-        self.own.as_ref().is_some_and(|own| own.part.teller.address == *address)
+        self.own.as_ref().is_some_and(|own| own.part.reporter.address == *address)
     }
 
-    fn collect_samples(&mut self, load: &OwnLoad) {
-        if load.one_in == 0 {
+    fn collect_samples(&mut self, load: &LocalLoad) {
+        if load.openings_per_sample == 0 {
             return;
         }
         let room = MOST_SAMPLES.saturating_sub(self.samples.len());
-        self.samples.extend(load.accounts.iter().take(room).map(|account| (*account, load.one_in)));
+        self.samples.extend(
+            load.sampled_accounts
+                .iter()
+                .take(room)
+                .map(|account| (*account, load.openings_per_sample)),
+        );
     }
 }
 
 /// `HeardPart` is a part with its deadlines.
 #[derive(Clone, Debug)]
 struct HeardPart {
-    part: LoadPart,
+    part: InstanceReport,
     told_at: ClockTime,
     fresh_until: ClockTime,
     expires_at: ClockTime,
 }
 
 impl HeardPart {
-    fn new(part: LoadPart, told_at: ClockTime, pace: TellingPace) -> HeardPart {
+    fn new(part: InstanceReport, told_at: ClockTime, pace: ReportPace) -> HeardPart {
         let expiry_ms = match pace {
-            TellingPace::Calm => CALM_PART_MS,
-            TellingPace::Busy => BUSY_PART_MS,
+            ReportPace::Slow => CALM_PART_MS,
+            ReportPace::Fast => BUSY_PART_MS,
         };
         HeardPart {
             part,
             told_at,
-            fresh_until: told_at.after_millis(FRESH_PART_MS),
+            fresh_until: told_at.after_millis(REPORT_FRESHNESS_MS),
             expires_at: told_at.after_millis(expiry_ms),
         }
     }
@@ -283,7 +296,7 @@
     /// True when it is newer than `held`. Numbers of starts don't compare by their low halves,
     /// so parts of different starts compare by the time when they were told.
     fn follows(&self, held: &HeardPart) -> bool {
-        if self.part.teller.incarnation == held.part.teller.incarnation {
+        if self.part.reporter.incarnation == held.part.reporter.incarnation {
             return self.part.serial > held.part.serial;
         }
         self.told_at > held.told_at
@@ -293,13 +306,13 @@
 /// `HeardSum` is a sum with its deadline.
 #[derive(Clone, Debug)]
 struct HeardSum {
-    sum: CentreSum,
+    sum: CentreAggregate,
     told_at: ClockTime,
     expires_at: ClockTime,
 }
 
 impl HeardSum {
-    fn new(sum: CentreSum, told_at: ClockTime) -> HeardSum {
+    fn new(sum: CentreAggregate, told_at: ClockTime) -> HeardSum {
         HeardSum { sum, told_at, expires_at: told_at.after_millis(SUM_MS) }
     }
 
@@ -315,9 +328,9 @@
 
     fn view(&self) -> CentreView {
         CentreView {
-            told_at: self.told_at,
+            reported_at: self.told_at,
             instances: self.sum.instances,
-            parts: 0,
+            report_count: 0,
             services: self.sum.services.clone(),
         }
     }
--- a/crates/foxledge-load/src/view.rs
+++ b/crates/foxledge-load/src/view.rs
@@ -5,7 +5,7 @@
 use foxledge_core::{names::CentreName, time::ClockTime};
 
 use crate::{
-    overflow::CentreRoom,
+    overflow::CentreCapacity,
     own::{ServiceKey, ServiceLoad},
 };
 
@@ -16,11 +16,11 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CentreView {
     /// When the newest of what it rests on was told.
-    pub told_at: ClockTime,
+    pub reported_at: ClockTime,
     /// Instances in it.
     pub instances: u32,
     /// Parts that the sum rests on; 0 for a sum that was told by another data centre.
-    pub parts: u32,
+    pub report_count: u32,
     /// By service.
     pub services: BTreeMap<ServiceKey, ServiceView>,
 }
@@ -29,23 +29,23 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadView {
     /// When it was made.
-    pub made_at: ClockTime,
+    pub created_at: ClockTime,
     /// True when enough parts of the own data centre were heard of lately to go by.
-    pub is_sure: bool,
+    pub is_reliable: bool,
     /// By data centre, the own one included; those whose sum has lapsed are left out.
     pub centres: BTreeMap<CentreName, CentreView>,
     /// Other data centres that are alive by membership and whose sum isn't known.
-    pub unheard: Vec<CentreName>,
+    pub unreported_centres: Vec<CentreName>,
     /// Samples of client accounts told since the view before: hash and the openings that each
     /// stands for.
-    pub accounts: Vec<(u32, u32)>,
+    pub account_samples: Vec<(u32, u32)>,
     /// Shared clock of the order of return, in milliseconds.
-    pub turn_ms: u32,
+    pub fleet_clock_ms: u32,
 }
 
 impl LoadView {
     /// Requests of a service that run in a data centre, by callers of all that were heard of.
-    pub fn running_in(&self, service: ServiceKey, data_centre: &CentreName) -> f64 {
+    pub fn running_requests_in(&self, service: ServiceKey, data_centre: &CentreName) -> f64 {
         self.centres
             .values()
             .filter_map(|centre| centre.services.get(&service)?.running.get(data_centre))
@@ -59,10 +59,14 @@
     }
 
     /// The rooms of the data centres that were heard of; one that `slots` doesn't name has none.
-    pub fn rooms(&self, service: ServiceKey, slots: &BTreeMap<CentreName, f64>) -> Vec<CentreRoom> {
+    pub fn centre_capacities(
+        &self,
+        service: ServiceKey,
+        slots: &BTreeMap<CentreName, f64>,
+    ) -> Vec<CentreCapacity> {
         self.centres
             .keys()
-            .map(|centre| CentreRoom {
+            .map(|centre| CentreCapacity {
                 data_centre: centre.clone(),
                 slots: slots.get(centre).copied().unwrap_or_default(),
                 demand: self.demand_of(service, centre),
--- a/crates/foxledge-load/tests/absurd_values.rs
+++ b/crates/foxledge-load/tests/absurd_values.rs
@@ -6,13 +6,13 @@
 
 use common::{arrivals_of, at_ms, auction, north, own_load, part, south, sum, table_of, teller};
 use foxledge_core::names::CentreName;
-use foxledge_load::{LoadPart, LoadTable, OwnLoad, PriorityLoad, ServiceLoad, TellingPace};
+use foxledge_load::{InstanceReport, LoadTable, LocalLoad, PriorityLoad, ReportPace, ServiceLoad};
 
-fn taken(load: OwnLoad) -> OwnLoad {
+fn taken(load: LocalLoad) -> LocalLoad {
     let mut table = table_of(2, at_ms(0));
-    let part = LoadPart { teller: teller(1, 1), serial: 1, load };
-    assert!(table.take_part(at_ms(0), part, at_ms(0), TellingPace::Busy));
-    table.parts().nth(1).unwrap().0.load.clone()
+    let part = InstanceReport { reporter: teller(1, 1), serial: 1, load };
+    assert!(table.apply_report(at_ms(0), part, at_ms(0), ReportPace::Fast));
+    table.reports().nth(1).unwrap().0.load.clone()
 }
 
 // Guards against a teller whose numbers are impossible making a whole fleet refuse or overflow.
@@ -23,7 +23,7 @@
         running: BTreeMap::from([(north(), f64::INFINITY), (south(), 1e12)]),
     };
     let services = BTreeMap::from([(auction(), absurd)]);
-    let load = &taken(OwnLoad { services, ..OwnLoad::default() }).services[&auction()];
+    let load = &taken(LocalLoad { services, ..LocalLoad::default() }).services[&auction()];
     assert_eq!(load.priorities[&0], PriorityLoad { arrivals_per_s: 1e5, work_us: 6e7 });
     assert!(load.running.values().sum::<f64>() <= 1e5 + 1e-6);
 }
@@ -42,7 +42,7 @@
     let priorities = (0..100).map(|priority| (priority, PriorityLoad::default())).collect();
     let service = ServiceLoad { priorities, ..ServiceLoad::default() };
     let services = BTreeMap::from([(auction(), service)]);
-    let load = taken(OwnLoad { services, ..OwnLoad::default() });
+    let load = taken(LocalLoad { services, ..LocalLoad::default() });
     let kept: Vec<u32> = load.services[&auction()].priorities.keys().copied().collect();
     assert_eq!(kept, (0..8).collect::<Vec<_>>());
 }
@@ -54,16 +54,20 @@
     let priorities = BTreeMap::from([(0, each), (1, each)]);
     let service = ServiceLoad { priorities, ..ServiceLoad::default() };
     let services = BTreeMap::from([(auction(), service)]);
-    let load = taken(OwnLoad { services, ..OwnLoad::default() });
+    let load = taken(LocalLoad { services, ..LocalLoad::default() });
     assert!(load.services[&auction()].arrivals_per_s() <= 1e5 + 1e-6);
 }
 
 // Guards against account samples that outweigh all others.
 #[test]
 fn accounts_are_limited() {
-    let load = taken(OwnLoad { accounts: vec![1; 500], one_in: u32::MAX, ..OwnLoad::default() });
-    assert_eq!(load.accounts.len(), 12);
-    assert_eq!(load.one_in, 100_000);
+    let load = taken(LocalLoad {
+        sampled_accounts: vec![1; 500],
+        openings_per_sample: u32::MAX,
+        ..LocalLoad::default()
+    });
+    assert_eq!(load.sampled_accounts.len(), 12);
+    assert_eq!(load.openings_per_sample, 100_000);
 }
 
 // Guards against a sum that claims the load of billions of instances.
@@ -72,8 +76,8 @@
     let mut table = table_of(2, at_ms(0));
     let mut absurd = sum(south(), 1, 1e18);
     absurd.instances = u32::MAX;
-    assert!(table.take_sum(at_ms(0), absurd, at_ms(0)));
-    let taken = table.sums().next().unwrap().0;
+    assert!(table.apply_aggregate(at_ms(0), absurd, at_ms(0)));
+    let taken = table.aggregates().next().unwrap().0;
     assert_eq!(taken.instances, 10_000);
     assert!(arrivals_of(taken) <= 1e9);
 }
@@ -83,38 +87,38 @@
 fn table_is_bounded() {
     let mut table = table_of(2, at_ms(0));
     for index in 1..10_000 {
-        table.take_part(at_ms(0), part(index, 1, 1.0), at_ms(0), TellingPace::Calm);
+        table.apply_report(at_ms(0), part(index, 1, 1.0), at_ms(0), ReportPace::Slow);
         let name = CentreName::new(&format!("made-up-{index}"));
-        table.take_sum(at_ms(0), sum(name, 1, 1.0), at_ms(0));
+        table.apply_aggregate(at_ms(0), sum(name, 1, 1.0), at_ms(0));
     }
-    assert_eq!(table.parts().count(), 1 + 4096);
-    assert_eq!(table.sums().count(), 64);
-    assert!(table.take_part(at_ms(1), part(1, 2, 1.0), at_ms(1), TellingPace::Calm));
+    assert_eq!(table.reports().count(), 1 + 4096);
+    assert_eq!(table.aggregates().count(), 64);
+    assert!(table.apply_report(at_ms(1), part(1, 2, 1.0), at_ms(1), ReportPace::Slow));
 }
 
 // Guards against a time ahead of the clock prolonging a part's life.
 #[test]
 fn times_ahead_are_now() {
     let mut table = table_of(2, at_ms(0));
-    table.take_part(at_ms(100), part(1, 1, 1.0), at_ms(900_000), TellingPace::Busy);
-    table.take_sum(at_ms(100), sum(south(), 1, 1.0), at_ms(900_000));
-    table.forget(at_ms(2100));
-    assert_eq!((table.parts().count(), table.sums().count()), (1, 0));
+    table.apply_report(at_ms(100), part(1, 1, 1.0), at_ms(900_000), ReportPace::Fast);
+    table.apply_aggregate(at_ms(100), sum(south(), 1, 1.0), at_ms(900_000));
+    table.remove_expired(at_ms(2100));
+    assert_eq!((table.reports().count(), table.aggregates().count()), (1, 0));
 }
 
 // Guards against an absurd serial shutting out a data centre's later sums.
 #[test]
 fn serial_ahead_blocks_nothing() {
     let mut table = table_of(2, at_ms(0));
-    assert!(table.take_sum(at_ms(0), sum(south(), 3_000_000_000, 1.0), at_ms(0)));
-    assert!(table.take_sum(at_ms(100), sum(south(), 5_000, 2.0), at_ms(100)));
+    assert!(table.apply_aggregate(at_ms(0), sum(south(), 3_000_000_000, 1.0), at_ms(0)));
+    assert!(table.apply_aggregate(at_ms(100), sum(south(), 5_000, 2.0), at_ms(100)));
 }
 
 // Guards against a division by zero where nothing is known.
 #[test]
 fn empty_table_has_a_view() {
     let mut table = LoadTable::new(north());
-    let view = table.view(at_ms(0));
-    assert!(!view.is_sure);
+    let view = table.build_view(at_ms(0));
+    assert!(!view.is_reliable);
     assert!(view.centres[&north()].services.is_empty());
 }
--- a/crates/foxledge-load/tests/account_samples.rs
+++ b/crates/foxledge-load/tests/account_samples.rs
@@ -3,29 +3,33 @@
 mod common;
 
 use common::{at_ms, part, table_of, teller};
-use foxledge_load::{LoadPart, OwnLoad, TellingPace};
+use foxledge_load::{InstanceReport, LocalLoad, ReportPace};
 
-fn sampled(index: u32, serial: u32, account: u32) -> LoadPart {
-    let load = OwnLoad { accounts: vec![account], one_in: 5, ..OwnLoad::default() };
-    LoadPart { teller: teller(index, 1), serial, load }
+fn sampled(index: u32, serial: u32, account: u32) -> InstanceReport {
+    let load = LocalLoad {
+        sampled_accounts: vec![account],
+        openings_per_sample: 5,
+        ..LocalLoad::default()
+    };
+    InstanceReport { reporter: teller(index, 1), serial, load }
 }
 
 // Guards against an account looking heavy because its samples are counted again.
 #[test]
 fn samples_are_handed_out_once() {
     let mut table = table_of(2, at_ms(0));
-    table.take_part(at_ms(0), sampled(1, 1, 77), at_ms(0), TellingPace::Busy);
-    table.take_part(at_ms(1), sampled(1, 1, 77), at_ms(0), TellingPace::Busy);
-    assert_eq!(table.view(at_ms(2)).accounts, [(77, 5)]);
-    assert!(table.view(at_ms(3)).accounts.is_empty());
+    table.apply_report(at_ms(0), sampled(1, 1, 77), at_ms(0), ReportPace::Fast);
+    table.apply_report(at_ms(1), sampled(1, 1, 77), at_ms(0), ReportPace::Fast);
+    assert_eq!(table.build_view(at_ms(2)).account_samples, [(77, 5)]);
+    assert!(table.build_view(at_ms(3)).account_samples.is_empty());
 }
 
 // Guards against an instance leaving its own openings out of the count.
 #[test]
 fn own_samples_count() {
     let mut table = table_of(2, at_ms(0));
-    table.set_own(at_ms(0), teller(0, 1), sampled(0, 1, 78).load);
-    assert_eq!(table.view(at_ms(0)).accounts, [(78, 5)]);
+    table.set_local_load(at_ms(0), teller(0, 1), sampled(0, 1, 78).load);
+    assert_eq!(table.build_view(at_ms(0)).account_samples, [(78, 5)]);
 }
 
 // Guards against samples that stand for no openings.
@@ -33,9 +37,9 @@
 fn samples_need_a_weight() {
     let mut table = table_of(2, at_ms(0));
     let mut empty = sampled(1, 1, 79);
-    empty.load.one_in = 0;
-    table.take_part(at_ms(0), empty, at_ms(0), TellingPace::Busy);
-    assert!(table.view(at_ms(0)).accounts.is_empty());
+    empty.load.openings_per_sample = 0;
+    table.apply_report(at_ms(0), empty, at_ms(0), ReportPace::Fast);
+    assert!(table.build_view(at_ms(0)).account_samples.is_empty());
 }
 
 // Guards against memory that grows while no view is asked for.
@@ -43,8 +47,8 @@
 fn samples_are_bounded() {
     let mut table = table_of(2, at_ms(0));
     for serial in 0..10_000 {
-        table.take_part(at_ms(0), sampled(1, serial, serial), at_ms(0), TellingPace::Busy);
+        table.apply_report(at_ms(0), sampled(1, serial, serial), at_ms(0), ReportPace::Fast);
     }
-    table.take_part(at_ms(0), part(1, 20_000, 1.0), at_ms(0), TellingPace::Busy);
-    assert_eq!(table.view(at_ms(0)).accounts.len(), 4096);
+    table.apply_report(at_ms(0), part(1, 20_000, 1.0), at_ms(0), ReportPace::Fast);
+    assert_eq!(table.build_view(at_ms(0)).account_samples.len(), 4096);
 }
--- a/crates/foxledge-load/tests/common/mod.rs
+++ b/crates/foxledge-load/tests/common/mod.rs
@@ -8,8 +8,8 @@
 
 use foxledge_core::{names::CentreName, time::ClockTime};
 use foxledge_load::{
-    CentreSum, LoadPart, LoadTable, OwnLoad, PriorityLoad, ServiceKey, ServiceLoad, TellerId,
-    TellingPace,
+    CentreAggregate, InstanceReport, LoadTable, LocalLoad, PriorityLoad, ReportPace, ReporterId,
+    ServiceKey, ServiceLoad,
 };
 
 pub fn at_ms(millis: u64) -> ClockTime {
@@ -29,9 +29,9 @@
 }
 
 /// Instance `index` of the own data centre, at its start `incarnation`.
-pub fn teller(index: u32, incarnation: u32) -> TellerId {
+pub fn teller(index: u32, incarnation: u32) -> ReporterId {
     let ip = Ipv4Addr::from(0x0a00_0000 + index);
-    TellerId { address: SocketAddrV4::new(ip, 7000), incarnation }
+    ReporterId { address: SocketAddrV4::new(ip, 7000), incarnation }
 }
 
 /// Requests of priority 1 with 60 ms of work, running in the north.
@@ -42,36 +42,36 @@
     }
 }
 
-pub fn own_load(arrivals_per_s: f64, running: f64) -> OwnLoad {
+pub fn own_load(arrivals_per_s: f64, running: f64) -> LocalLoad {
     let services = BTreeMap::from([(auction(), service_load(arrivals_per_s, running))]);
-    OwnLoad { services, ..OwnLoad::default() }
+    LocalLoad { services, ..LocalLoad::default() }
 }
 
-pub fn part(index: u32, serial: u32, arrivals_per_s: f64) -> LoadPart {
-    LoadPart { teller: teller(index, 1), serial, load: own_load(arrivals_per_s, 1.0) }
+pub fn part(index: u32, serial: u32, arrivals_per_s: f64) -> InstanceReport {
+    InstanceReport { reporter: teller(index, 1), serial, load: own_load(arrivals_per_s, 1.0) }
 }
 
-pub fn sum(data_centre: CentreName, serial: u32, arrivals_per_s: f64) -> CentreSum {
+pub fn sum(data_centre: CentreName, serial: u32, arrivals_per_s: f64) -> CentreAggregate {
     let services = BTreeMap::from([(auction(), service_load(arrivals_per_s, 10.0))]);
-    CentreSum { data_centre, serial, instances: 19, services }
+    CentreAggregate { data_centre, serial, instances: 19, services }
 }
 
 /// A table of instance 0 in the north, whose own load is 10 arrivals a second.
 pub fn table_of(instances: u32, now: ClockTime) -> LoadTable {
     let mut table = LoadTable::new(north());
     table.set_instances(instances);
-    table.set_own(now, teller(0, 1), own_load(10.0, 1.0));
+    table.set_local_load(now, teller(0, 1), own_load(10.0, 1.0));
     table
 }
 
 /// Takes a part of each instance from 1 on, all with these arrivals.
 pub fn take_all(table: &mut LoadTable, now: ClockTime, count: u32, serial: u32, arrivals: f64) {
     for index in 1..=count {
-        table.take_part(now, part(index, serial, arrivals), now, TellingPace::Busy);
+        table.apply_report(now, part(index, serial, arrivals), now, ReportPace::Fast);
     }
 }
 
-pub fn arrivals_of(sum: &CentreSum) -> f64 {
+pub fn arrivals_of(sum: &CentreAggregate) -> f64 {
     sum.services.get(&auction()).map_or(0.0, ServiceLoad::arrivals_per_s)
 }
 
--- a/crates/foxledge-load/tests/cut_centre.rs
+++ b/crates/foxledge-load/tests/cut_centre.rs
@@ -11,25 +11,25 @@
 fn cut_sum_expires() {
     let mut table = table_of(19, at_ms(0));
     table.set_alive_centres(vec![south()]);
-    assert_eq!(table.view(at_ms(0)).unheard, [south()]);
-    table.take_sum(at_ms(0), sum(south(), 100, 300.0), at_ms(0));
-    let view = table.view(at_ms(1999));
-    assert!(view.centres.contains_key(&south()) && view.unheard.is_empty());
-    let view = table.view(at_ms(2000));
+    assert_eq!(table.build_view(at_ms(0)).unreported_centres, [south()]);
+    table.apply_aggregate(at_ms(0), sum(south(), 100, 300.0), at_ms(0));
+    let view = table.build_view(at_ms(1999));
+    assert!(view.centres.contains_key(&south()) && view.unreported_centres.is_empty());
+    let view = table.build_view(at_ms(2000));
     assert!(!view.centres.contains_key(&south()));
-    assert_eq!(view.unheard, [south()]);
+    assert_eq!(view.unreported_centres, [south()]);
 }
 
 // Guards against a cut making the load of the own data centre unknown.
 #[test]
 fn near_view_continues() {
     let mut table = table_of(19, at_ms(0));
-    table.take_sum(at_ms(0), sum(south(), 100, 300.0), at_ms(0));
+    table.apply_aggregate(at_ms(0), sum(south(), 100, 300.0), at_ms(0));
     for round in 0..30 {
         let now = at_ms(round * 100);
         take_all(&mut table, now, 18, round as u32 + 1, 10.0);
-        assert_near(arrivals_of(&table.own_sum(now)), 190.0);
-        assert!(table.view(now).is_sure);
+        assert_near(arrivals_of(&table.local_aggregate(now)), 190.0);
+        assert!(table.build_view(now).is_reliable);
     }
 }
 
@@ -37,12 +37,12 @@
 #[test]
 fn return_shows_present_load() {
     let mut table = table_of(19, at_ms(0));
-    table.take_sum(at_ms(0), sum(south(), 100, 300.0), at_ms(0));
-    table.forget(at_ms(5000));
-    assert!(table.take_sum(at_ms(5000), sum(south(), 5100, 200.0), at_ms(5000)));
-    assert!(!table.take_sum(at_ms(5010), sum(south(), 4100, 900.0), at_ms(4000)));
-    assert!(!table.take_sum(at_ms(5010), sum(south(), 5050, 900.0), at_ms(5010)));
-    let view = table.view(at_ms(5010));
+    table.apply_aggregate(at_ms(0), sum(south(), 100, 300.0), at_ms(0));
+    table.remove_expired(at_ms(5000));
+    assert!(table.apply_aggregate(at_ms(5000), sum(south(), 5100, 200.0), at_ms(5000)));
+    assert!(!table.apply_aggregate(at_ms(5010), sum(south(), 4100, 900.0), at_ms(4000)));
+    assert!(!table.apply_aggregate(at_ms(5010), sum(south(), 5050, 900.0), at_ms(5010)));
+    let view = table.build_view(at_ms(5010));
     assert_near(view.centres[&south()].services[&auction()].arrivals_per_s(), 200.0);
 }
 
@@ -50,15 +50,15 @@
 #[test]
 fn older_sum_of_other_clock_is_dropped() {
     let mut table = table_of(19, at_ms(0));
-    assert!(table.take_sum(at_ms(9000), sum(south(), 9000, 300.0), at_ms(8900)));
-    assert!(!table.take_sum(at_ms(9000), sum(south(), 50, 900.0), at_ms(8000)));
+    assert!(table.apply_aggregate(at_ms(9000), sum(south(), 9000, 300.0), at_ms(8900)));
+    assert!(!table.apply_aggregate(at_ms(9000), sum(south(), 50, 900.0), at_ms(8000)));
 }
 
 // Guards against sums of the own data centre, as another one relays them, in place of its parts.
 #[test]
 fn own_sum_is_not_taken() {
     let mut table = table_of(19, at_ms(0));
-    assert!(!table.take_sum(at_ms(0), sum(north(), 1, 900.0), at_ms(0)));
+    assert!(!table.apply_aggregate(at_ms(0), sum(north(), 1, 900.0), at_ms(0)));
 }
 
 // Guards against flows going to a cut data centre, and all at once when it is back.
@@ -70,13 +70,13 @@
     let mut before = 0.0;
     for step in 0..200 {
         let now = at_ms(step * 50);
-        table.set_own(now, common::teller(0, 1), common::own_load(1200.0, 70.0));
-        table.take_sum(now, sum(CentreName::new("west"), step as u32 * 50, 300.0), now);
+        table.set_local_load(now, common::teller(0, 1), common::own_load(1200.0, 70.0));
+        table.apply_aggregate(now, sum(CentreName::new("west"), step as u32 * 50, 300.0), now);
         let is_cut = (40..100).contains(&step);
         if !is_cut {
-            table.take_sum(now, sum(south(), step as u32 * 50, 300.0), now);
+            table.apply_aggregate(now, sum(south(), step as u32 * 50, 300.0), now);
         }
-        plan.update(now, &table.view(now).rooms(auction(), &slots));
+        plan.update(now, &table.build_view(now).centre_capacities(auction(), &slots));
         let share = plan.shares().get(&south()).copied().unwrap_or_default();
         let total: f64 = plan.shares().values().sum();
         assert!(share - before <= 0.5 * (1.0 - 48.0 / 72.0) / 2.0 + 1e-9, "{before} to {share}");
--- a/crates/foxledge-load/tests/lost_messages.rs
+++ b/crates/foxledge-load/tests/lost_messages.rs
@@ -6,7 +6,7 @@
 
 use common::{arrivals_of, at_ms, auction, north, own_load, teller};
 use foxledge_core::time::ClockTime;
-use foxledge_load::{LoadTable, RateGauge, TellingPace};
+use foxledge_load::{LoadTable, RateGauge, ReportPace};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 const LOST: f64 = 0.3;
@@ -52,12 +52,12 @@
         let now = at_ms(millis);
         let instance = &mut self.instances[index];
         instance.round_at += ROUND_MS;
-        let load = own_load(instance.gauge.per_s(now), instance.ends.len() as f64);
-        instance.table.set_own(now, teller(index as u32, 1), load);
-        instance.table.forget(now);
+        let load = own_load(instance.gauge.events_per_s(now), instance.ends.len() as f64);
+        instance.table.set_local_load(now, teller(index as u32, 1), load);
+        instance.table.remove_expired(now);
         let parts: Vec<_> = instance
             .table
-            .parts()
+            .reports()
             .take(MOST_RELAYED)
             .map(|(part, told_at)| (part.clone(), told_at))
             .collect();
@@ -67,13 +67,13 @@
                 continue;
             }
             for (part, told_at) in parts.clone() {
-                self.instances[receiver].table.take_part(now, part, told_at, TellingPace::Busy);
+                self.instances[receiver].table.apply_report(now, part, told_at, ReportPace::Fast);
             }
         }
     }
 
     fn real_arrivals(&self, now: ClockTime) -> f64 {
-        self.instances.iter().map(|instance| instance.gauge.per_s(now)).sum()
+        self.instances.iter().map(|instance| instance.gauge.events_per_s(now)).sum()
     }
 
     /// Mean and largest error of the instances' sums, as parts of the real one.
@@ -82,7 +82,7 @@
         let errors: Vec<f64> = self
             .instances
             .iter()
-            .map(|instance| (arrivals_of(&instance.table.own_sum(now)) / real - 1.0).abs())
+            .map(|instance| (arrivals_of(&instance.table.local_aggregate(now)) / real - 1.0).abs())
             .collect();
         let mean = errors.iter().sum::<f64>() / errors.len() as f64;
         (mean, errors.iter().copied().fold(0.0, f64::max))
@@ -91,7 +91,7 @@
     /// Mean over the instances of the running requests of their sums.
     fn running(&self, now: ClockTime) -> f64 {
         let running = |instance: &FakeInstance| {
-            let sum = instance.table.own_sum(now);
+            let sum = instance.table.local_aggregate(now);
             sum.services.get(&auction()).map_or(0.0, |load| load.running[&north()])
         };
         self.instances.iter().map(running).sum::<f64>() / self.instances.len() as f64
@@ -111,7 +111,7 @@
             self.ends.pop_front();
         }
         if arrives {
-            self.gauge.add(at_ms(millis));
+            self.gauge.record_event(at_ms(millis));
             self.ends.push_back(millis + WORK_MS);
         }
     }
@@ -128,7 +128,8 @@
         println!("{count} instances, seed {seed}: mean error {mean:.3}, largest {most:.3}");
         assert!(mean < 0.05, "{count} instances: mean error {mean}");
         assert!(most < 0.25, "{count} instances: largest error {most}");
-        let sure = centre.instances.iter().filter(|instance| instance.table.is_sure(now)).count();
+        let sure =
+            centre.instances.iter().filter(|instance| instance.table.is_reliable(now)).count();
         assert_eq!(sure, count);
     }
 }
--- a/crates/foxledge-load/tests/overflow_damping.rs
+++ b/crates/foxledge-load/tests/overflow_damping.rs
@@ -4,7 +4,7 @@
 
 use common::at_ms;
 use foxledge_core::names::CentreName;
-use foxledge_load::{CentreRoom, OverflowPlan};
+use foxledge_load::{CentreCapacity, OverflowPlan};
 
 /// A plan of the north, where half of the demand in a burst is excess.
 struct PlanRun {
@@ -18,7 +18,7 @@
     }
 
     fn steps(&mut self, count: u32, demand: f64) -> f64 {
-        let room = |centre, demand| CentreRoom {
+        let room = |centre, demand| CentreCapacity {
             data_centre: CentreName::new(centre),
             slots: 60.0,
             demand,
@@ -55,7 +55,7 @@
 fn frequent_updates_move_once() {
     let mut run = PlanRun::new();
     run.steps(1, BURST);
-    let rooms = [("north", BURST), ("south", 0.0)].map(|(centre, demand)| CentreRoom {
+    let rooms = [("north", BURST), ("south", 0.0)].map(|(centre, demand)| CentreCapacity {
         data_centre: CentreName::new(centre),
         slots: 60.0,
         demand,
--- a/crates/foxledge-load/tests/overflow_herd.rs
+++ b/crates/foxledge-load/tests/overflow_herd.rs
@@ -6,7 +6,7 @@
 
 use common::at_ms;
 use foxledge_core::names::CentreName;
-use foxledge_load::{CentreRoom, OverflowPlan};
+use foxledge_load::{CentreCapacity, OverflowPlan};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 const INSTANCES: usize = 40;
@@ -64,12 +64,12 @@
     }
 
     /// Rooms as one instance sees them: each demand is late by up to 300 ms and off by up to 10%.
-    fn rooms(&mut self) -> Vec<CentreRoom> {
+    fn rooms(&mut self) -> Vec<CentreCapacity> {
         (0..4)
             .map(|centre| {
                 let late = self.rng.random_range(0..self.past.len());
                 let demand = self.past[late][centre] * self.rng.random_range(0.9..1.1);
-                CentreRoom { data_centre: name(centre), slots: SLOTS, demand }
+                CentreCapacity { data_centre: name(centre), slots: SLOTS, demand }
             })
             .collect()
     }
--- a/crates/foxledge-load/tests/overflow_shares.rs
+++ b/crates/foxledge-load/tests/overflow_shares.rs
@@ -6,19 +6,19 @@
 
 use common::{assert_near, at_ms};
 use foxledge_core::names::CentreName;
-use foxledge_load::{CentreRoom, OverflowPlan};
+use foxledge_load::{CentreCapacity, OverflowPlan};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 fn name(text: &str) -> CentreName {
     CentreName::new(text)
 }
 
-fn room(centre: &str, slots: f64, demand: f64) -> CentreRoom {
-    CentreRoom { data_centre: name(centre), slots, demand }
+fn room(centre: &str, slots: f64, demand: f64) -> CentreCapacity {
+    CentreCapacity { data_centre: name(centre), slots, demand }
 }
 
 /// The shares of a data centre's plan when they have settled.
-fn settled(own: &str, rooms: &[CentreRoom]) -> OverflowPlan {
+fn settled(own: &str, rooms: &[CentreCapacity]) -> OverflowPlan {
     let mut plan = OverflowPlan::new(name(own));
     for step in 0..60 {
         plan.update(at_ms(step * 50), rooms);
@@ -35,7 +35,7 @@
 }
 
 /// Requests a slot that each data centre serves when all follow their plans.
-fn served(rooms: &[CentreRoom]) -> BTreeMap<CentreName, f64> {
+fn served(rooms: &[CentreCapacity]) -> BTreeMap<CentreName, f64> {
     let mut served: BTreeMap<CentreName, f64> = BTreeMap::new();
     for near in rooms {
         let plan = settled(&near.data_centre, rooms);
@@ -142,7 +142,7 @@
 // Guards against a division by zero, or NaN shares, when nothing is known or sensible.
 #[test]
 fn senseless_rooms_stay_near() {
-    let none: [&[CentreRoom]; 5] = [
+    let none: [&[CentreCapacity]; 5] = [
         &[],
         &[room("south", 60.0, 10.0)],
         &[room("north", 0.0, 10.0)],
@@ -176,7 +176,7 @@
     let mut rng = StdRng::seed_from_u64(11);
     for _ in 0..300 {
         let count = rng.random_range(2..9);
-        let rooms: Vec<CentreRoom> = (0..count)
+        let rooms: Vec<CentreCapacity> = (0..count)
             .map(|index| {
                 let slots = rng.random_range(1.0..5000.0);
                 room(&format!("dc{index}"), slots, slots * rng.random_range(0.0..4.0))
--- a/crates/foxledge-load/tests/rate_gauge.rs
+++ b/crates/foxledge-load/tests/rate_gauge.rs
@@ -10,9 +10,9 @@
 fn steady_rate_is_shown() {
     let mut gauge = RateGauge::new();
     for event in 0..400 {
-        gauge.add(at_ms(event * 10));
+        gauge.record_event(at_ms(event * 10));
     }
-    let rate = gauge.per_s(at_ms(3995));
+    let rate = gauge.events_per_s(at_ms(3995));
     assert!((rate - 100.0).abs() < 1.0, "{rate}");
 }
 
@@ -21,21 +21,21 @@
 fn rate_follows_bursts() {
     let mut gauge = RateGauge::new();
     for event in 0..40 {
-        gauge.add(at_ms(event * 5));
+        gauge.record_event(at_ms(event * 5));
     }
-    let risen = gauge.per_s(at_ms(200));
+    let risen = gauge.events_per_s(at_ms(200));
     assert!((105.0..120.0).contains(&risen), "{risen} of 200");
-    let fallen = gauge.per_s(at_ms(450));
+    let fallen = gauge.events_per_s(at_ms(450));
     assert!((fallen / risen - (-1.0f64).exp()).abs() < 1e-9);
-    assert!(gauge.per_s(at_ms(10_000)) < 1e-9);
+    assert!(gauge.events_per_s(at_ms(10_000)) < 1e-9);
 }
 
 // Guards against a late event turning the gauge's time back.
 #[test]
 fn late_event_counts_once() {
     let mut gauge = RateGauge::new();
-    gauge.add(at_ms(1000));
-    gauge.add(at_ms(900));
-    assert!((gauge.per_s(at_ms(1000)) - 8.0).abs() < 1e-9);
-    assert_eq!(RateGauge::new().per_s(at_ms(5)), 0.0);
+    gauge.record_event(at_ms(1000));
+    gauge.record_event(at_ms(900));
+    assert!((gauge.events_per_s(at_ms(1000)) - 8.0).abs() < 1e-9);
+    assert_eq!(RateGauge::new().events_per_s(at_ms(5)), 0.0);
 }
--- a/crates/foxledge-load/tests/stale_view.rs
+++ b/crates/foxledge-load/tests/stale_view.rs
@@ -10,11 +10,11 @@
 fn old_view_is_unsure() {
     let mut table = table_of(19, at_ms(0));
     take_all(&mut table, at_ms(0), 18, 1, 10.0);
-    table.take_sum(at_ms(0), sum(south(), 1, 300.0), at_ms(0));
-    assert!(table.view(at_ms(400)).is_sure);
-    table.set_own(at_ms(2000), teller(0, 1), own_load(10.0, 1.0));
-    let view = table.view(at_ms(2000));
-    assert!(!view.is_sure);
+    table.apply_aggregate(at_ms(0), sum(south(), 1, 300.0), at_ms(0));
+    assert!(table.build_view(at_ms(400)).is_reliable);
+    table.set_local_load(at_ms(2000), teller(0, 1), own_load(10.0, 1.0));
+    let view = table.build_view(at_ms(2000));
+    assert!(!view.is_reliable);
     assert_eq!(view.centres.keys().collect::<Vec<_>>(), [&north()]);
 }
 
@@ -25,8 +25,8 @@
     take_all(&mut table, at_ms(0), 18, 1, 10.0);
     for step in 1..10 {
         let now = at_ms(step * 100);
-        table.set_own(now, teller(0, 1), own_load(10.0, 1.0));
-        assert_eq!(table.view(now).centres[&north()].told_at, at_ms(0));
+        table.set_local_load(now, teller(0, 1), own_load(10.0, 1.0));
+        assert_eq!(table.build_view(now).centres[&north()].reported_at, at_ms(0));
     }
 }
 
@@ -35,11 +35,11 @@
 fn old_view_keeps_flows_near() {
     let slots = [(north(), 10.0), (south(), 100.0)].into();
     let mut table = table_of(1, at_ms(0));
-    table.set_own(at_ms(0), teller(0, 1), own_load(300.0, 1.0));
-    table.take_sum(at_ms(0), sum(south(), 1, 300.0), at_ms(0));
+    table.set_local_load(at_ms(0), teller(0, 1), own_load(300.0, 1.0));
+    table.apply_aggregate(at_ms(0), sum(south(), 1, 300.0), at_ms(0));
     let mut plan = OverflowPlan::new(north());
-    plan.update(at_ms(0), &table.view(at_ms(0)).rooms(auction(), &slots));
+    plan.update(at_ms(0), &table.build_view(at_ms(0)).centre_capacities(auction(), &slots));
     assert!(plan.shares()[&south()] > 0.1);
-    plan.update(at_ms(2000), &table.view(at_ms(2000)).rooms(auction(), &slots));
+    plan.update(at_ms(2000), &table.build_view(at_ms(2000)).centre_capacities(auction(), &slots));
     assert!(plan.shares().is_empty());
 }
--- a/crates/foxledge-load/tests/sum_contents.rs
+++ b/crates/foxledge-load/tests/sum_contents.rs
@@ -5,12 +5,12 @@
 use std::collections::BTreeMap;
 
 use common::{assert_near, at_ms, auction, north, part, south, sum, table_of, teller};
-use foxledge_load::{LoadPart, OwnLoad, PriorityLoad, ServiceKey, ServiceLoad, TellingPace};
+use foxledge_load::{InstanceReport, LocalLoad, PriorityLoad, ReportPace, ServiceKey, ServiceLoad};
 
-fn part_with(index: u32, key: ServiceKey, load: ServiceLoad) -> LoadPart {
+fn part_with(index: u32, key: ServiceKey, load: ServiceLoad) -> InstanceReport {
     let services = BTreeMap::from([(key, load)]);
-    let load = OwnLoad { services, ..OwnLoad::default() };
-    LoadPart { teller: teller(index, 1), serial: 1, load }
+    let load = LocalLoad { services, ..LocalLoad::default() };
+    InstanceReport { reporter: teller(index, 1), serial: 1, load }
 }
 
 // Guards against a service that few instances see being multiplied as if all saw it.
@@ -19,9 +19,9 @@
     let mut table = table_of(3, at_ms(0));
     let rare = ServiceKey::of("rare");
     let load = common::service_load(30.0, 3.0);
-    table.take_part(at_ms(0), part_with(1, rare, load), at_ms(0), TellingPace::Busy);
-    table.take_part(at_ms(0), part(2, 1, 10.0), at_ms(0), TellingPace::Busy);
-    let sum = table.own_sum(at_ms(0));
+    table.apply_report(at_ms(0), part_with(1, rare, load), at_ms(0), ReportPace::Fast);
+    table.apply_report(at_ms(0), part(2, 1, 10.0), at_ms(0), ReportPace::Fast);
+    let sum = table.local_aggregate(at_ms(0));
     assert_near(sum.services[&rare].arrivals_per_s(), 30.0);
     assert_near(sum.services[&auction()].arrivals_per_s(), 20.0);
 }
@@ -36,9 +36,9 @@
     };
     let slow = part_with(1, auction(), load(30.0, 100_000.0));
     let new = part_with(2, auction(), load(500.0, 0.0));
-    table.take_part(at_ms(0), slow, at_ms(0), TellingPace::Busy);
-    table.take_part(at_ms(0), new, at_ms(0), TellingPace::Busy);
-    let sum = table.own_sum(at_ms(0));
+    table.apply_report(at_ms(0), slow, at_ms(0), ReportPace::Fast);
+    table.apply_report(at_ms(0), new, at_ms(0), ReportPace::Fast);
+    let sum = table.local_aggregate(at_ms(0));
     assert_near(sum.services[&auction()].priorities[&1].work_us, 90_000.0);
 }
 
@@ -58,19 +58,19 @@
 #[test]
 fn running_counts_all_callers() {
     let mut table = table_of(1, at_ms(0));
-    table.take_sum(at_ms(0), sum(south(), 1, 300.0), at_ms(0));
-    let view = table.view(at_ms(0));
-    assert_near(view.running_in(auction(), &north()), 11.0);
+    table.apply_aggregate(at_ms(0), sum(south(), 1, 300.0), at_ms(0));
+    let view = table.build_view(at_ms(0));
+    assert_near(view.running_requests_in(auction(), &north()), 11.0);
     assert_near(view.demand_of(auction(), &south()), 18.0);
-    assert_eq!(view.running_in(auction(), &south()), 0.0);
+    assert_eq!(view.running_requests_in(auction(), &south()), 0.0);
 }
 
 // Guards against an evacuated data centre, which the list gives no slots, getting room.
 #[test]
 fn rooms_name_unlisted_centres() {
     let mut table = table_of(1, at_ms(0));
-    table.take_sum(at_ms(0), sum(south(), 1, 300.0), at_ms(0));
-    let rooms = table.view(at_ms(0)).rooms(auction(), &[(north(), 8.0)].into());
+    table.apply_aggregate(at_ms(0), sum(south(), 1, 300.0), at_ms(0));
+    let rooms = table.build_view(at_ms(0)).centre_capacities(auction(), &[(north(), 8.0)].into());
     let slots: Vec<f64> = rooms.iter().map(|room| room.slots).collect();
     assert_eq!(slots, [8.0, 0.0]);
 }
--- a/crates/foxledge-members/src/lists/audit.rs
+++ b/crates/foxledge-members/src/lists/audit.rs
@@ -34,8 +34,8 @@
         ListSource::Peer(address) => format!("peer {address}"),
     };
     let change = AuditChange::new(kind, SUBJECT)
-        .values(version_text(old), version_text(new))
-        .because(cause, source);
+        .with_values(version_text(old), version_text(new))
+        .with_cause(cause, source);
     ListEffect::Audit(change)
 }
 
--- a/crates/foxledge-members/src/lists/sources.rs
+++ b/crates/foxledge-members/src/lists/sources.rs
@@ -28,7 +28,7 @@
 
 impl SourceEntry {
     fn is_fetching(&self) -> bool {
-        self.fetch_deadline != ClockTime::FAR
+        self.fetch_deadline != ClockTime::MAX
     }
 
     fn is_ready(&self, now: ClockTime) -> bool {
@@ -57,7 +57,7 @@
         }
         let entry = SourceEntry {
             version,
-            fetch_deadline: ClockTime::FAR,
+            fetch_deadline: ClockTime::MAX,
             next_fetch: now,
             failures: 0,
             fetches: 0,
@@ -117,7 +117,7 @@
     /// Notes that a fetch has ended well.
     pub(super) fn end_fetch(&mut self, source: ListSource) {
         if let Some(entry) = self.entries.get_mut(&source) {
-            entry.fetch_deadline = ClockTime::FAR;
+            entry.fetch_deadline = ClockTime::MAX;
             entry.failures = 0;
         }
     }
@@ -125,7 +125,7 @@
     /// Notes that a fetch has failed: the source is left alone for a while.
     pub(super) fn fail_fetch(&mut self, now: ClockTime, source: ListSource, retry_wait: Duration) {
         let Some(entry) = self.entries.get_mut(&source) else { return };
-        entry.fetch_deadline = ClockTime::FAR;
+        entry.fetch_deadline = ClockTime::MAX;
         entry.next_fetch = now.after(retry_wait * (1 << entry.failures.min(MAX_DOUBLINGS)));
         entry.failures += 1;
         // A peer says again what it holds with its next beat. The platform's
--- a/crates/foxledge-members/src/membership.rs
+++ b/crates/foxledge-members/src/membership.rs
@@ -71,7 +71,7 @@
         let own_positions = rings.positions(&me.name);
         let mut hints = HintTable::new(options.retry_every);
         for seed_address in &options.seeds {
-            hints.add(now, *seed_address, ClockTime::FAR);
+            hints.add(now, *seed_address, ClockTime::MAX);
         }
         let mut membership = Membership {
             own_positions,
@@ -211,8 +211,8 @@
         let listed = listing.members.len();
         if listed * 2 < self.listed {
             let change = AuditChange::new(AuditKind::MemberChanged, "platform listing")
-                .values(format!("{} instances", self.listed), format!("{listed} instances"))
-                .because("shrank to less than half, earlier hints are kept", "platform");
+                .with_values(format!("{} instances", self.listed), format!("{listed} instances"))
+                .with_cause("shrank to less than half, earlier hints are kept", "platform");
             self.listed = listed;
             return vec![MemberEffect::Audit(change)];
         }
--- a/crates/foxledge-members/src/membership/beats.rs
+++ b/crates/foxledge-members/src/membership/beats.rs
@@ -221,7 +221,7 @@
 
     fn own_summary(&mut self) -> CentreSummary {
         let view = self.view.clone();
-        let alive: Vec<_> = view.peers.iter().filter(|peer| peer.state.holds_homes()).collect();
+        let alive: Vec<_> = view.peers.iter().filter(|peer| peer.state.can_be_home()).collect();
         let count = self.options.contacts_per_centre.saturating_sub(1);
         let contacts: Vec<_> = view.ranked_homes("contact").into_iter().take(count).collect();
         self.centres.write_own(&self.me, alive.len(), self.version, &contacts)
--- a/crates/foxledge-members/src/membership/claims.rs
+++ b/crates/foxledge-members/src/membership/claims.rs
@@ -123,10 +123,10 @@
             self.round.widen();
         }
         if old != Some(info.state) {
-            let old = old.map_or("unknown", PeerState::word);
+            let old = old.map_or("unknown", PeerState::as_str);
             let change = AuditChange::new(AuditKind::MemberChanged, name.as_str())
-                .values(old, info.state.word())
-                .because(cause, source);
+                .with_values(old, info.state.as_str())
+                .with_cause(cause, source);
             effects.push(MemberEffect::Audit(change));
         }
     }
@@ -184,8 +184,8 @@
         self.me.refutation = claim.refutation.saturating_add(1);
         self.round.widen();
         let change = AuditChange::new(AuditKind::MemberChanged, self.me.name.as_str())
-            .values(claim.state.word(), self.me.state.word())
-            .because("refuted what others held", teller.as_str());
+            .with_values(claim.state.as_str(), self.me.state.as_str())
+            .with_cause("refuted what others held", teller.as_str());
         effects.push(MemberEffect::Audit(change));
     }
 
@@ -199,8 +199,8 @@
             return;
         }
         let change = AuditChange::new(AuditKind::MemberChanged, self.me.name.as_str())
-            .values(self.me.state.word(), PeerState::Leaving.word())
-            .because("a newer process has this name", teller.as_str());
+            .with_values(self.me.state.as_str(), PeerState::Leaving.as_str())
+            .with_cause("a newer process has this name", teller.as_str());
         self.me.state = PeerState::Leaving;
         effects.push(MemberEffect::Audit(change));
     }
--- a/crates/foxledge-members/src/membership/exchange.rs
+++ b/crates/foxledge-members/src/membership/exchange.rs
@@ -61,7 +61,7 @@
     pub(super) fn new(now: ClockTime) -> TableExchange {
         TableExchange {
             progress: ExchangeProgress::Reading,
-            mismatch_deadline: ClockTime::FAR,
+            mismatch_deadline: ClockTime::MAX,
             equal_run: 0,
             next_page: now,
             start: None,
@@ -92,7 +92,7 @@
     pub(super) fn compare_digest(&mut self, now: ClockTime, digest: u64) {
         if digest != self.table.digest_with(&self.me) {
             self.exchange.equal_run = 0;
-            if self.exchange.mismatch_deadline == ClockTime::FAR {
+            if self.exchange.mismatch_deadline == ClockTime::MAX {
                 self.exchange.mismatch_deadline = now.after(SETTLE_TIME);
             }
             return;
@@ -106,7 +106,7 @@
         // expander: news has gone round, and nothing is missing.
         self.news.count_known();
         self.exchange.progress = ExchangeProgress::Read;
-        self.exchange.mismatch_deadline = ClockTime::FAR;
+        self.exchange.mismatch_deadline = ClockTime::MAX;
         self.exchange.start = None;
     }
 
--- a/crates/foxledge-members/src/table.rs
+++ b/crates/foxledge-members/src/table.rs
@@ -153,7 +153,7 @@
         }
         let dead_deadline = held.dead_deadline.min(dead_deadline);
         let changed = info != held.info;
-        self.replace(info, dead_deadline, ClockTime::FAR);
+        self.replace(info, dead_deadline, ClockTime::MAX);
         if changed { MergeOutcome::Changed(Some(old)) } else { MergeOutcome::Unchanged }
     }
 
@@ -165,7 +165,7 @@
         }
         let before = held.info.clone();
         let info = PeerInfo { state: PeerState::Dead, ..before.clone() };
-        self.replace(info, ClockTime::FAR, forget_deadline);
+        self.replace(info, ClockTime::MAX, forget_deadline);
         Some(before)
     }
 
@@ -269,7 +269,7 @@
             return;
         }
         if let Some(entry) = self.entries.get_mut(&claim.name) {
-            entry.dead_deadline = ClockTime::FAR;
+            entry.dead_deadline = ClockTime::MAX;
             self.suspects.remove(&claim.name);
         }
     }
@@ -282,11 +282,11 @@
         }
         let name = info.name.clone();
         let (dead_deadline, forget_deadline) = if is_dead {
-            (ClockTime::FAR, forget_deadline)
+            (ClockTime::MAX, forget_deadline)
         } else {
-            (dead_deadline, ClockTime::FAR)
+            (dead_deadline, ClockTime::MAX)
         };
-        if dead_deadline == ClockTime::FAR {
+        if dead_deadline == ClockTime::MAX {
             self.suspects.remove(&name);
         } else {
             self.suspects.insert(name.clone());
@@ -342,7 +342,7 @@
 }
 
 fn deadline_in(state: PeerState, dead_deadline: ClockTime) -> ClockTime {
-    if state == PeerState::Suspect { dead_deadline } else { ClockTime::FAR }
+    if state == PeerState::Suspect { dead_deadline } else { ClockTime::MAX }
 }
 
 fn record_digest(info: &PeerInfo) -> u64 {
--- a/crates/foxledge-members/tests/member_faults.rs
+++ b/crates/foxledge-members/tests/member_faults.rs
@@ -38,7 +38,7 @@
     }
     for _ in 0..600 {
         fleet.run(Duration::from_millis(100));
-        let holds = |by, whom| fleet.seen(by, whom).is_some_and(PeerState::holds_homes);
+        let holds = |by, whom| fleet.seen(by, whom).is_some_and(PeerState::can_be_home);
         assert!((0..9).all(|by| (0..9).all(|whom| holds(by, whom))));
     }
     assert!(!fleet.nodes.iter().any(has_buried));
@@ -78,7 +78,7 @@
 
         fleet.heal();
         let same_side_holds = |fleet: &Fleet| {
-            let holds = |by, whom| fleet.seen(by, whom).is_some_and(PeerState::holds_homes);
+            let holds = |by, whom| fleet.seen(by, whom).is_some_and(PeerState::can_be_home);
             one.iter().all(|by| one.iter().all(|whom| holds(*by, *whom)))
                 && other.iter().all(|by| other.iter().all(|whom| holds(*by, *whom)))
         };
--- a/crates/foxledge-members/tests/member_life.rs
+++ b/crates/foxledge-members/tests/member_life.rs
@@ -87,7 +87,7 @@
     fleet.freeze(2, Duration::from_millis(2000));
     for _ in 0..60 {
         fleet.run(Duration::from_millis(100));
-        let serves = |by| fleet.seen(by, 2).is_some_and(PeerState::holds_homes);
+        let serves = |by| fleet.seen(by, 2).is_some_and(PeerState::can_be_home);
         assert!(!(0..9).any(serves), "a leaving instance must not get homes back");
     }
     fleet.call(2, |member, now| member.set_state(now, PeerState::Dead));
--- a/crates/foxledge-policy/src/admission.rs
+++ b/crates/foxledge-policy/src/admission.rs
@@ -144,7 +144,7 @@
             return Some(RefuseReason::Limit);
         }
         if !item.is_feed()
-            && self.expected_wait(pending).mul_f64(SURE_PART) > pending.start_by.left(now)
+            && self.expected_wait(pending).mul_f64(SURE_PART) > pending.start_by.remaining(now)
         {
             return Some(RefuseReason::DeadlinePassed);
         }
--- a/crates/foxledge-policy/src/desk.rs
+++ b/crates/foxledge-policy/src/desk.rs
@@ -221,8 +221,8 @@
         };
         let words = if load.draining { ("open", "draining") } else { ("draining", "open") };
         let change = AuditChange::new(AuditKind::TargetDraining, entry.spec.name.as_str())
-            .values(words.0, words.1)
-            .because("reported", "observation");
+            .with_values(words.0, words.1)
+            .with_cause("reported", "observation");
         effects.push(DeskEffect::Audit(change));
         self.table.sum_up(now);
         self.refuse_hopeless(effects);
--- a/crates/foxledge-policy/src/dispatches.rs
+++ b/crates/foxledge-policy/src/dispatches.rs
@@ -97,7 +97,7 @@
     // Until when the caller waits; the deadline of a feed is for its opening.
     fn give_up_at(&self) -> ClockTime {
         let is_open = self.pending.item.is_feed() && self.phase == DispatchPhase::Accepted;
-        if is_open { ClockTime::FAR } else { self.pending.item.deadline }
+        if is_open { ClockTime::MAX } else { self.pending.item.deadline }
     }
 
     fn next_deadline(&self) -> ClockTime {
--- a/crates/foxledge-policy/src/health.rs
+++ b/crates/foxledge-policy/src/health.rs
@@ -255,7 +255,7 @@
         if self.fresh_report(now).is_some_and(|load| load.cold) {
             return 0.0;
         }
-        let left = self.warm_at.left(now).as_secs_f64();
+        let left = self.warm_at.remaining(now).as_secs_f64();
         let whole = options.slow_start.as_secs_f64().max(f64::EPSILON);
         1.0 - (left / whole).min(1.0)
     }
--- a/crates/foxledge-policy/src/options.rs
+++ b/crates/foxledge-policy/src/options.rs
@@ -75,7 +75,7 @@
     /// When accepted work is asked about next.
     pub(crate) fn next_check(&self, now: ClockTime, kind: TrafficKind) -> ClockTime {
         let period = if kind == TrafficKind::Feed { self.feed_check } else { self.run_check };
-        if period == Duration::MAX { ClockTime::FAR } else { now.after(period) }
+        if period == Duration::MAX { ClockTime::MAX } else { now.after(period) }
     }
 
     /// True when accepted work is asked about.
--- a/crates/foxledge-policy/src/queue.rs
+++ b/crates/foxledge-policy/src/queue.rs
@@ -132,7 +132,7 @@
 
     /// Takes out all work, in the order of deadlines.
     pub fn take_all(&mut self) -> Vec<PendingWork> {
-        self.take_expired(ClockTime::FAR)
+        self.take_expired(ClockTime::MAX)
     }
 
     /// Takes out the newest work of the heaviest member, if that member is
--- a/crates/foxledge-policy/src/running.rs
+++ b/crates/foxledge-policy/src/running.rs
@@ -78,7 +78,7 @@
             let kind = running.kind();
             if kind == TrafficKind::Feed {
                 // A feed's deadline is for its opening; it then stays open.
-                running.lease_deadline = ClockTime::FAR;
+                running.lease_deadline = ClockTime::MAX;
             }
             running.resend_deadline = now.after(options.resend_window);
             running.phase = DispatchPhase::Accepted;
@@ -279,7 +279,7 @@
         let lost = running.clone();
         self.give_up_unknown(now, lost, RefuseReason::TargetLost, effects);
         running.caller = CallerState::Answered;
-        running.check_at = ClockTime::FAR;
+        running.check_at = ClockTime::MAX;
         running.lease_deadline = running.lease_deadline.min(now.after(self.options.abandoned_hold));
         if running.hold == SlotHold::Held {
             self.table.take(running.target, running.kind());
--- a/crates/foxledge-policy/src/targets.rs
+++ b/crates/foxledge-policy/src/targets.rs
@@ -237,7 +237,7 @@
         let name = entry.spec.name.clone();
         self.sum_up(now);
         let change = AuditChange::new(AuditKind::TargetEjected, name.as_str());
-        Some(change.values("in", "out").because(cause, "observation"))
+        Some(change.with_values("in", "out").with_cause(cause, "observation"))
     }
 
     /// Sets due probes and takes ejected targets back; calls `probe` for each
@@ -262,7 +262,9 @@
             }
             if entry.health.readmit(now, options) {
                 let change = AuditChange::new(AuditKind::TargetEjected, entry.spec.name.as_str());
-                changes.push(change.values("out", "in").because("probe answered", "observation"));
+                changes.push(
+                    change.with_values("out", "in").with_cause("probe answered", "observation"),
+                );
             }
         }
         let eject = |id| self.eject(now, id, "probes unanswered", options);
--- a/crates/foxledge-policy/src/work.rs
+++ b/crates/foxledge-policy/src/work.rs
@@ -49,7 +49,7 @@
     /// is started just before it takes a slot and ends for nobody, and its
     /// caller is told "unknown" instead of "not run".
     pub fn start_by(&self, now: ClockTime, reserve: Duration) -> ClockTime {
-        let reserve = reserve.min(self.deadline.left(now) / LARGEST_RESERVE);
+        let reserve = reserve.min(self.deadline.remaining(now) / LARGEST_RESERVE);
         let micros = self.deadline.as_micros() - reserve.as_micros() as u64;
         self.start_deadline.min(ClockTime::from_micros(micros))
     }
--- a/crates/foxledge-policy/tests/common/mod.rs
+++ b/crates/foxledge-policy/tests/common/mod.rs
@@ -151,6 +151,6 @@
         when_full: FullAction::Queue,
         idempotent: false,
         deadline: trial.now.after_millis(10_000),
-        start_deadline: ClockTime::FAR,
+        start_deadline: ClockTime::MAX,
     }
 }
--- a/crates/foxledge-rules/examples/build_speed.rs
+++ b/crates/foxledge-rules/examples/build_speed.rs
@@ -39,7 +39,7 @@
     let list = Arc::new(list);
     let index = RuleIndex::new(list.clone());
     let addresses = some_addresses(&list);
-    let plain = median(|| decide_all(&addresses, |flow| list.decide(flow).is_some()));
+    let plain = median(|| decide_all(&addresses, |flow| list.first_match(flow).is_some()));
     let indexed = median(|| decide_all(&addresses, |flow| index.decide(flow).is_some()));
     println!(
         "{:>9} {:>6} {:>8} {:>9} {:>10.2?} {:>10.2?} {:>8} ns {:>8} ns",
--- a/crates/foxledge-rules/tests/good_lists.rs
+++ b/crates/foxledge-rules/tests/good_lists.rs
@@ -25,7 +25,7 @@
     kind: TrafficKind,
 ) -> String {
     let traits = FlowTraits { address, member, data_centre, kind };
-    list.decide(&traits).map_or("none".to_owned(), |rule| rule.name.to_string())
+    list.first_match(&traits).map_or("none".to_owned(), |rule| rule.name.to_string())
 }
 
 #[test]
--- a/crates/foxledge-rules/tests/rule_order.rs
+++ b/crates/foxledge-rules/tests/rule_order.rs
@@ -108,7 +108,7 @@
         let list = Arc::new(RuleList { rules, ..RuleList::default() });
         let index = RuleIndex::new(list.clone());
         for flow in all_flows() {
-            prop_assert_eq!(index.decide(&flow), list.decide(&flow));
+            prop_assert_eq!(index.decide(&flow), list.first_match(&flow));
         }
     }
 
--- a/crates/foxledge-seal/src/errors.rs
+++ b/crates/foxledge-seal/src/errors.rs
@@ -16,7 +16,7 @@
     UnknownKey(u32),
     /// The code doesn't fit the contents.
     #[error("wrong message authentication code")]
-    WrongCode,
+    InvalidMac,
     /// Not a sealed value at all.
     #[error("malformed sealed value")]
     Malformed,
--- a/crates/foxledge-seal/src/keys.rs
+++ b/crates/foxledge-seal/src/keys.rs
@@ -8,7 +8,7 @@
 use crate::errors::{Error, Result};
 
 /// Bytes kept of a code; 128 bits are beyond guessing within a key's life.
-pub const CODE_LENGTH: usize = 16;
+pub const MAC_LENGTH: usize = 16;
 
 /// `KeyRing` is the published keys, ready for use.
 #[derive(Clone, Debug, Default)]
@@ -47,7 +47,7 @@
     }
 
     /// Code of `body` under the newest key, with that key's id.
-    pub fn sign(&self, purpose: Purpose, body: &[u8]) -> Result<(u32, [u8; CODE_LENGTH])> {
+    pub fn sign(&self, purpose: Purpose, body: &[u8]) -> Result<(u32, [u8; MAC_LENGTH])> {
         let key = self.keys.last().ok_or(Error::NoKey)?;
         Ok((key.id, code_of(key, purpose, body)))
     }
@@ -57,7 +57,7 @@
         let key = self.keys.iter().find(|key| key.id == key_id).ok_or(Error::UnknownKey(key_id))?;
         let expected = code_of(key, purpose, body);
         let equal: bool = subtle::ConstantTimeEq::ct_eq(&expected[..], code).into();
-        if equal { Ok(()) } else { Err(Error::WrongCode) }
+        if equal { Ok(()) } else { Err(Error::InvalidMac) }
     }
 }
 
@@ -93,7 +93,7 @@
     <Hmac<Sha256> as Mac>::new_from_slice(secret).expect("HMAC takes keys of every length")
 }
 
-fn code_of(key: &RingKey, purpose: Purpose, body: &[u8]) -> [u8; CODE_LENGTH] {
+fn code_of(key: &RingKey, purpose: Purpose, body: &[u8]) -> [u8; MAC_LENGTH] {
     let mut state = key.state.clone();
     state.update(purpose.label());
     state.update(&key.id.to_be_bytes());
@@ -101,9 +101,9 @@
     truncated(state)
 }
 
-pub(crate) fn truncated(state: Hmac<Sha256>) -> [u8; CODE_LENGTH] {
+pub(crate) fn truncated(state: Hmac<Sha256>) -> [u8; MAC_LENGTH] {
     let whole = state.finalize().into_bytes();
-    let mut code = [0; CODE_LENGTH];
-    code.copy_from_slice(&whole[..CODE_LENGTH]);
+    let mut code = [0; MAC_LENGTH];
+    code.copy_from_slice(&whole[..MAC_LENGTH]);
     code
 }
--- a/crates/foxledge-seal/tests/sealed_values.rs
+++ b/crates/foxledge-seal/tests/sealed_values.rs
@@ -30,7 +30,7 @@
 fn purposes_differ() {
     let ring = ring(&[1]);
     let sealed = seal_ticket(&ring, &Ticket::default()).unwrap();
-    assert_eq!(open_token(&ring, &sealed), Err(Error::WrongCode));
+    assert_eq!(open_token(&ring, &sealed), Err(Error::InvalidMac));
 }
 
 #[test]
