--- a/crates/foxledge-bench/src/flows/callers.rs
+++ b/crates/foxledge-bench/src/flows/callers.rs
@@ -107,7 +107,7 @@
     }
 
     pub(crate) fn opening(&self, copy: u32) -> FlowPacket {
-        let kind = PacketKind::Open { copy };
+        let kind = PacketKind::Open { attempt: copy };
         FlowPacket { kind, token: 0, acknowledged: copy, length: 0, ..self.packet() }
     }
 
--- a/crates/foxledge-bench/src/flows/policies.rs
+++ b/crates/foxledge-bench/src/flows/policies.rs
@@ -72,11 +72,15 @@
             PolicyKind::BoundedLoad => self.any_within_bound(&eligible)?,
             PolicyKind::Hashed => self.any(&eligible)?,
             PolicyKind::RoundRobin | PolicyKind::LeastLoaded => {
-                eligible.iter().min_by_key(|one| one.picked)?
+                eligible.iter().min_by_key(|one| one.last_placement)?
             }
         };
-        let rank =
-            PlacementRank { avoidance: 0, cost: load_of(chosen), flows: chosen.flows, picked: 0 };
+        let rank = PlacementRank {
+            health_penalty: 0,
+            cost: load_of(chosen),
+            open_flows: chosen.open_flows,
+            last_placement: 0,
+        };
         Some((chosen.index, rank))
     }
 }
@@ -109,10 +113,10 @@
 
 fn eligible_ones(candidates: &[PlacementCandidate]) -> Vec<&PlacementCandidate> {
     let is_healthy = |one: &&PlacementCandidate| {
-        !one.is_stuck && matches!(one.class, HealthClass::Healthy | HealthClass::Probation)
+        !one.is_unresponsive && matches!(one.health, HealthClass::Healthy | HealthClass::Probation)
     };
     let healthy: Vec<_> = candidates.iter().filter(is_healthy).collect();
-    let near: Vec<_> = healthy.iter().copied().filter(|one| one.is_near).collect();
+    let near: Vec<_> = healthy.iter().copied().filter(|one| one.is_same_centre).collect();
     match (near.is_empty(), healthy.is_empty()) {
         (false, _) => near,
         (true, false) => healthy,
@@ -121,5 +125,5 @@
 }
 
 fn load_of(candidate: &PlacementCandidate) -> u32 {
-    candidate.running + candidate.waiting
+    candidate.running_requests + candidate.pending_openings
 }
--- a/crates/foxledge-bench/src/flows/published.rs
+++ b/crates/foxledge-bench/src/flows/published.rs
@@ -48,7 +48,7 @@
         draining: false,
         warm_in_ms: 0,
         incarnation: revision,
-        created: 0,
+        created_revision: 0,
     };
     let key = backend_key(&format!("i-{server}"));
     ListRow { key, revision, value: Some(RowValue::Backend(backend)) }
--- a/crates/foxledge-bench/src/flows/routing.rs
+++ b/crates/foxledge-bench/src/flows/routing.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use foxledge_flows::{FlowDecision, FlowPacket, HealthClass, HealthNote, PacketKind};
+use foxledge_flows::{FlowDecision, FlowPacket, HealthClass, HealthObservation, PacketKind};
 use rand::Rng;
 
 use crate::flows::{
@@ -40,7 +40,7 @@
             }
             FlowDecision::Forward { backend, .. } => self.pass_on(instance, flow, backend, &packet),
             FlowDecision::Refuse(_) => self.push_after(CALLER_WAY, FlowEvent::Reset { flow }),
-            FlowDecision::End { backend, .. } => self.end_flow(instance, flow, backend),
+            FlowDecision::Reset { backend, .. } => self.end_flow(instance, flow, backend),
             FlowDecision::Relay | FlowDecision::Drop(_) => {}
         }
         self.share_notes(instance);
@@ -57,7 +57,7 @@
 
     /// Ends the flows at rest that an instance's router names.
     fn end_idle_flows(&mut self, instance: usize) {
-        for end in self.instances[instance].router.take_dead_ends(self.now) {
+        for end in self.instances[instance].router.drain_flow_resets(self.now) {
             let is_it = |(_, flow): &(&u64, &SimFlow)| flow.key == end.key;
             let flow = self.flows.iter().find(is_it).map(|(id, _)| *id);
             if let Some(flow) = flow {
@@ -68,7 +68,7 @@
 
     /// Counts a new flow, and whether a silent backend server got it unawares.
     fn count_opening(&mut self, instance: usize, backend: usize, packet: &FlowPacket) {
-        if packet.kind != (PacketKind::Open { copy: 0 }) {
+        if packet.kind != (PacketKind::Open { attempt: 0 }) {
             return;
         }
         let Some(server) = self.server_at(instance, backend) else { return };
@@ -108,14 +108,14 @@
         if !self.instances[instance].frozen_until.after(TICK).is_past(self.now) {
             return;
         }
-        self.instances[instance].router.set_confirmed(self.now);
-        self.instances[instance].router.check_overdue(self.now);
+        self.instances[instance].router.set_confirmed_at(self.now);
+        self.instances[instance].router.report_overdue_openings(self.now);
         self.share_notes(instance);
         self.end_idle_flows(instance);
     }
 
     fn share_notes(&mut self, from: usize) {
-        for note in self.instances[from].router.take_notes() {
+        for note in self.instances[from].router.drain_observations() {
             if !self.servers[note.number as usize - 1].is_dead() {
                 self.tally.add_false_note(&note);
             }
@@ -127,7 +127,7 @@
     }
 
     /// Brings an observation to an instance.
-    pub(super) fn note(&mut self, instance: usize, note: HealthNote) {
-        self.instances[instance].router.take_note(self.now, &note);
+    pub(super) fn note(&mut self, instance: usize, note: HealthObservation) {
+        self.instances[instance].router.apply_observation(self.now, &note);
     }
 }
--- a/crates/foxledge-bench/src/flows/serving.rs
+++ b/crates/foxledge-bench/src/flows/serving.rs
@@ -101,7 +101,7 @@
             FlowVariant::LostPackets => self.is_lossy = true,
             FlowVariant::FrozenInstance => {
                 self.instances[FROZEN].frozen_until = now.after(FREEZE_TIME);
-                self.instances[FROZEN].router.note_pause();
+                self.instances[FROZEN].router.record_pause();
             }
             FlowVariant::ColdServers => chosen(4).for_each(|server| self.servers[server].cool(now)),
             FlowVariant::ShiftedCallers => self.is_shifted = true,
@@ -138,7 +138,7 @@
             let centre = self.plan.site.centres[self.server_centres[server]].name;
             let row = backend_row(server, centre, 2);
             for instance in &mut self.instances {
-                instance.router.take_rows(self.now, std::slice::from_ref(&row));
+                instance.router.apply_rows(self.now, std::slice::from_ref(&row));
             }
         }
     }
--- a/crates/foxledge-bench/src/flows/tally.rs
+++ b/crates/foxledge-bench/src/flows/tally.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use foxledge_core::time::ClockTime;
-use foxledge_flows::{HealthNote, NoteKind};
+use foxledge_flows::{HealthObservation, ObservationKind};
 use hdrhistogram::Histogram;
 
 use crate::flows::callers::{FlowRequest, RequestClass};
@@ -122,11 +122,13 @@
     }
 
     /// Counts an observation that speaks against a backend server that lives.
-    pub(crate) fn add_false_note(&mut self, note: &HealthNote) {
+    pub(crate) fn add_false_note(&mut self, note: &HealthObservation) {
         match note.kind {
-            NoteKind::Suspect => self.false_suspicions += 1,
-            NoteKind::Ejected | NoteKind::Silent | NoteKind::Lost => self.false_ejections += 1,
-            NoteKind::Alive => {}
+            ObservationKind::Suspect => self.false_suspicions += 1,
+            ObservationKind::Ejected
+            | ObservationKind::OpeningUnanswered
+            | ObservationKind::DataUnanswered => self.false_ejections += 1,
+            ObservationKind::Alive => {}
         }
     }
 
--- a/crates/foxledge-bench/src/flows/world.rs
+++ b/crates/foxledge-bench/src/flows/world.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashMap, time::Duration};
 
 use foxledge_core::{names::CentreName, time::ClockTime};
-use foxledge_flows::{FlowPacket, FlowRouter, HealthNote, PacketKind, RouterOptions};
+use foxledge_flows::{FlowPacket, FlowRouter, HealthObservation, PacketKind, RouterOptions};
 use rand::{SeedableRng, rngs::StdRng};
 
 use crate::{
@@ -51,7 +51,7 @@
     /// An instance looks for unanswered openings.
     Tick { instance: usize },
     /// An observation reaches another instance.
-    Note { instance: usize, note: HealthNote },
+    Note { instance: usize, note: HealthObservation },
     /// The variant's trouble begins.
     TroubleBegins,
     /// It ends, if it does.
@@ -169,9 +169,9 @@
             }
             let policy = plan.policy.make(plan.seed ^ index as u64);
             let mut router = FlowRouter::new(options).policy(policy);
-            router.take_rows(start(), &rows);
-            router.set_confirmed(start());
-            router.set_others(site.instances() - 1);
+            router.apply_rows(start(), &rows);
+            router.set_confirmed_at(start());
+            router.set_peer_count(site.instances() - 1);
             SimInstance {
                 router,
                 centre,
--- a/crates/foxledge-bench/src/matrix/plan.rs
+++ b/crates/foxledge-bench/src/matrix/plan.rs
@@ -45,7 +45,8 @@
     let mut findings = Vec::new();
     let sites = known(&mut findings, "site", &file.sites, SitePlan::by_name);
     let variants = known(&mut findings, "variant", &file.variants, FlowVariant::by_name);
-    let mechanisms = known(&mut findings, "mechanism", &file.mechanisms, RouterMechanism::by_name);
+    let mechanisms =
+        known(&mut findings, "mechanism", &file.mechanisms, RouterMechanism::from_name);
     for load in &file.loads {
         if !(0.1..=20.0).contains(load) {
             findings.push(format!("load {load} isn't between 0.1 and 20"));
--- a/crates/foxledge-daemon/src/packets/fleet_part.rs
+++ b/crates/foxledge-daemon/src/packets/fleet_part.rs
@@ -6,7 +6,7 @@
     audit::{AuditChange, AuditKind},
     time::ClockTime,
 };
-use foxledge_flows::{HealthNote, ListReading, SourceError, revisions::number_of};
+use foxledge_flows::{HealthObservation, ListReading, SourceError, revisions::number_of};
 use foxledge_gossip::{FleetEffect, FleetEvent, LARGEST_MESSAGE, ReadCall, ReadOrder};
 use serde::Serialize;
 use stakker::{CX, FixedTimerKey, after, call, fail, fwd_to};
@@ -65,7 +65,7 @@
     }
 
     /// Tells other instances what packets told of backend servers.
-    pub fn share_notes(&mut self, cx: CX![], notes: Vec<HealthNote>) {
+    pub fn share_notes(&mut self, cx: CX![], notes: Vec<HealthObservation>) {
         let now = self.context.clock.now();
         self.context.member.borrow_mut().share_notes(now, &notes);
         self.carry_out(cx);
@@ -90,7 +90,7 @@
         order: ReadOrder,
         answer: Result<ListReading, SourceError>,
     ) {
-        let outcome = answer.as_ref().map_or_else(SourceError::word, |_| "answered");
+        let outcome = answer.as_ref().map_or_else(SourceError::as_str, |_| "answered");
         self.context.metrics.store_calls.with_label_values(&[outcome]).inc();
         let now = self.context.clock.now();
         self.context.member.borrow_mut().on_reading(now, order, answer);
--- a/crates/foxledge-daemon/src/packets/flow_lines.rs
+++ b/crates/foxledge-daemon/src/packets/flow_lines.rs
@@ -4,8 +4,9 @@
 
 use foxledge_core::{names::CentreName, time::ClockTime};
 use foxledge_flows::{
-    Backend, BackendNews, DropReason, EndReason, EvacuationChange, EvacuationNews, FlowStall,
-    HealthNote, NoteKind, OpenReason, RefuseReason, revisions::serialize_number,
+    Backend, BackendEvent, DropReason, EvacuationChange, EvacuationEvent, FlowStall,
+    HealthObservation, ObservationKind, OpenReason, RefuseReason, ResetReason,
+    revisions::serialize_number,
 };
 use serde::Serialize;
 
@@ -46,7 +47,7 @@
     Ended {
         backend: &'a str,
         #[serde(flatten)]
-        reason: EndReason,
+        reason: ResetReason,
     },
     /// A packet was handed to another instance.
     Relayed { token: u32 },
@@ -115,7 +116,7 @@
 impl<'a> EvacuationLine<'a> {
     /// The line of a change, with the number of backend servers that are known there.
     pub(super) fn new(
-        news: &'a EvacuationNews,
+        news: &'a EvacuationEvent,
         backends: usize,
         list_age_ms: Option<u64>,
     ) -> EvacuationLine<'a> {
@@ -149,7 +150,7 @@
     event: &'static str,
     backend: &'a str,
     service: &'a str,
-    kind: NoteKind,
+    kind: ObservationKind,
     observer: &'static str,
     age_ms: u64,
     running: u32,
@@ -160,9 +161,9 @@
 
 impl<'a> NewsLine<'a> {
     /// The line of a change of a backend server's entry.
-    pub(super) fn new(news: &BackendNews, backend: &'a Backend) -> NewsLine<'a> {
+    pub(super) fn new(news: &BackendEvent, backend: &'a Backend) -> NewsLine<'a> {
         match *news {
-            BackendNews::Restarted { former, .. } => NewsLine::BackendRestarted {
+            BackendEvent::Restarted { former, .. } => NewsLine::BackendRestarted {
                 backend: &backend.key,
                 service: &backend.service,
                 address: backend.address,
@@ -170,7 +171,7 @@
                 former_incarnation: former,
                 backend_revision: backend.revision,
             },
-            BackendNews::Contradicted { address, .. } => NewsLine::EntryContradicted {
+            BackendEvent::EntryConflict { address, .. } => NewsLine::EntryContradicted {
                 backend: &backend.key,
                 service: &backend.service,
                 address: backend.address,
@@ -194,7 +195,7 @@
     /// The line of an observation.
     pub(super) fn new(
         now: ClockTime,
-        note: &HealthNote,
+        note: &HealthObservation,
         backend: &'a Backend,
         observer: &'static str,
     ) -> HealthLine<'a> {
@@ -204,9 +205,9 @@
             service: &backend.service,
             kind: note.kind,
             observer,
-            age_ms: now.since(note.at).as_millis() as u64,
-            running: backend.running,
-            flows: backend.flows,
+            age_ms: now.since(note.observed_at).as_millis() as u64,
+            running: backend.running_requests,
+            flows: backend.open_flows,
             backend_revision: backend.revision,
         }
     }
--- a/crates/foxledge-daemon/src/packets/flow_load.rs
+++ b/crates/foxledge-daemon/src/packets/flow_load.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use foxledge_core::time::ClockTime;
-use foxledge_flows::{CentreLoad, LoadChange, LoadNews, LoadReport};
+use foxledge_flows::{CentreLoad, LoadChange, LoadEvent, LoadReport};
 use serde::Serialize;
 use stakker::{CX, after};
 
@@ -30,17 +30,17 @@
 }
 
 impl<'a> LoadLine<'a> {
-    fn new(news: &'a LoadNews) -> LoadLine<'a> {
+    fn new(news: &'a LoadEvent) -> LoadLine<'a> {
         let report = &news.report;
         LoadLine {
-            event: news.change.word(),
+            event: news.change.as_str(),
             service: &report.service,
-            load: rounded(report.load),
+            load: rounded(report.load_ratio),
             demand: rounded(report.demand),
             slots: rounded(report.slots),
             shares: shares_of(news.change, report),
-            parts: report.parts,
-            view_age_ms: report.age_ms,
+            parts: report.reporting_instances,
+            view_age_ms: report.view_age_ms,
         }
     }
 }
@@ -48,19 +48,19 @@
 impl FlowPart {
     /// Hands the own load to the fleet and takes the load of all, when that is due.
     pub(super) fn share_load(&mut self, now: ClockTime) {
-        if !self.shares_load || !self.router.load_due(now) {
+        if !self.shares_load || !self.router.is_load_report_due(now) {
             return;
         }
-        let (load, pressure) = (self.router.own_load(now), self.router.pressure());
+        let (load, pressure) = (self.router.collect_local_load(now), self.router.load_ratio());
         let mut member = self.context.member.borrow_mut();
         member.set_own_load(now, load, pressure);
         let view = member.load_view(now);
         drop(member);
         if let Some(view) = view {
-            self.router.set_load(now, view);
+            self.router.apply_load_view(now, view);
         }
-        for news in self.router.take_load_news() {
-            self.context.note(news.change.word(), &LoadLine::new(&news));
+        for news in self.router.drain_load_events() {
+            self.context.note(news.change.as_str(), &LoadLine::new(&news));
         }
         // The member may have told the load at once, or have it to tell before the fleet part's
         // timer ends.
@@ -83,17 +83,22 @@
         metrics.load_messages.inc_by(sent.saturating_sub(metrics.load_messages.get()));
         let mut reports = self.router.load_reports(now);
         reports.truncate(MOST_SERVICES);
-        let age = reports.iter().filter_map(|report| report.age_ms).min();
+        let age = reports.iter().filter_map(|report| report.view_age_ms).min();
         metrics.load_view_age_ms.set(age.map_or(-1, |age| age as i64));
         metrics.load_requests.set_all(by_centre(&reports, |centre| centre.running));
         metrics.load_slots.set_all(by_centre(&reports, |centre| centre.slots));
-        metrics.overflow_percent.set_all(by_centre(&reports, |centre| centre.share * 100.0));
+        metrics
+            .overflow_percent
+            .set_all(by_centre(&reports, |centre| centre.overflow_share * 100.0));
         let shortage = |report: &LoadReport| f64::from(u8::from(report.is_short));
         let short = reports.iter().map(|one| (vec![one.service.to_string()], shortage(one)));
         metrics.shortage.set_all(short);
         metrics.admitted_percent.set_all(reports.iter().flat_map(|report| {
             let labels = |priority: &u32| vec![report.service.to_string(), priority.to_string()];
-            report.admitted.iter().map(move |(priority, share)| (labels(priority), share * 100.0))
+            report
+                .admitted_shares
+                .iter()
+                .map(move |(priority, share)| (labels(priority), share * 100.0))
         }));
         self.count_refusals(&reports);
     }
@@ -102,7 +107,7 @@
     fn count_refusals(&mut self, reports: &[LoadReport]) {
         let counter = &self.context.metrics.shortage_refusals;
         for report in reports {
-            for (priority, count) in &report.refused {
+            for (priority, count) in &report.refused_flows {
                 let key = (report.service.clone(), *priority);
                 let known = self.refused.insert(key, *count).unwrap_or_default();
                 let priority = priority.to_string();
@@ -129,12 +134,12 @@
 fn shares_of(change: LoadChange, report: &LoadReport) -> BTreeMap<String, f64> {
     match change {
         LoadChange::ShortageBegun | LoadChange::ShortageEnded => {
-            let shares = report.admitted.iter();
+            let shares = report.admitted_shares.iter();
             shares.map(|(priority, share)| (priority.to_string(), rounded(*share))).collect()
         }
         LoadChange::OverflowBegun | LoadChange::OverflowEnded => {
-            let centres = report.centres.iter().filter(|centre| centre.share > 0.0);
-            centres.map(|one| (one.data_centre.to_string(), rounded(one.share))).collect()
+            let centres = report.centres.iter().filter(|centre| centre.overflow_share > 0.0);
+            centres.map(|one| (one.data_centre.to_string(), rounded(one.overflow_share))).collect()
         }
     }
 }
--- a/crates/foxledge-daemon/src/packets/flow_log.rs
+++ b/crates/foxledge-daemon/src/packets/flow_log.rs
@@ -2,7 +2,7 @@
 
 use foxledge_core::time::ClockTime;
 use foxledge_flows::{
-    BackendNews, EvacuationNews, FlowPacket, FlowStall, HealthNote, OpenReason, flow_hash,
+    BackendEvent, EvacuationEvent, FlowPacket, FlowStall, HealthObservation, OpenReason, flow_hash,
 };
 
 use super::{
@@ -57,8 +57,9 @@
         });
     }
 
-    pub(super) fn log_news(&self, news: &BackendNews) {
-        let (BackendNews::Restarted { index, .. } | BackendNews::Contradicted { index, .. }) = news;
+    pub(super) fn log_news(&self, news: &BackendEvent) {
+        let (BackendEvent::Restarted { index, .. } | BackendEvent::EntryConflict { index, .. }) =
+            news;
         let Some(backend) = self.router.backend(*index) else { return };
         let line = NewsLine::new(news, backend);
         let kind = line.kind();
@@ -66,7 +67,7 @@
         self.context.note(kind, &line);
     }
 
-    pub(super) fn log_evacuation(&self, news: &EvacuationNews) {
+    pub(super) fn log_evacuation(&self, news: &EvacuationEvent) {
         let now = self.context.clock.now();
         let own = self.router.backends().filter(|one| one.data_centre == news.data_centre);
         let line = EvacuationLine::new(news, own.count(), self.context.confirmed_age_ms());
@@ -77,10 +78,10 @@
         self.context.log.borrow_mut().flush(now);
     }
 
-    pub(super) fn log_note(&self, note: &HealthNote, observer: &'static str) {
+    pub(super) fn log_note(&self, note: &HealthObservation, observer: &'static str) {
         let now = self.context.clock.now();
-        let Some(backend) = self.router.backend_of(note.number) else { return };
-        self.context.metrics.health_notes.with_label_values(&[note.kind.word(), observer]).inc();
+        let Some(backend) = self.router.backend_by_number(note.number) else { return };
+        self.context.metrics.health_notes.with_label_values(&[note.kind.as_str(), observer]).inc();
         let line = HealthLine::new(now, note, backend, observer);
         self.context.log.borrow_mut().note(now, "backend_observed", &line);
     }
--- a/crates/foxledge-daemon/src/packets/flow_part.rs
+++ b/crates/foxledge-daemon/src/packets/flow_part.rs
@@ -13,9 +13,10 @@
     time::ClockTime,
 };
 use foxledge_flows::{
-    Backend, ColdRules, DeadEnd, DropReason, EndReason, FlowDecision, FlowKey, FlowPacket,
-    FlowRouter, HealthClass, HealthNote, PacketKind, RefuseReason, RouterCounts, RouterOptions,
-    packet::{HEADROOM, LARGEST_PACKET, PacketFault},
+    Backend, ColdRules, DropReason, FlowDecision, FlowKey, FlowPacket, FlowReset, FlowRouter,
+    HealthClass, HealthObservation, PacketKind, RefuseReason, ResetReason, RouterCounters,
+    RouterOptions,
+    packet::{HEADROOM_BYTES, MAX_PACKET_BYTES, PacketFault},
     rows::ListRow,
 };
 use foxledge_settings::AdmissionSettings;
@@ -37,7 +38,7 @@
 };
 
 /// One byte more than a packet may have, so that a longer one shows as oversized.
-const READ_SIZE: usize = HEADROOM + LARGEST_PACKET + 1;
+const READ_SIZE: usize = HEADROOM_BYTES + MAX_PACKET_BYTES + 1;
 
 /// Longest time that packets wait for a list after the start, in milliseconds:
 /// later ones of the same callers have come by then.
@@ -48,7 +49,7 @@
     pub(super) context: SharedContext,
     socket: MioSource<UdpSocket>,
     pub(super) router: FlowRouter,
-    counts: RouterCounts,
+    counts: RouterCounters,
     /// While no list is known, packets wait in the socket until then.
     held_until: Option<ClockTime>,
     frame: Box<[u8; READ_SIZE]>,
@@ -119,15 +120,15 @@
         drop(settings);
         let mut router = FlowRouter::new(options);
         let member = context.member.borrow();
-        router.take_rows(context.clock.now(), &member.all_in_force());
+        router.apply_rows(context.clock.now(), &member.all_in_force());
         if let Some(at) = member.confirmed_at() {
-            router.set_confirmed(at);
+            router.set_confirmed_at(at);
         }
         drop(member);
         let now = context.clock.now();
         let can_serve = context.member.borrow().can_serve();
         let held_until = (!can_serve).then(|| now.after_millis(HOLD_MS));
-        let counts = RouterCounts::default();
+        let counts = RouterCounters::default();
         let frame = Box::new([0; READ_SIZE]);
         Ok(FlowPart {
             context,
@@ -144,7 +145,7 @@
 
     /// Takes rows of the list that changed.
     pub fn take_rows(&mut self, cx: CX![], rows: Vec<ListRow>) {
-        self.router.take_rows(self.context.clock.now(), &rows);
+        self.router.apply_rows(self.context.clock.now(), &rows);
         self.log_list_news();
         if self.held_until.is_some() && self.context.member.borrow().can_serve() {
             self.held_until = None;
@@ -154,15 +155,15 @@
 
     /// Takes rows of a list of a store that came back from an older copy.
     pub fn take_restored(&mut self, _cx: CX![], rows: Vec<ListRow>) {
-        self.router.take_restored(self.context.clock.now(), &rows);
+        self.router.apply_restored_rows(self.context.clock.now(), &rows);
         self.log_list_news();
     }
 
     fn log_list_news(&mut self) {
-        for news in self.router.take_backend_news() {
+        for news in self.router.drain_backend_events() {
             self.log_news(&news);
         }
-        for news in self.router.take_evacuation_news() {
+        for news in self.router.drain_evacuation_events() {
             self.log_evacuation(&news);
         }
     }
@@ -170,10 +171,10 @@
     /// Takes the time of a confirmation of the list.
     pub fn take_confirmation(&mut self, _cx: CX![], at: ClockTime) {
         let now = self.context.clock.now();
-        self.router.set_confirmed(at);
+        self.router.set_confirmed_at(at);
         self.log_list_news();
         let mut member = self.context.member.borrow_mut();
-        self.router.set_others(member.peer_count());
+        self.router.set_peer_count(member.peer_count());
         self.router.set_neighbours(now, member.neighbours(now));
     }
 
@@ -184,14 +185,14 @@
 
     /// Takes note that the process stood still, and reads what has waited meanwhile.
     pub fn note_pause(&mut self, cx: CX![]) {
-        self.router.note_pause();
+        self.router.record_pause();
         self.drain(cx);
     }
 
     /// Takes what another instance observed of a backend server.
-    pub fn take_note(&mut self, _cx: CX![], note: HealthNote) {
+    pub fn take_note(&mut self, _cx: CX![], note: HealthObservation) {
         let now = self.context.clock.now();
-        self.router.take_note(now, &note);
+        self.router.apply_observation(now, &note);
         self.log_note(&note, "peer");
         self.end_idle_flows(now);
     }
@@ -199,9 +200,9 @@
     /// Takes a caller's packet that another instance couldn't place.
     pub fn take_relayed(&mut self, _cx: CX![], bytes: Vec<u8>) {
         let now = self.context.clock.now();
-        let room = &mut self.frame[HEADROOM..];
+        let room = &mut self.frame[HEADROOM_BYTES..];
         let Some(room) = room.get_mut(..bytes.len()) else {
-            let fault = PacketFault::Long.word();
+            let fault = PacketFault::Long.as_str();
             return self.context.metrics.malformed.with_label_values(&[fault]).inc();
         };
         room.copy_from_slice(&bytes);
@@ -231,7 +232,7 @@
         let now = self.context.clock.now();
         let is_ejected = |backend: &&Backend| backend.health.class(now) == HealthClass::Ejected;
         let metrics = &self.context.metrics;
-        metrics.flows.set(self.router.tracked_flows() as i64);
+        metrics.flows.set(self.router.tracked_flow_count() as i64);
         metrics.ejected.set(self.router.backends().filter(is_ejected).count() as i64);
         self.set_load_gauges(now);
         answer();
@@ -275,11 +276,11 @@
             return;
         }
         if self.context.pause().is_some() {
-            self.router.note_pause();
+            self.router.record_pause();
         }
         let mut count = 0;
         while count < BATCH_LIMIT {
-            match self.socket.recv_from(&mut self.frame[HEADROOM..]) {
+            match self.socket.recv_from(&mut self.frame[HEADROOM_BYTES..]) {
                 Ok((size, from)) => self.take_datagram(now, size, PacketOrigin::Network(from)),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
@@ -292,7 +293,7 @@
         if count == BATCH_LIMIT {
             idle!([cx], drain());
         } else {
-            self.router.check_overdue(now);
+            self.router.report_overdue_openings(now);
         }
         if count > 0 {
             self.context.packet_at.set(now);
@@ -304,7 +305,7 @@
 
     /// Ends flows at rest whose backend server is dead, before their callers ask on them.
     fn end_idle_flows(&mut self, now: ClockTime) {
-        for DeadEnd { key, received, backend, reason } in self.router.take_dead_ends(now) {
+        for FlowReset { key, received, backend, reason } in self.router.drain_flow_resets(now) {
             let packet = FlowPacket {
                 key,
                 kind: PacketKind::Continue,
@@ -318,13 +319,17 @@
     }
 
     fn take_datagram(&mut self, now: ClockTime, size: usize, origin: PacketOrigin) {
-        let read = self.context.adapters.codec.read(&self.frame[HEADROOM..HEADROOM + size]);
+        let read = self
+            .context
+            .adapters
+            .codec
+            .parse_packet(&self.frame[HEADROOM_BYTES..HEADROOM_BYTES + size]);
         let packet = match read {
             Ok(packet) => packet,
             Err(fault) => {
-                self.context.metrics.malformed.with_label_values(&[fault.word()]).inc();
+                self.context.metrics.malformed.with_label_values(&[fault.as_str()]).inc();
                 let event = "packet_malformed";
-                let line = MalformedLine { event, from: origin.address(), fault: fault.word() };
+                let line = MalformedLine { event, from: origin.address(), fault: fault.as_str() };
                 return self.context.note(event, &line);
             }
         };
@@ -340,7 +345,7 @@
                 self.open_flow(size, backend);
             }
             FlowDecision::Refuse(reason) => self.refuse(now, &packet, reason),
-            FlowDecision::End { backend, reason } => self.end_flow(now, &packet, backend, reason),
+            FlowDecision::Reset { backend, reason } => self.end_flow(now, &packet, backend, reason),
             FlowDecision::Relay => self.relay(now, size, &packet, origin),
             FlowDecision::Drop(reason) => self.drop_packet(now, &packet, reason),
         }
@@ -348,7 +353,7 @@
 
     /// Hands a packet to an instance that knows the whole list, unless it came that way.
     fn relay(&mut self, now: ClockTime, size: usize, packet: &FlowPacket, origin: PacketOrigin) {
-        let bytes = &self.frame[HEADROOM..HEADROOM + size];
+        let bytes = &self.frame[HEADROOM_BYTES..HEADROOM_BYTES + size];
         let is_first = matches!(origin, PacketOrigin::Network(_));
         if !is_first || !self.context.member.borrow_mut().relay(now, bytes) {
             return self.drop_packet(now, packet, DropReason::UnknownToken);
@@ -373,9 +378,9 @@
 
     fn send_frame(&mut self, size: usize, index: usize) {
         let Some(backend) = self.router.backend(index) else { return };
-        self.context.adapters.codec.address_to(&mut self.frame[..], backend.number);
+        self.context.adapters.codec.set_backend(&mut self.frame[..], backend.number);
         let to = SocketAddr::V4(backend.address);
-        if self.socket.send_to(&self.frame[..HEADROOM + size], to).is_err() {
+        if self.socket.send_to(&self.frame[..HEADROOM_BYTES + size], to).is_err() {
             // The caller sends again; a log line for each would add to a trouble.
             self.context.metrics.send_errors.with_label_values(&["data"]).inc();
         }
@@ -383,12 +388,12 @@
 
     fn refuse(&mut self, now: ClockTime, packet: &FlowPacket, reason: RefuseReason) {
         self.context.metrics.packets.with_label_values(&["refuse"]).inc();
-        self.context.metrics.refusals.with_label_values(&[reason.word()]).inc();
+        self.context.metrics.refusals.with_label_values(&[reason.as_str()]).inc();
         self.log_decision(now, "flow_refused", packet, || FlowDetail::Refused { reason });
         self.send_refusal(packet);
     }
 
-    fn end_flow(&mut self, now: ClockTime, packet: &FlowPacket, index: usize, reason: EndReason) {
+    fn end_flow(&mut self, now: ClockTime, packet: &FlowPacket, index: usize, reason: ResetReason) {
         let Some(backend) = self.router.backend(index) else { return };
         self.context.metrics.packets.with_label_values(&["end"]).inc();
         let detail = || FlowDetail::Ended { backend: &backend.key, reason };
@@ -397,7 +402,7 @@
     }
 
     fn send_refusal(&mut self, packet: &FlowPacket) {
-        let refusal = self.context.adapters.codec.refusal(packet);
+        let refusal = self.context.adapters.codec.reset_packet(packet);
         // Callers listen at the port at which packets arrive here.
         let port = self.context.settings.borrow().data.port();
         let to = SocketAddr::V4(SocketAddrV4::new(*packet.key.caller.ip(), port));
@@ -408,7 +413,7 @@
 
     fn drop_packet(&mut self, now: ClockTime, packet: &FlowPacket, reason: DropReason) {
         self.context.metrics.packets.with_label_values(&["drop"]).inc();
-        self.context.metrics.drops.with_label_values(&[reason.word()]).inc();
+        self.context.metrics.drops.with_label_values(&[reason.as_str()]).inc();
         let token = packet.token;
         self.log_decision(now, "packet_dropped", packet, || FlowDetail::Dropped { token, reason });
     }
@@ -422,25 +427,27 @@
 
     /// Tells other instances what packets told of backend servers, and counts.
     fn share_observations(&mut self) {
-        for latency in self.router.take_latencies() {
+        for latency in self.router.drain_latencies() {
             self.context.metrics.latency.observe(latency.as_secs_f64());
         }
-        let counts = self.router.counts();
+        let counts = self.router.counters();
         let metrics = &self.context.metrics;
-        metrics.open_copies.inc_by(counts.copies - self.counts.copies);
-        metrics.open_overdue.inc_by(counts.overdue - self.counts.overdue);
-        metrics.data_resent.inc_by(counts.resent - self.counts.resent);
+        metrics
+            .open_copies
+            .inc_by(counts.retransmitted_openings - self.counts.retransmitted_openings);
+        metrics.open_overdue.inc_by(counts.overdue_openings - self.counts.overdue_openings);
+        metrics.data_resent.inc_by(counts.retransmitted_data - self.counts.retransmitted_data);
         self.counts = counts;
         if std::mem::take(&mut self.has_messages) {
             self.send_messages();
         }
-        let tokens = self.router.take_wanted_tokens();
+        let tokens = self.router.drain_token_queries();
         if let Some(fleet) = self.context.directory.get::<FleetPart>()
             && !tokens.is_empty()
         {
             call!([fleet], ask_tokens(tokens));
         }
-        let notes = self.router.take_notes();
+        let notes = self.router.drain_observations();
         if notes.is_empty() {
             return;
         }
--- a/crates/foxledge-daemon/src/packets/reports.rs
+++ b/crates/foxledge-daemon/src/packets/reports.rs
@@ -92,11 +92,11 @@
             data_centre: backend.data_centre.to_string(),
             address: backend.address.to_string(),
             health: backend.health.class(now),
-            takes_flows: router.takes_flows(now, backend),
+            takes_flows: router.accepts_new_flows(now, backend),
             is_draining: backend.is_draining,
             cold_ms: backend.warm_at.remaining(now).as_millis() as u64,
-            running: backend.running,
-            flows: backend.flows,
+            running: backend.running_requests,
+            flows: backend.open_flows,
             revision: backend.revision,
             incarnation: backend.incarnation,
         });
@@ -104,7 +104,7 @@
             EvacuationReport::new(router, now, data_centre, evacuation)
         });
         RouteReport {
-            flows: router.tracked_flows(),
+            flows: router.tracked_flow_count(),
             evacuations: evacuations.collect(),
             loads: router.load_reports(now).into_iter().take(MOST_SERVICES).collect(),
             backends: backends.collect(),
@@ -122,16 +122,18 @@
         let is_there = |backend: &&Backend| backend.data_centre == *data_centre;
         let there = || router.backends().filter(is_there);
         let has_others = |service: &ServiceName| {
-            router.backends().any(|one| one.service == *service && router.takes_flows(now, one))
+            router
+                .backends()
+                .any(|one| one.service == *service && router.accepts_new_flows(now, one))
         };
         let services: BTreeSet<_> = there().map(|backend| &backend.service).collect();
         let without = services.into_iter().filter(|service| !has_others(service));
         EvacuationReport {
             data_centre: data_centre.to_string(),
             revision: evacuation.revision,
-            age_ms: now.since(evacuation.known_at).as_millis() as u64,
+            age_ms: now.since(evacuation.received_at).as_millis() as u64,
             backends: there().count(),
-            flows: there().map(|backend| backend.flows).sum(),
+            flows: there().map(|backend| backend.open_flows).sum(),
             late_flows: evacuation.late_flows,
             services_without_others: without.map(ToString::to_string).collect(),
         }
@@ -236,12 +238,12 @@
         let name = |index: usize| router.backend(index).map(|backend| backend.key.to_string());
         let candidates = explanation.candidates.iter().map(|candidate| CandidateReport {
             backend: name(candidate.index).unwrap_or_default(),
-            health: candidate.class,
-            is_near: candidate.is_near,
-            is_stuck: candidate.is_stuck,
-            running: candidate.running,
-            waiting: candidate.waiting,
-            slowness: candidate.slowness,
+            health: candidate.health,
+            is_near: candidate.is_same_centre,
+            is_stuck: candidate.is_unresponsive,
+            running: candidate.running_requests,
+            waiting: candidate.pending_openings,
+            slowness: candidate.slowness_percent,
             is_cold: candidate.is_cold,
         });
         ExplainReport {
@@ -252,7 +254,7 @@
             choice: explanation.choice.as_ref().and_then(|(index, _)| name(*index)),
             rank: explanation.choice.map(|(_, rank)| rank),
             candidates: candidates.collect(),
-            token_holder: explanation.token_holder.and_then(name),
+            token_holder: explanation.token_backend.and_then(name),
             load: explanation.load,
         }
     }
--- a/crates/foxledge-daemon/src/packets/side.rs
+++ b/crates/foxledge-daemon/src/packets/side.rs
@@ -147,7 +147,7 @@
 ) {
     while let Some(SideOrder::Read(order)) = orders.recv().await {
         let answer = match order {
-            ReadOrder::First => source.read_first().await,
+            ReadOrder::First => source.read_first_page().await,
             ReadOrder::All(mode) => source.read_all(mode).await,
             ReadOrder::Watch { after, wait_ms } => source.watch(after, wait_ms).await,
         };
--- a/crates/foxledge-flows/benches/openings.rs
+++ b/crates/foxledge-flows/benches/openings.rs
@@ -33,8 +33,11 @@
 
 fn rows(servers: u64) -> Vec<ListRow> {
     let row = |number: u64| {
-        let mut spec =
-            backend_spec(number, "desk", if number.is_multiple_of(4) { FAR } else { NEAR });
+        let mut spec = backend_spec(
+            number,
+            "desk",
+            if number.is_multiple_of(4) { REMOTE_CENTRE } else { LOCAL_CENTRE },
+        );
         spec.ip = 0x0a80_0000 + number as u32;
         backend_row(spec, 2)
     };
@@ -42,14 +45,14 @@
 }
 
 fn router(mode: LoadMode, servers: u64) -> FlowRouter {
-    let mut options = RouterOptions::new(CentreName::new(NEAR))
+    let mut options = RouterOptions::new(CentreName::new(LOCAL_CENTRE))
         .address(SocketAddrV4::new([10, 9, 0, 99].into(), 7_000));
     if mode.is_on {
         options = options.overflow(true).admission(Some(AdmissionOptions::default()));
     }
-    let mut router = filled(FlowRouter::new(options), &rows(servers));
+    let mut router = fill_router(FlowRouter::new(options), &rows(servers));
     let address = |one| SocketAddrV4::new([10, 9, 0, one].into(), 7_000);
-    router.set_neighbours(at(0), (0..OTHERS).map(address).collect());
+    router.set_neighbours(clock_at(0), (0..OTHERS).map(address).collect());
     router
 }
 
@@ -57,9 +60,12 @@
     let slots = servers as f64 * 2.0;
     let per_s = [(1, slots * mode.load * 0.25 / 0.05), (2, slots * mode.load * 0.75 / 0.05)];
     let (near, far) = (slots * 0.75 * mode.load, slots * 0.25 * mode.load);
-    let loads = [(NEAR, callers(&per_s, &[(NEAR, near), (FAR, far)])), (FAR, callers(&[], &[]))];
-    router.set_confirmed(at(now));
-    router.set_load(at(now), Arc::new(view(at(now), &loads)));
+    let loads = [
+        (LOCAL_CENTRE, caller_load(&per_s, &[(LOCAL_CENTRE, near), (REMOTE_CENTRE, far)])),
+        (REMOTE_CENTRE, caller_load(&[], &[])),
+    ];
+    router.set_confirmed_at(clock_at(now));
+    router.apply_load_view(clock_at(now), Arc::new(load_view(clock_at(now), &loads)));
 }
 
 /// Flows that are open at a time.
@@ -78,10 +84,10 @@
     fn step(&mut self) {
         let now = 1_000 + self.count;
         if self.count.is_multiple_of(10) {
-            self.router.check_overdue(at(now));
+            self.router.report_overdue_openings(clock_at(now));
         }
         if self.count.is_multiple_of(50) {
-            black_box(self.router.own_load(at(now)));
+            black_box(self.router.collect_local_load(clock_at(now)));
             set_load(&mut self.router, self.mode, self.servers, now);
         }
         self.count += 1;
@@ -89,15 +95,17 @@
             [100, 64, (self.count >> 8) as u8, self.count as u8].into(),
             1_024 + (self.count >> 16) as u16,
         );
-        let service = SocketAddrV4::new(SERVICE, 443 + (self.count % 2) as u16);
+        let service = SocketAddrV4::new(SERVICE_IP, 443 + (self.count % 2) as u16);
         let key = FlowKey { caller, service };
-        let decision = self.router.on_packet(at(now), &opening(key, 0));
-        let number = number_of(&self.router, &decision);
+        let decision = self.router.on_packet(clock_at(now), &opening_packet(key, 0));
+        let number = decided_backend(&self.router, &decision);
         self.flows.extend(number.map(|number| (key, number as u32)));
         if self.flows.len() > OPEN_FLOWS
             && let Some((key, token)) = self.flows.pop_front()
         {
-            black_box(self.router.on_packet(at(now), &packet(key, PacketKind::Finish, token)));
+            black_box(
+                self.router.on_packet(clock_at(now), &flow_packet(key, PacketKind::Finish, token)),
+            );
         }
     }
 }
@@ -130,7 +138,7 @@
         group.bench_function(BenchmarkId::new("step", servers), |bencher| {
             bencher.iter(|| {
                 now += 50;
-                black_box(router.own_load(at(now)));
+                black_box(router.collect_local_load(clock_at(now)));
                 set_load(&mut router, mode, servers, now);
             });
         });
--- a/crates/foxledge-flows/src/backend_table.rs
+++ b/crates/foxledge-flows/src/backend_table.rs
@@ -8,7 +8,7 @@
 };
 
 use crate::{
-    backends::{Backend, BackendNews, LAPSE_MS, token_of},
+    backends::{Backend, BackendEvent, REMOVAL_GRACE_MS, token_of},
     groups::GroupTable,
     revisions::epoch_of,
     rows::{BackendRow, ListRow, RowValue},
@@ -44,7 +44,7 @@
     }
 
     /// Indexes of a service's backend servers.
-    pub fn of_service(&self, service: &str) -> &[usize] {
+    pub fn service_indexes(&self, service: &str) -> &[usize] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
@@ -54,15 +54,15 @@
     }
 
     /// Forgets what backend servers left unanswered.
-    pub fn forget_silence(&mut self) {
+    pub fn clear_unanswered(&mut self) {
         for backend in self.slots.iter_mut().flatten() {
-            backend.health.forget_silence();
+            backend.health.clear_unanswered();
         }
     }
 
     /// Lets the backend servers of a data centre count as cold for as long as their service's
     /// are, told by `warm_up_of` in milliseconds, unless their entries are newer than `revision`.
-    pub fn set_cold(
+    pub fn mark_cold(
         &mut self,
         now: ClockTime,
         data_centre: &CentreName,
@@ -105,7 +105,7 @@
     }
 
     /// Takes a row; rows of other kinds change nothing.
-    pub fn take(&mut self, now: ClockTime, row: &ListRow) -> Option<BackendNews> {
+    pub fn apply_row(&mut self, now: ClockTime, row: &ListRow) -> Option<BackendEvent> {
         match &row.value {
             Some(RowValue::Backend(spec)) => self.put(now, row, spec, None),
             Some(RowValue::Removed(removed)) => {
@@ -134,13 +134,13 @@
         let is_later = |other: &Backend| {
             other.revision > gone.revision && epoch_of(other.revision) == epoch_of(gone.revision)
         };
-        others.any(|other| other.gone_at.is_none() && is_later(other))
+        others.any(|other| other.removed_at.is_none() && is_later(other))
     }
 
     /// Forgets those that are gone for longer than flows last; returns their indexes.
-    pub fn forget(&mut self, now: ClockTime) -> Vec<usize> {
+    pub fn remove_expired(&mut self, now: ClockTime) -> Vec<usize> {
         let is_old = |backend: &Backend| {
-            backend.gone_at.is_some_and(|gone| gone.after_millis(GONE_KEPT_MS).is_past(now))
+            backend.removed_at.is_some_and(|gone| gone.after_millis(GONE_KEPT_MS).is_past(now))
         };
         let old: Vec<_> =
             (0..self.slots.len()).filter(|index| self.get(*index).is_some_and(is_old)).collect();
@@ -162,11 +162,12 @@
     /// Entries that lapse as the store goes away are back some two seconds after its
     /// return. Counted from the lapse, the grace is over at the return, and an instance
     /// that missed what happened in between refuses flows that all others serve.
-    pub fn renew_grace(&mut self, former: ClockTime, confirmed: ClockTime) {
+    pub fn restart_grace(&mut self, former: ClockTime, confirmed: ClockTime) {
         for backend in self.slots.iter_mut().flatten() {
-            let is_in_grace = |gone: &ClockTime| !gone.after_millis(LAPSE_MS).is_past(former);
-            if backend.gone_at.as_ref().is_some_and(is_in_grace) {
-                backend.gone_at = Some(confirmed);
+            let is_in_grace =
+                |gone: &ClockTime| !gone.after_millis(REMOVAL_GRACE_MS).is_past(former);
+            if backend.removed_at.as_ref().is_some_and(is_in_grace) {
+                backend.removed_at = Some(confirmed);
             }
         }
     }
@@ -175,7 +176,7 @@
     fn refuse(&mut self, key: &str, gone: ClockTime) {
         let Some(index) = self.by_key.get(key).copied() else { return };
         if let Some(backend) = self.get_mut(index) {
-            (backend.gone_at, backend.is_draining) = (Some(gone), true);
+            (backend.removed_at, backend.is_draining) = (Some(gone), true);
         }
     }
 
@@ -185,11 +186,11 @@
         row: &ListRow,
         spec: &BackendRow,
         gone: Option<ClockTime>,
-    ) -> Option<BackendNews> {
+    ) -> Option<BackendEvent> {
         let address = spec.address()?;
         self.retire_address(address, row, now);
         let mut newer = Backend::new(now, row, spec, address, gone);
-        newer.take_leave(row, spec);
+        newer.apply_draining(row, spec);
         let Some(index) = self.by_key.get(row.key.as_str()).copied() else {
             self.add(newer);
             return None;
@@ -206,11 +207,11 @@
             }
             self.link(index, newer);
             self.settle_number(spec.number);
-            return Some(BackendNews::Restarted { index, former });
+            return Some(BackendEvent::Restarted { index, former });
         }
-        known.gone_at = gone;
+        known.removed_at = gone;
         known.revision = row.revision;
-        known.take_leave(row, spec);
+        known.apply_draining(row, spec);
         if known.is_same_process(&newer) {
             known.slots = newer.slots;
             known.warm_at = newer.warm_at;
@@ -219,7 +220,7 @@
         // Its open flows go on where they are: it may well live there. The entry names
         // nobody who could be sure to be meant.
         known.is_draining = true;
-        Some(BackendNews::Contradicted { index, address })
+        Some(BackendEvent::EntryConflict { index, address })
     }
 
     /// Ends the grace of one that is gone when another has its address in the same epoch: it
@@ -230,7 +231,7 @@
             let Some(backend) = self.slots[*index].as_mut() else { continue };
             let is_other =
                 *backend.key != *row.key && epoch_of(backend.revision) == epoch_of(row.revision);
-            if is_other && backend.gone_at.is_some_and(|gone| gone <= now) {
+            if is_other && backend.removed_at.is_some_and(|gone| gone <= now) {
                 backend.is_draining = true;
             }
         }
@@ -283,7 +284,9 @@
         });
         let same: Vec<usize> = same.collect();
         let first = same.iter().copied().min_by_key(|index| {
-            self.slots[*index].as_ref().map(|backend| (backend.created, backend.key.clone()))
+            self.slots[*index]
+                .as_ref()
+                .map(|backend| (backend.created_revision, backend.key.clone()))
         });
         for index in same {
             if let Some(backend) = self.slots[index].as_mut() {
--- a/crates/foxledge-flows/src/backends.rs
+++ b/crates/foxledge-flows/src/backends.rs
@@ -22,7 +22,7 @@
 /// two seconds after its return. Without this span all of a service's backend
 /// servers could be missing at once, and every new flow would be refused. It
 /// stays below the 3 s within which a leaving one must get no new flow.
-pub(crate) const LAPSE_MS: u64 = 2_200;
+pub(crate) const REMOVAL_GRACE_MS: u64 = 2_200;
 /// Age of the store's last confirmation at which it counts as away, in
 /// milliseconds: more than any instance in touch sees.
 const STORE_AWAY_MS: u64 = 2_500;
@@ -58,35 +58,35 @@
     /// It is leaving: no new flows.
     pub is_draining: bool,
     /// Revision at which its own entry last said that it leaves.
-    pub leave_revision: Option<u64>,
+    pub draining_revision: Option<u64>,
     /// When it will be warm.
     pub warm_at: ClockTime,
     /// New flows that this instance sent there lately while it was cold.
     pub cold_flows: FlowWindow,
     /// When its entry was seen to be gone; none while it is listed.
-    pub gone_at: Option<ClockTime>,
+    pub removed_at: Option<ClockTime>,
     /// Its entry's revision.
     pub revision: u64,
     /// Revision at which its entry was created.
-    pub created: u64,
+    pub created_revision: u64,
     /// When this start of it became known here.
-    pub known_at: ClockTime,
+    pub discovered_at: ClockTime,
     /// Another entry has the same number, and had it before: no new flows.
     pub is_shadowed: bool,
     /// When this instance itself last saw it answer.
-    pub seen_at: Option<ClockTime>,
+    pub answered_at: Option<ClockTime>,
     /// What packets tell of its health.
     pub health: HealthState,
     /// How long it takes for an answer, as far as this instance sees.
     pub latency: LatencyGauge,
     /// Requests that run there, as far as this instance sees.
-    pub running: u32,
+    pub running_requests: u32,
     /// Flows open there, as far as this instance sees.
-    pub flows: u32,
+    pub open_flows: u32,
     /// The most that were open lately, and until when they count.
     former_flows: (u32, ClockTime),
     /// Counter of the last placement there.
-    pub picked: u64,
+    pub last_placement: u64,
 }
 
 impl Backend {
@@ -108,34 +108,34 @@
             group: 0,
             slots: spec.slots.max(1),
             is_draining: spec.draining,
-            leave_revision: None,
+            draining_revision: None,
             warm_at: now.after_millis(u64::from(spec.warm_in_ms)),
             cold_flows: FlowWindow::default(),
-            gone_at,
+            removed_at: gone_at,
             revision: row.revision,
-            created: spec.created,
-            known_at: now,
+            created_revision: spec.created_revision,
+            discovered_at: now,
             is_shadowed: false,
-            seen_at: None,
-            health: HealthState::since(now),
+            answered_at: None,
+            health: HealthState::started_at(now),
             latency: LatencyGauge::default(),
-            running: 0,
-            flows: 0,
+            running_requests: 0,
+            open_flows: 0,
             former_flows: (0, ClockTime::ZERO),
-            picked: 0,
+            last_placement: 0,
         }
     }
 
     /// Counts the end of a flow.
-    pub(crate) fn end_flow(&mut self, now: ClockTime) {
+    pub(crate) fn record_flow_end(&mut self, now: ClockTime) {
         self.former_flows = (self.recent_flows(now), now.after_millis(FORMER_FLOWS_MS));
-        self.flows = self.flows.saturating_sub(1);
+        self.open_flows = self.open_flows.saturating_sub(1);
     }
 
     /// Flows that are open there, or were until a moment ago.
     pub fn recent_flows(&self, now: ClockTime) -> u32 {
         let (former, until) = self.former_flows;
-        if until.is_past(now) { self.flows } else { self.flows.max(former) }
+        if until.is_past(now) { self.open_flows } else { self.open_flows.max(former) }
     }
 
     /// True while it is slow after its start.
@@ -147,12 +147,13 @@
     ///
     /// A restored store may hold the entry from before the leave, which the process doesn't
     /// take back.
-    pub(crate) fn take_leave(&mut self, row: &ListRow, spec: &BackendRow) {
+    pub(crate) fn apply_draining(&mut self, row: &ListRow, spec: &BackendRow) {
         let is_own_entry = matches!(row.value, Some(RowValue::Backend(_)));
         if is_own_entry && spec.draining {
-            self.leave_revision = Some(row.revision);
+            self.draining_revision = Some(row.revision);
         }
-        let has_left = self.leave_revision.is_some_and(|at| epoch_of(at) < epoch_of(row.revision));
+        let has_left =
+            self.draining_revision.is_some_and(|at| epoch_of(at) < epoch_of(row.revision));
         self.is_draining = spec.draining || has_left;
     }
 
@@ -165,24 +166,25 @@
 
     /// True when new flows may go there.
     ///
-    /// One whose entry vanished without a word gets them for [`LAPSE_MS`]. While
+    /// One whose entry vanished without a word gets them for [`REMOVAL_GRACE_MS`]. While
     /// nothing is heard of the store (`confirmed` is when it last was), the span
     /// doesn't run out: the entry can't come back before the store does, and has
     /// the whole span from then on (`BackendTable::renew_grace`).
-    pub fn takes_flows(&self, now: ClockTime, confirmed: Option<ClockTime>) -> bool {
+    pub fn accepts_new_flows(&self, now: ClockTime, confirmed: Option<ClockTime>) -> bool {
         if self.is_draining || self.is_shadowed {
             return false;
         }
-        let Some(gone) = self.gone_at else { return true };
-        let until = gone.after_millis(LAPSE_MS);
-        let is_store_away = confirmed.is_some_and(|at| is_away(at, now) && !until.is_past(at));
+        let Some(gone) = self.removed_at else { return true };
+        let until = gone.after_millis(REMOVAL_GRACE_MS);
+        let is_store_away =
+            confirmed.is_some_and(|at| is_store_unreachable(at, now) && !until.is_past(at));
         is_store_away || !until.is_past(now)
     }
 }
 
-/// `BackendNews` is a change of what is believed of a backend server's entry.
+/// `BackendEvent` is a change of what is believed of a backend server's entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BackendNews {
+pub enum BackendEvent {
     /// It started again under its id: nothing that was seen before counts.
     Restarted {
         /// Its index.
@@ -192,7 +194,7 @@
     },
     /// Its entry tells of the same start, or of none any more, with another address or
     /// service: somebody else wrote it.
-    Contradicted {
+    EntryConflict {
         /// Its index.
         index: usize,
         /// The address that the entry names.
@@ -201,7 +203,7 @@
 }
 
 /// True when the store counts as away at `now`, heard of last at `confirmed`.
-pub(crate) fn is_away(confirmed: ClockTime, now: ClockTime) -> bool {
+pub(crate) fn is_store_unreachable(confirmed: ClockTime, now: ClockTime) -> bool {
     confirmed.after_millis(STORE_AWAY_MS).is_past(now)
 }
 
--- a/crates/foxledge-flows/src/candidates.rs
+++ b/crates/foxledge-flows/src/candidates.rs
@@ -82,7 +82,7 @@
 impl FlowRouter {
     /// The usual answer time among backend servers of a service, in microseconds.
     pub(crate) fn usual_time(&self, service: &ServiceName) -> f64 {
-        let indexes = self.backends.of_service(service).iter();
+        let indexes = self.backends.service_indexes(service).iter();
         let known = indexes.filter_map(|index| self.backends.get(*index));
         usual_us(known.filter_map(|backend| backend.latency.mean_us()))
     }
@@ -104,7 +104,7 @@
         let mut set = CandidateSet::default();
         for index in indexes {
             let Some(backend) = self.backends.get(index) else { continue };
-            if !backend.takes_flows(now, self.confirmed_at) {
+            if !backend.accepts_new_flows(now, self.confirmed_at) {
                 continue;
             }
             let barrier = self.barrier(now, flow.route, backend, quota).filter(|barrier| {
@@ -128,28 +128,29 @@
     ) -> PlacementCandidate {
         // Each flow starts its look elsewhere, so that instances that know
         // nothing yet don't all begin with the same backend server.
-        let tie = match backend.picked {
+        let tie = match backend.last_placement {
             0 => flow_hash(flow.key).wrapping_mul(backend.number | 1) >> 40,
             picked => (1 << 24) + picked,
         };
         PlacementCandidate {
             index,
-            class: self.class_of(now, backend),
-            waiting: self.openings.waiting_at(index),
-            is_stuck: flow.avoided == Some(index),
-            is_near: backend.data_centre == *view.near || !self.has(RouterMechanism::Distance),
-            running: backend.running,
+            health: self.effective_health(now, backend),
+            pending_openings: self.openings.pending_count(index),
+            is_unresponsive: flow.avoided == Some(index),
+            is_same_centre: backend.data_centre == *view.near
+                || !self.has_mechanism(RouterMechanism::Distance),
+            running_requests: backend.running_requests,
             slots: backend.slots,
-            slowness: match self.has(RouterMechanism::Slowness) {
+            slowness_percent: match self.has_mechanism(RouterMechanism::Slowness) {
                 true => (backend.latency.slowness(now, view.usual) * 100.0) as u32,
                 false => 100,
             },
-            is_cold: backend.is_cold(now) && self.has(RouterMechanism::Cold),
-            is_outside: view
+            is_cold: backend.is_cold(now) && self.has_mechanism(RouterMechanism::Cold),
+            is_outside_subset: view
                 .shared
                 .is_some_and(|(group, subset)| backend.group == group && !subset.holds(index)),
-            flows: backend.recent_flows(now),
-            picked: tie,
+            open_flows: backend.recent_flows(now),
+            last_placement: tie,
         }
     }
 
@@ -166,24 +167,24 @@
         if !route.regions.is_empty() && !region.is_some_and(is_allowed) {
             return Some(FlowBarrier::Region);
         }
-        if self.evacuations.holds(&backend.data_centre) {
+        if self.evacuations.contains(&backend.data_centre) {
             return Some(FlowBarrier::Evacuation);
         }
         let quota = quota.filter(|_| backend.is_cold(now))?;
         let is_near = backend.data_centre == self.options.data_centre;
         let has_share = is_near
-            && self.neighbours.is_chosen(now, backend.number, quota.senders)
-            && backend.cold_flows.has_room(now, quota.flows);
+            && self.centre_peers.is_sender(now, backend.number, quota.senders)
+            && backend.cold_flows.has_capacity(now, quota.flows);
         (!has_share).then_some(FlowBarrier::Cold)
     }
 
     /// True when neither the store nor backend servers of other data centres are in reach.
     fn is_cut_off(&self, now: ClockTime) -> bool {
-        self.far_silences >= FAR_SILENCES && self.is_store_away(now)
+        self.remote_timeouts >= FAR_SILENCES && self.is_store_unreachable(now)
     }
 
     /// What counts of a backend server's health here.
-    pub(crate) fn class_of(&self, now: ClockTime, backend: &Backend) -> HealthClass {
+    pub(crate) fn effective_health(&self, now: ClockTime, backend: &Backend) -> HealthClass {
         let class = backend.health.class(now);
         let mechanism = match class {
             HealthClass::Healthy => return class,
@@ -191,6 +192,6 @@
             HealthClass::Suspect => RouterMechanism::Suspicion,
             HealthClass::Ejected => RouterMechanism::Ejection,
         };
-        if self.has(mechanism) { class } else { HealthClass::Healthy }
+        if self.has_mechanism(mechanism) { class } else { HealthClass::Healthy }
     }
 }
--- a/crates/foxledge-flows/src/cold.rs
+++ b/crates/foxledge-flows/src/cold.rs
@@ -82,10 +82,10 @@
 
 impl ServiceTable {
     /// Takes a row; rows of other kinds change nothing.
-    pub fn take(&mut self, row: &ListRow) {
+    pub fn apply_row(&mut self, row: &ListRow) {
         match &row.value {
             Some(RowValue::Extension(extension)) => {
-                if let Some(ExtensionValue::Service(service)) = extension.value() {
+                if let Some(ExtensionValue::Service(service)) = extension.decode() {
                     self.services.insert(ServiceName::new(&service.name), service);
                 }
             }
@@ -104,9 +104,9 @@
     }
 }
 
-/// `NeighbourView` is the instances of the own data centre, for the choice of who sends.
+/// `CentrePeers` is the instances of the own data centre, for the choice of who sends.
 #[derive(Clone, Debug)]
-pub struct NeighbourView {
+pub struct CentrePeers {
     own: SocketAddrV4,
     others: Vec<SocketAddrV4>,
     /// Rises with every change of the others.
@@ -115,14 +115,14 @@
     settled_at: ClockTime,
 }
 
-impl NeighbourView {
+impl CentrePeers {
     /// The view of an instance at `own` that has just started and knows nobody.
-    pub fn new(own: SocketAddrV4) -> NeighbourView {
-        NeighbourView { own, others: Vec::new(), version: 0, settled_at: ClockTime::MAX }
+    pub fn new(own: SocketAddrV4) -> CentrePeers {
+        CentrePeers { own, others: Vec::new(), version: 0, settled_at: ClockTime::MAX }
     }
 
     /// Takes the other instances that are known, those that fell silent lately included.
-    pub fn set_others(&mut self, now: ClockTime, others: Vec<SocketAddrV4>) {
+    pub fn set_peers(&mut self, now: ClockTime, others: Vec<SocketAddrV4>) {
         let is_first = self.settled_at == ClockTime::MAX;
         if is_first || self.others.iter().any(|known| !others.contains(known)) {
             // One that isn't known any more may have sent its share just now.
@@ -150,7 +150,7 @@
     }
 
     /// True when this instance is among the `senders` that send to a backend server.
-    pub fn is_chosen(&self, now: ClockTime, number: u64, senders: usize) -> bool {
+    pub fn is_sender(&self, now: ClockTime, number: u64, senders: usize) -> bool {
         if self.others.is_empty() || !self.settled_at.is_past(now) {
             return false;
         }
@@ -179,13 +179,13 @@
 
 impl FlowWindow {
     /// True when one more in any second that ends now stays within `flows`.
-    pub fn has_room(&self, now: ClockTime, flows: usize) -> bool {
+    pub fn has_capacity(&self, now: ClockTime, flows: usize) -> bool {
         let is_recent = |at: &&ClockTime| !at.after_millis(SPAN_MS).is_past(now);
         self.sent.iter().rev().take_while(is_recent).count() < flows
     }
 
     /// Counts one that is sent now.
-    pub fn add(&mut self, now: ClockTime) {
+    pub fn record_flow(&mut self, now: ClockTime) {
         while self.sent.front().is_some_and(|at| at.after_millis(SPAN_MS).is_past(now)) {
             self.sent.pop_front();
         }
--- a/crates/foxledge-flows/src/dying.rs
+++ b/crates/foxledge-flows/src/dead_backends.rs
@@ -5,14 +5,14 @@
 /// Time between two looks for flows to end, in milliseconds.
 const LOOK_MS: u64 = 20;
 
-/// `DyingList` is backend servers that may have flows to end.
+/// `DeadBackends` is backend servers that may have flows to end.
 #[derive(Debug, Default)]
-pub struct DyingList {
+pub struct DeadBackends {
     indexes: Vec<usize>,
     look_at: ClockTime,
 }
 
-impl DyingList {
+impl DeadBackends {
     /// Adds a backend server that is dead.
     pub fn add(&mut self, index: usize) {
         if !self.indexes.contains(&index) {
@@ -26,7 +26,7 @@
     }
 
     /// Takes all of them out when it is time for another look; none before.
-    pub fn take_due(&mut self, now: ClockTime) -> Vec<usize> {
+    pub fn drain_due(&mut self, now: ClockTime) -> Vec<usize> {
         if self.indexes.is_empty() || !self.look_at.is_past(now) {
             return Vec::new();
         }
--- a/crates/foxledge-flows/src/decisions.rs
+++ b/crates/foxledge-flows/src/decisions.rs
@@ -35,11 +35,11 @@
     /// Tell the caller at once that the flow can't be served.
     Refuse(RefuseReason),
     /// Tell the caller that its open flow is lost.
-    End {
+    Reset {
         /// Index of the backend server that held it.
         backend: usize,
         /// Why.
-        reason: EndReason,
+        reason: ResetReason,
     },
     /// Hand it to another instance, which knows the whole list: this one knows a part, and not the
     /// backend server of the open flow.
@@ -54,9 +54,11 @@
     /// Time since the data was sent on first, in milliseconds.
     pub waited_ms: u64,
     /// How often it was sent again.
-    pub copies: u32,
+    #[serde(rename = "copies")]
+    pub retransmissions: u32,
     /// What is believed of the flow's backend server now.
-    pub class: HealthClass,
+    #[serde(rename = "class")]
+    pub health: HealthClass,
     /// The data has waited for so long that nothing gets there.
     pub is_lost: bool,
 }
@@ -70,7 +72,8 @@
     #[serde(serialize_with = "serialize_number")]
     pub route_revision: u64,
     /// Which copy of the opening packet, from 0.
-    pub copy: u32,
+    #[serde(rename = "copy")]
+    pub attempt: u32,
     /// The rank that won; none when a copy follows the first packet.
     pub rank: Option<PlacementRank>,
     /// How many backend servers could be chosen from.
@@ -113,7 +116,7 @@
     }
 
     /// The reason's word in metrics.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             RefuseReason::NoRoute => "no_route",
             RefuseReason::NoBackend => "no_backend",
@@ -127,10 +130,10 @@
     }
 }
 
-/// `EndReason` is why an open flow is ended.
+/// `ResetReason` is why an open flow is ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "reason", rename_all = "snake_case")]
-pub enum EndReason {
+pub enum ResetReason {
     /// Its backend server answers neither it nor others.
     BackendSilent {
         /// Time since the unanswered data was sent on first, in milliseconds.
@@ -166,9 +169,9 @@
     },
 }
 
-/// `DeadEnd` is an open flow of a dead backend server that is ended without a packet of it.
+/// `FlowReset` is an open flow of a dead backend server that is ended without a packet of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DeadEnd {
+pub struct FlowReset {
     /// The flow.
     pub key: FlowKey,
     /// What its caller has received: callers take a reset only near it.
@@ -176,7 +179,7 @@
     /// Index of the backend server that held it.
     pub backend: usize,
     /// Why.
-    pub reason: EndReason,
+    pub reason: ResetReason,
 }
 
 /// `DropReason` is why a packet is dropped without an answer.
@@ -197,7 +200,7 @@
 
 impl DropReason {
     /// The reason's word in metrics and logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             DropReason::MaybeStale => "maybe_stale",
             DropReason::UnknownToken => "unknown_token",
@@ -220,18 +223,18 @@
     /// The choice among them, with its rank.
     pub choice: Option<(usize, PlacementRank)>,
     /// The backend server that the token names.
-    pub token_holder: Option<usize>,
+    pub token_backend: Option<usize>,
     /// What load control does with it; none while it is off or no route decides.
     pub load: Option<LoadExplanation>,
 }
 
-/// `RouterCounts` is what a router counted since its start.
+/// `RouterCounters` is what a router counted since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RouterCounts {
+pub struct RouterCounters {
     /// Openings that stayed unanswered for too long.
-    pub overdue: u64,
+    pub overdue_openings: u64,
     /// Copies of opening packets.
-    pub copies: u64,
+    pub retransmitted_openings: u64,
     /// Data that callers sent again.
-    pub resent: u64,
+    pub retransmitted_data: u64,
 }
--- a/crates/foxledge-flows/src/evacuations.rs
+++ b/crates/foxledge-flows/src/evacuations.rs
@@ -18,14 +18,14 @@
     /// Revision of the operators' wish.
     pub revision: u64,
     /// When this instance heard of it.
-    pub known_at: ClockTime,
+    pub received_at: ClockTime,
     /// New flows that this instance sent there since.
     pub late_flows: u64,
 }
 
-/// `EvacuationNews` is a change of what operators want of a data centre.
+/// `EvacuationEvent` is a change of what operators want of a data centre.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EvacuationNews {
+pub struct EvacuationEvent {
     /// The data centre.
     pub data_centre: CentreName,
     /// What is wanted from now on.
@@ -56,14 +56,14 @@
 
 impl EvacuationTable {
     /// Takes a row; rows of other kinds change nothing.
-    pub fn take(&mut self, now: ClockTime, row: &ListRow) -> Option<EvacuationNews> {
+    pub fn apply_row(&mut self, now: ClockTime, row: &ListRow) -> Option<EvacuationEvent> {
         self.deferred.remove(&row.key);
         self.apply(now, row)
     }
 
     /// Lets a row of a restored store count from `until` on, unless another comes before; false
     /// for rows of other kinds.
-    pub fn defer(&mut self, until: ClockTime, row: &ListRow) -> bool {
+    pub fn defer_row(&mut self, until: ClockTime, row: &ListRow) -> bool {
         let is_wish = row.key.starts_with(&evacuation_key(""));
         if is_wish {
             self.deferred.insert(row.key.clone(), (until, row.clone()));
@@ -72,16 +72,16 @@
     }
 
     /// Takes the deferred rows that count by now.
-    pub fn take_due(&mut self, now: ClockTime) -> Vec<EvacuationNews> {
+    pub fn apply_deferred(&mut self, now: ClockTime) -> Vec<EvacuationEvent> {
         let is_due = |(until, _): &(ClockTime, ListRow)| until.is_past(now);
         let due: Vec<_> =
             self.deferred.values().filter(|one| is_due(one)).map(|(_, row)| row.clone()).collect();
-        due.iter().filter_map(|row| self.take(now, row)).collect()
+        due.iter().filter_map(|row| self.apply_row(now, row)).collect()
     }
 
-    fn apply(&mut self, now: ClockTime, row: &ListRow) -> Option<EvacuationNews> {
+    fn apply(&mut self, now: ClockTime, row: &ListRow) -> Option<EvacuationEvent> {
         match &row.value {
-            Some(RowValue::Extension(extension)) => match extension.value()? {
+            Some(RowValue::Extension(extension)) => match extension.decode()? {
                 ExtensionValue::Evacuation(wish) => self.begin(now, row, &wish.data_centre),
                 ExtensionValue::Service(_) => None,
             },
@@ -91,12 +91,12 @@
     }
 
     /// True when a data centre is evacuated.
-    pub fn holds(&self, data_centre: &CentreName) -> bool {
+    pub fn contains(&self, data_centre: &CentreName) -> bool {
         self.begun.contains_key(data_centre)
     }
 
     /// Counts a new flow to a backend server of a data centre, if that is evacuated.
-    pub fn count(&mut self, data_centre: &CentreName) {
+    pub fn record_flow(&mut self, data_centre: &CentreName) {
         if let Some(known) = self.begun.get_mut(data_centre) {
             known.late_flows += 1;
         }
@@ -112,23 +112,26 @@
         now: ClockTime,
         row: &ListRow,
         data_centre: &str,
-    ) -> Option<EvacuationNews> {
+    ) -> Option<EvacuationEvent> {
         let data_centre = CentreName::new(data_centre);
         let (revision, known_at) = (row.revision, now);
         if let Some(known) = self.begun.get_mut(&data_centre) {
             known.revision = revision;
             return None;
         }
-        self.begun.insert(data_centre.clone(), Evacuation { revision, known_at, late_flows: 0 });
-        Some(EvacuationNews { data_centre, change: EvacuationChange::Begun, revision })
+        self.begun.insert(
+            data_centre.clone(),
+            Evacuation { revision, received_at: known_at, late_flows: 0 },
+        );
+        Some(EvacuationEvent { data_centre, change: EvacuationChange::Begun, revision })
     }
 
-    fn end(&mut self, now: ClockTime, row: &ListRow) -> Option<EvacuationNews> {
+    fn end(&mut self, now: ClockTime, row: &ListRow) -> Option<EvacuationEvent> {
         let name = row.key.strip_prefix(&evacuation_key(""))?;
         let data_centre = CentreName::new(name);
         let known = self.begun.remove(&data_centre)?;
-        let after_ms = now.since(known.known_at).as_millis() as u64;
+        let after_ms = now.since(known.received_at).as_millis() as u64;
         let change = EvacuationChange::Ended { after_ms };
-        Some(EvacuationNews { data_centre, change, revision: row.revision })
+        Some(EvacuationEvent { data_centre, change, revision: row.revision })
     }
 }
--- a/crates/foxledge-flows/src/ends.rs
+++ b/crates/foxledge-flows/src/flow_resets.rs
@@ -18,11 +18,11 @@
 
 use crate::{
     backends::Backend,
-    decisions::{DeadEnd, EndReason, FlowStall},
+    decisions::{FlowReset, FlowStall, ResetReason},
     mechanisms::RouterMechanism,
     packet::FlowKey,
     router::FlowRouter,
-    tracks::{FlowState, HeldFlow, LOST_MS},
+    tracks::{DATA_LOSS_MS, FlowState, OpenFlow},
 };
 
 /// Most flows ended in one look: 2,500 a second, so that a full backend server's 2,000 take
@@ -39,9 +39,9 @@
 /// alone with its own.
 const CENTRE_SILENCES: usize = 4;
 
-/// `KnownSilence` is what is known of a backend server that has left something unanswered.
+/// `UnansweredState` is what is known of a backend server that has left something unanswered.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct KnownSilence {
+pub(crate) struct UnansweredState {
     silent_at: ClockTime,
     is_dead: bool,
 }
@@ -54,17 +54,18 @@
     /// requests that may not be repeated, seven in ten were asked later than a second after
     /// the death, on flows that had been at rest. Callers that wait there and may ask again
     /// do so 0.2 to 0.8 s sooner than by their next copy.
-    pub fn take_dead_ends(&mut self, now: ClockTime) -> Vec<DeadEnd> {
-        let mut dying = self.dying.take_due(now);
-        dying.retain(|index| self.silence_of(now, *index).is_some_and(|known| known.is_dead));
+    pub fn drain_flow_resets(&mut self, now: ClockTime) -> Vec<FlowReset> {
+        let mut dying = self.dead_backends.drain_due(now);
+        dying.retain(|index| self.unanswered_state(now, *index).is_some_and(|known| known.is_dead));
         // What waited during a pause may hold signs of life.
-        let is_sure = !self.is_catching_up && !self.is_in_doubt;
-        let is_sure = is_sure && !self.is_lossy() && self.has(RouterMechanism::IdleEnds);
+        let is_sure = !self.is_catching_up && !self.is_awaiting_confirmation;
+        let is_sure =
+            is_sure && !self.is_lossy() && self.has_mechanism(RouterMechanism::IdleResets);
         let mut ends = Vec::new();
         for index in dying.iter().filter(|_| is_sure) {
             ends.extend(self.dead_ends_of(now, *index, MOST_ENDS - ends.len()));
         }
-        dying.into_iter().for_each(|index| self.dying.add(index));
+        dying.into_iter().for_each(|index| self.dead_backends.add(index));
         for end in &ends {
             self.end_track(now, &end.key);
         }
@@ -73,18 +74,18 @@
 
     /// Why a flow that stalls is ended, if it is; `known` is what else was found unanswered by
     /// its backend server.
-    pub(crate) fn end_of(
+    pub(crate) fn stalled_reset_reason(
         &self,
         now: ClockTime,
         index: usize,
         stall: FlowStall,
-        known: Option<KnownSilence>,
-    ) -> Option<EndReason> {
+        known: Option<UnansweredState>,
+    ) -> Option<ResetReason> {
         // What is read after a pause was sent nobody knows when.
-        if self.is_catching_up || !self.has(RouterMechanism::StalledEnds) {
+        if self.is_catching_up || !self.has_mechanism(RouterMechanism::StalledResets) {
             return None;
         }
-        if self.is_lossy() && stall.copies < LOSSY_COPIES {
+        if self.is_lossy() && stall.retransmissions < LOSSY_COPIES {
             return None;
         }
         let Some(mut known) = known else { return self.end_in_silent_centre(now, index, stall) };
@@ -103,14 +104,14 @@
         now: ClockTime,
         index: usize,
         stall: FlowStall,
-    ) -> Option<EndReason> {
-        if !stall.is_lost || !self.has(RouterMechanism::CentreEnds) {
+    ) -> Option<ResetReason> {
+        if !stall.is_lost || !self.has_mechanism(RouterMechanism::CentreResets) {
             return None;
         }
         let silent_backends = self.silent_around(now, index);
         let waited_ms = stall.waited_ms;
         (silent_backends >= CENTRE_SILENCES)
-            .then_some(EndReason::CentreSilent { waited_ms, silent_backends })
+            .then_some(ResetReason::CentreSilent { waited_ms, silent_backends })
     }
 
     /// Other backend servers of a data centre that were found silent lately, here or by peers;
@@ -120,15 +121,15 @@
         let is_around =
             |other: &&Backend| other.data_centre == own.data_centre && other.number != own.number;
         let around = || self.backends.iter().filter(is_around);
-        let silences = around().filter_map(|other| other.health.recent_silence(now));
+        let silences = around().filter_map(|other| other.health.recent_unanswered_since(now));
         let (count, first) = silences
             .fold((0, ClockTime::MAX), |(count, first), silent| (count + 1, first.min(silent)));
-        let is_alive = around().any(|other| other.seen_at.is_some_and(|seen| seen > first));
+        let is_alive = around().any(|other| other.answered_at.is_some_and(|seen| seen > first));
         if is_alive { 0 } else { count }
     }
 
-    fn dead_ends_of(&self, now: ClockTime, index: usize, most: usize) -> Vec<DeadEnd> {
-        let Some(silent_at) = self.silence_of(now, index).map(|known| known.silent_at) else {
+    fn dead_ends_of(&self, now: ClockTime, index: usize, most: usize) -> Vec<FlowReset> {
+        let Some(silent_at) = self.unanswered_state(now, index).map(|known| known.silent_at) else {
             return Vec::new();
         };
         if !self.has_own_way(index, silent_at) {
@@ -136,30 +137,30 @@
         }
         let time_of = |key: &FlowKey| self.request_time(key);
         let held = self.tracks.held_flows(now, index, time_of);
-        let may_end = |flow: &HeldFlow| match flow.state {
+        let may_end = |flow: &OpenFlow| match flow.state {
             FlowState::Idle => true,
             FlowState::Waiting => {
-                self.has(RouterMechanism::WaitingEnds) && self.may_repeat(&flow.key)
+                self.has_mechanism(RouterMechanism::WaitingResets) && self.may_repeat(&flow.key)
             }
         };
-        let mut flows: Vec<HeldFlow> = held.filter(may_end).collect();
+        let mut flows: Vec<OpenFlow> = held.filter(may_end).collect();
         // Callers that may not ask again lose most, then those that wait.
-        let rank = |flow: &HeldFlow| {
+        let rank = |flow: &OpenFlow| {
             (self.may_repeat(&flow.key), flow.state == FlowState::Idle, flow.since)
         };
         flows.sort_by_key(rank);
         flows.truncate(most);
         let millis = |at: ClockTime| now.since(at).as_millis() as u64;
-        let (silent_ms, end) = (millis(silent_at), |flow: HeldFlow, reason| DeadEnd {
+        let (silent_ms, end) = (millis(silent_at), |flow: OpenFlow, reason| FlowReset {
             key: flow.key,
             received: flow.received,
             backend: index,
             reason,
         });
-        let reason = |flow: &HeldFlow| match flow.state {
-            FlowState::Idle => EndReason::IdleAtDead { idle_ms: millis(flow.since), silent_ms },
+        let reason = |flow: &OpenFlow| match flow.state {
+            FlowState::Idle => ResetReason::IdleAtDead { idle_ms: millis(flow.since), silent_ms },
             FlowState::Waiting => {
-                EndReason::WaitingAtDead { waited_ms: millis(flow.since), silent_ms }
+                ResetReason::WaitingAtDead { waited_ms: millis(flow.since), silent_ms }
             }
         };
         flows.into_iter().map(|flow| end(flow, reason(&flow))).collect()
@@ -170,14 +171,14 @@
     fn has_own_way(&self, index: usize, silent_at: ClockTime) -> bool {
         let silent = self.backends.get(index).map(|backend| backend.number);
         self.backends.iter().any(|other| {
-            Some(other.number) != silent && other.seen_at.is_some_and(|seen| seen > silent_at)
+            Some(other.number) != silent && other.answered_at.is_some_and(|seen| seen > silent_at)
         })
     }
 
     /// Time in milliseconds after which a request on a flow is over for its caller.
     fn request_time(&self, key: &FlowKey) -> u64 {
         let told = self.routes.find(&key.service).map(|route| route.timeout_ms);
-        told.filter(|millis| *millis > 0).unwrap_or(self.idle_ms)
+        told.filter(|millis| *millis > 0).unwrap_or(self.idle_timeout_ms)
     }
 
     fn may_repeat(&self, key: &FlowKey) -> bool {
@@ -185,10 +186,10 @@
     }
 
     /// What is known of a backend server's silence.
-    pub(crate) fn silence_of(&self, now: ClockTime, index: usize) -> Option<KnownSilence> {
+    pub(crate) fn unanswered_state(&self, now: ClockTime, index: usize) -> Option<UnansweredState> {
         let health = &self.backends.get(index)?.health;
-        let silent_at = health.silent_at()?;
-        Some(KnownSilence { silent_at, is_dead: health.is_dead(now) })
+        let silent_at = health.unanswered_since()?;
+        Some(UnansweredState { silent_at, is_dead: health.is_dead(now) })
     }
 }
 
@@ -199,13 +200,13 @@
 /// though others could answer them. A false alarm breaks a flow that lives. It takes the
 /// loss of an opening packet and its caller's copy, or of three copies of a flow's data,
 /// of every sign of life since, and of this flow's data: of three copies, or of two if
-/// the silence had lasted for [`LOST_MS`] before or told of a death. A flow that is alone
+/// the silence had lasted for [`DATA_LOSS_MS`] before or told of a death. A flow that is alone
 /// with its backend server ends by the fourth copy, as the third speaks for the silence.
-fn loss(now: ClockTime, stall: FlowStall, known: KnownSilence) -> Option<EndReason> {
+fn loss(now: ClockTime, stall: FlowStall, known: UnansweredState) -> Option<ResetReason> {
     let silent_ms = now.since(known.silent_at).as_millis() as u64;
-    let is_old_silence = silent_ms >= stall.waited_ms + LOST_MS;
+    let is_old_silence = silent_ms >= stall.waited_ms + DATA_LOSS_MS;
     if !stall.is_lost && !is_old_silence && !known.is_dead {
         return None;
     }
-    Some(EndReason::BackendSilent { waited_ms: stall.waited_ms, silent_ms })
+    Some(ResetReason::BackendSilent { waited_ms: stall.waited_ms, silent_ms })
 }
--- a/crates/foxledge-flows/src/groups.rs
+++ b/crates/foxledge-flows/src/groups.rs
@@ -13,7 +13,7 @@
     /// The data centre.
     pub data_centre: CentreName,
     /// Indexes of the backend servers.
-    pub members: Vec<usize>,
+    pub backends: Vec<usize>,
     /// Rises with every change of these.
     pub version: u64,
 }
@@ -41,7 +41,7 @@
     /// Adds a backend server to its group; returns the group's index.
     pub fn add(&mut self, service: &ServiceName, centre: &CentreName, member: usize) -> usize {
         let group = self.place(service, centre);
-        self.groups[group].members.push(member);
+        self.groups[group].backends.push(member);
         self.groups[group].version += 1;
         group
     }
@@ -49,7 +49,7 @@
     /// Removes a backend server from its group.
     pub fn remove(&mut self, group: usize, member: usize) {
         if let Some(group) = self.groups.get_mut(group) {
-            group.members.retain(|other| *other != member);
+            group.backends.retain(|other| *other != member);
             group.version += 1;
         }
     }
@@ -90,7 +90,7 @@
         }
         let group = self.groups.len();
         let data_centre = centre.clone();
-        self.groups.push(BackendGroup { service, data_centre, members: Vec::new(), version: 0 });
+        self.groups.push(BackendGroup { service, data_centre, backends: Vec::new(), version: 0 });
         self.services[service].groups.push(group);
         group
     }
--- a/crates/foxledge-flows/src/health.rs
+++ b/crates/foxledge-flows/src/health.rs
@@ -11,7 +11,7 @@
 ///
 /// Long enough for the caller's first resend at 200 ms to confirm or refute it;
 /// a false alarm after a lost datagram costs one backend server for that long.
-pub const SUSPECT_MS: u64 = 300;
+pub const SUSPICION_TIMEOUT_MS: u64 = 300;
 /// First time without new flows after confirmed silence, in milliseconds.
 ///
 /// Each return risks one caller's 200 ms until its resend. The platform drops the
@@ -28,57 +28,59 @@
 /// that live again.
 const DEAD_MS: u64 = 3_000;
 
-/// `NoteKind` is what one instance tells others of a backend server.
+/// `ObservationKind` is what one instance tells others of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum NoteKind {
+pub enum ObservationKind {
     /// A new flow wasn't answered as fast as others are.
     Suspect,
     /// Several signs of silence.
     Ejected,
     /// A new flow stayed unanswered though the caller sent its opening packet again.
-    Silent,
+    #[serde(rename = "silent")]
+    OpeningUnanswered,
     /// Data of an open flow stayed unanswered though the caller sent it again and again.
-    Lost,
+    #[serde(rename = "lost")]
+    DataUnanswered,
     /// It answers again.
     Alive,
 }
 
-impl NoteKind {
+impl ObservationKind {
     /// The kind's word in metrics.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            NoteKind::Suspect => "suspect",
-            NoteKind::Ejected => "ejected",
-            NoteKind::Silent => "silent",
-            NoteKind::Lost => "lost",
-            NoteKind::Alive => "alive",
+            ObservationKind::Suspect => "suspect",
+            ObservationKind::Ejected => "ejected",
+            ObservationKind::OpeningUnanswered => "silent",
+            ObservationKind::DataUnanswered => "lost",
+            ObservationKind::Alive => "alive",
         }
     }
 }
 
-/// `HealthNote` is one instance's observation of one backend server.
+/// `HealthObservation` is one instance's observation of one backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HealthNote {
+pub struct HealthObservation {
     /// The number of the backend server.
     pub number: u64,
     /// Which start of it was observed.
     pub incarnation: u64,
     /// What was observed.
-    pub kind: NoteKind,
+    pub kind: ObservationKind,
     /// When, on the clock of this process.
-    pub at: ClockTime,
+    pub observed_at: ClockTime,
 }
 
-/// `SilenceWitness` is what stayed unanswered although its caller sent it again.
+/// `UnansweredPacket` is what stayed unanswered although its caller sent it again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SilenceWitness {
+pub enum UnansweredPacket {
     /// An opening packet.
     Opening,
     /// Data of a flow that hasn't witnessed before.
-    Flow,
+    Data,
     /// Data of a flow that has, or where packets are lost on all ways.
-    DoubtedFlow,
+    UncertainData,
 }
 
 /// Time that each instance has for its trial of an ejected backend server, in
@@ -87,7 +89,7 @@
 /// When all try at the end of the ejection, each trial costs a caller 200 ms: of 64
 /// instances before 33 dead backend servers, 2,000 flows in one second. In turn, the
 /// first failure spares the others theirs, and the first success ends the ejection.
-pub const TRIAL_MS: u64 = 60;
+pub const TRIAL_SLOT_MS: u64 = 60;
 
 /// `HealthState` is what is believed of one backend server.
 #[derive(Clone, Copy, Debug, Default)]
@@ -101,7 +103,7 @@
     alive_at: ClockTime,
     strikes: u32,
     /// When something was first found unanswered since the last sign of life.
-    silent_at: Option<ClockTime>,
+    unanswered_since: Option<ClockTime>,
     /// Opening packets that stayed unanswered since then.
     silent_openings: u32,
     /// Open flows whose data stayed unanswered since then.
@@ -128,7 +130,7 @@
 
 impl HealthState {
     /// Of a process that became known at `now`: what was sent before was sent to another.
-    pub fn since(now: ClockTime) -> HealthState {
+    pub fn started_at(now: ClockTime) -> HealthState {
         HealthState { alive_at: now, ..HealthState::default() }
     }
 
@@ -147,22 +149,22 @@
     }
 
     /// Takes a sign of life; returns the news for others, if it is any.
-    pub fn on_alive(&mut self, now: ClockTime) -> Option<NoteKind> {
+    pub fn on_alive(&mut self, now: ClockTime) -> Option<ObservationKind> {
         let was_ejected = self.ejections > 0;
-        *self = HealthState::since(now);
-        was_ejected.then_some(NoteKind::Alive)
+        *self = HealthState::started_at(now);
+        was_ejected.then_some(ObservationKind::Alive)
     }
 
     /// Takes an answer to something asked at `asked`, which came nobody knows when.
-    pub fn on_life_since(&mut self, asked: ClockTime) {
-        if self.silent_at.is_some_and(|silent| silent < asked) {
-            self.forget_silence();
+    pub fn on_answer_since(&mut self, asked: ClockTime) {
+        if self.unanswered_since.is_some_and(|silent| silent < asked) {
+            self.clear_unanswered();
         }
     }
 
     /// Forgets what stayed unanswered, as nobody knows what was answered meanwhile.
-    pub fn forget_silence(&mut self) {
-        (self.silent_at, self.silent_openings, self.lost_flows) = (None, 0, 0);
+    pub fn clear_unanswered(&mut self) {
+        (self.unanswered_since, self.silent_openings, self.lost_flows) = (None, 0, 0);
     }
 
     /// True when it is surely dead, or out of reach: data of an open flow stayed unanswered
@@ -189,7 +191,7 @@
         now: ClockTime,
         sent: ClockTime,
         turn_ms: u64,
-    ) -> Option<NoteKind> {
+    ) -> Option<ObservationKind> {
         if self.alive_at > sent {
             return None;
         }
@@ -198,37 +200,38 @@
         if self.strikes > 1 || self.ejections > 0 || self.is_suspect(now) {
             return self.confirm(now, turn_ms);
         }
-        self.suspect_until = now.after_millis(SUSPECT_MS);
-        Some(NoteKind::Suspect)
+        self.suspect_until = now.after_millis(SUSPICION_TIMEOUT_MS);
+        Some(ObservationKind::Suspect)
     }
 
     /// Takes what was sent at `sent` and not answered although its caller sent it again.
-    pub fn on_silence(
+    pub fn on_unanswered(
         &mut self,
         now: ClockTime,
         sent: ClockTime,
-        witness: SilenceWitness,
+        witness: UnansweredPacket,
         turn_ms: u64,
-    ) -> Option<NoteKind> {
+    ) -> Option<ObservationKind> {
         if self.alive_at > sent {
             return None;
         }
-        let is_news = self.silent_at.is_none();
+        let is_news = self.unanswered_since.is_none();
         let is_ejected = self.confirm(now, turn_ms).is_some();
-        self.silent_at.get_or_insert(now);
+        self.unanswered_since.get_or_insert(now);
         (self.evidence_at, self.against_at) = (now, now);
         match witness {
-            SilenceWitness::Opening => {
+            UnansweredPacket::Opening => {
                 self.silent_openings += 1;
-                (self.silent_openings == 1 || is_ejected).then_some(NoteKind::Silent)
+                (self.silent_openings == 1 || is_ejected)
+                    .then_some(ObservationKind::OpeningUnanswered)
             }
-            SilenceWitness::Flow => {
+            UnansweredPacket::Data => {
                 self.lost_flows += 1;
                 // Two suffice at every instance.
-                (self.lost_flows <= 2 || is_ejected).then_some(NoteKind::Lost)
+                (self.lost_flows <= 2 || is_ejected).then_some(ObservationKind::DataUnanswered)
             }
-            SilenceWitness::DoubtedFlow if is_news => Some(NoteKind::Silent),
-            SilenceWitness::DoubtedFlow => is_ejected.then_some(NoteKind::Ejected),
+            UnansweredPacket::UncertainData if is_news => Some(ObservationKind::OpeningUnanswered),
+            UnansweredPacket::UncertainData => is_ejected.then_some(ObservationKind::Ejected),
         }
     }
 
@@ -237,23 +240,23 @@
     }
 
     /// When something was first found unanswered, if nothing was heard of it since.
-    pub fn silent_at(&self) -> Option<ClockTime> {
-        self.silent_at
+    pub fn unanswered_since(&self) -> Option<ClockTime> {
+        self.unanswered_since
     }
 
     /// When something was first found unanswered, if the newest of it was found lately and
     /// nothing was heard of it since.
-    pub fn recent_silence(&self, now: ClockTime) -> Option<ClockTime> {
-        self.silent_at.filter(|_| !self.evidence_at.after_millis(DEAD_MS).is_past(now))
+    pub fn recent_unanswered_since(&self, now: ClockTime) -> Option<ClockTime> {
+        self.unanswered_since.filter(|_| !self.evidence_at.after_millis(DEAD_MS).is_past(now))
     }
 
     /// Ejects it unless it is, and again after the failed trial of any instance.
-    fn confirm(&mut self, now: ClockTime, turn_ms: u64) -> Option<NoteKind> {
+    fn confirm(&mut self, now: ClockTime, turn_ms: u64) -> Option<ObservationKind> {
         if !self.trials_from.is_past(now) {
             return None;
         }
         self.eject(now, turn_ms);
-        Some(NoteKind::Ejected)
+        Some(ObservationKind::Ejected)
     }
 
     /// Takes an observation of another instance.
@@ -261,37 +264,40 @@
     /// Notes come late. A sign of life from before the newest evidence refutes what is older
     /// than itself and leaves the rest: else one that was on its way when a backend server died
     /// makes the dead one look healthy and idle, and all new flows go there.
-    pub fn on_note(&mut self, now: ClockTime, note: &HealthNote, turn_ms: u64) {
-        if note.at <= self.alive_at {
+    pub fn on_observation(&mut self, now: ClockTime, note: &HealthObservation, turn_ms: u64) {
+        if note.observed_at <= self.alive_at {
             return;
         }
-        if note.kind != NoteKind::Alive {
-            self.against_at = self.against_at.max(note.at);
+        if note.kind != ObservationKind::Alive {
+            self.against_at = self.against_at.max(note.observed_at);
         }
         match note.kind {
-            NoteKind::Alive if note.at < self.against_at => self.alive_at = note.at,
-            NoteKind::Alive => *self = HealthState::since(note.at),
-            NoteKind::Suspect => {
-                let is_second = self.is_suspect(note.at);
-                self.suspect_until = self.suspect_until.max(note.at.after_millis(SUSPECT_MS));
+            ObservationKind::Alive if note.observed_at < self.against_at => {
+                self.alive_at = note.observed_at
+            }
+            ObservationKind::Alive => *self = HealthState::started_at(note.observed_at),
+            ObservationKind::Suspect => {
+                let is_second = self.is_suspect(note.observed_at);
+                self.suspect_until =
+                    self.suspect_until.max(note.observed_at.after_millis(SUSPICION_TIMEOUT_MS));
                 if is_second {
                     self.confirm(now, turn_ms);
                 }
             }
-            NoteKind::Silent => {
+            ObservationKind::OpeningUnanswered => {
                 self.silent_openings += 1;
-                self.on_told_silence(now, note.at, turn_ms);
+                self.on_told_silence(now, note.observed_at, turn_ms);
             }
-            NoteKind::Lost => {
+            ObservationKind::DataUnanswered => {
                 self.lost_flows += 1;
-                self.on_told_silence(now, note.at, turn_ms);
+                self.on_told_silence(now, note.observed_at, turn_ms);
             }
-            NoteKind::Ejected => drop(self.confirm(now, turn_ms)),
+            ObservationKind::Ejected => drop(self.confirm(now, turn_ms)),
         }
     }
 
     fn on_told_silence(&mut self, now: ClockTime, at: ClockTime, turn_ms: u64) {
-        self.silent_at = Some(self.silent_at.map_or(at, |known| known.min(at)));
+        self.unanswered_since = Some(self.unanswered_since.map_or(at, |known| known.min(at)));
         self.evidence_at = self.evidence_at.max(at);
         self.confirm(now, turn_ms);
     }
--- a/crates/foxledge-flows/src/latency.rs
+++ b/crates/foxledge-flows/src/latency.rs
@@ -23,7 +23,7 @@
 
 impl LatencyGauge {
     /// Takes the time of one answer.
-    pub fn take(&mut self, now: ClockTime, latency: Duration) {
+    pub fn record_answer(&mut self, now: ClockTime, latency: Duration) {
         let sample = latency.as_micros() as f64;
         // What was learned long ago counts less against a new answer.
         let weight = 1.0 - (1.0 - WEIGHT) * self.remains(now);
--- a/crates/foxledge-flows/src/lib.rs
+++ b/crates/foxledge-flows/src/lib.rs
@@ -10,33 +10,33 @@
 //! Everything here is decision logic: packets, rows and the time go in,
 //! decisions come out.
 
-mod absent;
 mod backend_table;
 mod backends;
 mod candidates;
 mod cold;
+mod dead_backends;
 mod decisions;
-mod dying;
-mod ends;
 mod evacuations;
-mod evidence;
+mod flow_resets;
 mod groups;
-mod held_config;
 mod latency;
-mod learning;
 mod list_rows;
+mod list_updates;
 mod load_control;
-mod losses;
+mod load_exchange;
+mod loss_gauge;
 mod mechanisms;
 mod new_flows;
-mod openings;
+mod observations;
 mod options;
-mod placing;
+mod pending_openings;
+mod retained_config;
 mod router;
 mod routes;
-mod steering;
+mod selection;
 mod tracks;
-mod turns;
+mod trial_delays;
+mod unknown_tokens;
 
 pub mod health;
 pub mod list;
@@ -47,24 +47,24 @@
 pub mod source;
 
 pub use backend_table::BackendTable;
-pub use backends::{Backend, BackendNews, token_of};
-pub use cold::{ColdQuota, ColdRules, FlowWindow, NeighbourView};
+pub use backends::{Backend, BackendEvent, token_of};
+pub use cold::{CentrePeers, ColdQuota, ColdRules, FlowWindow};
 pub use decisions::{
-    DeadEnd, DropReason, EndReason, FlowDecision, FlowExplanation, FlowStall, OpenReason,
-    RefuseReason, RouterCounts,
+    DropReason, FlowDecision, FlowExplanation, FlowReset, FlowStall, OpenReason, RefuseReason,
+    ResetReason, RouterCounters,
 };
-pub use evacuations::{Evacuation, EvacuationChange, EvacuationNews};
-pub use health::{HealthClass, HealthNote, HealthState, NoteKind, SilenceWitness};
-pub use held_config::HeldConfig;
+pub use evacuations::{Evacuation, EvacuationChange, EvacuationEvent};
+pub use health::{HealthClass, HealthObservation, HealthState, ObservationKind, UnansweredPacket};
 pub use latency::LatencyGauge;
 pub use list::FleetList;
 pub use load_control::{
-    AdmissionBasis, CentreLoad, LoadChange, LoadExplanation, LoadNews, LoadReport,
+    AdmissionBasis, CentreLoad, LoadChange, LoadEvent, LoadExplanation, LoadReport,
 };
 pub use mechanisms::{MechanismSet, RouterMechanism};
 pub use options::RouterOptions;
 pub use packet::{FlowKey, FlowPacket, PacketCodec, PacketKind};
 pub use placement::{LeastLoaded, PlacementPolicy};
+pub use retained_config::RetainedConfig;
 pub use router::FlowRouter;
 pub use routes::{FlowRoute, flow_hash};
 pub use source::{ConfigReading, ItemChange, ListReading, ListSource, SourceError};
--- a/crates/foxledge-flows/src/list.rs
+++ b/crates/foxledge-flows/src/list.rs
@@ -32,15 +32,15 @@
 /// Most gaps that are remembered; of older ones the changes are told no longer.
 const MOST_GAPS: usize = 8;
 
-/// `ChangeReach` is how a list can tell the changes since a revision.
+/// `ChangeCoverage` is how a list can tell the changes since a revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ChangeReach {
+pub enum ChangeCoverage {
     /// Every change.
-    Full,
+    Complete,
     /// What differs, but for what came and went within a gap.
-    OverGap,
+    AcrossGap,
     /// Not at all: a whole copy is needed.
-    None,
+    Unavailable,
 }
 
 /// `ListCursor` is a place in the order of changes.
@@ -54,7 +54,7 @@
 
 impl ListCursor {
     /// The place after every row of `revision`.
-    pub fn after(revision: u64) -> ListCursor {
+    pub fn after_revision(revision: u64) -> ListCursor {
         // No key sorts behind this one, as keys are ASCII.
         ListCursor { revision, key: Arc::from("\u{10ffff}") }
     }
@@ -124,20 +124,20 @@
     }
 
     /// How the changes after `revision` can be told to an instance that knows the list up to it.
-    pub fn reach_of(&self, revision: u64) -> ChangeReach {
+    pub fn coverage_since(&self, revision: u64) -> ChangeCoverage {
         if revision < self.floor || self.gaps.iter().any(|gap| gap.holds(revision)) {
-            return ChangeReach::None;
+            return ChangeCoverage::Unavailable;
         }
         match self.gaps.iter().any(|gap| revision <= gap.after) {
-            true => ChangeReach::OverGap,
-            false => ChangeReach::Full,
+            true => ChangeCoverage::AcrossGap,
+            false => ChangeCoverage::Complete,
         }
     }
 
     /// True when rows are known that changed after the revision up to which all are.
     ///
     /// Pages of a whole reading are no snapshot: the later ones may hold newer rows.
-    pub fn is_uneven(&self) -> bool {
+    pub fn has_rows_past_head(&self) -> bool {
         self.order.last().is_some_and(|(revision, _)| *revision > self.head)
     }
 
@@ -148,7 +148,7 @@
 
     /// True when routes are known, so that flows can be placed.
     pub fn has_routes(&self) -> bool {
-        self.holds(LIMITS_KEY)
+        self.contains(LIMITS_KEY)
     }
 
     /// Number of rows, removed ones included.
@@ -167,7 +167,7 @@
     }
 
     /// Takes what changed up to `head`; returns the rows that were new here.
-    pub fn take_changes(&mut self, now: ClockTime, rows: Vec<ListRow>, head: u64) -> Vec<ListRow> {
+    pub fn apply_changes(&mut self, now: ClockTime, rows: Vec<ListRow>, head: u64) -> Vec<ListRow> {
         let known = self.head;
         let news: Vec<_> = rows.into_iter().filter(|row| row.revision > known).collect();
         let taken = news.into_iter().filter_map(|row| self.put(now, row)).collect();
@@ -177,9 +177,14 @@
 
     /// Takes what changed up to `head`, as told over a gap by an instance that read the list
     /// whole; returns the rows that were new here.
-    pub fn take_over_gap(&mut self, now: ClockTime, rows: Vec<ListRow>, head: u64) -> Vec<ListRow> {
+    pub fn apply_changes_across_gap(
+        &mut self,
+        now: ClockTime,
+        rows: Vec<ListRow>,
+        head: u64,
+    ) -> Vec<ListRow> {
         let former = self.head;
-        let taken = self.take_changes(now, rows, head);
+        let taken = self.apply_changes(now, rows, head);
         self.note_gap(former);
         taken
     }
@@ -188,7 +193,7 @@
     ///
     /// A copy that isn't newer than what is known is passed over. `floor` is that of whoever
     /// made the copy.
-    pub fn take_copy(
+    pub fn apply_snapshot(
         &mut self,
         now: ClockTime,
         rows: Vec<ListRow>,
@@ -216,7 +221,7 @@
     }
 
     /// Turns a whole reading of the store into rows and takes them.
-    pub fn take_reading(&mut self, now: ClockTime, reading: ListReading) -> Vec<ListRow> {
+    pub fn apply_reading(&mut self, now: ClockTime, reading: ListReading) -> Vec<ListRow> {
         if reading.head < self.head {
             return Vec::new();
         }
@@ -245,17 +250,17 @@
     }
 
     /// Turns a part of a reading into rows and takes none of them.
-    pub fn preview(&self, items: Vec<ItemChange>) -> Vec<ListRow> {
+    pub fn partial_rows(&self, items: Vec<ItemChange>) -> Vec<ListRow> {
         items.into_iter().flat_map(|item| self.rows_of(item)).collect()
     }
 
     /// True when a row of this key is in the list and not gone.
-    pub fn holds(&self, key: &str) -> bool {
+    pub fn contains(&self, key: &str) -> bool {
         self.rows.get(key).is_some_and(|row| !is_removed(row))
     }
 
     /// Turns changes of the store into rows and takes them.
-    pub fn take_watch(&mut self, now: ClockTime, reading: ListReading) -> Vec<ListRow> {
+    pub fn apply_watch(&mut self, now: ClockTime, reading: ListReading) -> Vec<ListRow> {
         let known = self.head;
         let is_news = |item: &ItemChange| item.revision() > known;
         let news = reading.items.into_iter().filter(is_news).collect();
@@ -265,7 +270,7 @@
     }
 
     /// Backend servers that are gone and still remembered, of the numbers that are meant.
-    pub fn vanished(&self, now: ClockTime, is_meant: impl Fn(u64) -> bool) -> Vec<ListRow> {
+    pub fn removed_backends(&self, now: ClockTime, is_meant: impl Fn(u64) -> bool) -> Vec<ListRow> {
         let known = self.removed.keys().filter_map(|key| self.rows.get(key));
         let meant = known.filter(|row| vanished_number(row).is_some_and(&is_meant));
         let mut rows: Vec<_> = meant.map(|row| self.aged(now, row)).collect();
@@ -275,7 +280,7 @@
 
     /// Takes backend servers that were gone before this list knew them; returns those. What the
     /// list says of a key stands: an older word of it mustn't come back.
-    pub fn take_vanished(&mut self, now: ClockTime, rows: Vec<ListRow>) -> Vec<ListRow> {
+    pub fn apply_removed_backends(&mut self, now: ClockTime, rows: Vec<ListRow>) -> Vec<ListRow> {
         let news = rows.into_iter().filter(|row| vanished_number(row).is_some());
         let news: Vec<_> = news.filter(|row| !self.rows.contains_key(row.key.as_str())).collect();
         news.into_iter().filter_map(|row| self.put(now, row)).collect()
@@ -283,11 +288,11 @@
 
     /// Rows after a cursor, in order of changes, up to `budget` encoded bytes but one at least.
     pub fn page(&self, now: ClockTime, cursor: &ListCursor, budget: usize) -> ListPage {
-        self.page_by(now, cursor, budget, |row| row.encoded_len() + ROW_FRAME)
+        self.page_with_size(now, cursor, budget, |row| row.encoded_len() + ROW_FRAME)
     }
 
     /// The same, with the bytes that each row adds told by `size_of`, in the order of rows.
-    pub fn page_by(
+    pub fn page_with_size(
         &self,
         now: ClockTime,
         cursor: &ListCursor,
@@ -313,7 +318,7 @@
     }
 
     /// Forgets removals that are older than any open flow.
-    pub fn forget_removed(&mut self, now: ClockTime) {
+    pub fn remove_expired(&mut self, now: ClockTime) {
         let old: Vec<_> = self
             .removed
             .iter()
@@ -385,14 +390,14 @@
                 revision,
                 value: Some(RowValue::Backend(backend)),
             }],
-            ItemChange::BackendGone { revision, id } => self.gone(&backend_key(&id), revision),
+            ItemChange::BackendRemoved { revision, id } => self.gone(&backend_key(&id), revision),
             ItemChange::EvacuationBegun { revision, data_centre } => {
                 vec![evacuation(revision, data_centre)]
             }
             ItemChange::EvacuationEnded { revision, data_centre } => {
                 self.gone(&evacuation_key(&data_centre), revision)
             }
-            ItemChange::BackendRefused { revision, id, .. } => {
+            ItemChange::BackendInvalid { revision, id, .. } => {
                 vec![retirement(backend_key(&id), revision)]
             }
             ItemChange::Malformed { .. } => Vec::new(),
@@ -418,9 +423,12 @@
             .into_iter()
             .map(|route| (route_key(&route.name), RowValue::Route(route)));
         let services = config.services.into_iter().map(|service| {
-            (service_key(&service.name), RowValue::extension(&ExtensionValue::Service(service)))
+            (
+                service_key(&service.name),
+                RowValue::from_extension(&ExtensionValue::Service(service)),
+            )
         });
-        let refused = config.refused_services.iter();
+        let refused = config.invalid_services.iter();
         listed.extend(refused.map(|service| service_key(&service.name)));
         for (key, value) in routes.chain(services).chain([limits]) {
             let known = self.rows.get(key.as_str()).and_then(|row| row.value.as_ref());
--- a/crates/foxledge-flows/src/list_rows.rs
+++ b/crates/foxledge-flows/src/list_rows.rs
@@ -41,12 +41,12 @@
 pub(crate) fn item_row_key(item: &ItemChange) -> Option<String> {
     match item {
         ItemChange::Backend { id, .. } => Some(backend_key(id)),
-        ItemChange::BackendRefused { id, .. } => Some(backend_key(id)),
+        ItemChange::BackendInvalid { id, .. } => Some(backend_key(id)),
         ItemChange::EvacuationBegun { data_centre, .. } => Some(evacuation_key(data_centre)),
         ItemChange::Malformed { .. }
         | ItemChange::Config { .. }
         | ItemChange::EvacuationEnded { .. }
-        | ItemChange::BackendGone { .. } => None,
+        | ItemChange::BackendRemoved { .. } => None,
     }
 }
 
@@ -55,7 +55,7 @@
     match &row.value {
         Some(RowValue::Backend(_)) => true,
         Some(RowValue::Extension(row)) => {
-            matches!(row.value(), Some(ExtensionValue::Evacuation(_)))
+            matches!(row.decode(), Some(ExtensionValue::Evacuation(_)))
         }
         _ => false,
     }
@@ -65,7 +65,7 @@
 pub(crate) fn is_of_config(row: &ListRow) -> bool {
     match &row.value {
         Some(RowValue::Route(_)) => true,
-        Some(RowValue::Extension(row)) => matches!(row.value(), Some(ExtensionValue::Service(_))),
+        Some(RowValue::Extension(row)) => matches!(row.decode(), Some(ExtensionValue::Service(_))),
         _ => false,
     }
 }
@@ -74,7 +74,7 @@
 pub(crate) fn evacuation(revision: u64, data_centre: String) -> ListRow {
     let key = evacuation_key(&data_centre);
     let value = ExtensionValue::Evacuation(EvacuationRow { data_centre });
-    ListRow { key, revision, value: Some(RowValue::extension(&value)) }
+    ListRow { key, revision, value: Some(RowValue::from_extension(&value)) }
 }
 
 /// The number of a backend server that is gone.
--- a/crates/foxledge-flows/src/load_control/mod.rs
+++ b/crates/foxledge-flows/src/load_control/mod.rs
@@ -15,7 +15,7 @@
 use foxledge_load::{LoadView, LocalLoad, ServiceLoad};
 
 use crate::{
-    cold::NeighbourView,
+    cold::CentrePeers,
     groups::{GroupCounts, GroupTable},
     load_control::{
         account_samples::AccountSamples,
@@ -23,7 +23,7 @@
     },
 };
 
-pub use reports::{AdmissionBasis, CentreLoad, LoadChange, LoadExplanation, LoadNews, LoadReport};
+pub use reports::{AdmissionBasis, CentreLoad, LoadChange, LoadEvent, LoadExplanation, LoadReport};
 pub(crate) use service_plan::ServiceRoutes;
 pub(crate) use subsets::GroupSubset;
 
@@ -63,7 +63,7 @@
     pressure: f64,
     /// When usable slots are looked at again.
     slots_due_at: ClockTime,
-    news: Vec<LoadNews>,
+    news: Vec<LoadEvent>,
 }
 
 /// `LoadBasis` is the last load view and until when it may be relied on.
@@ -204,7 +204,7 @@
     }
 
     /// Lets usable slots be looked at anew with the next view, as the list changed.
-    pub fn renew_slots(&mut self) {
+    pub fn invalidate_slots(&mut self) {
         self.slots_due_at = ClockTime::ZERO;
     }
 
@@ -238,7 +238,7 @@
         for plan in &mut self.plans {
             plan.update(now, &basis, self.is_overflow_on);
             for change in plan.take_changes() {
-                self.news.push(LoadNews { change, report: plan.report(parts, age_ms) });
+                self.news.push(LoadEvent { change, report: plan.report(parts, age_ms) });
             }
         }
         let pressures = self.plans.iter().map(|plan| plan.pressure(&self.data_centre));
@@ -258,7 +258,7 @@
     pub fn renew_subsets(
         &mut self,
         groups: &GroupTable,
-        neighbours: &NeighbourView,
+        neighbours: &CentrePeers,
         members_of: impl Fn(usize) -> Vec<(usize, u64)>,
     ) {
         self.subsets.resize_with(groups.groups().len(), GroupSubset::default);
@@ -343,7 +343,7 @@
     }
 
     /// Changes since the last call.
-    pub fn take_news(&mut self) -> Vec<LoadNews> {
+    pub fn take_news(&mut self) -> Vec<LoadEvent> {
         std::mem::take(&mut self.news)
     }
 
--- a/crates/foxledge-flows/src/load_control/reports.rs
+++ b/crates/foxledge-flows/src/load_control/reports.rs
@@ -18,14 +18,16 @@
     /// Slots that the requests of its own callers need, wherever they are served.
     pub demand: f64,
     /// Share of this instance's new flows that overflow sends there, from 0 to 1.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub overflow_share: f64,
     /// True when the view has a load of it.
-    pub is_heard: bool,
+    #[serde(rename = "is_heard")]
+    pub has_report: bool,
 }
 
 impl CentreLoad {
     /// Requests a slot; 0 without slots.
-    pub fn load(&self) -> f64 {
+    pub fn load_ratio(&self) -> f64 {
         if self.slots > 0.0 { self.running / self.slots } else { 0.0 }
     }
 }
@@ -36,7 +38,8 @@
     /// The service.
     pub service: ServiceName,
     /// Requests a slot over the data centres that may serve it and were heard of.
-    pub load: f64,
+    #[serde(rename = "load")]
+    pub load_ratio: f64,
     /// Slots that the requests of all callers need.
     pub demand: f64,
     /// Usable slots of the data centres that may serve it and were heard of.
@@ -46,14 +49,18 @@
     /// True while it is short of slots, as it is logged.
     pub is_short: bool,
     /// Share of each priority's new flows that is admitted; empty without shortage.
-    pub admitted: BTreeMap<u32, f64>,
+    #[serde(rename = "admitted")]
+    pub admitted_shares: BTreeMap<u32, f64>,
     /// New flows of each priority that were refused for shortage or account share since the
     /// start.
-    pub refused: BTreeMap<u32, u64>,
+    #[serde(rename = "refused")]
+    pub refused_flows: BTreeMap<u32, u64>,
     /// Instances whose load the view of the own data centre rests on.
-    pub parts: u32,
+    #[serde(rename = "parts")]
+    pub reporting_instances: u32,
     /// Age of the view in milliseconds, that of its newest part; none without a view.
-    pub age_ms: Option<u64>,
+    #[serde(rename = "age_ms")]
+    pub view_age_ms: Option<u64>,
 }
 
 /// `LoadChange` is what began or ended for a service.
@@ -72,7 +79,7 @@
 
 impl LoadChange {
     /// The change's word in logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             LoadChange::ShortageBegun => "shortage_begun",
             LoadChange::ShortageEnded => "shortage_ended",
@@ -82,9 +89,9 @@
     }
 }
 
-/// `LoadNews` is a change with the load that it rests on.
+/// `LoadEvent` is a change with the load that it rests on.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct LoadNews {
+pub struct LoadEvent {
     /// What changed.
     pub change: LoadChange,
     /// The load then.
--- a/crates/foxledge-flows/src/load_control/service_plan.rs
+++ b/crates/foxledge-flows/src/load_control/service_plan.rs
@@ -169,7 +169,7 @@
     /// Requests a slot in a data centre.
     pub fn load_of(&self, centre: &CentreName) -> f64 {
         let known = self.centres.iter().find(|one| one.data_centre == *centre);
-        known.map_or(0.0, CentreLoad::load)
+        known.map_or(0.0, CentreLoad::load_ratio)
     }
 
     /// Share of new flows that overflow sends to a data centre.
@@ -184,7 +184,7 @@
         let near = self.centres.iter().find(|one| one.data_centre == *own);
         let slots: f64 = self.slots.values().sum();
         match near {
-            Some(near) if near.slots > 0.0 => near.load(),
+            Some(near) if near.slots > 0.0 => near.load_ratio(),
             Some(near) if slots > 0.0 => near.demand / slots,
             _ => 0.0,
         }
@@ -217,15 +217,17 @@
         let policy = self.admission.as_ref();
         LoadReport {
             service: self.name.clone(),
-            load: if slots > 0.0 { running / slots } else { 0.0 },
+            load_ratio: if slots > 0.0 { running / slots } else { 0.0 },
             demand,
             slots,
             centres: self.centres.clone(),
             is_short: self.is_short(),
-            admitted: policy.map(|policy| policy.admitted_shares().clone()).unwrap_or_default(),
-            refused: self.refused.clone(),
-            parts,
-            age_ms,
+            admitted_shares: policy
+                .map(|policy| policy.admitted_shares().clone())
+                .unwrap_or_default(),
+            refused_flows: self.refused.clone(),
+            reporting_instances: parts,
+            view_age_ms: age_ms,
         }
     }
 
@@ -241,8 +243,8 @@
             slots: self.slots.get(name).copied().unwrap_or(0.0),
             running: demand.running_in(name),
             demand: demand.of_centre(name),
-            share: 0.0,
-            is_heard: view.centres.contains_key(name),
+            overflow_share: 0.0,
+            has_report: view.centres.contains_key(name),
         };
         names.into_iter().map(load_of).collect()
     }
@@ -252,7 +254,7 @@
             self.overflow = None;
             return;
         }
-        let heard = self.centres.iter().filter(|one| one.is_heard);
+        let heard = self.centres.iter().filter(|one| one.has_report);
         let rooms: Vec<CentreCapacity> = heard
             .map(|one| CentreCapacity {
                 data_centre: one.data_centre.clone(),
@@ -263,7 +265,7 @@
         let plan = self.overflow.get_or_insert_with(|| OverflowPlan::new(own.clone()));
         plan.update(now, &rooms);
         for centre in &mut self.centres {
-            centre.share = plan.shares().get(&centre.data_centre).copied().unwrap_or(0.0);
+            centre.overflow_share = plan.shares().get(&centre.data_centre).copied().unwrap_or(0.0);
         }
     }
 
@@ -304,7 +306,7 @@
     /// Slots and requests of the data centres that may serve and were heard of, and the demand of
     /// all callers.
     fn totals(&self) -> (f64, f64, f64) {
-        let serving = || self.centres.iter().filter(|one| one.is_heard && one.slots > 0.0);
+        let serving = || self.centres.iter().filter(|one| one.has_report && one.slots > 0.0);
         let slots = serving().map(|one| one.slots).sum();
         let running = serving().map(|one| one.running).sum();
         (slots, running, self.centres.iter().map(|one| one.demand).sum())
--- a/crates/foxledge-flows/src/steering.rs
+++ b/crates/foxledge-flows/src/load_exchange.rs
@@ -18,7 +18,7 @@
     decisions::RefuseReason,
     groups::BackendGroup,
     latency::usual_us,
-    load_control::{AdmissionBasis, LoadExplanation, LoadNews, LoadReport, ServiceRoutes},
+    load_control::{AdmissionBasis, LoadEvent, LoadExplanation, LoadReport, ServiceRoutes},
     packet::{FlowKey, FlowPacket, PacketKind},
     placement::{SLOW, SLOWEST},
     router::FlowRouter,
@@ -33,25 +33,27 @@
 impl FlowRouter {
     /// True when the own load should be told and the load of all be set; asked after each batch
     /// of packets. Never while load control is off.
-    pub fn load_due(&self, now: ClockTime) -> bool {
-        let running = self.tracks.running().total() + self.openings.under_way().total();
+    pub fn is_load_report_due(&self, now: ClockTime) -> bool {
+        let running =
+            self.tracks.running_requests().total() + self.openings.pending_by_group().total();
         self.load.is_due(now, running)
     }
 
     /// What this instance sees of each service's load; sets when it is due again.
-    pub fn own_load(&mut self, now: ClockTime) -> LocalLoad {
-        self.tracks.expire_requests(now, self.counted_request_ms);
-        let (running, under_way) = (self.tracks.running(), self.openings.under_way());
+    pub fn collect_local_load(&mut self, now: ClockTime) -> LocalLoad {
+        self.tracks.expire_requests(now, self.request_expiry_ms);
+        let (running, under_way) =
+            (self.tracks.running_requests(), self.openings.pending_by_group());
         self.load.own_load(now, self.backends.groups(), running, under_way)
     }
 
     /// The largest load of a service in the own data centre by the last view, in requests a slot.
-    pub fn pressure(&self) -> f64 {
+    pub fn load_ratio(&self) -> f64 {
         self.load.pressure()
     }
 
     /// Takes the load of all data centres as it is now.
-    pub fn set_load(&mut self, now: ClockTime, view: Arc<LoadView>) {
+    pub fn apply_load_view(&mut self, now: ClockTime, view: Arc<LoadView>) {
         if !self.load.is_on() {
             return;
         }
@@ -60,14 +62,14 @@
         let backends = &self.backends;
         let number = |index: usize| backends.get(index).map(|backend| backend.number);
         let members_of = |group: usize| {
-            let members = backends.groups().groups()[group].members.iter().copied();
+            let members = backends.groups().groups()[group].backends.iter().copied();
             members.filter_map(|index| Some((index, number(index)?))).collect()
         };
-        self.load.renew_subsets(backends.groups(), &self.neighbours, members_of);
+        self.load.renew_subsets(backends.groups(), &self.centre_peers, members_of);
     }
 
     /// Shortages and overflows that began or ended since the last call.
-    pub fn take_load_news(&mut self) -> Vec<LoadNews> {
+    pub fn drain_load_events(&mut self) -> Vec<LoadEvent> {
         self.load.take_news()
     }
 
@@ -89,14 +91,14 @@
         route: &FlowRoute,
         service: &ServiceName,
     ) -> Option<RefuseReason> {
-        let is_first = packet.kind == PacketKind::Open { copy: 0 };
-        if !self.load.is_on() || !is_first || self.tracks.holds(&packet.key) {
+        let is_first = packet.kind == PacketKind::Open { attempt: 0 };
+        if !self.load.is_on() || !is_first || self.tracks.contains(&packet.key) {
             return None;
         }
         let service = self.backends.groups().service_index(service)?;
         let opening = opening_of(route, &packet.key);
         self.load.sample(service, opening.caller, flow_hash(&packet.key));
-        if self.doubt(now).is_some() {
+        if self.list_doubt(now).is_some() {
             return None;
         }
         let reason = match self.load.admit(now, service, &opening) {
@@ -118,7 +120,7 @@
     ) -> Option<LoadExplanation> {
         let service = self.backends.groups().service_index(service)?;
         let report = self.load.report(now, service)?;
-        let (verdict, basis) = match self.doubt(now) {
+        let (verdict, basis) = match self.list_doubt(now) {
             Some(_) => (AdmissionDecision::Admitted, AdmissionBasis::ListDoubt),
             None => (
                 self.load.admit(now, service, &opening_of(route, key)),
@@ -140,13 +142,13 @@
             return;
         }
         let (routes, counted_ms) = self.routes_by_service();
-        self.counted_request_ms = counted_ms;
+        self.request_expiry_ms = counted_ms;
         let services = self.backends.groups().services().iter();
         let found = services.map(|service| {
             let routes = routes.get(&service.name).cloned().unwrap_or_default();
             let groups =
                 || service.groups.iter().map(|group| &self.backends.groups().groups()[*group]);
-            let members = groups().flat_map(|group| &group.members);
+            let members = groups().flat_map(|group| &group.backends);
             let known = members.filter_map(|index| self.backends.get(*index));
             let usual = usual_us(known.filter_map(|backend| backend.latency.mean_us()));
             let slots_of = |group: &BackendGroup| self.usable_slots(now, group, &routes, usual);
@@ -172,7 +174,7 @@
         let mut longest_ms = 0;
         for route in self.routes.iter() {
             let time_ms = match (route.aim_ms, route.timeout_ms) {
-                (0, 0) => self.idle_ms,
+                (0, 0) => self.idle_timeout_ms,
                 (0, timeout_ms) => timeout_ms,
                 (aim_ms, _) => (AIMS_COUNTED * aim_ms).max(LEAST_COUNTED_MS),
             };
@@ -181,7 +183,7 @@
                 by_service.entry(service.clone()).or_default().add(route);
             }
         }
-        (by_service, if longest_ms > 0 { longest_ms } else { self.idle_ms })
+        (by_service, if longest_ms > 0 { longest_ms } else { self.idle_timeout_ms })
     }
 
     /// Slots of a group's backend servers that new flows can use.
@@ -195,10 +197,10 @@
         usual: f64,
     ) -> f64 {
         let centre = &group.data_centre;
-        if self.evacuations.holds(centre) || !routes.allow(self.options.regions.get(centre)) {
+        if self.evacuations.contains(centre) || !routes.allow(self.options.regions.get(centre)) {
             return 0.0;
         }
-        let members = group.members.iter().filter_map(|index| self.backends.get(*index));
+        let members = group.backends.iter().filter_map(|index| self.backends.get(*index));
         let slots = members.filter(|backend| self.is_usable(now, backend)).map(|backend| {
             f64::from(backend.slots) / counted_slowness(backend.latency.slowness(now, usual))
         });
@@ -209,11 +211,11 @@
     /// alarms come in numbers when a network holds packets up, and slots that seem lost would
     /// make it look like a shortage.
     fn is_usable(&self, now: ClockTime, backend: &Backend) -> bool {
-        backend.takes_flows(now, self.confirmed_at) && !backend.health.is_dead(now)
+        backend.accepts_new_flows(now, self.confirmed_at) && !backend.health.is_dead(now)
     }
 
     /// Takes the time of an answer into the work time of its service.
-    pub(crate) fn learn_work(
+    pub(crate) fn record_work_time(
         &mut self,
         now: ClockTime,
         index: usize,
@@ -233,7 +235,7 @@
     }
 
     /// Counts a request that began.
-    pub(crate) fn count_arrival(&mut self, now: ClockTime, index: usize, priority: Option<u32>) {
+    pub(crate) fn record_arrival(&mut self, now: ClockTime, index: usize, priority: Option<u32>) {
         let Some(backend) = self.backends.get(index) else { return };
         let Some(priority) = priority.filter(|_| self.load.is_on()) else { return };
         self.load.arrived(now, self.backends.groups(), backend.group, priority);
--- a/crates/foxledge-flows/src/losses.rs
+++ b/crates/foxledge-flows/src/loss_gauge.rs
@@ -20,7 +20,7 @@
 
 impl LossGauge {
     /// Takes an answered request, whose data was sent again so often.
-    pub fn take(&mut self, copies: u32) {
+    pub fn record_request(&mut self, copies: u32) {
         let sample = if copies > 0 { 1.0 } else { 0.0 };
         self.share += WEIGHT * (sample - self.share);
     }
--- a/crates/foxledge-flows/src/mechanisms.rs
+++ b/crates/foxledge-flows/src/mechanisms.rs
@@ -10,23 +10,23 @@
     /// After that, one flow at a time tries it.
     Probation,
     /// What other instances observe counts.
-    PeerNotes,
+    PeerObservations,
     /// Instances try ejected backend servers in turn.
-    TrialTurns,
+    TrialDelays,
     /// Flows that wait at a dead backend server are ended.
-    StalledEnds,
+    StalledResets,
     /// Flows at rest at a dead backend server are ended.
-    IdleEnds,
+    IdleResets,
     /// Requests that wait there and may be repeated are ended before they are sent again.
-    WaitingEnds,
+    WaitingResets,
     /// Flows that wait in a data centre that answers nobody are ended.
-    CentreEnds,
+    CentreResets,
     /// Packets of open flows that an instance can't place yet are handed to another.
     Relays,
     /// Silence on lossy ways counts less.
     LossDoubt,
     /// Copies of an opening within 150 ms go where the first went.
-    CopyWindow,
+    RetransmissionWindow,
     /// Backend servers that take long for answers get less.
     Slowness,
     /// Those that have just started get less.
@@ -41,15 +41,15 @@
         RouterMechanism::Suspicion,
         RouterMechanism::Ejection,
         RouterMechanism::Probation,
-        RouterMechanism::PeerNotes,
-        RouterMechanism::TrialTurns,
-        RouterMechanism::StalledEnds,
-        RouterMechanism::IdleEnds,
-        RouterMechanism::WaitingEnds,
-        RouterMechanism::CentreEnds,
+        RouterMechanism::PeerObservations,
+        RouterMechanism::TrialDelays,
+        RouterMechanism::StalledResets,
+        RouterMechanism::IdleResets,
+        RouterMechanism::WaitingResets,
+        RouterMechanism::CentreResets,
         RouterMechanism::Relays,
         RouterMechanism::LossDoubt,
-        RouterMechanism::CopyWindow,
+        RouterMechanism::RetransmissionWindow,
         RouterMechanism::Slowness,
         RouterMechanism::Cold,
         RouterMechanism::Distance,
@@ -61,15 +61,15 @@
             RouterMechanism::Suspicion => "suspicion",
             RouterMechanism::Ejection => "ejection",
             RouterMechanism::Probation => "probation",
-            RouterMechanism::PeerNotes => "peer-notes",
-            RouterMechanism::TrialTurns => "trial-turns",
-            RouterMechanism::StalledEnds => "stalled-ends",
-            RouterMechanism::IdleEnds => "idle-ends",
-            RouterMechanism::WaitingEnds => "waiting-ends",
-            RouterMechanism::CentreEnds => "centre-ends",
+            RouterMechanism::PeerObservations => "peer-notes",
+            RouterMechanism::TrialDelays => "trial-turns",
+            RouterMechanism::StalledResets => "stalled-ends",
+            RouterMechanism::IdleResets => "idle-ends",
+            RouterMechanism::WaitingResets => "waiting-ends",
+            RouterMechanism::CentreResets => "centre-ends",
             RouterMechanism::Relays => "relays",
             RouterMechanism::LossDoubt => "loss-doubt",
-            RouterMechanism::CopyWindow => "copy-window",
+            RouterMechanism::RetransmissionWindow => "copy-window",
             RouterMechanism::Slowness => "slowness",
             RouterMechanism::Cold => "cold",
             RouterMechanism::Distance => "distance",
@@ -77,7 +77,7 @@
     }
 
     /// The mechanism of that name.
-    pub fn by_name(name: &str) -> Option<RouterMechanism> {
+    pub fn from_name(name: &str) -> Option<RouterMechanism> {
         RouterMechanism::ALL.into_iter().find(|mechanism| mechanism.as_str() == name)
     }
 }
--- a/crates/foxledge-flows/src/new_flows.rs
+++ b/crates/foxledge-flows/src/new_flows.rs
@@ -5,10 +5,10 @@
 use foxledge_core::{names::ServiceName, time::ClockTime};
 
 use crate::{
-    backends::LAPSE_MS,
+    backends::REMOVAL_GRACE_MS,
     candidates::{FlowBarrier, FlowPlacement, NewFlow},
     decisions::{DropReason, FlowDecision, OpenReason, RefuseReason},
-    health::SilenceWitness,
+    health::UnansweredPacket,
     mechanisms::RouterMechanism,
     packet::FlowPacket,
     router::FlowRouter,
@@ -29,20 +29,20 @@
             return self.refuse(now, RefuseReason::NoRoute);
         };
         if copy > 0 {
-            self.counts.copies += 1;
+            self.counters.retransmitted_openings += 1;
         }
         let reason = |rank, candidates| OpenReason {
             route: Arc::from(route.name.as_str()),
             route_revision: route.revision,
-            copy,
+            attempt: copy,
             rank,
             candidates,
             overflow_to: None,
         };
         let former = self.openings.get(&packet.key).copied();
         if let Some(opening) = former {
-            let is_same = !opening.sent.after_millis(COPY_MS).is_past(now);
-            if is_same && self.has(RouterMechanism::CopyWindow) {
+            let is_same = !opening.sent_at.after_millis(COPY_MS).is_past(now);
+            if is_same && self.has_mechanism(RouterMechanism::RetransmissionWindow) {
                 if !self.count_cold(now, opening.backend) {
                     return FlowDecision::Drop(DropReason::ColdLimit);
                 }
@@ -50,11 +50,11 @@
             }
             self.openings.remove(&packet.key);
             self.note_far_silence(opening.backend);
-            self.note(now, opening.backend, |health, turn_ms| {
-                health.on_silence(now, opening.sent, SilenceWitness::Opening, turn_ms)
+            self.observe_health(now, opening.backend, |health, turn_ms| {
+                health.on_unanswered(now, opening.sent_at, UnansweredPacket::Opening, turn_ms)
             });
         }
-        let service = route.service_of(&packet.key).clone();
+        let service = route.service_for(&packet.key).clone();
         let avoided = former.map(|opening| opening.backend);
         if former.is_none()
             && let Some(reason) = self.load_refusal(now, packet, &route, &service)
@@ -67,15 +67,15 @@
             return self.refuse_unserved(now, &service, barrier);
         };
         self.count_cold(now, index);
-        self.picks += 1;
+        self.placement_count += 1;
         let mut group = 0;
         if let Some(backend) = self.backends.get_mut(index) {
-            backend.picked = self.picks;
+            backend.last_placement = self.placement_count;
             group = backend.group;
-            self.evacuations.count(&backend.data_centre);
+            self.evacuations.record_flow(&backend.data_centre);
         }
         match self.is_catching_up {
-            true => self.openings.add_unjudged(now, packet.key, index, group),
+            true => self.openings.add_untimed(now, packet.key, index, group),
             false => self.openings.add(now, packet.key, index, group),
         }
         let reason = OpenReason { overflow_to, ..reason(Some(rank), candidates.len()) };
@@ -96,8 +96,10 @@
         if let Some(barrier) = barrier {
             return self.refuse(now, RefuseReason::of_barrier(barrier));
         }
-        let is_unknown = self.backends.of_service(service).is_empty();
-        let is_new = self.sure_since.is_none_or(|at| !at.after_millis(LAPSE_MS).is_past(now));
+        let is_unknown = self.backends.service_indexes(service).is_empty();
+        let is_new = self
+            .first_confirmed_at
+            .is_none_or(|at| !at.after_millis(REMOVAL_GRACE_MS).is_past(now));
         if is_unknown && is_new {
             return FlowDecision::Drop(DropReason::MaybeStale);
         }
@@ -114,10 +116,10 @@
         let Some(quota) = limits.and_then(|limits| self.options.cold.quota(limits)) else {
             return true;
         };
-        if !backend.cold_flows.has_room(now, quota.flows) {
+        if !backend.cold_flows.has_capacity(now, quota.flows) {
             return false;
         }
-        backend.cold_flows.add(now);
+        backend.cold_flows.record_flow(now);
         true
     }
 
@@ -125,7 +127,7 @@
     fn note_far_silence(&mut self, index: usize) {
         let backend = self.backends.get(index);
         if backend.is_some_and(|backend| backend.data_centre != self.options.data_centre) {
-            self.far_silences = self.far_silences.saturating_add(1);
+            self.remote_timeouts = self.remote_timeouts.saturating_add(1);
         }
     }
 
@@ -135,16 +137,17 @@
     /// lately that its list is the newest refuses. Others stay silent: a copy of
     /// the packet may find what is missing here, or has found it already.
     fn refuse(&self, now: ClockTime, reason: RefuseReason) -> FlowDecision {
-        match self.doubt(now) {
+        match self.list_doubt(now) {
             Some(doubt) => FlowDecision::Drop(doubt),
             None => FlowDecision::Refuse(reason),
         }
     }
 
     /// Why this instance can't be sure that its list is the newest; none when it can.
-    pub(crate) fn doubt(&self, now: ClockTime) -> Option<DropReason> {
+    pub(crate) fn list_doubt(&self, now: ClockTime) -> Option<DropReason> {
         let Some(confirmed) = self.confirmed_at else { return Some(DropReason::NoList) };
-        let is_old = confirmed.after_millis(self.options.fresh_ms).is_past(now);
-        (self.is_in_doubt || self.is_catching_up || is_old).then_some(DropReason::MaybeStale)
+        let is_old = confirmed.after_millis(self.options.max_list_age_ms).is_past(now);
+        (self.is_awaiting_confirmation || self.is_catching_up || is_old)
+            .then_some(DropReason::MaybeStale)
     }
 }
--- a/crates/foxledge-flows/src/options.rs
+++ b/crates/foxledge-flows/src/options.rs
@@ -20,7 +20,7 @@
     pub(crate) regions: HashMap<CentreName, RegionName>,
     pub(crate) cold: ColdRules,
     pub(crate) address: SocketAddrV4,
-    pub(crate) fresh_ms: u64,
+    pub(crate) max_list_age_ms: u64,
     pub(crate) seed: u64,
     pub(crate) without: MechanismSet,
     pub(crate) overflow: bool,
@@ -35,7 +35,7 @@
             regions: HashMap::new(),
             cold: ColdRules::default(),
             address: SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0),
-            fresh_ms: 2_000,
+            max_list_age_ms: 2_000,
             seed: 0,
             without: MechanismSet::default(),
             overflow: false,
@@ -64,8 +64,8 @@
     /// Sets how old the store's confirmation of the list may be, in
     /// milliseconds, for a flow to be refused; when it is older, the
     /// caller gets no answer and a copy of its packet may be served.
-    pub fn fresh_ms(mut self, fresh_ms: u64) -> RouterOptions {
-        self.fresh_ms = fresh_ms;
+    pub fn max_list_age_ms(mut self, fresh_ms: u64) -> RouterOptions {
+        self.max_list_age_ms = fresh_ms;
         self
     }
 
--- a/crates/foxledge-flows/src/packet.rs
+++ b/crates/foxledge-flows/src/packet.rs
@@ -6,10 +6,10 @@
 
 /// Bytes that a receiver leaves free in front of a packet, for what
 /// [`PacketCodec::address_to`] writes there.
-pub const HEADROOM: usize = 8;
+pub const HEADROOM_BYTES: usize = 8;
 
 /// Largest packet, head included, in bytes; longer datagrams are malformed.
-pub const LARGEST_PACKET: usize = 1_400;
+pub const MAX_PACKET_BYTES: usize = 1_400;
 
 /// `FlowKey` names one flow: the caller's end and the service's end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -32,7 +32,7 @@
     /// Opens the flow; `copy` counts resends of the opening packet, from 0.
     Open {
         /// 0 for the first, 1 and 2 for its resends.
-        copy: u32,
+        attempt: u32,
     },
     /// Belongs to a flow that the caller holds open.
     Continue,
@@ -78,7 +78,7 @@
 
 impl PacketFault {
     /// The fault's word in metrics.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             PacketFault::Short => "short",
             PacketFault::Long => "long",
@@ -95,14 +95,14 @@
     /// # Errors
     ///
     /// A [`PacketFault`] when the datagram isn't a packet of a caller.
-    fn read(&self, datagram: &[u8]) -> Result<FlowPacket, PacketFault>;
+    fn parse_packet(&self, datagram: &[u8]) -> Result<FlowPacket, PacketFault>;
 
-    /// Writes the intended backend server into the [`HEADROOM`] of `frame`.
-    fn address_to(&self, frame: &mut [u8], backend: u64);
+    /// Writes the intended backend server into the [`HEADROOM_BYTES`] of `frame`.
+    fn set_backend(&self, frame: &mut [u8], backend: u64);
 
-    /// Writes the token into a frame whose packet starts at [`HEADROOM`].
+    /// Writes the token into a frame whose packet starts at [`HEADROOM_BYTES`].
     fn set_token(&self, frame: &mut [u8], token: u32);
 
     /// The packet that refuses the opening packet `packet`, or ends its open flow.
-    fn refusal(&self, packet: &FlowPacket) -> Vec<u8>;
+    fn reset_packet(&self, packet: &FlowPacket) -> Vec<u8>;
 }
--- a/crates/foxledge-flows/src/placement.rs
+++ b/crates/foxledge-flows/src/placement.rs
@@ -11,40 +11,43 @@
     /// Its index.
     pub index: usize,
     /// What is believed of its health.
-    pub class: HealthClass,
+    pub health: HealthClass,
     /// Openings that wait for its answer.
-    pub waiting: u32,
+    pub pending_openings: u32,
     /// True when it left an earlier copy of the caller's opening packet unanswered.
-    pub is_stuck: bool,
+    pub is_unresponsive: bool,
     /// True in the data centre of this instance.
-    pub is_near: bool,
+    pub is_same_centre: bool,
     /// Requests that run there.
-    pub running: u32,
+    pub running_requests: u32,
     /// Requests that it runs at once.
     pub slots: u32,
     /// How many times as long as usual its answers take, in hundredths from 100 up.
-    pub slowness: u32,
+    pub slowness_percent: u32,
     /// True while it has just started and is slow.
     pub is_cold: bool,
     /// True when slots are scarce and it is left to other instances.
-    pub is_outside: bool,
+    pub is_outside_subset: bool,
     /// Open flows there.
-    pub flows: u32,
+    pub open_flows: u32,
     /// Counter of the last placement there.
-    pub picked: u64,
+    pub last_placement: u64,
 }
 
 /// `PlacementRank` is by what a candidate is chosen, the least first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct PlacementRank {
     /// Health, the caller's own failed attempt included.
-    pub avoidance: u8,
+    #[serde(rename = "avoidance")]
+    pub health_penalty: u8,
     /// Load and distance as one cost.
     pub cost: u32,
     /// Open flows.
-    pub flows: u32,
+    #[serde(rename = "flows")]
+    pub open_flows: u32,
     /// The longest unused goes first.
-    pub picked: u64,
+    #[serde(rename = "picked")]
+    pub last_placement: u64,
 }
 
 /// `PlacementPolicy` chooses among candidates.
@@ -116,34 +119,38 @@
             PlacementBound::Outside => OUTSIDE_COST,
             PlacementBound::Far => FAR_COST,
         };
-        rank.avoidance == 0 && rank.cost <= beyond + REQUEST_COST / slots.max(1)
+        rank.health_penalty == 0 && rank.cost <= beyond + REQUEST_COST / slots.max(1)
     }
 }
 
 fn rank(candidate: &PlacementCandidate) -> PlacementRank {
     // The flow itself is counted, so that a slow backend server costs more also when idle.
-    let requests = candidate.running + candidate.waiting + 1;
-    let slowness = if candidate.slowness < SLOW { 100 } else { candidate.slowness.min(SLOWEST) };
+    let requests = candidate.running_requests + candidate.pending_openings + 1;
+    let slowness = if candidate.slowness_percent < SLOW {
+        100
+    } else {
+        candidate.slowness_percent.min(SLOWEST)
+    };
     let busy = requests * REQUEST_COST / candidate.slots.max(1) * slowness / 100;
     let cold = if candidate.is_cold { COLD_COST } else { 0 };
-    let far = if candidate.is_near { 0 } else { FAR_COST };
-    let outside = if candidate.is_outside { OUTSIDE_COST } else { 0 };
+    let far = if candidate.is_same_centre { 0 } else { FAR_COST };
+    let outside = if candidate.is_outside_subset { OUTSIDE_COST } else { 0 };
     PlacementRank {
-        avoidance: avoidance(candidate),
+        health_penalty: avoidance(candidate),
         cost: busy + cold + far + outside,
-        flows: candidate.flows,
-        picked: candidate.picked,
+        open_flows: candidate.open_flows,
+        last_placement: candidate.last_placement,
     }
 }
 
 fn avoidance(candidate: &PlacementCandidate) -> u8 {
-    let by_health = match candidate.class {
+    let by_health = match candidate.health {
         HealthClass::Healthy => 0,
         // One flow at a time tries a backend server that was silent.
-        HealthClass::Probation if candidate.waiting == 0 => 0,
+        HealthClass::Probation if candidate.pending_openings == 0 => 0,
         HealthClass::Probation | HealthClass::Suspect => 1,
         HealthClass::Ejected => 3,
     };
-    let by_caller = if candidate.is_stuck { 2 } else { 0 };
+    let by_caller = if candidate.is_unresponsive { 2 } else { 0 };
     by_health.max(by_caller)
 }
--- a/crates/foxledge-flows/src/held_config.rs
+++ b/crates/foxledge-flows/src/retained_config.rs
@@ -11,20 +11,20 @@
     rows::{ListRow, RowValue, is_config_key},
 };
 
-/// `HeldConfig` is the operators' list in force, of an older epoch than the store's.
+/// `RetainedConfig` is the operators' list in force, of an older epoch than the store's.
 #[derive(Clone, Debug)]
-pub struct HeldConfig {
+pub struct RetainedConfig {
     version: u64,
     rows: BTreeMap<String, ListRow>,
 }
 
-impl HeldConfig {
+impl RetainedConfig {
     /// The operators' list that rows tell; none where they tell no version.
-    pub fn of<'a>(rows: impl Iterator<Item = &'a ListRow>) -> Option<HeldConfig> {
+    pub fn from_rows<'a>(rows: impl Iterator<Item = &'a ListRow>) -> Option<RetainedConfig> {
         let rows = rows.filter(|row| is_listed_config(row));
         let rows: BTreeMap<_, _> = rows.map(|row| (row.key.clone(), row.clone())).collect();
         let version = rows.values().find_map(ListRow::config_version)?;
-        Some(HeldConfig { version, rows })
+        Some(RetainedConfig { version, rows })
     }
 
     /// Its version.
@@ -39,7 +39,11 @@
 
     /// Number of rows after a key that have room together, one at least, and whether more follow;
     /// `fits` tells whether one more has room.
-    pub fn page(&self, after: &str, mut fits: impl FnMut(&ListRow) -> bool) -> (usize, bool) {
+    pub fn page_length(
+        &self,
+        after: &str,
+        mut fits: impl FnMut(&ListRow) -> bool,
+    ) -> (usize, bool) {
         let from = (Bound::Excluded(after), Bound::Unbounded);
         let mut count = 0;
         for (_, row) in self.rows.range::<str, _>(from) {
@@ -57,7 +61,7 @@
     }
 
     /// The rows that lead from it to another, with those that are gone removed at `revision`.
-    pub fn changes_to(&self, other: &HeldConfig, revision: u64) -> Vec<ListRow> {
+    pub fn changes_to(&self, other: &RetainedConfig, revision: u64) -> Vec<ListRow> {
         let is_new =
             |row: &&ListRow| self.rows.get(&row.key).is_none_or(|known| known.value != row.value);
         let mut changes: Vec<_> = other.rows().filter(is_new).cloned().collect();
--- a/crates/foxledge-flows/src/revisions.rs
+++ b/crates/foxledge-flows/src/revisions.rs
@@ -10,13 +10,13 @@
 /// Bits of a revision that hold the store's own number.
 const NUMBER_BITS: u32 = 40;
 /// Largest number of a change within an epoch.
-pub const LARGEST_NUMBER: u64 = (1 << NUMBER_BITS) - 1;
+pub const MAX_NUMBER: u64 = (1 << NUMBER_BITS) - 1;
 /// Largest epoch of a store's history.
-pub const LARGEST_EPOCH: u64 = u64::MAX >> NUMBER_BITS;
+pub const MAX_EPOCH: u64 = u64::MAX >> NUMBER_BITS;
 
 /// The revision of a change by its number in an epoch; larger ones count as the largest.
 pub fn revision_of(epoch: u64, number: u64) -> u64 {
-    epoch.min(LARGEST_EPOCH) << NUMBER_BITS | number.min(LARGEST_NUMBER)
+    epoch.min(MAX_EPOCH) << NUMBER_BITS | number.min(MAX_NUMBER)
 }
 
 /// The epoch of a revision.
@@ -26,7 +26,7 @@
 
 /// The store's own number of a revision.
 pub fn number_of(revision: u64) -> u64 {
-    revision & LARGEST_NUMBER
+    revision & MAX_NUMBER
 }
 
 /// Writes a revision as people find it in the store.
--- a/crates/foxledge-flows/src/router.rs
+++ b/crates/foxledge-flows/src/router.rs
@@ -5,25 +5,25 @@
 use foxledge_core::time::ClockTime;
 
 use crate::{
-    absent::AbsentTokens,
     backend_table::BackendTable,
-    backends::{Backend, BackendNews},
+    backends::{Backend, BackendEvent},
     candidates::{FlowPlacement, NewFlow},
-    cold::{NeighbourView, ServiceTable},
-    decisions::{DropReason, FlowDecision, FlowExplanation, RouterCounts},
-    dying::DyingList,
-    evacuations::{EvacuationNews, EvacuationTable},
-    health::HealthNote,
+    cold::{CentrePeers, ServiceTable},
+    dead_backends::DeadBackends,
+    decisions::{DropReason, FlowDecision, FlowExplanation, RouterCounters},
+    evacuations::{EvacuationEvent, EvacuationTable},
+    health::HealthObservation,
     load_control::LoadControl,
-    losses::LossGauge,
+    loss_gauge::LossGauge,
     mechanisms::RouterMechanism,
-    openings::OpeningTable,
     options::RouterOptions,
     packet::{FlowKey, FlowPacket, PacketKind},
+    pending_openings::OpeningTable,
     placement::{LeastLoaded, PlacementPolicy},
     routes::RouteTable,
     tracks::TrackTable,
-    turns::TrialTurns,
+    trial_delays::TrialDelays,
+    unknown_tokens::UnknownTokens,
 };
 
 /// Idle time of flows while no list says another, in milliseconds.
@@ -35,35 +35,35 @@
     pub(crate) routes: RouteTable,
     pub(crate) services: ServiceTable,
     pub(crate) evacuations: EvacuationTable,
-    pub(crate) neighbours: NeighbourView,
+    pub(crate) centre_peers: CentrePeers,
     pub(crate) backends: BackendTable,
     pub(crate) openings: OpeningTable,
     pub(crate) tracks: TrackTable,
-    pub(crate) dying: DyingList,
+    pub(crate) dead_backends: DeadBackends,
     pub(crate) losses: LossGauge,
-    pub(crate) turns: TrialTurns,
+    pub(crate) trial_delays: TrialDelays,
     pub(crate) policy: Box<dyn PlacementPolicy>,
-    pub(crate) notes: Vec<HealthNote>,
-    pub(crate) news: Vec<BackendNews>,
-    pub(crate) evacuation_news: Vec<EvacuationNews>,
+    pub(crate) observations: Vec<HealthObservation>,
+    pub(crate) backend_events: Vec<BackendEvent>,
+    pub(crate) evacuation_events: Vec<EvacuationEvent>,
     pub(crate) latencies: Vec<Duration>,
-    pub(crate) counts: RouterCounts,
+    pub(crate) counters: RouterCounters,
     pub(crate) confirmed_at: Option<ClockTime>,
     /// When the store first confirmed a list here.
-    pub(crate) sure_since: Option<ClockTime>,
+    pub(crate) first_confirmed_at: Option<ClockTime>,
     /// Since when confirmations have come without a gap in which the store was away.
-    pub(crate) unbroken_since: Option<ClockTime>,
-    pub(crate) absent: AbsentTokens,
+    pub(crate) confirmed_since: Option<ClockTime>,
+    pub(crate) unknown_tokens: UnknownTokens,
     /// Openings left unanswered by backend servers of other data centres since one of them was
     /// last seen alive.
-    pub(crate) far_silences: u32,
-    pub(crate) is_in_doubt: bool,
+    pub(crate) remote_timeouts: u32,
+    pub(crate) is_awaiting_confirmation: bool,
     pub(crate) is_catching_up: bool,
-    pub(crate) idle_ms: u64,
-    pub(crate) picks: u64,
+    pub(crate) idle_timeout_ms: u64,
+    pub(crate) placement_count: u64,
     pub(crate) load: LoadControl,
     /// Time for which a request counts as running at most, in milliseconds.
-    pub(crate) counted_request_ms: u64,
+    pub(crate) request_expiry_ms: u64,
 }
 
 impl FlowRouter {
@@ -72,12 +72,12 @@
         let (centre, admission) = (options.data_centre.clone(), options.admission.clone());
         let load = LoadControl::new(centre, options.overflow, admission);
         let tracks = match load.is_on() {
-            true => TrackTable::counting(),
+            true => TrackTable::with_request_counts(),
             false => TrackTable::default(),
         };
         FlowRouter {
-            turns: TrialTurns::new(options.seed),
-            neighbours: NeighbourView::new(options.address),
+            trial_delays: TrialDelays::new(options.seed),
+            centre_peers: CentrePeers::new(options.address),
             options,
             routes: RouteTable::default(),
             services: ServiceTable::default(),
@@ -85,25 +85,25 @@
             backends: BackendTable::default(),
             openings: OpeningTable::default(),
             tracks,
-            dying: DyingList::default(),
+            dead_backends: DeadBackends::default(),
             losses: LossGauge::default(),
             policy: Box::new(LeastLoaded),
-            notes: Vec::new(),
-            news: Vec::new(),
-            evacuation_news: Vec::new(),
+            observations: Vec::new(),
+            backend_events: Vec::new(),
+            evacuation_events: Vec::new(),
             latencies: Vec::new(),
-            counts: RouterCounts::default(),
+            counters: RouterCounters::default(),
             confirmed_at: None,
-            sure_since: None,
-            unbroken_since: None,
-            absent: AbsentTokens::default(),
-            far_silences: 0,
-            is_in_doubt: false,
+            first_confirmed_at: None,
+            confirmed_since: None,
+            unknown_tokens: UnknownTokens::default(),
+            remote_timeouts: 0,
+            is_awaiting_confirmation: false,
             is_catching_up: false,
-            idle_ms: DEFAULT_IDLE_MS,
-            picks: 0,
+            idle_timeout_ms: DEFAULT_IDLE_MS,
+            placement_count: 0,
             load,
-            counted_request_ms: DEFAULT_IDLE_MS,
+            request_expiry_ms: DEFAULT_IDLE_MS,
         }
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// True unless this router does without a mechanism.
-    pub(crate) fn has(&self, mechanism: RouterMechanism) -> bool {
+    pub(crate) fn has_mechanism(&self, mechanism: RouterMechanism) -> bool {
         !self.options.without.holds(mechanism)
     }
 
@@ -124,8 +124,8 @@
     }
 
     /// What was counted.
-    pub fn counts(&self) -> RouterCounts {
-        self.counts
+    pub fn counters(&self) -> RouterCounters {
+        self.counters
     }
 
     /// The backend server at an index that a decision named.
@@ -134,7 +134,7 @@
     }
 
     /// The backend server of a number.
-    pub fn backend_of(&self, number: u64) -> Option<&Backend> {
+    pub fn backend_by_number(&self, number: u64) -> Option<&Backend> {
         self.backends.get(self.backends.by_number(number)?)
     }
 
@@ -146,7 +146,7 @@
     /// Says where a flow would go now and what a token names, and changes nothing.
     pub fn explain(&mut self, now: ClockTime, key: &FlowKey, token: u32) -> FlowExplanation {
         let route = self.routes.find(&key.service).cloned();
-        let service = route.as_ref().map(|route| route.service_of(key).clone());
+        let service = route.as_ref().map(|route| route.service_for(key).clone());
         let (placement, load) = match (&route, &service) {
             (Some(route), Some(service)) => (
                 self.place(now, &NewFlow { key, route, service, avoided: None }),
@@ -154,11 +154,12 @@
             ),
             _ => (FlowPlacement::default(), None),
         };
-        let fits =
-            |backend: &Backend| route.as_ref().is_some_and(|route| route.allows(&backend.service));
+        let fits = |backend: &Backend| {
+            route.as_ref().is_some_and(|route| route.allows_service(&backend.service))
+        };
         FlowExplanation {
             choice: placement.choice,
-            token_holder: self.backends.by_token(token, fits),
+            token_backend: self.backends.by_token(token, fits),
             load,
             service,
             route,
@@ -167,14 +168,14 @@
     }
 
     /// Flows that are tracked.
-    pub fn tracked_flows(&self) -> usize {
+    pub fn tracked_flow_count(&self) -> usize {
         self.tracks.len()
     }
 
     /// Decides on a packet.
     pub fn on_packet(&mut self, now: ClockTime, packet: &FlowPacket) -> FlowDecision {
         match packet.kind {
-            PacketKind::Open { copy } => self.open(now, packet, copy),
+            PacketKind::Open { attempt: copy } => self.open(now, packet, copy),
             _ => self.follow(now, packet),
         }
     }
@@ -187,32 +188,34 @@
             self.end_track(now, &packet.key);
             return FlowDecision::Drop(DropReason::RouteRemoved);
         }
-        let fits = |backend: &Backend| route.is_some_and(|route| route.allows(&backend.service));
+        let fits =
+            |backend: &Backend| route.is_some_and(|route| route.allows_service(&backend.service));
         let holder = self.backends.by_token(packet.token, fits);
         let may_repeat = route.is_some_and(|route| route.idempotent);
         let priority = route.map(|route| route.priority);
-        let Some(index) = holder else { return self.follow_absent(now, packet, may_repeat) };
+        let Some(index) = holder else { return self.handle_unknown_token(now, packet, may_repeat) };
         if let Some(opening) = self.openings.remove(&packet.key)
             && opening.backend == index
-            && self.backends.get(index).is_some_and(|one| one.known_at <= opening.sent)
+            && self.backends.get(index).is_some_and(|one| one.discovered_at <= opening.sent_at)
         {
-            self.seen_alive(now, index);
+            self.record_alive(now, index);
         }
         if may_repeat
             && packet.length > 0
-            && let Some(reason) = self.end_of_replaced(now, index)
+            && let Some(reason) = self.replaced_reset_reason(now, index)
         {
             self.end_track(now, &packet.key);
-            return FlowDecision::End { backend: index, reason };
+            return FlowDecision::Reset { backend: index, reason };
         }
         // What this packet itself tells is no evidence beside it.
-        let known = self.silence_of(now, index);
-        let stall = self.track(now, packet, index, priority);
-        let reason =
-            stall.filter(|_| may_repeat).and_then(|one| self.end_of(now, index, one, known));
+        let known = self.unanswered_state(now, index);
+        let stall = self.track_packet(now, packet, index, priority);
+        let reason = stall
+            .filter(|_| may_repeat)
+            .and_then(|one| self.stalled_reset_reason(now, index, one, known));
         if let Some(reason) = reason {
             self.end_track(now, &packet.key);
-            return FlowDecision::End { backend: index, reason };
+            return FlowDecision::Reset { backend: index, reason };
         }
         FlowDecision::Forward { backend: index, stall }
     }
--- a/crates/foxledge-flows/src/routes.rs
+++ b/crates/foxledge-flows/src/routes.rs
@@ -39,7 +39,7 @@
 
 impl FlowRoute {
     /// The service of a flow; the same one wherever the flow is decided.
-    pub fn service_of(&self, key: &FlowKey) -> &ServiceName {
+    pub fn service_for(&self, key: &FlowKey) -> &ServiceName {
         let total: u64 = self.shares.iter().map(|(_, weight)| u64::from(*weight)).sum();
         let mut left = match (self.shares.len(), total) {
             (1, _) | (_, 0) => 0,
@@ -55,7 +55,7 @@
     }
 
     /// True when flows may go to `service` by this route.
-    pub fn allows(&self, service: &str) -> bool {
+    pub fn allows_service(&self, service: &str) -> bool {
         self.shares.iter().any(|(name, _)| name.as_str() == service)
     }
 }
@@ -95,7 +95,7 @@
     }
 
     /// Takes a row; rows of other kinds change nothing.
-    pub fn take(&mut self, row: &ListRow) {
+    pub fn apply_row(&mut self, row: &ListRow) {
         match &row.value {
             Some(RowValue::Route(route)) => self.put(row, route),
             Some(RowValue::Removed(_)) => self.remove(&row.key),
--- a/crates/foxledge-flows/src/rows.rs
+++ b/crates/foxledge-flows/src/rows.rs
@@ -82,7 +82,7 @@
 
 impl ExtensionRow {
     /// What the row says; none for kinds that this build doesn't know.
-    pub fn value(&self) -> Option<ExtensionValue> {
+    pub fn decode(&self) -> Option<ExtensionValue> {
         match self.kind {
             EVACUATION_KIND => {
                 EvacuationRow::decode(&*self.body).ok().map(ExtensionValue::Evacuation)
@@ -95,7 +95,7 @@
 
 impl RowValue {
     /// A row that says this.
-    pub fn extension(value: &ExtensionValue) -> RowValue {
+    pub fn from_extension(value: &ExtensionValue) -> RowValue {
         let (kind, body) = match value {
             ExtensionValue::Evacuation(row) => (EVACUATION_KIND, row.encode_to_vec()),
             ExtensionValue::Service(row) => (SERVICE_KIND, row.encode_to_vec()),
@@ -205,7 +205,7 @@
     pub incarnation: u64,
     /// Revision at which its entry was created; 0 when nothing is told.
     #[prost(uint64, tag = "10")]
-    pub created: u64,
+    pub created_revision: u64,
 }
 
 impl BackendRow {
--- a/crates/foxledge-flows/src/placing.rs
+++ b/crates/foxledge-flows/src/selection.rs
@@ -84,7 +84,7 @@
         {
             return Some(placement);
         }
-        let mut indexes = sample(&self.backends.groups().groups()[group].members, hash);
+        let mut indexes = sample(&self.backends.groups().groups()[group].backends, hash);
         indexes.retain(|index| !chosen.contains(index));
         indexes.extend(chosen);
         self.place_among(now, flow, guide, indexes, PlacementBound::Far)
@@ -132,7 +132,7 @@
     ) -> FlowPlacement {
         let shared = group.and_then(|group| self.shared(now, group));
         let view = CandidateView { near, shared, usual };
-        let indexes = self.backends.of_service(flow.service).iter().copied();
+        let indexes = self.backends.service_indexes(flow.service).iter().copied();
         let CandidateSet { candidates, barrier } = self.candidates(now, flow, &view, indexes);
         let choice = self.policy.choose(now, &candidates);
         FlowPlacement { choice, candidates, barrier, overflow_to: None }
@@ -146,7 +146,8 @@
     fn is_served_by(&self, placement: &FlowPlacement, centre: &CentreName) -> bool {
         placement.choice.is_some_and(|(index, rank)| {
             let backend = self.backends.get(index);
-            rank.avoidance == 0 && backend.is_some_and(|backend| backend.data_centre == *centre)
+            rank.health_penalty == 0
+                && backend.is_some_and(|backend| backend.data_centre == *centre)
         })
     }
 }
--- a/crates/foxledge-flows/src/source.rs
+++ b/crates/foxledge-flows/src/source.rs
@@ -19,12 +19,12 @@
     /// Limits of services.
     pub services: Vec<ServiceRow>,
     /// Services whose limits can't be understood, and why: those known before stay in force.
-    pub refused_services: Vec<RefusedService>,
+    pub invalid_services: Vec<InvalidService>,
 }
 
-/// `RefusedService` is a service whose limits can't be understood.
+/// `InvalidService` is a service whose limits can't be understood.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RefusedService {
+pub struct InvalidService {
     /// Its name.
     pub name: String,
     /// What is wrong.
@@ -51,7 +51,7 @@
         backend: BackendRow,
     },
     /// A backend server's entry is gone.
-    BackendGone {
+    BackendRemoved {
         /// Revision of the removal.
         revision: u64,
         /// The backend server's id.
@@ -59,7 +59,7 @@
     },
     /// A backend server's entry that can't be understood: it names none that may get new
     /// flows.
-    BackendRefused {
+    BackendInvalid {
         /// Revision of the item.
         revision: u64,
         /// The id under which it lies.
@@ -98,8 +98,8 @@
         match self {
             ItemChange::Config { revision, .. }
             | ItemChange::Backend { revision, .. }
-            | ItemChange::BackendGone { revision, .. }
-            | ItemChange::BackendRefused { revision, .. }
+            | ItemChange::BackendRemoved { revision, .. }
+            | ItemChange::BackendInvalid { revision, .. }
             | ItemChange::EvacuationBegun { revision, .. }
             | ItemChange::EvacuationEnded { revision, .. }
             | ItemChange::Malformed { revision, .. } => *revision,
@@ -109,14 +109,14 @@
     fn set_epoch(&mut self, epoch: u64) {
         let revision = match self {
             ItemChange::Backend { revision, backend, .. } => {
-                if backend.created > 0 {
-                    backend.created = revision_of(epoch, backend.created);
+                if backend.created_revision > 0 {
+                    backend.created_revision = revision_of(epoch, backend.created_revision);
                 }
                 revision
             }
             ItemChange::Config { revision, .. }
-            | ItemChange::BackendGone { revision, .. }
-            | ItemChange::BackendRefused { revision, .. }
+            | ItemChange::BackendRemoved { revision, .. }
+            | ItemChange::BackendInvalid { revision, .. }
             | ItemChange::EvacuationBegun { revision, .. }
             | ItemChange::EvacuationEnded { revision, .. }
             | ItemChange::Malformed { revision, .. } => revision,
@@ -133,18 +133,18 @@
     /// The store's revision.
     pub head: u64,
     /// Set when there are more items than these.
-    pub is_part: bool,
+    pub is_partial: bool,
 }
 
 impl ListReading {
     /// A reading to which nothing is missing.
-    pub fn whole(items: Vec<ItemChange>, head: u64) -> ListReading {
-        ListReading { items, head, is_part: false }
+    pub fn complete(items: Vec<ItemChange>, head: u64) -> ListReading {
+        ListReading { items, head, is_partial: false }
     }
 
     /// The reading with its revisions in an epoch of the store's history, where they were
     /// the store's own numbers before.
-    pub fn of_epoch(mut self, epoch: u64) -> ListReading {
+    pub fn with_epoch(mut self, epoch: u64) -> ListReading {
         self.head = revision_of(epoch, self.head);
         for item in &mut self.items {
             item.set_epoch(epoch);
@@ -162,9 +162,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadMode {
     /// As new as the store's newest acknowledgement.
-    Newest,
+    Linearizable,
     /// Cheap for the store, and possibly seconds old.
-    MaybeOld,
+    Serializable,
 }
 
 /// `SourceError` is why the store gave no answer that can be used.
@@ -183,7 +183,7 @@
     },
     /// The store turned the call away.
     #[error("turned away with status {0}")]
-    Refused(u16),
+    UnexpectedStatus(u16),
     /// No answer in time.
     #[error("no answer within {0} ms")]
     Timeout(u64),
@@ -197,11 +197,11 @@
 
 impl SourceError {
     /// The error's word in metrics.
-    pub fn word(&self) -> &'static str {
+    pub fn as_str(&self) -> &'static str {
         match self {
             SourceError::HistoryGone => "history_gone",
             SourceError::OlderEpoch { .. } => "older_epoch",
-            SourceError::Refused(_) => "refused",
+            SourceError::UnexpectedStatus(_) => "refused",
             SourceError::Timeout(_) => "timeout",
             SourceError::Connection(_) => "connection",
             SourceError::Malformed(_) => "malformed",
@@ -209,19 +209,19 @@
     }
 }
 
-/// `SourceAnswer` is a store's answer that is still on its way.
-pub type SourceAnswer<'a> =
+/// `SourceFuture` is a store's answer that is still on its way.
+pub type SourceFuture<'a> =
     Pin<Box<dyn Future<Output = Result<ListReading, SourceError>> + Send + 'a>>;
 
 /// `ListSource` reads what operators and backend servers publish.
 pub trait ListSource: Send {
     /// Reads the items that one answer holds, in the way that is cheap for the store and
     /// may be old.
-    fn read_first(&mut self) -> SourceAnswer<'_>;
+    fn read_first_page(&mut self) -> SourceFuture<'_>;
 
     /// Reads everything.
-    fn read_all(&mut self, mode: ReadMode) -> SourceAnswer<'_>;
+    fn read_all(&mut self, mode: ReadMode) -> SourceFuture<'_>;
 
     /// Waits for changes after a revision, `wait_ms` milliseconds at most.
-    fn watch(&mut self, after: u64, wait_ms: u64) -> SourceAnswer<'_>;
+    fn watch(&mut self, after: u64, wait_ms: u64) -> SourceFuture<'_>;
 }
--- a/crates/foxledge-flows/src/tracks.rs
+++ b/crates/foxledge-flows/src/tracks.rs
@@ -21,7 +21,7 @@
 /// Callers send data again after 200 ms and after 400 ms more. A backend server that
 /// lives acknowledges the first copy, so the second shows that nothing gets there.
 /// Its caller, which may ask again, has some 400 ms of its second left for that.
-pub const LOST_MS: u64 = 500;
+pub const DATA_LOSS_MS: u64 = 500;
 /// How often it must have been sent again besides. Time alone says little: when the
 /// network holds everything up for half a second, the first copies come that late.
 const LOST_COPIES: u32 = 2;
@@ -70,9 +70,9 @@
     is_retired: bool,
 }
 
-/// `TrackNews` is what a packet of an open flow tells.
+/// `TrackEvent` is what a packet of an open flow tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TrackNews {
+pub enum TrackEvent {
     /// Nothing new.
     Nothing,
     /// A request began.
@@ -125,9 +125,9 @@
     Waiting,
 }
 
-/// `HeldFlow` is an open flow of a backend server.
+/// `OpenFlow` is an open flow of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldFlow {
+pub struct OpenFlow {
     /// The flow.
     pub key: FlowKey,
     /// What it does.
@@ -143,7 +143,7 @@
 pub struct TrackTable {
     tracks: HashMap<FlowKey, FlowTrack>,
     is_counting: bool,
-    running: GroupCounts,
+    running_requests: GroupCounts,
     /// When requests began that may still be counted, the oldest first.
     begun: VecDeque<(ClockTime, FlowKey)>,
     sweep_at: ClockTime,
@@ -151,23 +151,23 @@
 
 impl TrackTable {
     /// Makes an empty table that counts the requests that run by group.
-    pub fn counting() -> TrackTable {
+    pub fn with_request_counts() -> TrackTable {
         TrackTable { is_counting: true, ..TrackTable::default() }
     }
 
     /// Takes a packet of a flow at `backend`, which is of `group`.
-    pub fn take(
+    pub fn record_packet(
         &mut self,
         now: ClockTime,
         packet: &FlowPacket,
         (backend, group): (usize, usize),
-    ) -> TrackNews {
+    ) -> TrackEvent {
         let Some(track) = self.tracks.get_mut(&packet.key) else {
             return self.begin(now, packet, (backend, group));
         };
         track.last_at = now;
         if track.is_retired {
-            return TrackNews::Nothing;
+            return TrackEvent::Nothing;
         }
         track.backend = backend;
         if is_after(packet.acknowledged, track.received) {
@@ -176,9 +176,9 @@
         let is_answered = track.asked_at.is_some() && track.is_answer(packet.acknowledged);
         if packet.length == 0 {
             if !is_answered {
-                return TrackNews::Nothing;
+                return TrackEvent::Nothing;
             }
-            track.uncount(&mut self.running);
+            track.uncount(&mut self.running_requests);
             return track.answer(now);
         }
         let end = packet.sequence.wrapping_add(u32::from(packet.length));
@@ -188,36 +188,36 @@
         (track.sent_to, track.sent_at) = (end, now);
         (track.copied_at, track.copies, track.is_witness) = (now, 0, false);
         if track.asked_at.is_some() && !is_answered {
-            return TrackNews::Nothing;
+            return TrackEvent::Nothing;
         }
         let last_asked = track.asked_at.replace(now);
-        track.uncount(&mut self.running);
+        track.uncount(&mut self.running_requests);
         if self.is_counting {
             track.counted_in = Some(group);
-            self.running.add(group);
+            self.running_requests.add(group);
             self.begun.push_back((now, packet.key));
         }
         track.acknowledged = packet.acknowledged;
         // The last answer was seen only now, with the next request: one begins as one ends.
-        last_asked.map_or(TrackNews::Asked, TrackNews::AskedAgain)
+        last_asked.map_or(TrackEvent::Asked, TrackEvent::AskedAgain)
     }
 
     /// Takes the last packet of a flow: callers that have had their answer often
     /// acknowledge it with the packet that ends the flow.
-    pub fn finish(&self, now: ClockTime, packet: &FlowPacket) -> TrackNews {
-        let Some(track) = self.tracks.get(&packet.key) else { return TrackNews::Nothing };
+    pub fn finish(&self, now: ClockTime, packet: &FlowPacket) -> TrackEvent {
+        let Some(track) = self.tracks.get(&packet.key) else { return TrackEvent::Nothing };
         match track.asked_at {
             Some(asked) if track.is_answer(packet.acknowledged) => {
-                TrackNews::Answered(track.answer_to(now, asked))
+                TrackEvent::Answered(track.answer_to(now, asked))
             }
-            _ => TrackNews::Nothing,
+            _ => TrackEvent::Nothing,
         }
     }
 
     /// Ends a track; true when a request was running.
     pub fn end(&mut self, key: &FlowKey) -> Option<(usize, bool)> {
         let mut track = self.tracks.remove(key)?;
-        track.uncount(&mut self.running);
+        track.uncount(&mut self.running_requests);
         (!track.is_retired).then_some((track.backend, track.asked_at.is_some()))
     }
 
@@ -227,7 +227,7 @@
     pub fn retire(&mut self, backend: usize) {
         let own = self.tracks.values_mut().filter(|track| track.backend == backend);
         for track in own {
-            track.uncount(&mut self.running);
+            track.uncount(&mut self.running_requests);
             (track.is_retired, track.asked_at) = (true, None);
         }
     }
@@ -240,7 +240,7 @@
         self.sweep_at = now.after_millis(SWEEP_MS);
         self.expire_requests(now, idle_ms);
         let mut ended = Vec::new();
-        let running = &mut self.running;
+        let running = &mut self.running_requests;
         self.tracks.retain(|_, track| {
             let is_old = track.last_at.after_millis(idle_ms).is_past(now);
             if is_old {
@@ -261,11 +261,11 @@
         now: ClockTime,
         backend: usize,
         time_of: impl Fn(&FlowKey) -> u64 + 'a,
-    ) -> impl Iterator<Item = HeldFlow> + 'a {
+    ) -> impl Iterator<Item = OpenFlow> + 'a {
         let own = self.tracks.iter().filter(move |(_, track)| track.backend == backend);
         own.filter_map(move |(key, track)| {
             let (state, since) = track.state(now, time_of(key))?;
-            Some(HeldFlow { key: *key, state, received: track.received, since })
+            Some(OpenFlow { key: *key, state, received: track.received, since })
         })
     }
 
@@ -280,18 +280,18 @@
             if let Some(track) = self.tracks.get_mut(&key)
                 && track.asked_at == Some(begun)
             {
-                track.uncount(&mut self.running);
+                track.uncount(&mut self.running_requests);
             }
         }
     }
 
     /// Requests that run, by group of their backend server.
-    pub fn running(&self) -> &GroupCounts {
-        &self.running
+    pub fn running_requests(&self) -> &GroupCounts {
+        &self.running_requests
     }
 
     /// True when a flow is tracked.
-    pub fn holds(&self, key: &FlowKey) -> bool {
+    pub fn contains(&self, key: &FlowKey) -> bool {
         self.tracks.contains_key(key)
     }
 
@@ -305,10 +305,10 @@
         now: ClockTime,
         packet: &FlowPacket,
         (backend, group): (usize, usize),
-    ) -> TrackNews {
+    ) -> TrackEvent {
         // A flow begins with data; what comes without may be the end of one.
         if packet.length == 0 || self.tracks.len() >= MOST_TRACKS {
-            return TrackNews::Nothing;
+            return TrackEvent::Nothing;
         }
         let track = FlowTrack {
             backend,
@@ -326,10 +326,10 @@
         };
         self.tracks.insert(packet.key, track);
         if self.is_counting {
-            self.running.add(group);
+            self.running_requests.add(group);
             self.begun.push_back((now, packet.key));
         }
-        TrackNews::Asked
+        TrackEvent::Asked
     }
 }
 
@@ -356,21 +356,22 @@
     }
 
     /// Takes data that was sent on before.
-    fn resend(&mut self, now: ClockTime) -> TrackNews {
+    fn resend(&mut self, now: ClockTime) -> TrackEvent {
         let is_soon = !self.copied_at.after_millis(RESEND_MS).is_past(now);
         if is_soon || self.asked_at.is_none() {
-            return TrackNews::Nothing;
+            return TrackEvent::Nothing;
         }
         self.copied_at = now;
         self.copies += 1;
         let waited_ms = now.since(self.sent_at).as_millis() as u64;
-        let meaning = match (waited_ms >= LOST_MS && self.copies >= LOST_COPIES, self.is_witness) {
-            (false, _) => ResendMeaning::Doubt,
-            (true, false) => ResendMeaning::NewLoss,
-            (true, true) => ResendMeaning::SameLoss,
-        };
+        let meaning =
+            match (waited_ms >= DATA_LOSS_MS && self.copies >= LOST_COPIES, self.is_witness) {
+                (false, _) => ResendMeaning::Doubt,
+                (true, false) => ResendMeaning::NewLoss,
+                (true, true) => ResendMeaning::SameLoss,
+            };
         self.is_witness |= meaning == ResendMeaning::NewLoss;
-        TrackNews::Resent(DataResend { sent: self.sent_at, copies: self.copies, meaning })
+        TrackEvent::Resent(DataResend { sent: self.sent_at, copies: self.copies, meaning })
     }
 
     /// True when what the caller acknowledges holds data of an answer.
@@ -382,10 +383,10 @@
         is_after(acknowledged, self.acknowledged.wrapping_add(FLOW_END))
     }
 
-    fn answer(&mut self, now: ClockTime) -> TrackNews {
+    fn answer(&mut self, now: ClockTime) -> TrackEvent {
         match self.asked_at.take() {
-            Some(asked) => TrackNews::Answered(self.answer_to(now, asked)),
-            None => TrackNews::Nothing,
+            Some(asked) => TrackEvent::Answered(self.answer_to(now, asked)),
+            None => TrackEvent::Nothing,
         }
     }
 
--- a/crates/foxledge-flows/src/absent.rs
+++ b/crates/foxledge-flows/src/unknown_tokens.rs
@@ -9,8 +9,8 @@
 use foxledge_core::time::ClockTime;
 
 use crate::{
-    backends::LAPSE_MS,
-    decisions::{DropReason, EndReason, FlowDecision, RefuseReason},
+    backends::REMOVAL_GRACE_MS,
+    decisions::{DropReason, FlowDecision, RefuseReason, ResetReason},
     mechanisms::RouterMechanism,
     packet::FlowPacket,
     router::FlowRouter,
@@ -37,15 +37,15 @@
     ask_at: ClockTime,
 }
 
-/// `AbsentTokens` is the tokens that name nobody.
+/// `UnknownTokens` is the tokens that name nobody.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct AbsentTokens {
+pub(crate) struct UnknownTokens {
     seen: HashMap<u32, AbsentToken>,
     /// Those for which others are to be asked.
     wanted: Vec<u32>,
 }
 
-impl AbsentTokens {
+impl UnknownTokens {
     /// Notes a token; returns when it was first seen, or none when there is no room for it.
     fn note(&mut self, now: ClockTime, token: u32) -> Option<ClockTime> {
         if self.seen.len() >= MOST_TOKENS && !self.seen.contains_key(&token) {
@@ -76,20 +76,24 @@
 
 impl FlowRouter {
     /// Tokens that name nobody here, for which others are to be asked now.
-    pub fn take_wanted_tokens(&mut self) -> Vec<u32> {
-        std::mem::take(&mut self.absent.wanted)
+    pub fn drain_token_queries(&mut self) -> Vec<u32> {
+        std::mem::take(&mut self.unknown_tokens.wanted)
     }
 
     /// Why a flow that waits is ended because another backend server has the address of its own.
     ///
     /// One that vanished can't live where another registered since. The list must be as sure as
     /// for a refusal.
-    pub(crate) fn end_of_replaced(&self, now: ClockTime, index: usize) -> Option<EndReason> {
-        let gone = self.backends.get(index)?.gone_at?;
-        if !self.backends.is_replaced(index) || self.doubt(now).is_some() {
+    pub(crate) fn replaced_reset_reason(
+        &self,
+        now: ClockTime,
+        index: usize,
+    ) -> Option<ResetReason> {
+        let gone = self.backends.get(index)?.removed_at?;
+        if !self.backends.is_replaced(index) || self.list_doubt(now).is_some() {
             return None;
         }
-        Some(EndReason::AddressTaken { gone_ms: now.since(gone).as_millis() as u64 })
+        Some(ResetReason::AddressTaken { gone_ms: now.since(gone).as_millis() as u64 })
     }
 
     /// Decides on a packet whose token names nobody; `may_repeat` tells that its route's requests
@@ -108,7 +112,7 @@
     ///
     /// Only data is answered: whoever sends none waits for nothing. Requests that can't be
     /// repeated aren't ended, as their callers couldn't do anything else before their deadline.
-    pub(crate) fn follow_absent(
+    pub(crate) fn handle_unknown_token(
         &mut self,
         now: ClockTime,
         packet: &FlowPacket,
@@ -118,19 +122,19 @@
         if packet.token == 0 {
             return unknown;
         }
-        if self.confirmed_at.is_none() && self.has(RouterMechanism::Relays) {
+        if self.confirmed_at.is_none() && self.has_mechanism(RouterMechanism::Relays) {
             return FlowDecision::Relay;
         }
         if packet.length == 0 {
             return unknown;
         }
-        let first = self.absent.note(now, packet.token);
+        let first = self.unknown_tokens.note(now, packet.token);
         let is_absent = first.zip(self.confirmed_at).is_some_and(|(first, confirmed)| {
             first.after_millis(CONFIRMED_AFTER_MS).is_past(confirmed)
         });
         let is_list_sure =
-            self.unbroken_since.is_some_and(|at| at.after_millis(LAPSE_MS).is_past(now));
-        if !may_repeat || !is_absent || !is_list_sure || self.doubt(now).is_some() {
+            self.confirmed_since.is_some_and(|at| at.after_millis(REMOVAL_GRACE_MS).is_past(now));
+        if !may_repeat || !is_absent || !is_list_sure || self.list_doubt(now).is_some() {
             return unknown;
         }
         FlowDecision::Refuse(RefuseReason::BackendVanished)
--- a/crates/foxledge-flows/tests/cold_limit.rs
+++ b/crates/foxledge-flows/tests/cold_limit.rs
@@ -35,12 +35,15 @@
 }
 
 fn instance(index: usize) -> FlowRouter {
-    let options = RouterOptions::new(CentreName::new(NEAR));
+    let options = RouterOptions::new(CentreName::new(LOCAL_CENTRE));
     let mut router = FlowRouter::new(options.address(address(index)).cold_rules(RULES));
-    let rows =
-        [limits(1, 1), route("r", 443, "desk", 1), service_limits("desk", 9_000, FLOWS_PER_S, 1)];
-    router.take_rows(at(0), &rows);
-    router.set_confirmed(at(0));
+    let rows = [
+        limits_row(1, 1),
+        route_row("r", 443, "desk", 1),
+        service_row("desk", 9_000, FLOWS_PER_S, 1),
+    ];
+    router.apply_rows(clock_at(0), &rows);
+    router.set_confirmed_at(clock_at(0));
     router
 }
 
@@ -48,7 +51,7 @@
 fn fleet(views: &[Vec<usize>]) -> Vec<FlowRouter> {
     let with_view = |(index, view): (usize, &Vec<usize>)| {
         let mut router = instance(index);
-        router.set_neighbours(at(0), view.iter().map(|other| address(*other)).collect());
+        router.set_neighbours(clock_at(0), view.iter().map(|other| address(*other)).collect());
         router
     };
     views.iter().enumerate().map(with_view).collect()
@@ -70,15 +73,15 @@
     for flow in 0..count {
         let now = from + flow * 1_000 / per_s;
         let index = (flow * 7 % routers.len() as u64) as usize;
-        let key = key((flow >> 16) as u8, flow as u16);
+        let key = flow_key((flow >> 16) as u8, flow as u16);
         let router = &mut routers[index];
-        router.set_confirmed(at(now));
-        let decision = router.on_packet(at(now), &opening(key, 0));
-        let Some(number) = number_of(router, &decision) else { continue };
+        router.set_confirmed_at(clock_at(now));
+        let decision = router.on_packet(clock_at(now), &opening_packet(key, 0));
+        let Some(number) = decided_backend(router, &decision) else { continue };
         got.entry(number).or_default().push(now);
-        let answer = packet(key, foxledge_flows::PacketKind::Continue, number as u32);
-        router.on_packet(at(now + 7), &answer);
-        router.check_overdue(at(now + 7));
+        let answer = flow_packet(key, foxledge_flows::PacketKind::Continue, number as u32);
+        router.on_packet(clock_at(now + 7), &answer);
+        router.report_overdue_openings(clock_at(now + 7));
     }
     got
 }
@@ -98,11 +101,12 @@
 fn limit_holds_at_each_size() {
     for count in [2, 6, 18, 73, 300] {
         let mut routers = fleet(&whole_views(count));
-        let rows: Vec<_> = (1..=30).map(|number| cold(number, NEAR, 9_000, 5)).collect();
-        let warm_far: Vec<_> = (101..=110).map(|number| backend(number, "desk", FAR, 5)).collect();
+        let rows: Vec<_> = (1..=30).map(|number| cold(number, LOCAL_CENTRE, 9_000, 5)).collect();
+        let warm_far: Vec<_> =
+            (101..=110).map(|number| listed_backend(number, "desk", REMOTE_CENTRE, 5)).collect();
         for router in &mut routers {
-            router.take_rows(at(2_000), &rows);
-            router.take_rows(at(2_000), &warm_far);
+            router.apply_rows(clock_at(2_000), &rows);
+            router.apply_rows(clock_at(2_000), &warm_far);
         }
         let got = load(&mut routers, 2_000, (2_000, 5_000));
         let served: usize = got.values().map(Vec::len).sum();
@@ -132,9 +136,9 @@
             view.retain(|known| *known != one && *known != other);
         }
         let mut routers = fleet(&views);
-        let rows: Vec<_> = (1..=5).map(|number| cold(number, NEAR, 9_000, 5)).collect();
+        let rows: Vec<_> = (1..=5).map(|number| cold(number, LOCAL_CENTRE, 9_000, 5)).collect();
         for router in &mut routers {
-            router.take_rows(at(2_000), &rows);
+            router.apply_rows(clock_at(2_000), &rows);
         }
         let got = load(&mut routers, 1_000, (2_000, 4_000));
         for (number, times) in &got {
@@ -150,14 +154,14 @@
 #[test]
 fn takeover_waits() {
     let mut routers = fleet(&whole_views(18));
-    let rows: Vec<_> = (1..=8).map(|number| cold(number, NEAR, 9_000, 5)).collect();
+    let rows: Vec<_> = (1..=8).map(|number| cold(number, LOCAL_CENTRE, 9_000, 5)).collect();
     for router in &mut routers {
-        router.take_rows(at(2_000), &rows);
+        router.apply_rows(clock_at(2_000), &rows);
     }
     let mut got = load(&mut routers, 1_000, (2_000, 3_000));
     let mut left = routers.split_off(9);
     for router in &mut left {
-        router.set_neighbours(at(3_000), (10..18).map(address).collect());
+        router.set_neighbours(clock_at(3_000), (10..18).map(address).collect());
     }
     for (number, times) in load(&mut left, 1_000, (3_000, 5_000)) {
         got.entry(number).or_default().extend(times);
@@ -173,26 +177,27 @@
 #[test]
 fn start_waits() {
     let mut router = instance(0);
-    router.take_rows(at(0), &[cold(1, NEAR, 9_000, 5)]);
+    router.apply_rows(clock_at(0), &[cold(1, LOCAL_CENTRE, 9_000, 5)]);
     let refused = FlowDecision::Refuse(RefuseReason::ColdLimit);
-    assert_eq!(router.on_packet(at(100), &opening(key(1, 1), 0)), refused);
-    router.set_neighbours(at(200), vec![address(1)]);
-    router.set_confirmed(at(1_000));
-    assert_eq!(router.on_packet(at(1_100), &opening(key(1, 2), 0)), refused);
-    let decision = router.on_packet(at(1_500), &opening(key(1, 3), 0));
-    assert_eq!(number_of(&router, &decision), Some(1));
+    assert_eq!(router.on_packet(clock_at(100), &opening_packet(flow_key(1, 1), 0)), refused);
+    router.set_neighbours(clock_at(200), vec![address(1)]);
+    router.set_confirmed_at(clock_at(1_000));
+    assert_eq!(router.on_packet(clock_at(1_100), &opening_packet(flow_key(1, 2), 0)), refused);
+    let decision = router.on_packet(clock_at(1_500), &opening_packet(flow_key(1, 3), 0));
+    assert_eq!(decided_backend(&router, &decision), Some(1));
 }
 
 #[test]
 fn copies_count() {
     let mut router = instance(0);
-    router.take_rows(at(0), &[cold(1, NEAR, 9_000, 5)]);
-    router.set_neighbours(at(0), vec![address(1)]);
-    router.set_confirmed(at(2_000));
+    router.apply_rows(clock_at(0), &[cold(1, LOCAL_CENTRE, 9_000, 5)]);
+    router.set_neighbours(clock_at(0), vec![address(1)]);
+    router.set_confirmed_at(clock_at(2_000));
     let mut sent = 0;
     for copy in 0..20 {
-        let decision = router.on_packet(at(2_000 + copy), &opening(key(1, 1), copy as u32));
-        sent += usize::from(number_of(&router, &decision).is_some());
+        let decision =
+            router.on_packet(clock_at(2_000 + copy), &opening_packet(flow_key(1, 1), copy as u32));
+        sent += usize::from(decided_backend(&router, &decision).is_some());
     }
     assert_eq!(sent, LIMIT / 4);
 }
@@ -201,9 +206,9 @@
 fn warm_is_free() {
     let mut routers = fleet(&whole_views(6));
     for router in &mut routers {
-        router.take_rows(at(2_000), &[cold(1, NEAR, 1_000, 5)]);
+        router.apply_rows(clock_at(2_000), &[cold(1, LOCAL_CENTRE, 1_000, 5)]);
         // The entry says that it is warm, sooner than it said before.
-        router.take_rows(at(2_100), &[cold(1, NEAR, 0, 6)]);
+        router.apply_rows(clock_at(2_100), &[cold(1, LOCAL_CENTRE, 0, 6)]);
     }
     let got = load(&mut routers, 500, (2_200, 3_200));
     assert_eq!(got[&1].len(), 500);
@@ -214,16 +219,20 @@
 #[test]
 fn taken_back_cold() {
     let mut routers = fleet(&whole_views(6));
-    let rows = [cold(1, NEAR, 0, 5), backend(2, "desk", FAR, 5), evacuation(NEAR, 6)];
+    let rows = [
+        cold(1, LOCAL_CENTRE, 0, 5),
+        listed_backend(2, "desk", REMOTE_CENTRE, 5),
+        evacuation_row(LOCAL_CENTRE, 6),
+    ];
     for router in &mut routers {
-        router.take_rows(at(2_000), &rows);
-        router.take_rows(at(5_000), &[removed(&evacuation(NEAR, 6), 9, 0)]);
+        router.apply_rows(clock_at(2_000), &rows);
+        router.apply_rows(clock_at(5_000), &[removed_row(&evacuation_row(LOCAL_CENTRE, 6), 9, 0)]);
     }
     let got = load(&mut routers, 500, (5_000, 8_000));
     assert!(most_in_a_second(&got[&1]) <= LIMIT);
     // Once its entry says so, it is warm.
     for router in &mut routers {
-        router.take_rows(at(8_000), &[cold(1, NEAR, 0, 10)]);
+        router.apply_rows(clock_at(8_000), &[cold(1, LOCAL_CENTRE, 0, 10)]);
     }
     let got = load(&mut routers, 100, (8_000, 9_000));
     assert!(got[&1].len() > 90, "{}", got[&1].len());
@@ -232,9 +241,9 @@
 #[test]
 fn absurd_quotas() {
     let quota = |flows_per_ks: u64, rules: ColdRules| {
-        let row = service_limits("desk", 1, 0, 1);
+        let row = service_row("desk", 1, 0, 1);
         let Some(RowValue::Extension(row)) = row.value else { panic!("a service") };
-        let Some(foxledge_flows::rows::ExtensionValue::Service(mut limits)) = row.value() else {
+        let Some(foxledge_flows::rows::ExtensionValue::Service(mut limits)) = row.decode() else {
             panic!("a service")
         };
         limits.cold_flows_per_ks = flows_per_ks;
--- a/crates/foxledge-flows/tests/common/load.rs
+++ b/crates/foxledge-flows/tests/common/load.rs
@@ -7,14 +7,14 @@
 use foxledge_flows::{FlowRouter, RouterOptions, rows::ListRow};
 use foxledge_load::{CentreView, LoadView, PriorityLoad, ServiceKey, ServiceLoad};
 
-use super::{NEAR, at, limits, route};
+use super::{LOCAL_CENTRE, clock_at, limits_row, route_row};
 
 /// Work time of every request of these views, in microseconds.
 pub const WORK_US: f64 = 50_000.0;
 
 /// The load of callers that ask `per_s` requests a second by priority, and what runs by data
 /// centre.
-pub fn callers(per_s: &[(u32, f64)], running: &[(&str, f64)]) -> ServiceLoad {
+pub fn caller_load(per_s: &[(u32, f64)], running: &[(&str, f64)]) -> ServiceLoad {
     let load = |arrivals_per_s| PriorityLoad { arrivals_per_s, work_us: WORK_US };
     ServiceLoad {
         priorities: per_s.iter().map(|(priority, rate)| (*priority, load(*rate))).collect(),
@@ -23,7 +23,7 @@
 }
 
 /// A sure view of the service `desk`, told just now.
-pub fn view(now: ClockTime, centres: &[(&str, ServiceLoad)]) -> LoadView {
+pub fn load_view(now: ClockTime, centres: &[(&str, ServiceLoad)]) -> LoadView {
     let centre = |load: &ServiceLoad| CentreView {
         reported_at: now,
         instances: 19,
@@ -41,24 +41,24 @@
 /// A router with load control on, one route of priority 1 at port 443 and one of priority 2 at
 /// port 444 to `desk`, and these backend servers.
 pub fn load_router(backends: &[ListRow]) -> FlowRouter {
-    let options = RouterOptions::new(CentreName::new(NEAR))
+    let options = RouterOptions::new(CentreName::new(LOCAL_CENTRE))
         .overflow(true)
         .admission(Some(AdmissionOptions::default()));
-    filled(FlowRouter::new(options), backends)
+    fill_router(FlowRouter::new(options), backends)
 }
 
 /// A router with these routes and backend servers, confirmed at the start.
-pub fn filled(mut router: FlowRouter, backends: &[ListRow]) -> FlowRouter {
-    let mut rows = vec![limits(1, 1), route("r", 443, "desk", 1), other_route(2, 1)];
+pub fn fill_router(mut router: FlowRouter, backends: &[ListRow]) -> FlowRouter {
+    let mut rows = vec![limits_row(1, 1), route_row("r", 443, "desk", 1), second_route_row(2, 1)];
     rows.extend(backends.iter().cloned());
-    router.take_rows(at(0), &rows);
-    router.set_confirmed(at(0));
+    router.apply_rows(clock_at(0), &rows);
+    router.set_confirmed_at(clock_at(0));
     router
 }
 
 /// The route at port 444 with a priority.
-pub fn other_route(priority: u32, revision: u64) -> ListRow {
-    let mut row = route("s", 444, "desk", revision);
+pub fn second_route_row(priority: u32, revision: u64) -> ListRow {
+    let mut row = route_row("s", 444, "desk", revision);
     if let Some(foxledge_flows::rows::RowValue::Route(route)) = &mut row.value {
         route.priority = priority;
         route.aim_ms = 400;
@@ -67,12 +67,16 @@
 }
 
 /// Sets one load again and again, every 50 ms, for as long as the damped shares need.
-pub fn settle_load(router: &mut FlowRouter, from: u64, centres: &[(&str, ServiceLoad)]) -> u64 {
+pub fn apply_steady_load(
+    router: &mut FlowRouter,
+    from: u64,
+    centres: &[(&str, ServiceLoad)],
+) -> u64 {
     let steps = 20;
     for step in 0..steps {
         let now = from + step * 50;
-        router.set_confirmed(at(now));
-        router.set_load(at(now), Arc::new(view(at(now), centres)));
+        router.set_confirmed_at(clock_at(now));
+        router.apply_load_view(clock_at(now), Arc::new(load_view(clock_at(now), centres)));
     }
     from + (steps - 1) * 50
 }
