--- a/crates/foxledge-flows/tests/common/mod.rs
+++ b/crates/foxledge-flows/tests/common/mod.rs
@@ -15,20 +15,20 @@
     },
 };
 
-pub const NEAR: &str = "toledo";
-pub const FAR: &str = "erie";
-pub const SERVICE: Ipv4Addr = Ipv4Addr::new(198, 18, 0, 1);
+pub const LOCAL_CENTRE: &str = "toledo";
+pub const REMOTE_CENTRE: &str = "erie";
+pub const SERVICE_IP: Ipv4Addr = Ipv4Addr::new(198, 18, 0, 1);
 
 /// The point `millis` after the start of every test, an hour into the clock.
-pub fn at(millis: u64) -> ClockTime {
+pub fn clock_at(millis: u64) -> ClockTime {
     ClockTime::from_micros(3_600_000_000 + millis * 1_000)
 }
 
-pub fn route(name: &str, port: u16, service: &str, revision: u64) -> ListRow {
+pub fn route_row(name: &str, port: u16, service: &str, revision: u64) -> ListRow {
     let route = RouteRow {
         name: name.to_owned(),
         position: u32::from(port),
-        ip: u32::from(SERVICE),
+        ip: u32::from(SERVICE_IP),
         port: u32::from(port),
         shares: vec![ServiceShare { service: service.to_owned(), weight: 1 }],
         priority: 1,
@@ -40,7 +40,7 @@
     ListRow { key: route_key(name), revision, value: Some(RowValue::Route(route)) }
 }
 
-pub fn limits(version: u64, revision: u64) -> ListRow {
+pub fn limits_row(version: u64, revision: u64) -> ListRow {
     let limits = LimitsRow { version, idle_ms: 15_000 };
     ListRow { key: LIMITS_KEY.to_owned(), revision, value: Some(RowValue::Limits(limits)) }
 }
@@ -56,11 +56,11 @@
         draining: false,
         warm_in_ms: 0,
         incarnation: 0,
-        created: 0,
+        created_revision: 0,
     }
 }
 
-pub fn backend(number: u64, service: &str, centre: &str, revision: u64) -> ListRow {
+pub fn listed_backend(number: u64, service: &str, centre: &str, revision: u64) -> ListRow {
     backend_row(backend_spec(number, service, centre), revision)
 }
 
@@ -72,7 +72,7 @@
     }
 }
 
-pub fn draining(row: &ListRow, revision: u64) -> ListRow {
+pub fn draining_row(row: &ListRow, revision: u64) -> ListRow {
     let mut row = row.clone();
     row.revision = revision;
     if let Some(RowValue::Backend(spec)) = &mut row.value {
@@ -81,7 +81,7 @@
     row
 }
 
-pub fn removed(row: &ListRow, revision: u64, age_ms: u32) -> ListRow {
+pub fn removed_row(row: &ListRow, revision: u64, age_ms: u32) -> ListRow {
     let backend = match &row.value {
         Some(RowValue::Backend(spec)) => Some(spec.clone()),
         _ => None,
@@ -90,45 +90,45 @@
     ListRow { key: row.key.clone(), revision, value }
 }
 
-pub fn key(caller: u8, port: u16) -> FlowKey {
+pub fn flow_key(caller: u8, port: u16) -> FlowKey {
     FlowKey {
         caller: SocketAddrV4::new(Ipv4Addr::new(100, 64, 0, caller), port),
-        service: SocketAddrV4::new(SERVICE, 443),
+        service: SocketAddrV4::new(SERVICE_IP, 443),
     }
 }
 
-pub fn opening(key: FlowKey, copy: u32) -> FlowPacket {
-    packet(key, PacketKind::Open { copy }, 0)
+pub fn opening_packet(key: FlowKey, copy: u32) -> FlowPacket {
+    flow_packet(key, PacketKind::Open { attempt: copy }, 0)
 }
 
-pub fn packet(key: FlowKey, kind: PacketKind, token: u32) -> FlowPacket {
+pub fn flow_packet(key: FlowKey, kind: PacketKind, token: u32) -> FlowPacket {
     FlowPacket { key, kind, token, sequence: 1_000, acknowledged: 0, length: 0 }
 }
 
-pub fn data(key: FlowKey, token: u32, sequence: u32, acknowledged: u32) -> FlowPacket {
+pub fn data_packet(key: FlowKey, token: u32, sequence: u32, acknowledged: u32) -> FlowPacket {
     FlowPacket { key, kind: PacketKind::Continue, token, sequence, acknowledged, length: 100 }
 }
 
-pub fn router() -> FlowRouter {
-    FlowRouter::new(RouterOptions::new(CentreName::new(NEAR)))
+pub fn empty_router() -> FlowRouter {
+    FlowRouter::new(RouterOptions::new(CentreName::new(LOCAL_CENTRE)))
 }
 
 /// A router with one route to `desk` and these backend servers, confirmed at the start.
-pub fn desk_router(backends: &[ListRow]) -> FlowRouter {
-    let mut router = router();
-    let mut rows = vec![limits(1, 1), route("r", 443, "desk", 1)];
+pub fn listed_router(backends: &[ListRow]) -> FlowRouter {
+    let mut router = empty_router();
+    let mut rows = vec![limits_row(1, 1), route_row("r", 443, "desk", 1)];
     rows.extend(backends.iter().cloned());
-    router.take_rows(at(0), &rows);
-    router.set_confirmed(at(0));
+    router.apply_rows(clock_at(0), &rows);
+    router.set_confirmed_at(clock_at(0));
     router
 }
 
 /// The number of the backend server that a decision leads to; none for other decisions.
-pub fn number_of(router: &FlowRouter, decision: &FlowDecision) -> Option<u64> {
+pub fn decided_backend(router: &FlowRouter, decision: &FlowDecision) -> Option<u64> {
     let index = match decision {
         FlowDecision::Open { backend, .. } | FlowDecision::Forward { backend, .. } => *backend,
         FlowDecision::Refuse(_)
-        | FlowDecision::End { .. }
+        | FlowDecision::Reset { .. }
         | FlowDecision::Relay
         | FlowDecision::Drop(_) => return None,
     };
@@ -137,23 +137,23 @@
 
 /// Opens a flow and lets its caller go on; returns the number of its backend server.
 pub fn open_flow(router: &mut FlowRouter, now: u64, key: FlowKey) -> Option<u64> {
-    let decision = router.on_packet(at(now), &opening(key, 0));
-    let number = number_of(router, &decision)?;
-    router.on_packet(at(now + 7), &packet(key, PacketKind::Continue, number as u32));
+    let decision = router.on_packet(clock_at(now), &opening_packet(key, 0));
+    let number = decided_backend(router, &decision)?;
+    router.on_packet(clock_at(now + 7), &flow_packet(key, PacketKind::Continue, number as u32));
     Some(number)
 }
 
 /// The row of a data centre that is evacuated.
-pub fn evacuation(centre: &str, revision: u64) -> ListRow {
+pub fn evacuation_row(centre: &str, revision: u64) -> ListRow {
     let wish = ExtensionValue::Evacuation(EvacuationRow { data_centre: centre.to_owned() });
-    let value = Some(RowValue::extension(&wish));
+    let value = Some(RowValue::from_extension(&wish));
     ListRow { key: evacuation_key(centre), revision, value }
 }
 
 /// The row of a service whose cold backend servers bear so many new flows a second.
-pub fn service_limits(name: &str, warm_up_ms: u32, flows_per_s: u64, revision: u64) -> ListRow {
+pub fn service_row(name: &str, warm_up_ms: u32, flows_per_s: u64, revision: u64) -> ListRow {
     let limits =
         ServiceRow { name: name.to_owned(), warm_up_ms, cold_flows_per_ks: flows_per_s * 1_000 };
-    let value = Some(RowValue::extension(&ExtensionValue::Service(limits)));
+    let value = Some(RowValue::from_extension(&ExtensionValue::Service(limits)));
     ListRow { key: service_key(name), revision, value }
 }
--- a/crates/foxledge-flows/tests/crashed_backends.rs
+++ b/crates/foxledge-flows/tests/crashed_backends.rs
@@ -16,8 +16,8 @@
 }
 
 fn finish(router: &mut FlowRouter, now: u64, caller: u8, port: u16, number: u64) {
-    let last = packet(key(caller, port), PacketKind::Abort, number as u32);
-    router.on_packet(at(now), &last);
+    let last = flow_packet(flow_key(caller, port), PacketKind::Abort, number as u32);
+    router.on_packet(clock_at(now), &last);
 }
 
 // Symptom: callers are failed though five in six backend servers live and are idle.
@@ -26,20 +26,22 @@
 // Cause: without flows the dead ones have the fewest of all, and get every new flow.
 #[test]
 fn retries_find_the_living() {
-    let rows: Vec<_> = (1..=BACKENDS).map(|number| backend(number, "desk", NEAR, 2)).collect();
-    let mut router = desk_router(&rows);
+    let rows: Vec<_> =
+        (1..=BACKENDS).map(|number| listed_backend(number, "desk", LOCAL_CENTRE, 2)).collect();
+    let mut router = listed_router(&rows);
     // Two kept flows at each, at rest.
     let mut held = Vec::new();
     for port in 0..2 * BACKENDS as u16 {
-        let number = open_flow(&mut router, 10 * u64::from(port), key(1, port)).expect("placed");
-        let asked = data(key(1, port), number as u32, 500, 1);
-        router.on_packet(at(10 * u64::from(port) + 8), &asked);
+        let number =
+            open_flow(&mut router, 10 * u64::from(port), flow_key(1, port)).expect("placed");
+        let asked = data_packet(flow_key(1, port), number as u32, 500, 1);
+        router.on_packet(clock_at(10 * u64::from(port) + 8), &asked);
         let answered = FlowPacket { acknowledged: 300, length: 0, ..asked };
-        router.on_packet(at(10 * u64::from(port) + 9), &answered);
+        router.on_packet(clock_at(10 * u64::from(port) + 9), &answered);
         held.push((port, number));
     }
     let crash = 2_000;
-    router.set_confirmed(at(crash));
+    router.set_confirmed_at(clock_at(crash));
     for (port, number) in held.iter().filter(|(_, number)| is_dead(*number)) {
         finish(&mut router, crash, 1, *port, *number);
     }
@@ -47,12 +49,12 @@
     for caller in 2..14_u8 {
         let asked = crash + 3 * u64::from(caller);
         let is_served = (0..3).any(|attempt| {
-            let flow = key(caller, 1_000 + attempt as u16);
-            let decision = router.on_packet(at(asked + attempt), &opening(flow, 0));
-            let number = number_of(&router, &decision).expect("is placed");
+            let flow = flow_key(caller, 1_000 + attempt as u16);
+            let decision = router.on_packet(clock_at(asked + attempt), &opening_packet(flow, 0));
+            let number = decided_backend(&router, &decision).expect("is placed");
             if !is_dead(number) {
-                let request = data(flow, number as u32, 500, 1);
-                router.on_packet(at(asked + attempt + 1), &request);
+                let request = data_packet(flow, number as u32, 500, 1);
+                router.on_packet(clock_at(asked + attempt + 1), &request);
             }
             !is_dead(number)
         });
@@ -64,12 +66,15 @@
 // A backend server whose flows have ended in order is as good as others after a moment.
 #[test]
 fn former_flows_fade() {
-    let mut router = desk_router(&[backend(1, "desk", NEAR, 2), backend(2, "desk", NEAR, 2)]);
-    let first = open_flow(&mut router, 0, key(1, 1)).expect("placed");
-    router.on_packet(at(8), &data(key(1, 1), first as u32, 500, 1));
+    let mut router = listed_router(&[
+        listed_backend(1, "desk", LOCAL_CENTRE, 2),
+        listed_backend(2, "desk", LOCAL_CENTRE, 2),
+    ]);
+    let first = open_flow(&mut router, 0, flow_key(1, 1)).expect("placed");
+    router.on_packet(clock_at(8), &data_packet(flow_key(1, 1), first as u32, 500, 1));
     finish(&mut router, 100, 1, 1, first);
     let flows = |router: &FlowRouter, now: u64| {
-        router.backend_of(first).map(|backend| backend.recent_flows(at(now)))
+        router.backend_by_number(first).map(|backend| backend.recent_flows(clock_at(now)))
     };
     assert_eq!([flows(&router, 1_000), flows(&router, 1_100)], [Some(1), Some(0)]);
 }
--- a/crates/foxledge-flows/tests/dead_backend.rs
+++ b/crates/foxledge-flows/tests/dead_backend.rs
@@ -4,7 +4,8 @@
 
 use common::*;
 use foxledge_flows::{
-    EndReason, FlowDecision, FlowKey, FlowRouter, HealthNote, NoteKind, rows::RowValue,
+    FlowDecision, FlowKey, FlowRouter, HealthObservation, ObservationKind, ResetReason,
+    rows::RowValue,
 };
 
 /// When the callers of these tests ask on their open flows.
@@ -12,10 +13,13 @@
 
 /// A router whose backend server 1 holds the flow that is returned; 2 is there as well.
 fn flow_at_first() -> (FlowRouter, FlowKey) {
-    let mut router = desk_router(&[backend(1, "desk", NEAR, 2), backend(2, "desk", NEAR, 2)]);
+    let mut router = listed_router(&[
+        listed_backend(1, "desk", LOCAL_CENTRE, 2),
+        listed_backend(2, "desk", LOCAL_CENTRE, 2),
+    ]);
     for port in 1..10 {
-        if open_flow(&mut router, 0, key(1, port)) == Some(1) {
-            return (router, key(1, port));
+        if open_flow(&mut router, 0, flow_key(1, port)) == Some(1) {
+            return (router, flow_key(1, port));
         }
     }
     panic!("no flow was placed at the first backend server");
@@ -24,14 +28,17 @@
 /// Opens flows at `sent` until one goes to backend server 1, and sends that one's copy.
 fn unanswered_opening(router: &mut FlowRouter, sent: u64) {
     for port in 100..120 {
-        let decision = router.on_packet(at(sent), &opening(key(7, port), 0));
-        if number_of(router, &decision) == Some(1) {
-            router.check_overdue(at(sent + 41));
-            router.on_packet(at(sent + 200), &opening(key(7, port), 1));
+        let decision = router.on_packet(clock_at(sent), &opening_packet(flow_key(7, port), 0));
+        if decided_backend(router, &decision) == Some(1) {
+            router.report_overdue_openings(clock_at(sent + 41));
+            router.on_packet(clock_at(sent + 200), &opening_packet(flow_key(7, port), 1));
             return;
         }
-        let number = number_of(router, &decision).expect("is placed");
-        router.on_packet(at(sent + 7), &data(key(7, port), number as u32, 1_000, 1));
+        let number = decided_backend(router, &decision).expect("is placed");
+        router.on_packet(
+            clock_at(sent + 7),
+            &data_packet(flow_key(7, port), number as u32, 1_000, 1),
+        );
     }
     panic!("no flow was placed at the first backend server");
 }
@@ -39,11 +46,11 @@
 /// Sends a request on a flow that backend server 1 holds, and what its caller sends
 /// again while no answer comes; tells what was done with the last.
 fn unanswered_request(router: &mut FlowRouter, key: FlowKey) -> FlowDecision {
-    let request = data(key, 1, 2_000, 1);
-    let mut last = router.on_packet(at(ASKED), &request);
+    let request = data_packet(key, 1, 2_000, 1);
+    let mut last = router.on_packet(clock_at(ASKED), &request);
     for wait in [200, 600] {
         assert!(matches!(last, FlowDecision::Forward { .. }), "ended too early: {last:?}");
-        last = router.on_packet(at(ASKED + wait), &request);
+        last = router.on_packet(clock_at(ASKED + wait), &request);
     }
     last
 }
@@ -57,13 +64,16 @@
     let (mut router, key) = flow_at_first();
     unanswered_opening(&mut router, 1_000);
     let decision = unanswered_request(&mut router, key);
-    let FlowDecision::End { reason: EndReason::BackendSilent { waited_ms, silent_ms }, .. } =
+    let FlowDecision::Reset { reason: ResetReason::BackendSilent { waited_ms, silent_ms }, .. } =
         decision
     else {
         panic!("{decision:?} ends no flow");
     };
     assert_eq!((waited_ms, silent_ms), (600, 410));
-    assert_eq!(router.tracked_flows(), router.backends().map(|one| one.flows as usize).sum());
+    assert_eq!(
+        router.tracked_flow_count(),
+        router.backends().map(|one| one.open_flows as usize).sum()
+    );
 }
 
 // Symptom: every feed at a dead backend server fails, though none of its flows is new.
@@ -73,16 +83,18 @@
 #[test]
 fn stalled_flows_suffice() {
     let (mut router, key) = flow_at_first();
-    let others = [8, 9].map(|caller| FlowKey { caller: common::key(caller, 1).caller, ..key });
+    let others = [8, 9].map(|caller| FlowKey { caller: common::flow_key(caller, 1).caller, ..key });
     for (wait, ends) in [(0, [false; 3]), (200, [false; 3]), (600, [false, true, true])] {
         for (index, flow) in [key, others[0], others[1]].into_iter().enumerate() {
             let now = ASKED + wait + index as u64;
-            let decision = router.on_packet(at(now), &data(flow, 1, 2_000, 1));
-            let is_end = matches!(decision, FlowDecision::End { .. });
+            let decision = router.on_packet(clock_at(now), &data_packet(flow, 1, 2_000, 1));
+            let is_end = matches!(decision, FlowDecision::Reset { .. });
             assert_eq!(is_end, ends[index], "flow {index} after {wait} ms: {decision:?}");
         }
     }
-    assert!(router.take_notes().iter().any(|note| note.kind == NoteKind::Lost));
+    assert!(
+        router.drain_observations().iter().any(|note| note.kind == ObservationKind::DataUnanswered)
+    );
 }
 
 // Symptom: a flow is broken off while its backend server works on the request.
@@ -101,13 +113,13 @@
 #[test]
 fn life_clears_silence() {
     let (mut router, key) = flow_at_first();
-    let other = FlowKey { caller: common::key(2, 1).caller, ..key };
-    router.on_packet(at(990), &data(other, 1, 1_000, 1));
+    let other = FlowKey { caller: common::flow_key(2, 1).caller, ..key };
+    router.on_packet(clock_at(990), &data_packet(other, 1, 1_000, 1));
     unanswered_opening(&mut router, 1_000);
     // A request that acknowledges an answer shows life since that was asked for, and
     // the second of these was asked for after the silence.
     for (now, sequence, acknowledged) in [(1_250, 1_100, 500), (1_400, 1_200, 900)] {
-        router.on_packet(at(now), &data(other, 1, sequence, acknowledged));
+        router.on_packet(clock_at(now), &data_packet(other, 1, sequence, acknowledged));
     }
     let decision = unanswered_request(&mut router, key);
     assert!(matches!(decision, FlowDecision::Forward { .. }), "{decision:?}");
@@ -119,11 +131,11 @@
 #[test]
 fn unsafe_flow_kept() {
     let (mut router, key) = flow_at_first();
-    let mut row = route("r", 443, "desk", 9);
+    let mut row = route_row("r", 443, "desk", 9);
     if let Some(RowValue::Route(route)) = &mut row.value {
         route.idempotent = false;
     }
-    router.take_rows(at(500), &[row]);
+    router.apply_rows(clock_at(500), &[row]);
     unanswered_opening(&mut router, 1_000);
     let decision = unanswered_request(&mut router, key);
     assert!(matches!(decision, FlowDecision::Forward { .. }), "{decision:?}");
@@ -135,24 +147,29 @@
 #[test]
 fn old_answer_says_nothing() {
     let (mut router, key) = flow_at_first();
-    let other = FlowKey { caller: common::key(2, 1).caller, ..key };
-    router.on_packet(at(990), &data(other, 1, 1_000, 1));
+    let other = FlowKey { caller: common::flow_key(2, 1).caller, ..key };
+    router.on_packet(clock_at(990), &data_packet(other, 1, 1_000, 1));
     unanswered_opening(&mut router, 1_000);
-    router.on_packet(at(1_250), &data(other, 1, 1_100, 500));
+    router.on_packet(clock_at(1_250), &data_packet(other, 1, 1_100, 500));
     let decision = unanswered_request(&mut router, key);
-    assert!(matches!(decision, FlowDecision::End { .. }), "{decision:?}");
+    assert!(matches!(decision, FlowDecision::Reset { .. }), "{decision:?}");
 }
 
 #[test]
 fn silence_told_counts() {
     // What another instance saw of an unanswered opening counts; its suspicions don't.
-    for (kind, ends) in
-        [(NoteKind::Silent, true), (NoteKind::Lost, true), (NoteKind::Ejected, false)]
-    {
+    for (kind, ends) in [
+        (ObservationKind::OpeningUnanswered, true),
+        (ObservationKind::DataUnanswered, true),
+        (ObservationKind::Ejected, false),
+    ] {
         let (mut router, key) = flow_at_first();
-        router.take_note(at(1_205), &HealthNote { number: 1, incarnation: 0, kind, at: at(1_200) });
+        router.apply_observation(
+            clock_at(1_205),
+            &HealthObservation { number: 1, incarnation: 0, kind, observed_at: clock_at(1_200) },
+        );
         let decision = unanswered_request(&mut router, key);
-        assert_eq!(matches!(decision, FlowDecision::End { .. }), ends, "{kind:?}: {decision:?}");
+        assert_eq!(matches!(decision, FlowDecision::Reset { .. }), ends, "{kind:?}: {decision:?}");
     }
 }
 
@@ -163,15 +180,15 @@
 fn long_silence_ends_sooner() {
     let (mut router, key) = flow_at_first();
     unanswered_opening(&mut router, 1_000);
-    let request = data(key, 1, 2_000, 1);
-    let decision = router.on_packet(at(1_690), &request);
+    let request = data_packet(key, 1, 2_000, 1);
+    let decision = router.on_packet(clock_at(1_690), &request);
     assert!(matches!(decision, FlowDecision::Forward { stall: None, .. }), "{decision:?}");
-    let decision = router.on_packet(at(1_890), &request);
+    let decision = router.on_packet(clock_at(1_890), &request);
     assert!(matches!(decision, FlowDecision::Forward { stall: Some(_), .. }), "{decision:?}");
-    let other = FlowKey { caller: common::key(8, 1).caller, ..key };
-    router.on_packet(at(1_701), &data(other, 1, 2_000, 1));
-    let decision = router.on_packet(at(1_901), &data(other, 1, 2_000, 1));
-    assert!(matches!(decision, FlowDecision::End { .. }), "{decision:?}");
+    let other = FlowKey { caller: common::flow_key(8, 1).caller, ..key };
+    router.on_packet(clock_at(1_701), &data_packet(other, 1, 2_000, 1));
+    let decision = router.on_packet(clock_at(1_901), &data_packet(other, 1, 2_000, 1));
+    assert!(matches!(decision, FlowDecision::Reset { .. }), "{decision:?}");
 }
 
 // Symptom: an upload is broken off 200 ms after its last part was sent.
@@ -181,10 +198,10 @@
 fn last_part_counts() {
     let (mut router, key) = flow_at_first();
     unanswered_opening(&mut router, 1_000);
-    router.on_packet(at(1_010), &data(key, 1, 2_000, 1));
-    let last_part = data(key, 1, 2_100, 1);
+    router.on_packet(clock_at(1_010), &data_packet(key, 1, 2_000, 1));
+    let last_part = data_packet(key, 1, 2_100, 1);
     for now in [1_400, 1_600] {
-        let decision = router.on_packet(at(now), &last_part);
+        let decision = router.on_packet(clock_at(now), &last_part);
         assert!(matches!(decision, FlowDecision::Forward { .. }), "{decision:?}");
     }
 }
@@ -198,7 +215,7 @@
     let (mut router, key) = flow_at_first();
     unanswered_opening(&mut router, 1_000);
     for step in 0..3 {
-        let decision = router.on_packet(at(3_000 + step), &data(key, 1, 2_000, 1));
+        let decision = router.on_packet(clock_at(3_000 + step), &data_packet(key, 1, 2_000, 1));
         assert!(matches!(decision, FlowDecision::Forward { .. }), "{decision:?}");
     }
 }
@@ -209,8 +226,8 @@
     let (mut router, key) = flow_at_first();
     let decision = unanswered_request(&mut router, key);
     assert!(matches!(decision, FlowDecision::Forward { .. }), "{decision:?}");
-    let decision = router.on_packet(at(ASKED + 1_400), &data(key, 1, 2_000, 1));
-    assert!(matches!(decision, FlowDecision::End { .. }), "{decision:?}");
+    let decision = router.on_packet(clock_at(ASKED + 1_400), &data_packet(key, 1, 2_000, 1));
+    assert!(matches!(decision, FlowDecision::Reset { .. }), "{decision:?}");
 }
 
 // Symptom: flows are reset though their backend servers live.
@@ -221,18 +238,19 @@
 #[test]
 fn late_copies_end_nothing() {
     let (mut router, key) = flow_at_first();
-    let other = FlowKey { caller: common::key(8, 1).caller, ..key };
+    let other = FlowKey { caller: common::flow_key(8, 1).caller, ..key };
     for (now, is_stalled) in [(ASKED, false), (ASKED + 620, true)] {
         for flow in [key, other] {
-            let decision = router.on_packet(at(now), &data(flow, 1, 2_000, 1));
+            let decision = router.on_packet(clock_at(now), &data_packet(flow, 1, 2_000, 1));
             let FlowDecision::Forward { stall, .. } = decision else {
                 panic!("{decision:?} isn't sent on");
             };
             assert_eq!(stall.is_some(), is_stalled);
         }
     }
-    let is_silence = |kind| matches!(kind, NoteKind::Silent | NoteKind::Lost);
-    assert!(router.take_notes().iter().all(|note| !is_silence(note.kind)));
+    let is_silence =
+        |kind| matches!(kind, ObservationKind::OpeningUnanswered | ObservationKind::DataUnanswered);
+    assert!(router.drain_observations().iter().all(|note| !is_silence(note.kind)));
 }
 
 // Symptom: as an instance goes on after a pause, it resets flows that live.
@@ -243,32 +261,29 @@
 fn waiting_copies_count_once() {
     let (mut router, key) = flow_at_first();
     unanswered_opening(&mut router, 800);
-    let request = data(key, 1, 2_000, 1);
-    router.on_packet(at(ASKED), &request);
-    router.note_pause();
+    let request = data_packet(key, 1, 2_000, 1);
+    router.on_packet(clock_at(ASKED), &request);
+    router.record_pause();
     for _ in 0..3 {
-        let decision = router.on_packet(at(ASKED + 900), &request);
+        let decision = router.on_packet(clock_at(ASKED + 900), &request);
         assert!(matches!(decision, FlowDecision::Forward { .. }), "{decision:?}");
     }
 }
 
 /// What peers tell of a backend server whose death two of them have found.
-fn told_death(at_ms: u64) -> [HealthNote; 2] {
-    [NoteKind::Silent, NoteKind::Lost].map(|kind| HealthNote {
-        number: 1,
-        incarnation: 0,
-        kind,
-        at: at(at_ms),
+fn told_death(at_ms: u64) -> [HealthObservation; 2] {
+    [ObservationKind::OpeningUnanswered, ObservationKind::DataUnanswered].map(|kind| {
+        HealthObservation { number: 1, incarnation: 0, kind, observed_at: clock_at(at_ms) }
     })
 }
 
 /// Lets a caller of backend server 2 have an answer at `now`: the instance's own way is good.
 fn answer_elsewhere(router: &mut FlowRouter, now: u64) {
-    let caller = common::key(3, 7);
-    router.on_packet(at(now - 20), &data(caller, 2, 5_000, 1));
-    let mut packet = data(caller, 2, 5_100, 600);
+    let caller = common::flow_key(3, 7);
+    router.on_packet(clock_at(now - 20), &data_packet(caller, 2, 5_000, 1));
+    let mut packet = data_packet(caller, 2, 5_100, 600);
     packet.length = 0;
-    router.on_packet(at(now), &packet);
+    router.on_packet(clock_at(now), &packet);
 }
 
 // Symptom: a caller that is alone with its backend server waits for 1.4 s, and has hardly
@@ -279,12 +294,14 @@
 #[test]
 fn told_death_ends() {
     let (mut router, key) = flow_at_first();
-    let request = data(key, 1, 2_000, 1);
-    router.on_packet(at(ASKED), &request);
-    told_death(ASKED - 20).iter().for_each(|note| router.take_note(at(ASKED + 10), note));
+    let request = data_packet(key, 1, 2_000, 1);
+    router.on_packet(clock_at(ASKED), &request);
+    told_death(ASKED - 20)
+        .iter()
+        .for_each(|note| router.apply_observation(clock_at(ASKED + 10), note));
     answer_elsewhere(&mut router, ASKED + 60);
-    let decision = router.on_packet(at(ASKED + 200), &request);
-    let FlowDecision::End { reason: EndReason::BackendSilent { waited_ms, .. }, .. } = decision
+    let decision = router.on_packet(clock_at(ASKED + 200), &request);
+    let FlowDecision::Reset { reason: ResetReason::BackendSilent { waited_ms, .. }, .. } = decision
     else {
         panic!("{decision:?}");
     };
@@ -295,10 +312,12 @@
 #[test]
 fn cut_instance_waits() {
     let (mut router, key) = flow_at_first();
-    let request = data(key, 1, 2_000, 1);
-    router.on_packet(at(ASKED), &request);
-    told_death(ASKED - 20).iter().for_each(|note| router.take_note(at(ASKED + 10), note));
-    let decision = router.on_packet(at(ASKED + 200), &request);
+    let request = data_packet(key, 1, 2_000, 1);
+    router.on_packet(clock_at(ASKED), &request);
+    told_death(ASKED - 20)
+        .iter()
+        .for_each(|note| router.apply_observation(clock_at(ASKED + 10), note));
+    let decision = router.on_packet(clock_at(ASKED + 200), &request);
     assert!(matches!(decision, FlowDecision::Forward { .. }), "{decision:?}");
 }
 
@@ -310,17 +329,19 @@
 fn waiting_flow_ended() {
     for (asked, ends) in [(ASKED, true), (ASKED + 200, false)] {
         let (mut router, key) = flow_at_first();
-        router.on_packet(at(asked), &data(key, 1, 2_000, 1));
-        told_death(ASKED + 200).iter().for_each(|note| router.take_note(at(ASKED + 210), note));
+        router.on_packet(clock_at(asked), &data_packet(key, 1, 2_000, 1));
+        told_death(ASKED + 200)
+            .iter()
+            .for_each(|note| router.apply_observation(clock_at(ASKED + 210), note));
         answer_elsewhere(&mut router, ASKED + 230);
         // A request that was asked just now may be answered yet, and would show life.
-        let ended = router.take_dead_ends(at(ASKED + 250));
+        let ended = router.drain_flow_resets(clock_at(ASKED + 250));
         assert_eq!(
             ended.iter().map(|end| end.key).collect::<Vec<_>>(),
             ends.then_some(key).as_slice()
         );
         if let Some(end) = ended.first() {
-            let EndReason::WaitingAtDead { waited_ms, silent_ms } = end.reason else {
+            let ResetReason::WaitingAtDead { waited_ms, silent_ms } = end.reason else {
                 panic!("{end:?}");
             };
             assert_eq!((waited_ms, silent_ms), (250, 50));
@@ -333,13 +354,15 @@
 #[test]
 fn waiting_bid_kept() {
     let (mut router, key) = flow_at_first();
-    let mut row = route("r", 443, "desk", 9);
+    let mut row = route_row("r", 443, "desk", 9);
     if let Some(RowValue::Route(route)) = &mut row.value {
         route.idempotent = false;
     }
-    router.take_rows(at(500), &[row]);
-    router.on_packet(at(ASKED), &data(key, 1, 2_000, 1));
-    told_death(ASKED + 200).iter().for_each(|note| router.take_note(at(ASKED + 210), note));
+    router.apply_rows(clock_at(500), &[row]);
+    router.on_packet(clock_at(ASKED), &data_packet(key, 1, 2_000, 1));
+    told_death(ASKED + 200)
+        .iter()
+        .for_each(|note| router.apply_observation(clock_at(ASKED + 210), note));
     answer_elsewhere(&mut router, ASKED + 230);
-    assert!(router.take_dead_ends(at(ASKED + 250)).is_empty());
+    assert!(router.drain_flow_resets(clock_at(ASKED + 250)).is_empty());
 }
--- a/crates/foxledge-flows/tests/flow_placement.rs
+++ b/crates/foxledge-flows/tests/flow_placement.rs
@@ -7,9 +7,15 @@
 
 #[test]
 fn near_first() {
-    let mut router = desk_router(&[backend(1, "desk", NEAR, 2), backend(2, "desk", FAR, 2)]);
+    let mut router = listed_router(&[
+        listed_backend(1, "desk", LOCAL_CENTRE, 2),
+        listed_backend(2, "desk", REMOTE_CENTRE, 2),
+    ]);
     for port in 0..20 {
-        assert_eq!(open_flow(&mut router, u64::from(port) * 10, key(1, 1_000 + port)), Some(1));
+        assert_eq!(
+            open_flow(&mut router, u64::from(port) * 10, flow_key(1, 1_000 + port)),
+            Some(1)
+        );
     }
 }
 
@@ -17,12 +23,15 @@
 fn busy_leaves_centre() {
     // A request is left running on the near backend server for each flow. Once
     // its slots and as many places again are taken, the far one gets the rest.
-    let mut router = desk_router(&[backend(1, "desk", NEAR, 2), backend(2, "desk", FAR, 2)]);
+    let mut router = listed_router(&[
+        listed_backend(1, "desk", LOCAL_CENTRE, 2),
+        listed_backend(2, "desk", REMOTE_CENTRE, 2),
+    ]);
     let mut numbers = Vec::new();
     for port in 0..10 {
-        let key = key(1, 1_000 + port);
+        let key = flow_key(1, 1_000 + port);
         let number = open_flow(&mut router, 0, key).expect("is placed");
-        router.on_packet(at(8), &data(key, number as u32, 1, 1));
+        router.on_packet(clock_at(8), &data_packet(key, number as u32, 1, 1));
         numbers.push(number);
     }
     assert_eq!(&numbers[..4], &[1, 1, 1, 1]);
@@ -31,11 +40,12 @@
 
 #[test]
 fn even_spread() {
-    let backends: Vec<_> = (1..=4).map(|number| backend(number, "desk", NEAR, 2)).collect();
-    let mut router = desk_router(&backends);
+    let backends: Vec<_> =
+        (1..=4).map(|number| listed_backend(number, "desk", LOCAL_CENTRE, 2)).collect();
+    let mut router = listed_router(&backends);
     let mut counts = [0; 5];
     for port in 0..400 {
-        let number = open_flow(&mut router, u64::from(port), key(1, 1_000 + port));
+        let number = open_flow(&mut router, u64::from(port), flow_key(1, 1_000 + port));
         counts[number.expect("is placed") as usize] += 1;
     }
     assert_eq!(&counts[1..], &[100, 100, 100, 100]);
@@ -44,70 +54,71 @@
 #[test]
 fn cold_waits() {
     // A backend server that has just started takes 1.6 times as long.
-    let mut spec = backend_spec(1, "desk", NEAR);
+    let mut spec = backend_spec(1, "desk", LOCAL_CENTRE);
     spec.warm_in_ms = 2_000;
-    let mut router = desk_router(&[backend_row(spec, 2), backend(2, "desk", NEAR, 2)]);
-    assert_eq!(open_flow(&mut router, 10, key(1, 1)), Some(2));
-    assert_eq!(open_flow(&mut router, 20, key(1, 2)), Some(2));
-    assert_eq!(open_flow(&mut router, 2_500, key(1, 3)), Some(1));
+    let mut router =
+        listed_router(&[backend_row(spec, 2), listed_backend(2, "desk", LOCAL_CENTRE, 2)]);
+    assert_eq!(open_flow(&mut router, 10, flow_key(1, 1)), Some(2));
+    assert_eq!(open_flow(&mut router, 20, flow_key(1, 2)), Some(2));
+    assert_eq!(open_flow(&mut router, 2_500, flow_key(1, 3)), Some(1));
 }
 
 #[test]
 fn draining_gets_none() {
-    let one = backend(1, "desk", NEAR, 2);
-    let mut router = desk_router(&[one.clone(), backend(2, "desk", FAR, 2)]);
-    router.take_rows(at(100), &[draining(&one, 3)]);
+    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(&[one.clone(), listed_backend(2, "desk", REMOTE_CENTRE, 2)]);
+    router.apply_rows(clock_at(100), &[draining_row(&one, 3)]);
     for port in 0..20 {
-        assert_eq!(open_flow(&mut router, 100, key(1, 1_000 + port)), Some(2));
+        assert_eq!(open_flow(&mut router, 100, flow_key(1, 1_000 + port)), Some(2));
     }
 }
 
 #[test]
 fn none_refused_at_once() {
     // Every backend server is leaving: the caller learns it with the first packet.
-    let one = backend(1, "desk", NEAR, 2);
-    let mut router = desk_router(std::slice::from_ref(&one));
-    router.take_rows(at(100), &[draining(&one, 3)]);
-    let decision = router.on_packet(at(110), &opening(key(1, 1), 0));
+    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&one));
+    router.apply_rows(clock_at(100), &[draining_row(&one, 3)]);
+    let decision = router.on_packet(clock_at(110), &opening_packet(flow_key(1, 1), 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
 }
 
 #[test]
 fn first_route_decides() {
-    let mut second = route("b", 443, "other", 1);
+    let mut second = route_row("b", 443, "other", 1);
     if let Some(foxledge_flows::rows::RowValue::Route(route)) = &mut second.value {
         route.position = 9_999;
     }
-    let mut router = router();
+    let mut router = empty_router();
     let rows = [
-        limits(1, 1),
+        limits_row(1, 1),
         second,
-        route("a", 443, "desk", 1),
-        backend(1, "desk", NEAR, 1),
-        backend(2, "other", NEAR, 1),
+        route_row("a", 443, "desk", 1),
+        listed_backend(1, "desk", LOCAL_CENTRE, 1),
+        listed_backend(2, "other", LOCAL_CENTRE, 1),
     ];
-    router.take_rows(at(0), &rows);
-    assert_eq!(open_flow(&mut router, 10, key(1, 1)), Some(1));
+    router.apply_rows(clock_at(0), &rows);
+    assert_eq!(open_flow(&mut router, 10, flow_key(1, 1)), Some(1));
     // The first goes, the second decides.
-    router.take_rows(at(20), &[removed(&rows[2], 5, 0)]);
-    assert_eq!(open_flow(&mut router, 30, key(1, 2)), Some(2));
+    router.apply_rows(clock_at(20), &[removed_row(&rows[2], 5, 0)]);
+    assert_eq!(open_flow(&mut router, 30, flow_key(1, 2)), Some(2));
 }
 
 #[test]
 fn load_returns() {
     // An answer frees the place that its request took.
-    let mut router = desk_router(&[backend(1, "desk", NEAR, 2)]);
-    let key = key(1, 1);
+    let mut router = listed_router(&[listed_backend(1, "desk", LOCAL_CENTRE, 2)]);
+    let key = flow_key(1, 1);
     open_flow(&mut router, 0, key);
-    router.on_packet(at(10), &data(key, 1, 1, 1));
-    assert_eq!(router.backends().map(|one| one.running).sum::<u32>(), 1);
-    let mut answered = packet(key, PacketKind::Continue, 1);
+    router.on_packet(clock_at(10), &data_packet(key, 1, 1, 1));
+    assert_eq!(router.backends().map(|one| one.running_requests).sum::<u32>(), 1);
+    let mut answered = flow_packet(key, PacketKind::Continue, 1);
     answered.acknowledged = 900;
-    router.on_packet(at(40), &answered);
-    assert_eq!(router.backends().map(|one| one.running).sum::<u32>(), 0);
-    let latencies = router.take_latencies();
+    router.on_packet(clock_at(40), &answered);
+    assert_eq!(router.backends().map(|one| one.running_requests).sum::<u32>(), 0);
+    let latencies = router.drain_latencies();
     assert_eq!(latencies.len(), 1);
     assert_eq!(latencies[0].as_millis(), 30);
-    router.on_packet(at(50), &packet(key, PacketKind::Finish, 1));
-    assert_eq!(router.tracked_flows(), 0);
+    router.on_packet(clock_at(50), &flow_packet(key, PacketKind::Finish, 1));
+    assert_eq!(router.tracked_flow_count(), 0);
 }
--- a/crates/foxledge-flows/tests/flow_sweep.rs
+++ b/crates/foxledge-flows/tests/flow_sweep.rs
@@ -114,9 +114,10 @@
 
 impl Run {
     fn new() -> Run {
-        let backends: Vec<_> = (1..4).map(|number| backend(number, "desk", NEAR, 2)).collect();
+        let backends: Vec<_> =
+            (1..4).map(|number| listed_backend(number, "desk", LOCAL_CENTRE, 2)).collect();
         Run {
-            routers: vec![desk_router(&backends), desk_router(&backends)],
+            routers: vec![listed_router(&backends), listed_router(&backends)],
             revisions: [10, 10],
             drained: Default::default(),
             holders: HashMap::new(),
@@ -134,7 +135,7 @@
     fn rows(&mut self, index: usize, make: impl Fn(u64) -> foxledge_flows::rows::ListRow) {
         self.revisions[index] += 1;
         let row = make(self.revisions[index]);
-        self.routers[index].take_rows(at(self.now), &[row]);
+        self.routers[index].apply_rows(clock_at(self.now), &[row]);
     }
 
     fn step(&mut self, step: &Step) {
@@ -142,23 +143,23 @@
             Step::Wait { millis } => {
                 self.now += millis;
                 for router in &mut self.routers {
-                    router.check_overdue(at(self.now));
+                    router.report_overdue_openings(clock_at(self.now));
                 }
                 for router in 0..2 {
                     self.bring_back(router);
                 }
             }
             Step::Confirm { router } => {
-                self.routers[router].set_confirmed(at(self.now));
+                self.routers[router].set_confirmed_at(clock_at(self.now));
                 self.back_at[router].get_or_insert(self.now + BACK_MS);
             }
             Step::Start { router } => self.start(router),
             Step::Vanish { backend: number } => {
                 self.vanished.insert(number);
                 for router in 0..2 {
-                    let row = backend(number, "desk", NEAR, 1);
+                    let row = listed_backend(number, "desk", LOCAL_CENTRE, 1);
                     self.drained[router].retain(|one| *one != number);
-                    self.rows(router, |revision| removed(&row, revision, 0));
+                    self.rows(router, |revision| removed_row(&row, revision, 0));
                 }
             }
             Step::Drain { backend: number, .. }
@@ -168,26 +169,28 @@
             Step::Drain { router, backend: number } => {
                 self.drained[router].push(number);
                 self.lapsed[router].remove(&number);
-                let row = backend(number, "desk", NEAR, 1);
-                self.rows(router, |revision| draining(&row, revision));
+                let row = listed_backend(number, "desk", LOCAL_CENTRE, 1);
+                self.rows(router, |revision| draining_row(&row, revision));
             }
             Step::Remove { router, backend: number } => {
-                let row = backend(number, "desk", NEAR, 1);
-                self.rows(router, |revision| removed(&row, revision, 0));
+                let row = listed_backend(number, "desk", LOCAL_CENTRE, 1);
+                self.rows(router, |revision| removed_row(&row, revision, 0));
                 self.drained[router].retain(|one| *one != number);
                 self.lapsed[router].insert(number);
             }
             Step::Return { router, backend: number } => {
                 self.drained[router].retain(|one| *one != number);
                 self.lapsed[router].remove(&number);
-                self.rows(router, |revision| backend(number, "desk", NEAR, revision));
+                self.rows(router, |revision| {
+                    listed_backend(number, "desk", LOCAL_CENTRE, revision)
+                });
             }
             Step::RemoveRoute { router } => {
-                let row = route("r", 443, "desk", 1);
-                self.rows(router, |revision| removed(&row, revision, 0));
+                let row = route_row("r", 443, "desk", 1);
+                self.rows(router, |revision| removed_row(&row, revision, 0));
             }
             Step::AddRoute { router } => {
-                self.rows(router, |revision| route("r", 443, "desk", revision));
+                self.rows(router, |revision| route_row("r", 443, "desk", revision));
             }
             Step::Open { router, flow, copy } => self.open(router, flow, copy),
             Step::Data { router, flow } => self.follow(router, flow, PacketKind::Continue),
@@ -204,12 +207,13 @@
         let listed = (1..4).filter(|number| {
             !self.vanished.contains(number) && !self.lapsed[router].contains(number)
         });
-        let rows: Vec<_> = listed.map(|number| backend(number, "desk", NEAR, 2)).collect();
+        let rows: Vec<_> =
+            listed.map(|number| listed_backend(number, "desk", LOCAL_CENTRE, 2)).collect();
         let mut started = foxledge_flows::FlowRouter::new(foxledge_flows::RouterOptions::new(
-            foxledge_core::names::CentreName::new(NEAR),
+            foxledge_core::names::CentreName::new(LOCAL_CENTRE),
         ));
-        started.take_rows(at(self.now), &[limits(1, 1), route("r", 443, "desk", 1)]);
-        started.take_rows(at(self.now), &rows);
+        started.apply_rows(clock_at(self.now), &[limits_row(1, 1), route_row("r", 443, "desk", 1)]);
+        started.apply_rows(clock_at(self.now), &rows);
         self.routers[router] = started;
     }
 
@@ -220,7 +224,9 @@
         let back: Vec<_> = self.lapsed[router].drain().collect();
         for number in back {
             if !self.vanished.contains(&number) {
-                self.rows(router, |revision| backend(number, "desk", NEAR, revision));
+                self.rows(router, |revision| {
+                    listed_backend(number, "desk", LOCAL_CENTRE, revision)
+                });
             }
         }
     }
@@ -231,8 +237,9 @@
             return;
         }
         let router = &mut self.routers[index];
-        let decision = router.on_packet(at(self.now), &opening(key(1, flow), copy));
-        let Some(number) = number_of(router, &decision) else { return };
+        let decision =
+            router.on_packet(clock_at(self.now), &opening_packet(flow_key(1, flow), copy));
+        let Some(number) = decided_backend(router, &decision) else { return };
         // A copy that comes within 150 ms of the packet before it goes where that
         // went, also when that backend server has begun to leave in between: it may
         // have taken the flow already, and another would take it a second time.
@@ -256,7 +263,7 @@
             self.openings.remove(&flow);
             return;
         }
-        let mut sent = data(key(1, flow), holder as u32, self.now as u32, 1);
+        let mut sent = data_packet(flow_key(1, flow), holder as u32, self.now as u32, 1);
         sent.kind = kind;
         self.last_data.insert(flow, sent);
         self.send(index, flow, holder, &sent);
@@ -274,13 +281,13 @@
 
     fn send(&mut self, index: usize, flow: u16, holder: u64, sent: &FlowPacket) {
         let router = &mut self.routers[index];
-        let decision = router.on_packet(at(self.now), sent);
+        let decision = router.on_packet(clock_at(self.now), sent);
         if matches!(decision, FlowDecision::Refuse(_)) {
             assert!(self.vanished.contains(&holder), "a flow of a live backend server was reset");
             self.holders.remove(&flow);
             self.openings.remove(&flow);
         }
-        if matches!(decision, FlowDecision::End { .. }) {
+        if matches!(decision, FlowDecision::Reset { .. }) {
             let first_sent = u64::from(sent.sequence);
             let silent_since = self.unanswered.get(&holder).expect("other evidence");
             // Long known silence and one copy, or two copies.
@@ -292,7 +299,7 @@
         if self.now >= u64::from(sent.sequence) + 500 {
             self.unanswered.entry(holder).or_insert(self.now);
         }
-        if let Some(number) = number_of(router, &decision) {
+        if let Some(number) = decided_backend(router, &decision) {
             assert_eq!(number, holder, "an open flow reached another backend server");
         }
     }
--- a/crates/foxledge-flows/tests/idle_flows.rs
+++ b/crates/foxledge-flows/tests/idle_flows.rs
@@ -6,7 +6,8 @@
 
 use common::*;
 use foxledge_flows::{
-    DeadEnd, EndReason, FlowDecision, FlowKey, FlowRouter, HealthNote, NoteKind, rows::RowValue,
+    FlowDecision, FlowKey, FlowReset, FlowRouter, HealthObservation, ObservationKind, ResetReason,
+    rows::RowValue,
 };
 
 /// Backend servers of these tests.
@@ -19,18 +20,19 @@
 const SHOWN: u64 = DEATH + 610;
 
 fn flow(port: u16) -> FlowKey {
-    common::key(1 + (port % 5) as u8, port)
+    common::flow_key(1 + (port % 5) as u8, port)
 }
 
 /// Callers keep flows for requests that may not be repeated.
 fn bids_router() -> FlowRouter {
-    let rows: Vec<_> = (1..=BACKENDS).map(|number| backend(number, "desk", NEAR, 2)).collect();
-    let mut router = desk_router(&rows);
-    let mut row = route("r", 443, "desk", 9);
+    let rows: Vec<_> =
+        (1..=BACKENDS).map(|number| listed_backend(number, "desk", LOCAL_CENTRE, 2)).collect();
+    let mut router = listed_router(&rows);
+    let mut row = route_row("r", 443, "desk", 9);
     if let Some(RowValue::Route(route)) = &mut row.value {
         (route.idempotent, route.timeout_ms) = (false, 1_200);
     }
-    router.take_rows(at(0), &[row]);
+    router.apply_rows(clock_at(0), &[row]);
     router
 }
 
@@ -39,7 +41,7 @@
     router: FlowRouter,
     /// Flow, its backend server, and the sequence and acknowledgement numbers that come next.
     kept: Vec<(FlowKey, u64, u32, u32)>,
-    ended: Vec<DeadEnd>,
+    ended: Vec<FlowReset>,
 }
 
 impl Callers {
@@ -63,15 +65,16 @@
 
     fn send(&mut self, index: usize, now: u64) -> FlowDecision {
         let (key, number, sequence, acknowledged) = self.kept[index];
-        self.router.on_packet(at(now), &data(key, number as u32, sequence, acknowledged))
+        self.router
+            .on_packet(clock_at(now), &data_packet(key, number as u32, sequence, acknowledged))
     }
 
     fn acknowledge(&mut self, index: usize, now: u64) {
         let (key, number, sequence, acknowledged) = &mut self.kept[index];
         (*sequence, *acknowledged) = (*sequence + 100, *acknowledged + 600);
-        let mut packet = data(*key, *number as u32, *sequence, *acknowledged);
+        let mut packet = data_packet(*key, *number as u32, *sequence, *acknowledged);
         packet.length = 0;
-        self.router.on_packet(at(now), &packet);
+        self.router.on_packet(clock_at(now), &packet);
     }
 
     /// Indexes of the flows that backend server 1 holds.
@@ -95,7 +98,7 @@
     /// Looks for flows to end, as often as in this span.
     fn look(&mut self, span: std::ops::Range<u64>) {
         for now in span.step_by(25) {
-            self.ended.extend(self.router.take_dead_ends(at(now)));
+            self.ended.extend(self.router.drain_flow_resets(clock_at(now)));
         }
     }
 
@@ -127,13 +130,13 @@
     let at_rest: BTreeSet<_> = held[2..].iter().map(|index| callers.kept[*index].0).collect();
     assert_eq!(callers.ended_keys(), at_rest);
     for end in &callers.ended {
-        let EndReason::IdleAtDead { idle_ms, silent_ms } = end.reason else { panic!("{end:?}") };
+        let ResetReason::IdleAtDead { idle_ms, silent_ms } = end.reason else { panic!("{end:?}") };
         assert!(idle_ms > 2_000 && (0..200).contains(&silent_ms), "{end:?}");
         // Callers take a reset near what they have received.
         assert_eq!(end.received, 601);
     }
-    let tracked: usize = callers.router.backends().map(|one| one.flows as usize).sum();
-    assert_eq!(callers.router.tracked_flows(), tracked);
+    let tracked: usize = callers.router.backends().map(|one| one.open_flows as usize).sum();
+    assert_eq!(callers.router.tracked_flow_count(), tracked);
     // Each once, and never those of the others.
     callers.look(SHOWN + 100..SHOWN + 500);
     assert_eq!(callers.ended.len(), at_rest.len());
@@ -211,11 +214,11 @@
 fn full_one_keeps() {
     let mut callers = Callers::new(bids_router());
     for port in 200..230 {
-        callers.router.on_packet(at(DEATH), &opening(flow(port), 0));
+        callers.router.on_packet(clock_at(DEATH), &opening_packet(flow(port), 0));
     }
-    callers.router.check_overdue(at(DEATH + 50));
+    callers.router.report_overdue_openings(clock_at(DEATH + 50));
     for port in 200..230 {
-        callers.router.on_packet(at(DEATH + 200), &opening(flow(port), 1));
+        callers.router.on_packet(clock_at(DEATH + 200), &opening_packet(flow(port), 1));
     }
     let other = callers.at_others()[0];
     callers.ask(other, SHOWN);
@@ -267,10 +270,10 @@
 #[test]
 fn pause_forgets() {
     let (mut callers, _) = dead_first();
-    callers.router.note_pause();
+    callers.router.record_pause();
     callers.look(SHOWN + 5_000..SHOWN + 5_100);
-    callers.router.check_overdue(at(SHOWN + 5_100));
-    callers.router.set_confirmed(at(SHOWN + 5_110));
+    callers.router.report_overdue_openings(clock_at(SHOWN + 5_100));
+    callers.router.set_confirmed_at(clock_at(SHOWN + 5_110));
     let other = callers.at_others()[0];
     callers.ask(other, SHOWN + 5_120);
     callers.look(SHOWN + 5_150..SHOWN + 6_500);
@@ -281,7 +284,7 @@
 fn waiting_packets_first() {
     // What waited during the pause may hold a sign of life, and so may the next list.
     let (mut callers, held) = dead_first();
-    callers.router.note_pause();
+    callers.router.record_pause();
     callers.stall(&held[..2], SHOWN + 10);
     callers.look(SHOWN + 10..SHOWN + 700);
     assert_eq!(callers.ended, []);
@@ -303,9 +306,9 @@
 #[test]
 fn new_start_keeps() {
     let (mut callers, _) = dead_first();
-    let mut spec = backend_spec(1, "desk", NEAR);
+    let mut spec = backend_spec(1, "desk", LOCAL_CENTRE);
     spec.incarnation = 77;
-    callers.router.take_rows(at(SHOWN), &[backend_row(spec, 20)]);
+    callers.router.apply_rows(clock_at(SHOWN), &[backend_row(spec, 20)]);
     open_flow(&mut callers.router, SHOWN + 1, flow(300));
     callers.look(SHOWN + 10..SHOWN + 2_000);
     assert_eq!(callers.ended, []);
@@ -314,21 +317,26 @@
 #[test]
 fn peers_words_count() {
     // Two flows at other instances suffice, or one and an opening; openings alone don't.
-    use NoteKind::{Alive, Ejected, Lost, Silent, Suspect};
-    let cases: [(&[NoteKind], bool); 6] = [
-        (&[Lost, Lost], true),
-        (&[Silent, Lost], true),
-        (&[Lost], false),
-        (&[Silent, Silent, Silent], false),
-        (&[Suspect, Ejected, Ejected, Lost], false),
-        (&[Lost, Lost, Alive], false),
+    use ObservationKind::{Alive, DataUnanswered, Ejected, OpeningUnanswered, Suspect};
+    let cases: [(&[ObservationKind], bool); 6] = [
+        (&[DataUnanswered, DataUnanswered], true),
+        (&[OpeningUnanswered, DataUnanswered], true),
+        (&[DataUnanswered], false),
+        (&[OpeningUnanswered, OpeningUnanswered, OpeningUnanswered], false),
+        (&[Suspect, Ejected, Ejected, DataUnanswered], false),
+        (&[DataUnanswered, DataUnanswered, Alive], false),
     ];
     for (kinds, ends) in cases {
         let mut callers = Callers::new(bids_router());
         for (step, kind) in kinds.iter().enumerate() {
             let now = DEATH + step as u64;
-            let note = HealthNote { number: 1, incarnation: 0, kind: *kind, at: at(now) };
-            callers.router.take_note(at(now + 1), &note);
+            let note = HealthObservation {
+                number: 1,
+                incarnation: 0,
+                kind: *kind,
+                observed_at: clock_at(now),
+            };
+            callers.router.apply_observation(clock_at(now + 1), &note);
         }
         let other = callers.at_others()[0];
         callers.ask(other, DEATH + 20);
@@ -339,28 +347,33 @@
 
 #[test]
 fn ends_bounded() {
-    let rows: Vec<_> = (1..=2).map(|number| backend(number, "desk", NEAR, 2)).collect();
-    let mut router = desk_router(&rows);
+    let rows: Vec<_> =
+        (1..=2).map(|number| listed_backend(number, "desk", LOCAL_CENTRE, 2)).collect();
+    let mut router = listed_router(&rows);
     for port in 1..=1_000 {
         let now = u64::from(port);
         if let Some(number) = open_flow(&mut router, now, flow(port)) {
-            router.on_packet(at(now + 8), &data(flow(port), number as u32, 1_000, 1));
-            let mut answered = data(flow(port), number as u32, 1_100, 601);
+            router.on_packet(clock_at(now + 8), &data_packet(flow(port), number as u32, 1_000, 1));
+            let mut answered = data_packet(flow(port), number as u32, 1_100, 601);
             answered.length = 0;
-            router.on_packet(at(now + 28), &answered);
+            router.on_packet(clock_at(now + 28), &answered);
         }
     }
-    let held = router.backend_of(1).map_or(0, |one| one.flows) as usize;
+    let held = router.backend_by_number(1).map_or(0, |one| one.open_flows) as usize;
     for step in 0..2 {
-        let note =
-            HealthNote { number: 1, incarnation: 0, kind: NoteKind::Lost, at: at(DEATH + step) };
-        router.take_note(at(DEATH + 2), &note);
+        let note = HealthObservation {
+            number: 1,
+            incarnation: 0,
+            kind: ObservationKind::DataUnanswered,
+            observed_at: clock_at(DEATH + step),
+        };
+        router.apply_observation(clock_at(DEATH + 2), &note);
     }
     open_flow(&mut router, DEATH + 10, flow(2_000));
     let counts: Vec<usize> =
-        (0..100).map(|ms| router.take_dead_ends(at(DEATH + 50 + ms)).len()).collect();
+        (0..100).map(|ms| router.drain_flow_resets(clock_at(DEATH + 50 + ms)).len()).collect();
     assert!(counts.iter().all(|count| *count <= 50), "{counts:?}");
     assert!(counts.iter().sum::<usize>() <= 50 * 5, "{counts:?}");
-    let rest = (200..2_000).map(|ms| router.take_dead_ends(at(DEATH + ms)).len());
+    let rest = (200..2_000).map(|ms| router.drain_flow_resets(clock_at(DEATH + ms)).len());
     assert_eq!(counts.iter().sum::<usize>() + rest.sum::<usize>(), held);
 }
--- a/crates/foxledge-flows/tests/idle_sweep.rs
+++ b/crates/foxledge-flows/tests/idle_sweep.rs
@@ -10,7 +10,7 @@
 
 use common::*;
 use foxledge_flows::{
-    DeadEnd, EndReason, FlowDecision, FlowKey, FlowRouter, HealthNote, rows::RowValue,
+    FlowDecision, FlowKey, FlowReset, FlowRouter, HealthObservation, ResetReason, rows::RowValue,
 };
 use proptest::prelude::*;
 
@@ -100,7 +100,7 @@
     count: u64,
     routers: Vec<FlowRouter>,
     paused_until: [u64; ROUTERS],
-    notes: Vec<HealthNote>,
+    notes: Vec<HealthObservation>,
     flows: Vec<CallerFlow>,
     next_port: u16,
     dead: BTreeMap<u64, u64>,
@@ -115,12 +115,13 @@
 
 impl Run {
     fn new(repeatable: bool) -> Run {
-        let rows: Vec<_> = (1..=BACKENDS).map(|number| backend(number, "desk", NEAR, 2)).collect();
+        let rows: Vec<_> =
+            (1..=BACKENDS).map(|number| listed_backend(number, "desk", LOCAL_CENTRE, 2)).collect();
         let mut run = Run {
             now: 0,
             events: BinaryHeap::new(),
             count: 0,
-            routers: (0..ROUTERS).map(|_| desk_router(&rows)).collect(),
+            routers: (0..ROUTERS).map(|_| listed_router(&rows)).collect(),
             paused_until: [0; ROUTERS],
             notes: Vec::new(),
             flows: Vec::new(),
@@ -132,12 +133,12 @@
             repeatable,
             ended: [0; 3],
         };
-        let mut row = route("r", 443, "desk", 9);
+        let mut row = route_row("r", 443, "desk", 9);
         if let Some(RowValue::Route(route)) = &mut row.value {
             (route.timeout_ms, route.idempotent) = (DEADLINE as u32, repeatable);
         }
         for router in &mut run.routers {
-            router.take_rows(at(0), std::slice::from_ref(&row));
+            router.apply_rows(clock_at(0), std::slice::from_ref(&row));
         }
         for flow in 0..FLOWS {
             let opened = run.opened(flow);
@@ -149,7 +150,7 @@
 
     /// Opens a flow at its instance; openings themselves are always answered here.
     fn opened(&mut self, flow: usize) -> CallerFlow {
-        let key = key(flow as u8, self.next_port);
+        let key = flow_key(flow as u8, self.next_port);
         self.next_port += 1;
         let alive = |number: &u64| !self.dead.contains_key(number);
         let backend = (1..=BACKENDS).cycle().skip(flow).find(alive).expect("one lives");
@@ -213,13 +214,13 @@
             Event::Answer { flow, request } => self.answer(flow, request),
             Event::Wake { router } if self.paused_until[router] <= self.now => {
                 // What waited is read at the same moment, before it is judged.
-                self.routers[router].note_pause();
+                self.routers[router].record_pause();
             }
             Event::Wake { .. } => {}
             Event::Hear { router, note } => {
                 let note = self.notes[note];
                 if self.paused_until[router] <= self.now {
-                    self.routers[router].take_note(at(self.now), &note);
+                    self.routers[router].apply_observation(clock_at(self.now), &note);
                 }
             }
             Event::Tick => self.tick(),
@@ -247,13 +248,13 @@
         }
         let caller = self.flows[flow];
         let sequence = 1_000 + request * 100;
-        let mut packet = data(caller.key, caller.backend as u32, sequence, acknowledged);
+        let mut packet = data_packet(caller.key, caller.backend as u32, sequence, acknowledged);
         packet.length = length;
-        let decision = self.routers[router].on_packet(at(self.now), &packet);
+        let decision = self.routers[router].on_packet(clock_at(self.now), &packet);
         self.share(router);
         match decision {
             FlowDecision::Forward { .. } => self.deliver(flow, request, length),
-            FlowDecision::End { .. } => self.end(flow, 0),
+            FlowDecision::Reset { .. } => self.end(flow, 0),
             other => panic!("{other:?}"),
         }
     }
@@ -293,34 +294,34 @@
             if self.paused_until[router] > self.now {
                 continue;
             }
-            self.routers[router].check_overdue(at(self.now));
-            self.routers[router].set_confirmed(at(self.now));
-            for end in self.routers[router].take_dead_ends(at(self.now)) {
+            self.routers[router].report_overdue_openings(clock_at(self.now));
+            self.routers[router].set_confirmed_at(clock_at(self.now));
+            for end in self.routers[router].drain_flow_resets(clock_at(self.now)) {
                 self.take_end(&end);
             }
         }
         self.push(10, Event::Tick);
     }
 
-    fn take_end(&mut self, end: &DeadEnd) {
+    fn take_end(&mut self, end: &FlowReset) {
         let Some(flow) = self.flows.iter().position(|caller| caller.key == end.key) else { return };
         let caller = self.flows[flow];
         // What its caller sends while the reset is on its way is lost in any case.
         let is_seen = caller.asked_at + WAY < self.now && self.now < caller.asked_at + DEADLINE;
         let is_under_way = caller.is_waiting && is_seen;
         match end.reason {
-            EndReason::IdleAtDead { .. } => {
+            ResetReason::IdleAtDead { .. } => {
                 assert!(!is_under_way, "a request was under way on {}", caller.key);
                 self.end(flow, 1);
             }
-            EndReason::WaitingAtDead { .. } => {
+            ResetReason::WaitingAtDead { .. } => {
                 // The caller may have its answer, where its word of that was lost.
                 assert!(self.repeatable, "a bid was under way on {}", caller.key);
                 self.end(flow, 2);
             }
-            EndReason::BackendSilent { .. }
-            | EndReason::AddressTaken { .. }
-            | EndReason::CentreSilent { .. } => panic!("{end:?} without a packet"),
+            ResetReason::BackendSilent { .. }
+            | ResetReason::AddressTaken { .. }
+            | ResetReason::CentreSilent { .. } => panic!("{end:?} without a packet"),
         }
     }
 
@@ -338,7 +339,7 @@
     }
 
     fn share(&mut self, router: usize) {
-        for note in self.routers[router].take_notes() {
+        for note in self.routers[router].drain_observations() {
             self.notes.push(note);
             let note = self.notes.len() - 1;
             for other in (0..ROUTERS).filter(|other| *other != router) {
--- a/crates/foxledge-flows/tests/lapsed_entries.rs
+++ b/crates/foxledge-flows/tests/lapsed_entries.rs
@@ -11,51 +11,51 @@
 // Cause: an entry that is missing is taken for a backend server that is gone.
 #[test]
 fn lapse_bridged() {
-    let one = backend(1, "desk", NEAR, 2);
-    let mut router = desk_router(std::slice::from_ref(&one));
-    router.take_rows(at(100), &[removed(&one, 3, 0)]);
-    assert_eq!(open_flow(&mut router, 2_000, key(1, 1)), Some(1));
-    router.take_rows(at(2_100), &[backend(1, "desk", NEAR, 4)]);
-    assert_eq!(open_flow(&mut router, 60_000, key(1, 2)), Some(1));
+    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&one));
+    router.apply_rows(clock_at(100), &[removed_row(&one, 3, 0)]);
+    assert_eq!(open_flow(&mut router, 2_000, flow_key(1, 1)), Some(1));
+    router.apply_rows(clock_at(2_100), &[listed_backend(1, "desk", LOCAL_CENTRE, 4)]);
+    assert_eq!(open_flow(&mut router, 60_000, flow_key(1, 2)), Some(1));
 }
 
 #[test]
 fn missing_means_gone() {
-    let one = backend(1, "desk", NEAR, 2);
-    let mut router = desk_router(std::slice::from_ref(&one));
-    router.take_rows(at(100), &[removed(&one, 3, 0)]);
-    router.set_confirmed(at(2_350));
-    let decision = router.on_packet(at(2_400), &opening(key(1, 1), 0));
+    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&one));
+    router.apply_rows(clock_at(100), &[removed_row(&one, 3, 0)]);
+    router.set_confirmed_at(clock_at(2_350));
+    let decision = router.on_packet(clock_at(2_400), &opening_packet(flow_key(1, 1), 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
 }
 
 #[test]
 fn age_counts() {
     // A peer tells of a removal that happened two seconds ago.
-    let one = backend(1, "desk", NEAR, 2);
-    let mut router = desk_router(std::slice::from_ref(&one));
-    router.take_rows(at(100), &[removed(&one, 3, 2_000)]);
-    let decision = router.on_packet(at(400), &opening(key(1, 1), 0));
+    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&one));
+    router.apply_rows(clock_at(100), &[removed_row(&one, 3, 2_000)]);
+    let decision = router.on_packet(clock_at(400), &opening_packet(flow_key(1, 1), 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
 }
 
 #[test]
 fn planned_leave_final() {
-    let one = backend(1, "desk", NEAR, 2);
-    let mut router = desk_router(std::slice::from_ref(&one));
-    router.take_rows(at(100), &[removed(&draining(&one, 3), 4, 0)]);
-    let decision = router.on_packet(at(110), &opening(key(1, 1), 0));
+    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&one));
+    router.apply_rows(clock_at(100), &[removed_row(&draining_row(&one, 3), 4, 0)]);
+    let decision = router.on_packet(clock_at(110), &opening_packet(flow_key(1, 1), 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
 }
 
 #[test]
 fn taken_address_ends_grace() {
-    let one = backend(1, "desk", NEAR, 2);
-    let mut router = desk_router(std::slice::from_ref(&one));
-    let mut newer = backend_spec(2, "other", NEAR);
+    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&one));
+    let mut newer = backend_spec(2, "other", LOCAL_CENTRE);
     newer.ip = u32::from(std::net::Ipv4Addr::new(10, 128, 0, 1));
-    router.take_rows(at(100), &[removed(&one, 3, 0), backend_row(newer, 4)]);
-    let decision = router.on_packet(at(110), &opening(key(1, 1), 0));
+    router.apply_rows(clock_at(100), &[removed_row(&one, 3, 0), backend_row(newer, 4)]);
+    let decision = router.on_packet(clock_at(110), &opening_packet(flow_key(1, 1), 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
 }
 
@@ -66,16 +66,16 @@
 // Cause: the grace ran out while no entry could come back.
 #[test]
 fn lapse_while_store_away() {
-    let one = backend(1, "desk", NEAR, 2);
-    let mut router = desk_router(std::slice::from_ref(&one));
-    router.set_confirmed(at(100));
-    router.take_rows(at(110), &[removed(&one, 3, 0)]);
-    assert_eq!(open_flow(&mut router, 8_000, key(1, 1)), Some(1));
+    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&one));
+    router.set_confirmed_at(clock_at(100));
+    router.apply_rows(clock_at(110), &[removed_row(&one, 3, 0)]);
+    assert_eq!(open_flow(&mut router, 8_000, flow_key(1, 1)), Some(1));
     // The store is back; the entry may come back for two seconds more, then it is gone.
-    router.set_confirmed(at(9_000));
-    assert_eq!(open_flow(&mut router, 11_000, key(1, 2)), Some(1));
-    router.set_confirmed(at(11_150));
-    let decision = router.on_packet(at(11_210), &opening(key(1, 3), 0));
+    router.set_confirmed_at(clock_at(9_000));
+    assert_eq!(open_flow(&mut router, 11_000, flow_key(1, 2)), Some(1));
+    router.set_confirmed_at(clock_at(11_150));
+    let decision = router.on_packet(clock_at(11_210), &opening_packet(flow_key(1, 3), 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
 }
 
@@ -85,18 +85,18 @@
 // Cause: it counts the grace from the first lapse, which was long before the return.
 #[test]
 fn second_lapse_bridged() {
-    let one = backend(1, "desk", NEAR, 2);
-    let mut router = desk_router(std::slice::from_ref(&one));
-    router.take_rows(at(100), &[removed(&one, 3, 0)]);
-    router.set_confirmed(at(101));
-    router.set_confirmed(at(7_900));
-    assert_eq!(open_flow(&mut router, 7_910, key(1, 1)), Some(1));
+    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&one));
+    router.apply_rows(clock_at(100), &[removed_row(&one, 3, 0)]);
+    router.set_confirmed_at(clock_at(101));
+    router.set_confirmed_at(clock_at(7_900));
+    assert_eq!(open_flow(&mut router, 7_910, flow_key(1, 1)), Some(1));
     // What was gone for longer than the grace when the store went away stays gone.
-    let mut router = desk_router(std::slice::from_ref(&one));
-    router.take_rows(at(100), &[removed(&one, 3, 0)]);
-    router.set_confirmed(at(2_400));
-    router.set_confirmed(at(7_900));
-    let decision = router.on_packet(at(7_910), &opening(key(1, 1), 0));
+    let mut router = listed_router(std::slice::from_ref(&one));
+    router.apply_rows(clock_at(100), &[removed_row(&one, 3, 0)]);
+    router.set_confirmed_at(clock_at(2_400));
+    router.set_confirmed_at(clock_at(7_900));
+    let decision = router.on_packet(clock_at(7_910), &opening_packet(flow_key(1, 1), 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
 }
 
@@ -107,20 +107,20 @@
 //   one that has no backend server.
 #[test]
 fn start_in_lapse() {
-    let mut router = desk_router(&[]);
+    let mut router = listed_router(&[]);
     for now in [50, 2_100] {
-        let decision = router.on_packet(at(now), &opening(key(1, 1), 0));
+        let decision = router.on_packet(clock_at(now), &opening_packet(flow_key(1, 1), 0));
         assert_eq!(decision, FlowDecision::Drop(DropReason::MaybeStale), "after {now} ms");
     }
     // What is still missing by then is gone.
-    router.set_confirmed(at(2_200));
-    let decision = router.on_packet(at(2_210), &opening(key(1, 2), 0));
+    router.set_confirmed_at(clock_at(2_200));
+    let decision = router.on_packet(clock_at(2_210), &opening_packet(flow_key(1, 2), 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
     // Nobody has to wait to hear that a route isn't there.
-    let mut router = desk_router(&[]);
-    let mut elsewhere = key(1, 1);
+    let mut router = listed_router(&[]);
+    let mut elsewhere = flow_key(1, 1);
     elsewhere.service.set_port(9_999);
-    let decision = router.on_packet(at(50), &opening(elsewhere, 0));
+    let decision = router.on_packet(clock_at(50), &opening_packet(elsewhere, 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoRoute));
 }
 
@@ -131,18 +131,18 @@
 // Cause: it refuses by a list that is as old as its pause.
 #[test]
 fn woken_refuses_nothing() {
-    let one = backend(1, "desk", NEAR, 2);
-    let mut router = desk_router(std::slice::from_ref(&one));
-    router.take_rows(at(100), &[draining(&one, 3)]);
-    router.set_confirmed(at(200));
-    router.note_pause();
-    let decision = router.on_packet(at(900), &opening(key(1, 1), 0));
+    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&one));
+    router.apply_rows(clock_at(100), &[draining_row(&one, 3)]);
+    router.set_confirmed_at(clock_at(200));
+    router.record_pause();
+    let decision = router.on_packet(clock_at(900), &opening_packet(flow_key(1, 1), 0));
     assert_eq!(decision, FlowDecision::Drop(DropReason::MaybeStale));
-    let decision = router.on_packet(at(7_900), &opening(key(1, 2), 0));
+    let decision = router.on_packet(clock_at(7_900), &opening_packet(flow_key(1, 2), 0));
     assert_eq!(decision, FlowDecision::Drop(DropReason::MaybeStale));
-    router.set_confirmed(at(8_000));
-    router.check_overdue(at(8_005));
-    let decision = router.on_packet(at(8_010), &opening(key(1, 3), 0));
+    router.set_confirmed_at(clock_at(8_000));
+    router.report_overdue_openings(clock_at(8_005));
+    let decision = router.on_packet(clock_at(8_010), &opening_packet(flow_key(1, 3), 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
 }
 
@@ -152,17 +152,17 @@
 // Cause: a new list says nothing of what has become of packets that are old.
 #[test]
 fn waiting_packets_unrefused() {
-    let one = backend(1, "desk", NEAR, 2);
-    let mut router = desk_router(std::slice::from_ref(&one));
-    router.take_rows(at(100), &[draining(&one, 3)]);
-    router.note_pause();
-    let decision = router.on_packet(at(4_000), &opening(key(1, 1), 0));
+    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&one));
+    router.apply_rows(clock_at(100), &[draining_row(&one, 3)]);
+    router.record_pause();
+    let decision = router.on_packet(clock_at(4_000), &opening_packet(flow_key(1, 1), 0));
     assert_eq!(decision, FlowDecision::Drop(DropReason::MaybeStale));
-    router.set_confirmed(at(4_010));
-    let decision = router.on_packet(at(4_020), &opening(key(1, 2), 0));
+    router.set_confirmed_at(clock_at(4_010));
+    let decision = router.on_packet(clock_at(4_020), &opening_packet(flow_key(1, 2), 0));
     assert_eq!(decision, FlowDecision::Drop(DropReason::MaybeStale));
     // All that waited has been read.
-    router.check_overdue(at(4_020));
-    let decision = router.on_packet(at(4_030), &opening(key(1, 3), 0));
+    router.report_overdue_openings(clock_at(4_020));
+    let decision = router.on_packet(clock_at(4_030), &opening_packet(flow_key(1, 3), 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
 }
--- a/crates/foxledge-flows/tests/later_rows.rs
+++ b/crates/foxledge-flows/tests/later_rows.rs
@@ -20,7 +20,7 @@
 }
 
 fn rows_of(list: &FleetList) -> Vec<ListRow> {
-    list.page(at(0), &ListCursor::start(), PAGE).rows
+    list.page(clock_at(0), &ListCursor::start(), PAGE).rows
 }
 
 // Symptom: after a rolling restart to a newer build, some of its instances lack rows of a kind
@@ -30,32 +30,32 @@
 #[test]
 fn unknown_kept() {
     let mut older = FleetList::new();
-    older.take_changes(at(0), vec![limits(1, 1), later(2)], 2);
+    older.apply_changes(clock_at(0), vec![limits_row(1, 1), later(2)], 2);
     let mut newer = FleetList::new();
-    newer.take_copy(at(0), rows_of(&older), older.head(), older.floor());
+    newer.apply_snapshot(clock_at(0), rows_of(&older), older.head(), older.floor());
     assert!(rows_of(&newer).contains(&later(2)));
-    newer.take_changes(at(0), vec![later(5)], 5);
+    newer.apply_changes(clock_at(0), vec![later(5)], 5);
     assert!(rows_of(&newer).contains(&later(5)));
 }
 
 #[test]
 fn unknown_changes_nothing() {
-    let mut router = desk_router(&[backend(1, "desk", NEAR, 2)]);
-    router.take_rows(at(10), &[later(9)]);
-    let decision = router.on_packet(at(20), &opening(key(1, 1), 0));
-    assert_eq!(number_of(&router, &decision), Some(1));
+    let mut router = listed_router(&[listed_backend(1, "desk", LOCAL_CENTRE, 2)]);
+    router.apply_rows(clock_at(10), &[later(9)]);
+    let decision = router.on_packet(clock_at(20), &opening_packet(flow_key(1, 1), 0));
+    assert_eq!(decided_backend(&router, &decision), Some(1));
 }
 
 // A body that can't be read says nothing, and doesn't harm either.
 #[test]
 fn garbled_body_ignored() {
-    let mut row = evacuation(NEAR, 9);
+    let mut row = evacuation_row(LOCAL_CENTRE, 9);
     if let Some(RowValue::Extension(extension)) = &mut row.value {
         extension.body = vec![0xff; 5];
     }
-    let mut router = desk_router(&[backend(1, "desk", NEAR, 2)]);
-    router.take_rows(at(10), &[row]);
-    assert_eq!(router.take_evacuation_news(), []);
+    let mut router = listed_router(&[listed_backend(1, "desk", LOCAL_CENTRE, 2)]);
+    router.apply_rows(clock_at(10), &[row]);
+    assert_eq!(router.drain_evacuation_events(), []);
 }
 
 /// A route as builds from before `aim_ms` read it.
--- a/crates/foxledge-flows/tests/list_order.rs
+++ b/crates/foxledge-flows/tests/list_order.rs
@@ -5,7 +5,7 @@
 use common::*;
 use foxledge_flows::{
     FleetList, ItemChange, ListReading,
-    list::{ChangeReach, ListCursor},
+    list::{ChangeCoverage, ListCursor},
     rows::{LimitsRow, RouteRow, RowValue},
     source::ConfigReading,
 };
@@ -26,12 +26,12 @@
 }
 
 fn server(number: u64, revision: u64) -> ItemChange {
-    let backend = backend_spec(number, "desk", NEAR);
+    let backend = backend_spec(number, "desk", LOCAL_CENTRE);
     ItemChange::Backend { revision, id: format!("i-{number:x}"), backend }
 }
 
 fn read(list: &mut FleetList, items: Vec<ItemChange>, head: u64) -> usize {
-    list.take_reading(at(0), ListReading::whole(items, head)).len()
+    list.apply_reading(clock_at(0), ListReading::complete(items, head)).len()
 }
 
 fn live_keys(list: &FleetList) -> Vec<String> {
@@ -49,7 +49,7 @@
     assert_eq!(read(&mut list, vec![config(1, 5, &["a", "b", "c"])], 5), 4);
     // One route goes, one comes, and the version is another.
     let items = vec![config(2, 9, &["a", "b", "d"])];
-    let taken = list.take_watch(at(10), ListReading::whole(items, 9));
+    let taken = list.apply_watch(clock_at(10), ListReading::complete(items, 9));
     let mut keys: Vec<_> = taken.iter().map(|row| row.key.as_str()).collect();
     keys.sort_unstable();
     assert_eq!(keys, ["limits", "route/c", "route/d"]);
@@ -66,8 +66,10 @@
     read(&mut list, vec![config(1, 5, &["a"]), server(1, 4)], 5);
     read(&mut list, vec![config(2, 9, &["b"]), server(1, 8)], 9);
     assert_eq!(read(&mut list, vec![config(1, 5, &["a"]), server(1, 4)], 5), 0);
-    assert!(list.take_copy(at(1), vec![route("a", 443, "desk", 5)], 6, 0).is_empty());
-    assert!(list.take_changes(at(1), vec![route("a", 443, "desk", 7)], 7).is_empty());
+    assert!(
+        list.apply_snapshot(clock_at(1), vec![route_row("a", 443, "desk", 5)], 6, 0).is_empty()
+    );
+    assert!(list.apply_changes(clock_at(1), vec![route_row("a", 443, "desk", 7)], 7).is_empty());
     assert_eq!(live_keys(&list), ["backend/i-1", "limits", "route/b"]);
     assert_eq!(list.head(), 9);
 }
@@ -93,11 +95,11 @@
     assert_eq!(list.floor(), 50, "changes before the reading can't be told");
     // Changes that are seen one by one don't raise it.
     let items = vec![config(4, 55, &["c"])];
-    list.take_watch(at(10), ListReading::whole(items, 56));
+    list.apply_watch(clock_at(10), ListReading::complete(items, 56));
     assert_eq!(list.floor(), 50);
     // A copy of a peer's list tells what the peer could tell.
     let mut copy = FleetList::new();
-    copy.take_copy(at(20), list.rows().cloned().collect(), list.head(), list.floor());
+    copy.apply_snapshot(clock_at(20), list.rows().cloned().collect(), list.head(), list.floor());
     assert_eq!((copy.head(), copy.floor()), (56, 50));
 }
 
@@ -110,7 +112,7 @@
     let (revision, fault) = (8, "no JSON".to_owned());
     let bad = vec![
         ItemChange::Malformed { key: "limits".to_owned(), revision, fault: fault.clone() },
-        ItemChange::BackendRefused { id: "i-1".to_owned(), revision, fault },
+        ItemChange::BackendInvalid { id: "i-1".to_owned(), revision, fault },
         server(2, 4),
     ];
     read(&mut list, bad, 8);
@@ -128,7 +130,7 @@
     let mut rows = Vec::new();
     let mut cursor = ListCursor::start();
     loop {
-        let page = list.page(at(0), &cursor, 900);
+        let page = list.page(clock_at(0), &cursor, 900);
         let size: usize = page.rows.iter().map(prost::Message::encoded_len).sum();
         assert!(size <= 900, "{size} bytes");
         rows.extend(page.rows);
@@ -137,10 +139,10 @@
             None => break,
         }
     }
-    copy.take_copy(at(0), rows, list.head(), list.floor());
+    copy.apply_snapshot(clock_at(0), rows, list.head(), list.floor());
     assert_eq!(live_keys(&copy), live_keys(&list));
-    assert!(list.page(at(0), &ListCursor::after(9), 900).rows.is_empty());
-    assert_eq!(list.page(at(0), &ListCursor::after(3), 100_000).rows.len(), 301);
+    assert!(list.page(clock_at(0), &ListCursor::after_revision(9), 900).rows.is_empty());
+    assert_eq!(list.page(clock_at(0), &ListCursor::after_revision(3), 100_000).rows.len(), 301);
 }
 
 #[test]
@@ -148,15 +150,18 @@
     let mut list = FleetList::new();
     read(&mut list, vec![config(1, 5, &["a"]), server(1, 3)], 5);
     read(&mut list, vec![config(1, 5, &["a"])], 8);
-    list.forget_removed(at(60_000));
+    list.remove_expired(clock_at(60_000));
     assert_eq!((list.len(), list.floor()), (3, 8));
-    list.take_watch(
-        at(70_000),
-        ListReading::whole(vec![ItemChange::BackendGone { revision: 12, id: "i-1".into() }], 12),
+    list.apply_watch(
+        clock_at(70_000),
+        ListReading::complete(
+            vec![ItemChange::BackendRemoved { revision: 12, id: "i-1".into() }],
+            12,
+        ),
     );
-    list.forget_removed(at(100_000));
+    list.remove_expired(clock_at(100_000));
     assert_eq!((list.len(), list.floor()), (3, 8));
-    list.forget_removed(at(170_000));
+    list.remove_expired(clock_at(170_000));
     assert_eq!((list.len(), list.floor()), (2, 12));
 }
 
@@ -184,7 +189,7 @@
     read(&mut list, vec![spread(1, 5, &names)], 5);
     names.insert(0, "first".to_owned());
     let items = vec![spread(2, 6, &names)];
-    let taken = list.take_watch(at(1), ListReading::whole(items, 6));
+    let taken = list.apply_watch(clock_at(1), ListReading::complete(items, 6));
     assert_eq!(taken.len(), 2, "the route and the version");
 }
 
@@ -213,7 +218,7 @@
     let mut list = FleetList::new();
     read(&mut list, vec![config(1, 5, &["a", "b"])], 5);
     let items = vec![config(2, 7, &["a"]), config(3, 9, &["a", "b"])];
-    let taken = list.take_watch(at(10), ListReading::whole(items, 9));
+    let taken = list.apply_watch(clock_at(10), ListReading::complete(items, 9));
     assert_eq!(live_keys(&list), ["limits", "route/a", "route/b"]);
     // Who takes the rows in order ends with the route in force.
     let last = taken.iter().rfind(|row| row.key == "route/b").expect("has changed");
@@ -225,8 +230,8 @@
 fn entry_back_in_one_answer() {
     let mut list = FleetList::new();
     read(&mut list, vec![config(1, 5, &["a"]), server(1, 3)], 5);
-    let gone = ItemChange::BackendGone { revision: 7, id: "i-1".to_owned() };
-    list.take_watch(at(10), ListReading::whole(vec![gone, server(1, 8)], 8));
+    let gone = ItemChange::BackendRemoved { revision: 7, id: "i-1".to_owned() };
+    list.apply_watch(clock_at(10), ListReading::complete(vec![gone, server(1, 8)], 8));
     assert_eq!(live_keys(&list), ["backend/i-1", "limits", "route/a"]);
 }
 
@@ -242,10 +247,10 @@
     let mut list = FleetList::new();
     read(&mut list, vec![config(1, 5, &["a", "b"])], 5);
     let items = vec![config(2, 7, &["a"])];
-    list.take_watch(at(10), ListReading::whole(items, 8));
+    list.apply_watch(clock_at(10), ListReading::complete(items, 8));
     assert_eq!(live_keys(&list), ["limits", "route/a"]);
     let rows = peer.rows().cloned().collect();
-    let taken = list.take_copy(at(20), rows, peer.head(), peer.floor());
+    let taken = list.apply_snapshot(clock_at(20), rows, peer.head(), peer.floor());
     assert_eq!(live_keys(&list), ["limits", "route/a", "route/b"]);
     // Whoever asks for what is new after the removal is told of it.
     assert!(taken.iter().any(|row| row.key == "route/b" && row.revision > 8));
@@ -259,12 +264,13 @@
 fn row_twice_in_copy() {
     let mut list = FleetList::new();
     read(&mut list, vec![config(1, 5, &["a"]), server(1, 3)], 5);
-    list.take_watch(at(10), ListReading::whole(vec![config(3, 9, &["a"])], 9));
-    let copy = vec![limits(1, 5), route("a", 443, "desk", 5), limits(3, 9), limits(4, 11)];
-    list.take_copy(at(20), copy, 12, 2);
+    list.apply_watch(clock_at(10), ListReading::complete(vec![config(3, 9, &["a"])], 9));
+    let copy =
+        vec![limits_row(1, 5), route_row("a", 443, "desk", 5), limits_row(3, 9), limits_row(4, 11)];
+    list.apply_snapshot(clock_at(20), copy, 12, 2);
     assert_eq!((list.version(), list.head()), (4, 12));
     // A copy of the same revision brings nothing.
-    assert!(list.take_copy(at(30), vec![limits(1, 5)], 12, 2).is_empty());
+    assert!(list.apply_snapshot(clock_at(30), vec![limits_row(1, 5)], 12, 2).is_empty());
     assert_eq!(list.version(), 4);
 }
 
@@ -274,15 +280,15 @@
     let mut list = FleetList::new();
     read(&mut list, vec![config(1, 5, &["a", "b"]), server(1, 3), server(2, 4)], 5);
     let mut peer = FleetList::new();
-    peer.take_copy(at(0), list.rows().cloned().collect(), 5, list.floor());
+    peer.apply_snapshot(clock_at(0), list.rows().cloned().collect(), 5, list.floor());
     read(&mut list, vec![config(3, 20, &["a", "c"]), server(2, 4), server(3, 22)], 30);
-    assert_eq!(list.reach_of(5), ChangeReach::OverGap);
-    let rows = list.page(at(0), &ListCursor::after(5), 100_000).rows;
+    assert_eq!(list.coverage_since(5), ChangeCoverage::AcrossGap);
+    let rows = list.page(clock_at(0), &ListCursor::after_revision(5), 100_000).rows;
     assert!(!rows.iter().any(|row| row.key == "backend/i-2"), "didn't change");
-    peer.take_over_gap(at(10), rows, list.head());
+    peer.apply_changes_across_gap(clock_at(10), rows, list.head());
     assert_eq!(live_keys(&peer), live_keys(&list));
     assert_eq!((peer.head(), peer.version()), (30, 3));
-    assert_eq!(peer.reach_of(5), ChangeReach::OverGap);
+    assert_eq!(peer.coverage_since(5), ChangeCoverage::AcrossGap);
 }
 
 // Guards against a backend server kept for ever that came and went while the history was lost.
@@ -291,13 +297,13 @@
     let mut list = FleetList::new();
     read(&mut list, vec![config(1, 5, &["a"]), server(1, 3)], 5);
     let mut ahead = list.clone();
-    ahead.take_watch(at(5), ListReading::whole(vec![server(9, 12)], 12));
+    ahead.apply_watch(clock_at(5), ListReading::complete(vec![server(9, 12)], 12));
     read(&mut list, vec![config(1, 5, &["a"]), server(1, 3)], 30);
-    let reaches = [4, 5, 6, 12, 29, 30, 31].map(|revision| list.reach_of(revision));
-    use ChangeReach::{Full, None, OverGap};
-    assert_eq!(reaches, [None, OverGap, None, None, None, Full, Full]);
+    let reaches = [4, 5, 6, 12, 29, 30, 31].map(|revision| list.coverage_since(revision));
+    use ChangeCoverage::{AcrossGap, Complete, Unavailable};
+    assert_eq!(reaches, [None, AcrossGap, None, None, None, Complete, Complete]);
     assert_eq!(list.floor(), 30);
-    ahead.take_copy(at(10), list.rows().cloned().collect(), list.head(), list.floor());
+    ahead.apply_snapshot(clock_at(10), list.rows().cloned().collect(), list.head(), list.floor());
     assert_eq!(live_keys(&ahead), live_keys(&list));
 }
 
@@ -306,9 +312,9 @@
 fn no_gap_over_restore() {
     let mut list = FleetList::new();
     read(&mut list, vec![config(1, 5, &["a"]), server(1, 3)], 5);
-    let restored = ListReading::whole(vec![config(1, 4, &["a"])], 4).of_epoch(1);
-    list.take_reading(at(0), restored);
-    assert_eq!(list.reach_of(5), ChangeReach::None);
+    let restored = ListReading::complete(vec![config(1, 4, &["a"])], 4).with_epoch(1);
+    list.apply_reading(clock_at(0), restored);
+    assert_eq!(list.coverage_since(5), ChangeCoverage::Unavailable);
     assert_eq!(list.floor(), list.head());
 }
 
@@ -319,12 +325,12 @@
     for round in 1..=20 {
         read(&mut list, vec![config(1, 1, &["a"])], round * 10);
     }
-    assert_eq!(list.reach_of(100), ChangeReach::None);
-    assert_eq!(list.reach_of(190), ChangeReach::OverGap);
+    assert_eq!(list.coverage_since(100), ChangeCoverage::Unavailable);
+    assert_eq!(list.coverage_since(190), ChangeCoverage::AcrossGap);
     read(&mut list, vec![config(1, 1, &["a"]), server(1, 205)], 210);
     read(&mut list, vec![config(1, 1, &["a"])], 220);
-    list.forget_removed(at(200_000));
-    assert_eq!(list.reach_of(210), ChangeReach::None);
+    list.remove_expired(clock_at(200_000));
+    assert_eq!(list.coverage_since(210), ChangeCoverage::Unavailable);
 }
 
 // Guards against a copy in pages that is taken for complete where later pages are newer.
@@ -332,7 +338,7 @@
 fn uneven_until_caught_up() {
     let mut list = FleetList::new();
     read(&mut list, vec![config(1, 5, &["a"]), server(1, 9)], 6);
-    assert!(list.is_uneven());
-    list.take_watch(at(0), ListReading::whole(vec![server(1, 9)], 10));
-    assert!(!list.is_uneven());
+    assert!(list.has_rows_past_head());
+    list.apply_watch(clock_at(0), ListReading::complete(vec![server(1, 9)], 10));
+    assert!(!list.has_rows_past_head());
 }
--- a/crates/foxledge-flows/tests/load_off.rs
+++ b/crates/foxledge-flows/tests/load_off.rs
@@ -7,7 +7,7 @@
 use common::{load::*, *};
 use foxledge_core::names::CentreName;
 use foxledge_flows::{
-    BackendNews, FlowDecision, FlowKey, FlowRouter, PacketKind, RouterOptions, rows::ListRow,
+    BackendEvent, FlowDecision, FlowKey, FlowRouter, PacketKind, RouterOptions, rows::ListRow,
 };
 use foxledge_load::LocalLoad;
 use xxhash_rust::xxh3::xxh3_64;
@@ -26,42 +26,42 @@
 }
 
 fn centre_of(number: u64) -> &'static str {
-    if number.is_multiple_of(3) { FAR } else { NEAR }
+    if number.is_multiple_of(3) { REMOTE_CENTRE } else { LOCAL_CENTRE }
 }
 
 fn rows() -> Vec<ListRow> {
     let mut rows: Vec<_> =
-        (1..=12).map(|number| backend(number, "desk", centre_of(number), 2)).collect();
-    rows.push(service_limits("desk", 2_000, 40, 1));
+        (1..=12).map(|number| listed_backend(number, "desk", centre_of(number), 2)).collect();
+    rows.push(service_row("desk", 2_000, 40, 1));
     rows
 }
 
 fn off_router() -> FlowRouter {
-    filled(FlowRouter::new(RouterOptions::new(CentreName::new(NEAR)).seed(7)), &rows())
+    fill_router(FlowRouter::new(RouterOptions::new(CentreName::new(LOCAL_CENTRE)).seed(7)), &rows())
 }
 
 /// A list change now and then: leaves, returns, new starts, evacuations.
 fn change_list(router: &mut FlowRouter, draws: &mut SeededDraws, now: u64) {
     let number = 1 + draws.below(12);
     let revision = 10 + now;
-    let row = backend(number, "desk", centre_of(number), revision);
+    let row = listed_backend(number, "desk", centre_of(number), revision);
     let row = match draws.below(5) {
-        0 => draining(&row, revision),
-        1 => removed(&row, revision, 0),
-        2 => evacuation(FAR, revision),
-        3 => removed(&evacuation(FAR, revision), revision, 0),
+        0 => draining_row(&row, revision),
+        1 => removed_row(&row, revision, 0),
+        2 => evacuation_row(REMOTE_CENTRE, revision),
+        3 => removed_row(&evacuation_row(REMOTE_CENTRE, revision), revision, 0),
         _ => row,
     };
-    router.take_rows(at(now), &[row]);
-    let _: Vec<BackendNews> = router.take_backend_news();
+    router.apply_rows(clock_at(now), &[row]);
+    let _: Vec<BackendEvent> = router.drain_backend_events();
 }
 
 /// Takes a decision into a text, by what each build tells of it.
 fn tell(text: &mut String, router: &FlowRouter, decision: &FlowDecision) {
-    let number = number_of(router, decision);
+    let number = decided_backend(router, decision);
     let told = match decision {
         FlowDecision::Open { reason, .. } => {
-            format!("open {number:?} {:?} {} {}", reason.rank, reason.copy, reason.candidates)
+            format!("open {number:?} {:?} {} {}", reason.rank, reason.attempt, reason.candidates)
         }
         FlowDecision::Forward { stall, .. } => format!("forward {number:?} {stall:?}"),
         other => format!("{other:?}"),
@@ -77,8 +77,8 @@
     for step in 0..20_000_u64 {
         let now = step;
         if step % 100 == 0 {
-            router.set_confirmed(at(now));
-            router.check_overdue(at(now));
+            router.set_confirmed_at(clock_at(now));
+            router.report_overdue_openings(clock_at(now));
             each(router, now);
         }
         if draws.below(400) == 0 {
@@ -87,27 +87,27 @@
         let place = draws.below(flows.len().max(1) as u64) as usize;
         let kind = draws.below(10);
         if flows.is_empty() || kind < 4 {
-            let key = key(draws.below(200) as u8, 1_024 + draws.below(3_000) as u16);
+            let key = flow_key(draws.below(200) as u8, 1_024 + draws.below(3_000) as u16);
             let copy = (draws.below(8) == 0) as u32;
-            let decision = router.on_packet(at(now), &opening(key, copy));
+            let decision = router.on_packet(clock_at(now), &opening_packet(key, copy));
             tell(&mut text, router, &decision);
-            flows.extend(number_of(router, &decision).map(|number| (key, number as u32, 1)));
+            flows.extend(decided_backend(router, &decision).map(|number| (key, number as u32, 1)));
             continue;
         }
         let (key, token, sequence) = flows[place];
         let packet = match kind {
-            4..7 => data(key, token, sequence, 1),
-            7 => packet(key, PacketKind::Continue, token),
+            4..7 => data_packet(key, token, sequence, 1),
+            7 => flow_packet(key, PacketKind::Continue, token),
             8 => foxledge_flows::FlowPacket {
                 acknowledged: 1 + sequence * 7,
-                ..packet(key, PacketKind::Continue, token)
+                ..flow_packet(key, PacketKind::Continue, token)
             },
             _ => foxledge_flows::FlowPacket {
                 acknowledged: 900,
-                ..packet(key, PacketKind::Finish, token)
+                ..flow_packet(key, PacketKind::Finish, token)
             },
         };
-        let decision = router.on_packet(at(now), &packet);
+        let decision = router.on_packet(clock_at(now), &packet);
         tell(&mut text, router, &decision);
         match kind {
             4..7 if draws.below(3) > 0 => flows[place].2 += 100,
@@ -129,16 +129,16 @@
 // A load view steers flows though the settings don't ask for it.
 #[test]
 fn views_ignored() {
-    let burst = callers(&[(1, 4_000.0), (2, 4_000.0)], &[(NEAR, 100.0)]);
-    let calm = callers(&[(1, 1.0)], &[(FAR, 0.0)]);
+    let burst = caller_load(&[(1, 4_000.0), (2, 4_000.0)], &[(LOCAL_CENTRE, 100.0)]);
+    let calm = caller_load(&[(1, 1.0)], &[(REMOTE_CENTRE, 0.0)]);
     let mut is_asked = false;
     let text = decisions(&mut off_router(), |router, now| {
-        is_asked |= router.load_due(at(now));
-        assert_eq!(router.own_load(at(now)), LocalLoad::default());
-        let centres = [(NEAR, burst.clone()), (FAR, calm.clone())];
-        router.set_load(at(now), Arc::new(view(at(now), &centres)));
-        assert_eq!((router.pressure(), router.load_reports(at(now)).len()), (0.0, 0));
-        assert_eq!(router.take_load_news(), []);
+        is_asked |= router.is_load_report_due(clock_at(now));
+        assert_eq!(router.collect_local_load(clock_at(now)), LocalLoad::default());
+        let centres = [(LOCAL_CENTRE, burst.clone()), (REMOTE_CENTRE, calm.clone())];
+        router.apply_load_view(clock_at(now), Arc::new(load_view(clock_at(now), &centres)));
+        assert_eq!((router.load_ratio(), router.load_reports(clock_at(now)).len()), (0.0, 0));
+        assert_eq!(router.drain_load_events(), []);
     });
     assert!(!is_asked);
     assert_eq!(text, decisions(&mut off_router(), |_, _| ()));
@@ -147,11 +147,11 @@
 // Measuring the own load changes decisions while no view is known.
 #[test]
 fn measuring_changes_nothing() {
-    let options = RouterOptions::new(CentreName::new(NEAR)).seed(7).overflow(true);
-    let mut router = filled(FlowRouter::new(options), &rows());
+    let options = RouterOptions::new(CentreName::new(LOCAL_CENTRE)).seed(7).overflow(true);
+    let mut router = fill_router(FlowRouter::new(options), &rows());
     let text = decisions(&mut router, |router, now| {
-        if router.load_due(at(now)) {
-            router.own_load(at(now));
+        if router.is_load_report_due(clock_at(now)) {
+            router.collect_local_load(clock_at(now));
         }
     });
     assert_eq!(text, decisions(&mut off_router(), |_, _| ()));
--- a/crates/foxledge-flows/tests/load_shortage.rs
+++ b/crates/foxledge-flows/tests/load_shortage.rs
@@ -13,19 +13,22 @@
 
 /// Ten near backend servers of two slots, and ten far ones.
 fn backends() -> Vec<ListRow> {
-    let centre = |number| if number <= 10 { NEAR } else { FAR };
-    (1..=20).map(|number| backend(number, "desk", centre(number), 2)).collect()
+    let centre = |number| if number <= 10 { LOCAL_CENTRE } else { REMOTE_CENTRE };
+    (1..=20).map(|number| listed_backend(number, "desk", centre(number), 2)).collect()
 }
 
 /// Four times what 40 slots can serve, an eighth of it urgent.
 fn burst() -> [(&'static str, ServiceLoad); 2] {
     let per_s = [(1, 200.0), (2, 1_400.0)];
-    [(NEAR, callers(&per_s, &[(NEAR, 40.0)])), (FAR, callers(&per_s, &[(FAR, 40.0)]))]
+    [
+        (LOCAL_CENTRE, caller_load(&per_s, &[(LOCAL_CENTRE, 40.0)])),
+        (REMOTE_CENTRE, caller_load(&per_s, &[(REMOTE_CENTRE, 40.0)])),
+    ]
 }
 
 /// The route at port 443 is of priority 1, that at 444 of priority 2.
 fn key_at(caller: u8, port: u16, service_port: u16) -> FlowKey {
-    let mut key = key(caller, port);
+    let mut key = flow_key(caller, port);
     key.service.set_port(service_port);
     key
 }
@@ -44,7 +47,7 @@
     port: u16,
 ) -> usize {
     let keys = (0..200).map(|caller| key_at(caller, port, service_port));
-    let decisions = keys.map(|key| router.on_packet(at(now), &opening(key, copy)));
+    let decisions = keys.map(|key| router.on_packet(clock_at(now), &opening_packet(key, copy)));
     let is_refused =
         |decision: &FlowDecision| matches!(decision, FlowDecision::Refuse(RefuseReason::Shortage));
     decisions.filter(is_refused).count()
@@ -53,10 +56,10 @@
 /// The decisions of a router that was given the burst, with a change in its last view.
 fn refused_by(change: impl FnOnce(&mut LoadView)) -> usize {
     let mut router = load_router(&backends());
-    let now = settle_load(&mut router, 0, &burst());
-    let mut last = view(at(now + 50), &burst());
+    let now = apply_steady_load(&mut router, 0, &burst());
+    let mut last = load_view(clock_at(now + 50), &burst());
     change(&mut last);
-    router.set_load(at(now + 50), Arc::new(last));
+    router.apply_load_view(clock_at(now + 50), Arc::new(last));
     refusals(&mut router, now + 50, 444, 0)
 }
 
@@ -64,7 +67,7 @@
 #[test]
 fn urgent_first() {
     let mut router = load_router(&backends());
-    let now = settle_load(&mut router, 0, &burst());
+    let now = apply_steady_load(&mut router, 0, &burst());
     assert_eq!(refusals(&mut router, now, 443, 0), 0);
     // 160 slots are needed, and urgent requests take half of the room.
     assert!(refusals(&mut router, now, 444, 0) > 100);
@@ -75,16 +78,22 @@
 fn free_slots_used() {
     // One slot in eight is free.
     let per_s = [(1, 400.0), (2, 1_200.0)];
-    let loads = [(NEAR, callers(&per_s, &[(NEAR, 20.0)])), (FAR, callers(&per_s, &[(FAR, 15.0)]))];
+    let loads = [
+        (LOCAL_CENTRE, caller_load(&per_s, &[(LOCAL_CENTRE, 20.0)])),
+        (REMOTE_CENTRE, caller_load(&per_s, &[(REMOTE_CENTRE, 15.0)])),
+    ];
     let mut router = load_router(&backends());
-    let now = settle_load(&mut router, 0, &loads);
+    let now = apply_steady_load(&mut router, 0, &loads);
     assert_eq!(refusals(&mut router, now, 444, 0), 0);
 
     // All are taken, but less is asked for than they can serve.
     let per_s = [(1, 100.0), (2, 150.0)];
-    let loads = [(NEAR, callers(&per_s, &[(NEAR, 21.0)])), (FAR, callers(&per_s, &[(FAR, 21.0)]))];
+    let loads = [
+        (LOCAL_CENTRE, caller_load(&per_s, &[(LOCAL_CENTRE, 21.0)])),
+        (REMOTE_CENTRE, caller_load(&per_s, &[(REMOTE_CENTRE, 21.0)])),
+    ];
     let mut router = load_router(&backends());
-    let now = settle_load(&mut router, 0, &loads);
+    let now = apply_steady_load(&mut router, 0, &loads);
     assert_eq!(refusals(&mut router, now, 444, 0), 0);
 }
 
@@ -93,7 +102,7 @@
 fn weak_views_refuse_nothing() {
     assert!(refused_by(|_| ()) > 100);
     assert_eq!(refused_by(|view| view.is_reliable = false), 0);
-    let own = foxledge_core::names::CentreName::new(NEAR);
+    let own = foxledge_core::names::CentreName::new(LOCAL_CENTRE);
     let old = |view: &mut LoadView| {
         let centre = view.centres.get_mut(&own).expect("is known");
         centre.reported_at = centre.reported_at.before_millis(401);
@@ -106,18 +115,18 @@
 fn partial_view_waits() {
     let mut router = load_router(&backends());
     let partial = |now: u64| {
-        let mut partial = view(at(now), &burst()[..1]);
-        partial.unreported_centres.push(foxledge_core::names::CentreName::new(FAR));
+        let mut partial = load_view(clock_at(now), &burst()[..1]);
+        partial.unreported_centres.push(foxledge_core::names::CentreName::new(REMOTE_CENTRE));
         Arc::new(partial)
     };
     for step in 0..10 {
-        router.set_confirmed(at(step * 50));
-        router.set_load(at(step * 50), partial(step * 50));
+        router.set_confirmed_at(clock_at(step * 50));
+        router.apply_load_view(clock_at(step * 50), partial(step * 50));
     }
     assert_eq!(refusals(&mut router, 450, 444, 0), 0);
     // Cut off for longer, the data centre decides by itself.
     for step in 10..14 {
-        router.set_load(at(step * 50), partial(step * 50));
+        router.apply_load_view(clock_at(step * 50), partial(step * 50));
     }
     assert!(refusals(&mut router, 650, 444, 0) > 100);
 }
@@ -126,10 +135,10 @@
 #[test]
 fn lapsed_view() {
     let mut router = load_router(&backends());
-    let now = settle_load(&mut router, 0, &burst());
+    let now = apply_steady_load(&mut router, 0, &burst());
     assert!(refusals(&mut router, now + 399, 444, 0) > 100);
     let mut router = load_router(&backends());
-    let now = settle_load(&mut router, 0, &burst());
+    let now = apply_steady_load(&mut router, 0, &burst());
     assert_eq!(refusals(&mut router, now + 400, 444, 0), 0);
 }
 
@@ -137,7 +146,7 @@
 #[test]
 fn copies_served() {
     let mut router = load_router(&backends());
-    let now = settle_load(&mut router, 0, &burst());
+    let now = apply_steady_load(&mut router, 0, &burst());
     assert_eq!(refusals(&mut router, now, 444, 1), 0);
 }
 
@@ -146,11 +155,11 @@
 #[test]
 fn doubled_openings_served() {
     let mut router = load_router(&backends());
-    let now = settle_load(&mut router, 0, &burst());
-    let calm = callers(&[(1, 1.0), (2, 1.0)], &[(NEAR, 1.0)]);
-    let now = settle_load(&mut router, now + 50, &[(NEAR, calm)]);
+    let now = apply_steady_load(&mut router, 0, &burst());
+    let calm = caller_load(&[(1, 1.0), (2, 1.0)], &[(LOCAL_CENTRE, 1.0)]);
+    let now = apply_steady_load(&mut router, now + 50, &[(LOCAL_CENTRE, calm)]);
     assert_eq!(refusals_from(&mut router, now, 444, 0, 900), 0);
-    router.set_load(at(now + 20), Arc::new(view(at(now + 20), &burst())));
+    router.apply_load_view(clock_at(now + 20), Arc::new(load_view(clock_at(now + 20), &burst())));
     assert_eq!(refusals_from(&mut router, now + 20, 444, 0, 900), 0);
     assert!(refusals_from(&mut router, now + 20, 444, 0, 901) > 100);
 }
@@ -162,9 +171,9 @@
     let keys: Vec<_> = (0..200).map(|caller| key_at(caller, 900, 444)).collect();
     for key in &keys {
         let token = open_flow(&mut router, 0, *key).expect("is placed") as u32;
-        router.on_packet(at(8), &data(*key, token, 1, 1));
+        router.on_packet(clock_at(8), &data_packet(*key, token, 1, 1));
     }
-    let now = settle_load(&mut router, 10, &burst());
+    let now = apply_steady_load(&mut router, 10, &burst());
     assert_eq!(refusals_from(&mut router, now, 444, 0, 900), 0);
     assert!(refusals_from(&mut router, now, 444, 0, 901) > 100);
 }
@@ -173,14 +182,14 @@
 #[test]
 fn paused_refuses_nothing() {
     let mut router = load_router(&backends());
-    let now = settle_load(&mut router, 0, &burst());
-    router.note_pause();
+    let now = apply_steady_load(&mut router, 0, &burst());
+    router.record_pause();
     assert_eq!(refusals(&mut router, now, 444, 0), 0);
-    let report = router.explain(at(now), &key_at(1, 1, 444), 0).load.expect("is on");
+    let report = router.explain(clock_at(now), &key_at(1, 1, 444), 0).load.expect("is on");
     assert_eq!(report.basis, AdmissionBasis::ListDoubt);
     // The next confirmation, and all that waited was read.
-    router.check_overdue(at(now + 10));
-    router.set_confirmed(at(now + 10));
+    router.report_overdue_openings(clock_at(now + 10));
+    router.set_confirmed_at(clock_at(now + 10));
     assert!(refusals(&mut router, now + 10, 444, 0) > 100);
 }
 
@@ -188,9 +197,12 @@
 #[test]
 fn unconfirmed_refuses_nothing() {
     let mut router = load_router(&backends());
-    settle_load(&mut router, 0, &burst());
+    apply_steady_load(&mut router, 0, &burst());
     for step in 20..80 {
-        router.set_load(at(step * 50), Arc::new(view(at(step * 50), &burst())));
+        router.apply_load_view(
+            clock_at(step * 50),
+            Arc::new(load_view(clock_at(step * 50), &burst())),
+        );
     }
     assert_eq!(refusals(&mut router, 3_950, 444, 0), 0);
 }
@@ -202,30 +214,30 @@
     let keys: Vec<_> = (0..50).map(|caller| key_at(caller, 7_000, 444)).collect();
     let numbers: Vec<_> =
         keys.iter().map(|key| open_flow(&mut router, 0, *key).expect("is placed")).collect();
-    let now = settle_load(&mut router, 50, &burst());
+    let now = apply_steady_load(&mut router, 50, &burst());
     for (key, number) in keys.iter().zip(numbers) {
         for packet in [
-            data(*key, number as u32, 1, 1),
-            packet(*key, PacketKind::Continue, number as u32),
-            packet(*key, PacketKind::Finish, number as u32),
+            data_packet(*key, number as u32, 1, 1),
+            flow_packet(*key, PacketKind::Continue, number as u32),
+            flow_packet(*key, PacketKind::Finish, number as u32),
         ] {
-            let decision = router.on_packet(at(now), &packet);
+            let decision = router.on_packet(clock_at(now), &packet);
             assert!(matches!(decision, FlowDecision::Forward { .. }), "{decision:?}");
         }
     }
-    assert_eq!(router.take_dead_ends(at(now)), []);
+    assert_eq!(router.drain_flow_resets(clock_at(now)), []);
 }
 
 // A priority that the list changes counts only after a restart.
 #[test]
 fn priority_changed() {
     let mut router = load_router(&backends());
-    let now = settle_load(&mut router, 0, &burst());
+    let now = apply_steady_load(&mut router, 0, &burst());
     assert!(refusals(&mut router, now, 444, 0) > 100);
-    router.take_rows(
-        at(now),
-        &[other_route(1, 7), {
-            let mut row = route("r", 443, "desk", 7);
+    router.apply_rows(
+        clock_at(now),
+        &[second_route_row(1, 7), {
+            let mut row = route_row("r", 443, "desk", 7);
             if let Some(foxledge_flows::rows::RowValue::Route(route)) = &mut row.value {
                 route.priority = 2;
             }
@@ -241,12 +253,15 @@
 fn evacuated_slots() {
     // 35 slots are needed: two data centres have them, one doesn't.
     let per_s = [(1, 100.0), (2, 250.0)];
-    let loads = [(NEAR, callers(&per_s, &[(NEAR, 40.0)])), (FAR, callers(&per_s, &[(NEAR, 10.0)]))];
+    let loads = [
+        (LOCAL_CENTRE, caller_load(&per_s, &[(LOCAL_CENTRE, 40.0)])),
+        (REMOTE_CENTRE, caller_load(&per_s, &[(LOCAL_CENTRE, 10.0)])),
+    ];
     let mut router = load_router(&backends());
-    let now = settle_load(&mut router, 0, &loads);
+    let now = apply_steady_load(&mut router, 0, &loads);
     assert_eq!(refusals(&mut router, now, 444, 0), 0);
-    router.take_rows(at(now), &[evacuation(FAR, 9)]);
-    let now = settle_load(&mut router, now + 50, &loads);
+    router.apply_rows(clock_at(now), &[evacuation_row(REMOTE_CENTRE, 9)]);
+    let now = apply_steady_load(&mut router, now + 50, &loads);
     let refused = refusals(&mut router, now, 444, 0);
     assert!(refused > 50, "{refused} of 200");
 }
@@ -255,37 +270,39 @@
 #[test]
 fn lost_slots() {
     let mut router = load_router(&backends());
-    settle_load(&mut router, 0, &burst());
-    assert_eq!(router.load_reports(at(950))[0].slots, 40.0);
-    let gone: Vec<_> = (11..=20).map(|number| backend(number, "desk", FAR, 2)).collect();
-    let rows: Vec<_> = gone.iter().map(|row| draining(row, 9)).collect();
-    router.take_rows(at(960), &rows);
-    router.set_load(at(960), Arc::new(view(at(960), &burst())));
-    assert_eq!(router.load_reports(at(960))[0].slots, 20.0);
+    apply_steady_load(&mut router, 0, &burst());
+    assert_eq!(router.load_reports(clock_at(950))[0].slots, 40.0);
+    let gone: Vec<_> =
+        (11..=20).map(|number| listed_backend(number, "desk", REMOTE_CENTRE, 2)).collect();
+    let rows: Vec<_> = gone.iter().map(|row| draining_row(row, 9)).collect();
+    router.apply_rows(clock_at(960), &rows);
+    router.apply_load_view(clock_at(960), Arc::new(load_view(clock_at(960), &burst())));
+    assert_eq!(router.load_reports(clock_at(960))[0].slots, 20.0);
 }
 
 // One client account that asks ten times as often as others takes their slots.
 #[test]
 fn account_share_kept() {
     let mut router = load_router(&backends());
-    let account = |caller: u8| foxledge_admission::AccountKey::of(*key(caller, 1).caller.ip()).0;
+    let account =
+        |caller: u8| foxledge_admission::AccountKey::of(*flow_key(caller, 1).caller.ip()).0;
     let mut now = 0;
     // A third of the openings are of the account 250, the others of twenty.
     for step in 0..40 {
         now = step * 50;
-        let mut last = view(at(now), &burst());
+        let mut last = load_view(clock_at(now), &burst());
         let others = (0..20).map(|caller| (account(caller), 5));
         last.account_samples = others.chain([(account(250), 5); 10]).collect();
-        router.set_confirmed(at(now));
-        router.set_load(at(now), Arc::new(last));
+        router.set_confirmed_at(clock_at(now));
+        router.apply_load_view(clock_at(now), Arc::new(last));
     }
     let mut refused = |callers: std::ops::Range<u8>, service_port| {
         let ports = (1_000..1_040_u16).flat_map(|port| callers.clone().map(move |one| (one, port)));
         let decisions = ports.map(|(caller, port)| {
             now += 1;
             let key = key_at(caller, port, service_port);
-            router.set_confirmed(at(now));
-            let decision = router.on_packet(at(now), &opening(key, 0));
+            router.set_confirmed_at(clock_at(now));
+            let decision = router.on_packet(clock_at(now), &opening_packet(key, 0));
             matches!(decision, FlowDecision::Refuse(RefuseReason::AccountShare))
         });
         decisions.filter(|is_refused| *is_refused).count()
@@ -298,26 +315,36 @@
 #[test]
 fn shortage_told() {
     let mut router = load_router(&backends());
-    let now = settle_load(&mut router, 0, &burst());
-    let changes: Vec<_> = router.take_load_news().iter().map(|news| news.change).collect();
+    let now = apply_steady_load(&mut router, 0, &burst());
+    let changes: Vec<_> = router.drain_load_events().iter().map(|news| news.change).collect();
     assert_eq!(changes, [LoadChange::ShortageBegun]);
     let refused = refusals(&mut router, now, 444, 0) as u64;
-    let [report] = router.load_reports(at(now)).try_into().expect("one service");
-    assert!(report.is_short && report.admitted[&1] == 1.0 && report.admitted[&2] < 0.5);
-    assert_eq!((report.load, report.slots), (2.0, 40.0));
-    assert_eq!((report.refused.get(&1), report.refused.get(&2)), (None, Some(&refused)));
+    let [report] = router.load_reports(clock_at(now)).try_into().expect("one service");
+    assert!(
+        report.is_short && report.admitted_shares[&1] == 1.0 && report.admitted_shares[&2] < 0.5
+    );
+    assert_eq!((report.load_ratio, report.slots), (2.0, 40.0));
+    assert_eq!(
+        (report.refused_flows.get(&1), report.refused_flows.get(&2)),
+        (None, Some(&refused))
+    );
 
     let keys = (0..50).map(|caller| key_at(caller, 9, 444));
-    let explained = keys.map(|key| (key, router.explain(at(now), &key, 0).load.expect("is on")));
+    let explained =
+        keys.map(|key| (key, router.explain(clock_at(now), &key, 0).load.expect("is on")));
     for (key, load) in explained.collect::<Vec<_>>() {
         assert_eq!((load.basis, load.priority), (AdmissionBasis::Shortage, 2));
-        let decision = router.on_packet(at(now), &opening(key, 0));
+        let decision = router.on_packet(clock_at(now), &opening_packet(key, 0));
         let is_refused = matches!(decision, FlowDecision::Refuse(_));
         assert_eq!(is_refused, load.verdict != foxledge_admission::AdmissionDecision::Admitted);
     }
 
-    let calm = callers(&[(1, 10.0), (2, 10.0)], &[(NEAR, 1.0)]);
-    settle_load(&mut router, now + 50, &[(NEAR, calm.clone()), (FAR, calm)]);
-    let changes: Vec<_> = router.take_load_news().iter().map(|news| news.change).collect();
+    let calm = caller_load(&[(1, 10.0), (2, 10.0)], &[(LOCAL_CENTRE, 1.0)]);
+    apply_steady_load(
+        &mut router,
+        now + 50,
+        &[(LOCAL_CENTRE, calm.clone()), (REMOTE_CENTRE, calm)],
+    );
+    let changes: Vec<_> = router.drain_load_events().iter().map(|news| news.change).collect();
     assert_eq!(changes, [LoadChange::ShortageEnded]);
 }
--- a/crates/foxledge-flows/tests/load_subsets.rs
+++ b/crates/foxledge-flows/tests/load_subsets.rs
@@ -36,19 +36,19 @@
 
 /// An instance that knows the others, in front of `servers`.
 fn instance(index: usize, others: usize, servers: &[ListRow]) -> FlowRouter {
-    let options = RouterOptions::new(CentreName::new(NEAR))
+    let options = RouterOptions::new(CentreName::new(LOCAL_CENTRE))
         .address(address(index))
         .seed(index as u64)
         .overflow(true);
-    let mut router = filled(FlowRouter::new(options), servers);
+    let mut router = fill_router(FlowRouter::new(options), servers);
     let others = (0..others).filter(|other| *other != index).map(address);
-    router.set_neighbours(at(0), others.collect());
+    router.set_neighbours(clock_at(0), others.collect());
     router
 }
 
 fn servers(count: u64) -> Vec<ListRow> {
     let spec = |number: u64| {
-        let mut spec = backend_spec(number, "desk", NEAR);
+        let mut spec = backend_spec(number, "desk", LOCAL_CENTRE);
         spec.ip = 0x0a80_0000 + number as u32;
         spec
     };
@@ -56,9 +56,9 @@
 }
 
 fn set_load(router: &mut FlowRouter, now: u64, per_s: f64, running: f64) {
-    let loads = [(NEAR, callers(&[(1, per_s)], &[(NEAR, running)]))];
-    router.set_confirmed(at(now));
-    router.set_load(at(now), Arc::new(view(at(now), &loads)));
+    let loads = [(LOCAL_CENTRE, caller_load(&[(1, per_s)], &[(LOCAL_CENTRE, running)]))];
+    router.set_confirmed_at(clock_at(now));
+    router.apply_load_view(clock_at(now), Arc::new(load_view(clock_at(now), &loads)));
 }
 
 /// When a request ends, at which backend server, by which instance, its flow and its start.
@@ -95,9 +95,11 @@
                 break;
             }
             ends.pop();
-            let finish =
-                FlowPacket { acknowledged: 900, ..packet(key, PacketKind::Finish, number as u32) };
-            routers[instance].on_packet(at(now), &finish);
+            let finish = FlowPacket {
+                acknowledged: 900,
+                ..flow_packet(key, PacketKind::Finish, number as u32)
+            };
+            routers[instance].on_packet(clock_at(now), &finish);
             if begun >= SETTLED_MS {
                 tally.times.push(now - begun);
             }
@@ -113,10 +115,10 @@
             let draw = xxh3_64(&asked.to_be_bytes());
             let instance = draw as usize % INSTANCES;
             let caller = Ipv4Addr::new(100, 64, (draw >> 8) as u8, (draw >> 16) as u8);
-            let mut key = key(1, 1);
+            let mut key = flow_key(1, 1);
             key.caller = SocketAddrV4::new(caller, 1_024 + (asked % 60_000) as u16);
             let number = open_flow(&mut routers[instance], now, key).expect("is placed");
-            routers[instance].on_packet(at(now), &data(key, number as u32, 1, 1));
+            routers[instance].on_packet(clock_at(now), &data_packet(key, number as u32, 1, 1));
             tally.served[number as usize] += u64::from(now >= SETTLED_MS);
             let queue = queues.entry(number).or_default();
             queue.push_back((instance, key, now));
@@ -130,7 +132,7 @@
                 running.pop_front();
             }
             for router in &mut routers {
-                router.check_overdue(at(now));
+                router.report_overdue_openings(clock_at(now));
                 if is_told {
                     set_load(router, now, per_s as f64, running[0] as f64);
                 }
@@ -177,9 +179,9 @@
     for index in 0..INSTANCES {
         let mut router = instance(index, INSTANCES, &rows);
         set_load(&mut router, 50, 700.0, 40.0);
-        let explanation = router.explain(at(50), &key(1, 1), 0);
+        let explanation = router.explain(clock_at(50), &flow_key(1, 1), 0);
         // An instance without any looks at all.
-        let own = explanation.candidates.iter().filter(|one| !one.is_outside);
+        let own = explanation.candidates.iter().filter(|one| !one.is_outside_subset);
         own.for_each(|one| *chosen.entry(one.index).or_default() += 1);
     }
     assert_eq!(chosen.len() as u64, SERVERS);
@@ -191,11 +193,14 @@
 fn calm_uses_all() {
     let mut router = instance(0, INSTANCES, &servers(SERVERS));
     set_load(&mut router, 50, 500.0, 29.0);
-    assert_eq!(router.explain(at(50), &key(1, 1), 0).candidates.len() as u64, SERVERS);
+    assert_eq!(router.explain(clock_at(50), &flow_key(1, 1), 0).candidates.len() as u64, SERVERS);
     set_load(&mut router, 100, 500.0, 31.0);
-    assert!((router.explain(at(100), &key(1, 1), 0).candidates.len() as u64) < SERVERS);
+    assert!((router.explain(clock_at(100), &flow_key(1, 1), 0).candidates.len() as u64) < SERVERS);
     // Nor by a view that has lapsed.
-    assert_eq!(router.explain(at(2_200), &key(1, 1), 0).candidates.len() as u64, SERVERS);
+    assert_eq!(
+        router.explain(clock_at(2_200), &flow_key(1, 1), 0).candidates.len() as u64,
+        SERVERS
+    );
 }
 
 // Flows go to dead backend servers of the subset, or wait there while others are idle.
@@ -204,13 +209,13 @@
     let rows = servers(SERVERS);
     let mut router = instance(0, INSTANCES, &rows);
     set_load(&mut router, 50, 700.0, 40.0);
-    let subset = router.explain(at(50), &key(1, 1), 0).candidates.len();
+    let subset = router.explain(clock_at(50), &flow_key(1, 1), 0).candidates.len();
     assert!((1..10).contains(&subset), "{subset}");
     let mut counts: HashMap<u64, u32> = HashMap::new();
     for port in 0..60 {
-        let key = key(1, 1_000 + port);
+        let key = flow_key(1, 1_000 + port);
         let number = open_flow(&mut router, 50, key).expect("is placed");
-        router.on_packet(at(58), &data(key, number as u32, 1, 1));
+        router.on_packet(clock_at(58), &data_packet(key, number as u32, 1, 1));
         *counts.entry(number).or_default() += 1;
     }
     // One more request a slot than elsewhere, and no more.
@@ -219,13 +224,13 @@
 
     let mut router = instance(0, INSTANCES, &rows);
     set_load(&mut router, 50, 700.0, 40.0);
-    let explained = router.explain(at(50), &key(1, 1), 0).candidates;
+    let explained = router.explain(clock_at(50), &flow_key(1, 1), 0).candidates;
     let numbers: Vec<_> =
         explained.iter().filter_map(|one| Some(router.backend(one.index)?.number)).collect();
     let leaves = rows.iter().zip(1..).filter(|(_, number)| numbers.contains(number));
-    let leaves: Vec<_> = leaves.map(|(row, _)| draining(row, 9)).collect();
-    router.take_rows(at(60), &leaves);
-    let number = open_flow(&mut router, 70, key(1, 1)).expect("is placed");
+    let leaves: Vec<_> = leaves.map(|(row, _)| draining_row(row, 9)).collect();
+    router.apply_rows(clock_at(60), &leaves);
+    let number = open_flow(&mut router, 70, flow_key(1, 1)).expect("is placed");
     assert!(!numbers.contains(&number));
 }
 
@@ -236,17 +241,17 @@
     let mut router = instance(0, 9, &rows[..20]);
     set_load(&mut router, 50, 700.0, 40.0);
     // Ten more instances and ten more backend servers, then four instances leave.
-    router.take_rows(at(60), &rows[20..]);
-    router.set_neighbours(at(60), (1..INSTANCES).map(address).collect());
+    router.apply_rows(clock_at(60), &rows[20..]);
+    router.set_neighbours(clock_at(60), (1..INSTANCES).map(address).collect());
     set_load(&mut router, 100, 700.0, 40.0);
-    router.set_neighbours(at(110), (5..INSTANCES).map(address).collect());
+    router.set_neighbours(clock_at(110), (5..INSTANCES).map(address).collect());
     set_load(&mut router, 150, 700.0, 40.0);
     let mut fresh = instance(0, INSTANCES, &rows);
-    fresh.set_neighbours(at(110), (5..INSTANCES).map(address).collect());
+    fresh.set_neighbours(clock_at(110), (5..INSTANCES).map(address).collect());
     set_load(&mut fresh, 150, 700.0, 40.0);
     let chosen = |router: &mut FlowRouter| {
-        let explained = router.explain(at(150), &key(1, 1), 0).candidates;
-        let own = explained.iter().filter(|one| !one.is_outside);
+        let explained = router.explain(clock_at(150), &flow_key(1, 1), 0).candidates;
+        let own = explained.iter().filter(|one| !one.is_outside_subset);
         let mut numbers: Vec<_> =
             own.filter_map(|one| Some(router.backend(one.index)?.number)).collect();
         numbers.sort_unstable();
@@ -265,10 +270,10 @@
             set_load(&mut router, 50, 100_000.0, running);
             let mut looked = 0;
             for port in 0..2_000 {
-                let key = key(1, 1_000 + port);
-                looked = looked.max(router.explain(at(50), &key, 0).candidates.len());
+                let key = flow_key(1, 1_000 + port);
+                looked = looked.max(router.explain(clock_at(50), &key, 0).candidates.len());
                 let number = open_flow(&mut router, 50, key).expect("is placed");
-                router.on_packet(at(51), &data(key, number as u32, 1, 1));
+                router.on_packet(clock_at(51), &data_packet(key, number as u32, 1, 1));
             }
             assert!(looked <= 2 * most, "{looked} of 4,800 at {running}");
         }
--- a/crates/foxledge-flows/tests/own_load.rs
+++ b/crates/foxledge-flows/tests/own_load.rs
@@ -13,17 +13,17 @@
 use foxledge_load::{ServiceKey, ServiceLoad};
 
 fn backends() -> Vec<ListRow> {
-    vec![backend(1, "desk", NEAR, 2), backend(2, "desk", NEAR, 2)]
+    vec![listed_backend(1, "desk", LOCAL_CENTRE, 2), listed_backend(2, "desk", LOCAL_CENTRE, 2)]
 }
 
 fn desk_load(router: &mut FlowRouter, now: u64) -> ServiceLoad {
-    let load = router.own_load(at(now));
+    let load = router.collect_local_load(clock_at(now));
     load.services.get(&ServiceKey::of("desk")).cloned().unwrap_or_default()
 }
 
 /// Requests that run or wait in the own data centre.
 fn running(router: &mut FlowRouter, now: u64) -> f64 {
-    desk_load(router, now).running.get(&CentreName::new(NEAR)).copied().unwrap_or(0.0)
+    desk_load(router, now).running.get(&CentreName::new(LOCAL_CENTRE)).copied().unwrap_or(0.0)
 }
 
 /// Arrivals a second by priority.
@@ -34,16 +34,16 @@
 
 /// The packet by which a caller acknowledges an answer.
 fn answered(key: FlowKey, token: u32, acknowledged: u32) -> FlowPacket {
-    FlowPacket { acknowledged, ..packet(key, PacketKind::Continue, token) }
+    FlowPacket { acknowledged, ..flow_packet(key, PacketKind::Continue, token) }
 }
 
 /// Asks once on a flow of its own and takes the answer after some time.
 fn ask(router: &mut FlowRouter, now: u64, port: u16, work_ms: u64) {
-    let key = key(1, port);
+    let key = flow_key(1, port);
     let number = open_flow(router, now, key).expect("is placed") as u32;
-    router.on_packet(at(now + 8), &data(key, number, 1, 1));
-    let finish = FlowPacket { acknowledged: 900, ..packet(key, PacketKind::Finish, number) };
-    router.on_packet(at(now + 8 + work_ms), &finish);
+    router.on_packet(clock_at(now + 8), &data_packet(key, number, 1, 1));
+    let finish = FlowPacket { acknowledged: 900, ..flow_packet(key, PacketKind::Finish, number) };
+    router.on_packet(clock_at(now + 8 + work_ms), &finish);
 }
 
 // A flow counts twice while its opening is answered, or its request doesn't count at all.
@@ -51,15 +51,15 @@
 fn each_counted_once() {
     let mut router = load_router(&backends());
     assert_eq!(running(&mut router, 0), 0.0);
-    let key = key(1, 1);
-    let decision = router.on_packet(at(0), &opening(key, 0));
-    let token = number_of(&router, &decision).expect("is placed") as u32;
+    let key = flow_key(1, 1);
+    let decision = router.on_packet(clock_at(0), &opening_packet(key, 0));
+    let token = decided_backend(&router, &decision).expect("is placed") as u32;
     assert_eq!(running(&mut router, 1), 1.0);
-    router.on_packet(at(7), &data(key, token, 1, 1));
+    router.on_packet(clock_at(7), &data_packet(key, token, 1, 1));
     assert_eq!(running(&mut router, 8), 1.0);
-    router.on_packet(at(60), &answered(key, token, 900));
+    router.on_packet(clock_at(60), &answered(key, token, 900));
     assert_eq!(running(&mut router, 61), 0.0);
-    router.on_packet(at(62), &packet(key, PacketKind::Finish, token));
+    router.on_packet(clock_at(62), &flow_packet(key, PacketKind::Finish, token));
     assert_eq!(running(&mut router, 63), 0.0);
 }
 
@@ -67,13 +67,13 @@
 #[test]
 fn copies_count_once() {
     let mut router = load_router(&backends());
-    let key = key(1, 1);
-    router.on_packet(at(0), &opening(key, 0));
-    let decision = router.on_packet(at(100), &opening(key, 1));
-    let token = number_of(&router, &decision).expect("is placed") as u32;
-    router.on_packet(at(107), &data(key, token, 1, 1));
-    router.on_packet(at(307), &data(key, token, 1, 1));
-    router.on_packet(at(707), &data(key, token, 1, 1));
+    let key = flow_key(1, 1);
+    router.on_packet(clock_at(0), &opening_packet(key, 0));
+    let decision = router.on_packet(clock_at(100), &opening_packet(key, 1));
+    let token = decided_backend(&router, &decision).expect("is placed") as u32;
+    router.on_packet(clock_at(107), &data_packet(key, token, 1, 1));
+    router.on_packet(clock_at(307), &data_packet(key, token, 1, 1));
+    router.on_packet(clock_at(707), &data_packet(key, token, 1, 1));
     assert_eq!(running(&mut router, 708), 1.0);
     let [(1, rate)] = arrivals(&mut router, 107).into_iter().collect::<Vec<_>>()[..] else {
         panic!("one priority");
@@ -86,10 +86,10 @@
 fn unanswered_openings_end() {
     let mut router = load_router(&backends());
     for port in 0..50 {
-        router.on_packet(at(0), &opening(key(1, 1_000 + port), 0));
+        router.on_packet(clock_at(0), &opening_packet(flow_key(1, 1_000 + port), 0));
     }
     assert_eq!(running(&mut router, 1), 50.0);
-    router.check_overdue(at(41));
+    router.report_overdue_openings(clock_at(41));
     assert_eq!(running(&mut router, 42), 0.0);
 }
 
@@ -97,20 +97,23 @@
 #[test]
 fn lost_ends_expire() {
     let mut router = load_router(&backends());
-    router.set_load(at(0), Arc::new(view(at(0), &[(NEAR, callers(&[], &[]))])));
+    router.apply_load_view(
+        clock_at(0),
+        Arc::new(load_view(clock_at(0), &[(LOCAL_CENTRE, caller_load(&[], &[]))])),
+    );
     for port in 0..10 {
-        let key = key(1, 1_000 + port);
+        let key = flow_key(1, 1_000 + port);
         let token = open_flow(&mut router, 0, key).expect("is placed") as u32;
-        router.on_packet(at(8), &data(key, token, 1, 1));
+        router.on_packet(clock_at(8), &data_packet(key, token, 1, 1));
     }
     // The routes allow 1 s for a request.
     assert_eq!(running(&mut router, 1_000), 10.0);
     assert_eq!(running(&mut router, 1_008), 0.0);
     // An answer that comes nevertheless doesn't count below zero.
     let token = router.backends().next().expect("is known").token;
-    router.on_packet(at(1_100), &answered(key(1, 1_000), token, 900));
-    let key = key(1, 2_000);
-    router.on_packet(at(1_110), &opening(key, 0));
+    router.on_packet(clock_at(1_100), &answered(flow_key(1, 1_000), token, 900));
+    let key = flow_key(1, 2_000);
+    router.on_packet(clock_at(1_110), &opening_packet(key, 0));
     assert_eq!(running(&mut router, 1_111), 1.0);
 }
 
@@ -119,17 +122,20 @@
 #[test]
 fn moved_answers_expire() {
     let mut router = load_router(&backends());
-    let patient = [route("r", 443, "desk", 2), other_route(2, 2)].map(|mut row| {
+    let patient = [route_row("r", 443, "desk", 2), second_route_row(2, 2)].map(|mut row| {
         if let Some(RowValue::Route(route)) = &mut row.value {
             (route.timeout_ms, route.aim_ms) = (10_000, 400);
         }
         row
     });
-    router.take_rows(at(0), &patient);
-    router.set_load(at(0), Arc::new(view(at(0), &[(NEAR, callers(&[], &[]))])));
-    let key = key(1, 1);
+    router.apply_rows(clock_at(0), &patient);
+    router.apply_load_view(
+        clock_at(0),
+        Arc::new(load_view(clock_at(0), &[(LOCAL_CENTRE, caller_load(&[], &[]))])),
+    );
+    let key = flow_key(1, 1);
     let token = open_flow(&mut router, 0, key).expect("is placed") as u32;
-    router.on_packet(at(8), &data(key, token, 1, 1));
+    router.on_packet(clock_at(8), &data_packet(key, token, 1, 1));
     assert_eq!(running(&mut router, 800), 1.0);
     assert_eq!(running(&mut router, 1_100), 0.0);
 }
@@ -137,24 +143,24 @@
 // Requests of a process that is gone count on after its successor has its id.
 #[test]
 fn restart_ends_requests() {
-    let mut first = backend_spec(1, "desk", NEAR);
+    let mut first = backend_spec(1, "desk", LOCAL_CENTRE);
     first.incarnation = 5;
     let mut second = first.clone();
     second.incarnation = 6;
     let mut router = load_router(&[backend_row(first, 2)]);
     for port in 0..3 {
-        let key = key(1, 1_000 + port);
+        let key = flow_key(1, 1_000 + port);
         open_flow(&mut router, 0, key);
-        router.on_packet(at(8), &data(key, 1, 1, 1));
+        router.on_packet(clock_at(8), &data_packet(key, 1, 1, 1));
     }
     assert_eq!(running(&mut router, 9), 3.0);
-    router.take_rows(at(10), &[backend_row(second, 3)]);
+    router.apply_rows(clock_at(10), &[backend_row(second, 3)]);
     assert_eq!(running(&mut router, 11), 0.0);
-    let key = key(1, 2_000);
+    let key = flow_key(1, 2_000);
     open_flow(&mut router, 20, key);
-    router.on_packet(at(28), &data(key, 1, 1, 1));
+    router.on_packet(clock_at(28), &data_packet(key, 1, 1, 1));
     assert_eq!(running(&mut router, 29), 1.0);
-    router.on_packet(at(50), &packet(key, PacketKind::Abort, 1));
+    router.on_packet(clock_at(50), &flow_packet(key, PacketKind::Abort, 1));
     assert_eq!(running(&mut router, 51), 0.0);
 }
 
@@ -162,15 +168,18 @@
 #[test]
 fn feeds_count_each() {
     let mut router = load_router(&backends());
-    let key = key(1, 1);
+    let key = flow_key(1, 1);
     let token = open_flow(&mut router, 0, key).expect("is placed") as u32;
     for request in 0..40_u32 {
         let now = 10 + u64::from(request) * 20;
-        router.on_packet(at(now), &data(key, token, 1 + request * 100, 1 + request * 50));
+        router.on_packet(
+            clock_at(now),
+            &data_packet(key, token, 1 + request * 100, 1 + request * 50),
+        );
         assert_eq!(running(&mut router, now + 1), 1.0);
         // Every other answer is acknowledged by the next request only.
         if request % 2 == 0 {
-            router.on_packet(at(now + 10), &answered(key, token, 51 + request * 50));
+            router.on_packet(clock_at(now + 10), &answered(key, token, 51 + request * 50));
             assert_eq!(running(&mut router, now + 11), 0.0);
         }
     }
@@ -182,17 +191,20 @@
 #[test]
 fn priority_by_route() {
     let mut router = load_router(&backends());
-    let mut other = key(1, 2);
+    let mut other = flow_key(1, 2);
     other.service.set_port(444);
-    for key in [key(1, 1), other] {
+    for key in [flow_key(1, 1), other] {
         let token = open_flow(&mut router, 0, key).expect("is placed") as u32;
-        router.on_packet(at(8), &data(key, token, 1, 1));
+        router.on_packet(clock_at(8), &data_packet(key, token, 1, 1));
     }
     assert_eq!(arrivals(&mut router, 8).into_keys().collect::<Vec<_>>(), [1, 2]);
-    router.take_rows(at(10), &[other_route(3, 7)]);
-    let token = open_flow(&mut router, 10, FlowKey { caller: key(1, 3).caller, ..other });
+    router.apply_rows(clock_at(10), &[second_route_row(3, 7)]);
+    let token = open_flow(&mut router, 10, FlowKey { caller: flow_key(1, 3).caller, ..other });
     let token = token.expect("is placed") as u32;
-    router.on_packet(at(18), &data(FlowKey { caller: key(1, 3).caller, ..other }, token, 1, 1));
+    router.on_packet(
+        clock_at(18),
+        &data_packet(FlowKey { caller: flow_key(1, 3).caller, ..other }, token, 1, 1),
+    );
     assert_eq!(arrivals(&mut router, 18).into_keys().collect::<Vec<_>>(), [1, 2, 3]);
 }
 
@@ -201,13 +213,17 @@
 fn refused_count_as_asked() {
     let mut router = load_router(&backends());
     let per_s = [(1, 20.0), (2, 2_000.0)];
-    let now = settle_load(&mut router, 0, &[(NEAR, callers(&per_s, &[(NEAR, 10.0)]))]);
+    let now = apply_steady_load(
+        &mut router,
+        0,
+        &[(LOCAL_CENTRE, caller_load(&per_s, &[(LOCAL_CENTRE, 10.0)]))],
+    );
     let mut refused = 0;
     for port in 0..200 {
-        let mut key = key(port as u8, 1_000 + port);
+        let mut key = flow_key(port as u8, 1_000 + port);
         key.service.set_port(444);
-        let decision = router.on_packet(at(now), &opening(key, 0));
-        refused += u32::from(number_of(&router, &decision).is_none());
+        let decision = router.on_packet(clock_at(now), &opening_packet(key, 0));
+        refused += u32::from(decided_backend(&router, &decision).is_none());
     }
     let rate = arrivals(&mut router, now)[&2];
     assert!(refused > 100 && (rate - f64::from(refused) * 4.0).abs() < 1.0, "{refused}, {rate}");
@@ -221,21 +237,21 @@
         let load = desk_load(router, now);
         load.priorities[&1].work_us / 1_000.0
     };
-    let calm = [(NEAR, callers(&[(1, 10.0)], &[(NEAR, 1.0)]))];
+    let calm = [(LOCAL_CENTRE, caller_load(&[(1, 10.0)], &[(LOCAL_CENTRE, 1.0)]))];
     let mut now = 0;
     for port in 0..20 {
         ask(&mut router, now, 1_000 + port, 50);
         now += 100;
-        router.set_load(at(now), Arc::new(view(at(now), &calm)));
+        router.apply_load_view(clock_at(now), Arc::new(load_view(clock_at(now), &calm)));
     }
     assert_eq!(work_ms(&mut router, now), 50.0);
     // The burst is seen 200 ms after its start.
-    let full = [(NEAR, callers(&[(1, 80.0)], &[(NEAR, 8.0)]))];
+    let full = [(LOCAL_CENTRE, caller_load(&[(1, 80.0)], &[(LOCAL_CENTRE, 8.0)]))];
     for port in 0..20 {
         ask(&mut router, now, 2_000 + port, 150);
         now += 100;
         let load = if port < 2 { &calm } else { &full };
-        router.set_load(at(now), Arc::new(view(at(now), load)));
+        router.apply_load_view(clock_at(now), Arc::new(load_view(clock_at(now), load)));
     }
     assert_eq!(work_ms(&mut router, now), 50.0);
 }
@@ -243,23 +259,25 @@
 // A slow backend server makes work look longer, though its slots count for less already.
 #[test]
 fn slow_answers_scaled() {
-    let mut router = load_router(&(1..=4).map(|n| backend(n, "desk", NEAR, 2)).collect::<Vec<_>>());
-    let calm = [(NEAR, callers(&[(1, 10.0)], &[(NEAR, 1.0)]))];
+    let mut router = load_router(
+        &(1..=4).map(|n| listed_backend(n, "desk", LOCAL_CENTRE, 2)).collect::<Vec<_>>(),
+    );
+    let calm = [(LOCAL_CENTRE, caller_load(&[(1, 10.0)], &[(LOCAL_CENTRE, 1.0)]))];
     let mut now = 0;
     for round in 0..200_u16 {
-        let key = key(1, 1_000 + round);
+        let key = flow_key(1, 1_000 + round);
         let number = open_flow(&mut router, now, key).expect("is placed");
-        router.on_packet(at(now + 8), &data(key, number as u32, 1, 1));
+        router.on_packet(clock_at(now + 8), &data_packet(key, number as u32, 1, 1));
         let work_ms = if number == 3 { 250 } else { 50 };
         let finish =
-            FlowPacket { acknowledged: 900, ..packet(key, PacketKind::Finish, number as u32) };
-        router.on_packet(at(now + 8 + work_ms), &finish);
+            FlowPacket { acknowledged: 900, ..flow_packet(key, PacketKind::Finish, number as u32) };
+        router.on_packet(clock_at(now + 8 + work_ms), &finish);
         now += 20;
-        router.set_load(at(now), Arc::new(view(at(now), &calm)));
+        router.apply_load_view(clock_at(now), Arc::new(load_view(clock_at(now), &calm)));
     }
     let work_us = desk_load(&mut router, now).priorities[&1].work_us;
     assert!((48_000.0..60_000.0).contains(&work_us), "{work_us}");
-    let slots = router.load_reports(at(now))[0].slots;
+    let slots = router.load_reports(clock_at(now))[0].slots;
     assert!((6.0..7.5).contains(&slots), "{slots}");
 }
 
@@ -267,28 +285,31 @@
 #[test]
 fn due_when_jumped() {
     let mut router = load_router(&backends());
-    assert!(router.load_due(at(0)));
-    router.own_load(at(0));
-    assert!(!router.load_due(at(249)) && router.load_due(at(250)));
-    router.own_load(at(250));
+    assert!(router.is_load_report_due(clock_at(0)));
+    router.collect_local_load(clock_at(0));
+    assert!(!router.is_load_report_due(clock_at(249)) && router.is_load_report_due(clock_at(250)));
+    router.collect_local_load(clock_at(250));
     for port in 0..4 {
-        router.on_packet(at(260), &opening(key(1, 1_000 + port), 0));
+        router.on_packet(clock_at(260), &opening_packet(flow_key(1, 1_000 + port), 0));
     }
-    assert!(!router.load_due(at(299)) && router.load_due(at(300)));
+    assert!(!router.is_load_report_due(clock_at(299)) && router.is_load_report_due(clock_at(300)));
     // Busy from now on, for two seconds.
-    router.own_load(at(300));
-    assert!(!router.load_due(at(349)) && router.load_due(at(350)));
+    router.collect_local_load(clock_at(300));
+    assert!(!router.is_load_report_due(clock_at(349)) && router.is_load_report_due(clock_at(350)));
 }
 
 // The start of a shortage is decided by a load that is told every 250 ms.
 #[test]
 fn due_when_pressed() {
     let mut router = load_router(&backends());
-    router.own_load(at(0));
-    let pressed = callers(&[(1, 50.0)], &[(NEAR, 3.0)]);
-    router.set_load(at(10), Arc::new(view(at(10), &[(NEAR, pressed)])));
-    assert_eq!(router.pressure(), 0.75);
-    assert!(router.load_due(at(50)));
+    router.collect_local_load(clock_at(0));
+    let pressed = caller_load(&[(1, 50.0)], &[(LOCAL_CENTRE, 3.0)]);
+    router.apply_load_view(
+        clock_at(10),
+        Arc::new(load_view(clock_at(10), &[(LOCAL_CENTRE, pressed)])),
+    );
+    assert_eq!(router.load_ratio(), 0.75);
+    assert!(router.is_load_report_due(clock_at(50)));
 }
 
 // The account that floods isn't in the samples, or a part has more than a message holds.
@@ -296,18 +317,25 @@
 fn accounts_sampled() {
     let mut router = load_router(&backends());
     let per_s = [(1, 20.0), (2, 2_000.0)];
-    let now = settle_load(&mut router, 0, &[(NEAR, callers(&per_s, &[(NEAR, 10.0)]))]);
-    router.own_load(at(now));
+    let now = apply_steady_load(
+        &mut router,
+        0,
+        &[(LOCAL_CENTRE, caller_load(&per_s, &[(LOCAL_CENTRE, 10.0)]))],
+    );
+    router.collect_local_load(clock_at(now));
     for port in 0..600 {
-        let mut key = key(if port % 2 == 0 { 77 } else { port as u8 }, 1_000 + port);
+        let mut key = flow_key(if port % 2 == 0 { 77 } else { port as u8 }, 1_000 + port);
         key.service.set_port(444);
-        router.on_packet(at(now), &opening(key, 0));
+        router.on_packet(clock_at(now), &opening_packet(key, 0));
     }
-    let load = router.own_load(at(now + 50));
+    let load = router.collect_local_load(clock_at(now + 50));
     assert_eq!((load.sampled_accounts.len(), load.openings_per_sample), (6, 100));
-    let heavy = foxledge_admission::AccountKey::of(*key(77, 1).caller.ip()).0;
+    let heavy = foxledge_admission::AccountKey::of(*flow_key(77, 1).caller.ip()).0;
     assert!(load.sampled_accounts.iter().filter(|account| **account == heavy).count() >= 1);
     // Told every other time, each opening stands in one part.
-    assert_eq!(router.own_load(at(now + 100)).sampled_accounts, load.sampled_accounts);
-    assert_eq!(router.own_load(at(now + 150)).openings_per_sample, 0);
+    assert_eq!(
+        router.collect_local_load(clock_at(now + 100)).sampled_accounts,
+        load.sampled_accounts
+    );
+    assert_eq!(router.collect_local_load(clock_at(now + 150)).openings_per_sample, 0);
 }
--- a/crates/foxledge-flows/tests/refused_entries.rs
+++ b/crates/foxledge-flows/tests/refused_entries.rs
@@ -11,11 +11,11 @@
 
 fn refused(revision: u64, number: u64) -> ItemChange {
     let fault = "no JSON".to_owned();
-    ItemChange::BackendRefused { revision, id: format!("i-{number:x}"), fault }
+    ItemChange::BackendInvalid { revision, id: format!("i-{number:x}"), fault }
 }
 
 fn good(revision: u64, number: u64) -> ItemChange {
-    let backend = backend_spec(number, "desk", NEAR);
+    let backend = backend_spec(number, "desk", LOCAL_CENTRE);
     ItemChange::Backend { revision, id: format!("i-{number:x}"), backend }
 }
 
@@ -24,7 +24,7 @@
     let mut list = FleetList::new();
     let config = ItemChange::Config { revision: 3, config: ConfigReading::default() };
     let items = vec![config, good(10, 1), good(11, 2)];
-    list.take_reading(at(0), ListReading::whole(items, 20));
+    list.apply_reading(clock_at(0), ListReading::complete(items, 20));
     list
 }
 
@@ -38,23 +38,24 @@
 #[test]
 fn overwritten_gets_none() {
     let mut list = list();
-    let mut router = desk_router(&all_rows(&list));
-    let held = open_flow(&mut router, 10, key(1, 1)).expect("is placed");
-    let rows = list.take_watch(at(100), ListReading::whole(vec![refused(21, held)], 21));
-    router.take_rows(at(100), &rows);
+    let mut router = listed_router(&all_rows(&list));
+    let held = open_flow(&mut router, 10, flow_key(1, 1)).expect("is placed");
+    let rows = list.apply_watch(clock_at(100), ListReading::complete(vec![refused(21, held)], 21));
+    router.apply_rows(clock_at(100), &rows);
     for port in 2..20 {
-        let number = open_flow(&mut router, 110, key(1, port)).expect("is placed");
+        let number = open_flow(&mut router, 110, flow_key(1, port)).expect("is placed");
         assert_ne!(number, held, "a new flow went to the backend server of the spoiled entry");
     }
     // Its open flow goes on.
-    let decision = router.on_packet(at(150), &data(key(1, 1), held as u32, 1_000, 1));
-    assert_eq!(number_of(&router, &decision), Some(held));
-    router.on_packet(at(160), &packet(key(1, 1), PacketKind::Finish, held as u32));
+    let decision =
+        router.on_packet(clock_at(150), &data_packet(flow_key(1, 1), held as u32, 1_000, 1));
+    assert_eq!(decided_backend(&router, &decision), Some(held));
+    router.on_packet(clock_at(160), &flow_packet(flow_key(1, 1), PacketKind::Finish, held as u32));
     // Its own next entry makes it one of the others again.
-    let rows = list.take_watch(at(200), ListReading::whole(vec![good(22, held)], 22));
-    router.take_rows(at(200), &rows);
+    let rows = list.apply_watch(clock_at(200), ListReading::complete(vec![good(22, held)], 22));
+    router.apply_rows(clock_at(200), &rows);
     // By then the flow that has ended there counts no more.
-    let placed = (20..40).filter_map(|port| open_flow(&mut router, 1_200, key(1, port)));
+    let placed = (20..40).filter_map(|port| open_flow(&mut router, 1_200, flow_key(1, port)));
     assert!(placed.collect::<Vec<_>>().contains(&held));
 }
 
@@ -62,11 +63,11 @@
 fn spoiled_entry_refuses() {
     // Nobody else serves: a caller is told at once.
     let mut list = list();
-    let mut router = desk_router(&all_rows(&list));
+    let mut router = listed_router(&all_rows(&list));
     let spoiled = vec![refused(21, 1), refused(22, 2)];
-    let rows = list.take_watch(at(100), ListReading::whole(spoiled, 22));
-    router.take_rows(at(100), &rows);
-    let decision = router.on_packet(at(110), &opening(key(1, 1), 0));
+    let rows = list.apply_watch(clock_at(100), ListReading::complete(spoiled, 22));
+    router.apply_rows(clock_at(100), &rows);
+    let decision = router.on_packet(clock_at(110), &opening_packet(flow_key(1, 1), 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
 }
 
@@ -76,13 +77,13 @@
 #[test]
 fn every_way_agrees() {
     let mut watching = list();
-    watching.take_watch(at(100), ListReading::whole(vec![refused(21, 1)], 21));
+    watching.apply_watch(clock_at(100), ListReading::complete(vec![refused(21, 1)], 21));
     let mut reading = list();
     let config = ItemChange::Config { revision: 3, config: ConfigReading::default() };
     let items = vec![config, refused(21, 1), good(11, 2)];
-    reading.take_reading(at(100), ListReading::whole(items.clone(), 21));
+    reading.apply_reading(clock_at(100), ListReading::complete(items.clone(), 21));
     let mut told = FleetList::new();
-    told.take_copy(at(100), all_rows(&watching), 21, 0);
+    told.apply_snapshot(clock_at(100), all_rows(&watching), 21, 0);
     for list in [&watching, &reading, &told] {
         let rows = all_rows(list);
         let row = rows.iter().find(|row| row.key == "backend/i-1").expect("its flows go on");
@@ -92,8 +93,8 @@
     }
     // One that never knew the good entry knows nothing of it.
     let mut late = FleetList::new();
-    late.take_reading(at(100), ListReading::whole(items, 21));
-    assert!(!late.holds("backend/i-1"));
+    late.apply_reading(clock_at(100), ListReading::complete(items, 21));
+    assert!(!late.contains("backend/i-1"));
 }
 
 // Symptom: open flows of a live backend server reach a stranger.
@@ -102,18 +103,21 @@
 // Cause: the newer address is taken for that of the flows' holder.
 #[test]
 fn moved_entry_doubted() {
-    let mut router = desk_router(&[backend(1, "desk", NEAR, 2), backend(2, "desk", NEAR, 2)]);
-    let port = (1..20).find(|port| open_flow(&mut router, 0, key(1, *port)) == Some(1));
-    let flow = key(1, port.expect("one is placed there"));
-    let mut spec = backend_spec(1, "desk", NEAR);
+    let mut router = listed_router(&[
+        listed_backend(1, "desk", LOCAL_CENTRE, 2),
+        listed_backend(2, "desk", LOCAL_CENTRE, 2),
+    ]);
+    let port = (1..20).find(|port| open_flow(&mut router, 0, flow_key(1, *port)) == Some(1));
+    let flow = flow_key(1, port.expect("one is placed there"));
+    let mut spec = backend_spec(1, "desk", LOCAL_CENTRE);
     spec.ip = u32::from(std::net::Ipv4Addr::new(10, 9, 9, 9));
-    router.take_rows(at(100), &[backend_row(spec, 5)]);
-    let decision = router.on_packet(at(110), &data(flow, 1, 1_000, 1));
+    router.apply_rows(clock_at(100), &[backend_row(spec, 5)]);
+    let decision = router.on_packet(clock_at(110), &data_packet(flow, 1, 1_000, 1));
     let FlowDecision::Forward { backend: index, .. } = decision else { panic!("{decision:?}") };
     let address = router.backend(index).expect("is known").address;
     assert_eq!(address.to_string(), "10.128.0.1:8080");
     for port in 100..120 {
-        assert_eq!(open_flow(&mut router, 120, key(1, port)), Some(2));
+        assert_eq!(open_flow(&mut router, 120, flow_key(1, port)), Some(2));
     }
 }
 
@@ -122,23 +126,23 @@
 // Cause: the newer one is taken for the holder of all these flows.
 #[test]
 fn one_number_twice() {
-    let own = backend(1, "desk", NEAR, 2);
-    let mut spec = backend_spec(1, "desk", NEAR);
+    let own = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut spec = backend_spec(1, "desk", LOCAL_CENTRE);
     spec.ip = u32::from(std::net::Ipv4Addr::new(10, 9, 9, 9));
-    spec.created = 9;
+    spec.created_revision = 9;
     let mut other = backend_row(spec, 9);
     other.key = "backend/i-00001".to_owned();
     for rows in [[own.clone(), other.clone()], [other, own]] {
-        let mut router = desk_router(&rows);
+        let mut router = listed_router(&rows);
         for port in 1..10 {
-            let decision = router.on_packet(at(0), &opening(key(1, port), 0));
+            let decision = router.on_packet(clock_at(0), &opening_packet(flow_key(1, port), 0));
             let FlowDecision::Open { backend: index, .. } = decision else {
                 panic!("{decision:?}")
             };
             let address = router.backend(index).expect("is known").address;
             assert_eq!(address.to_string(), "10.128.0.1:8080");
         }
-        let decision = router.on_packet(at(7), &data(key(1, 1), 1, 1_000, 1));
+        let decision = router.on_packet(clock_at(7), &data_packet(flow_key(1, 1), 1, 1_000, 1));
         let FlowDecision::Forward { backend: index, .. } = decision else { panic!("{decision:?}") };
         let address = router.backend(index).expect("is known").address;
         assert_eq!(address.to_string(), "10.128.0.1:8080");
@@ -151,19 +155,19 @@
 // Cause: the start makes it an entry like any other.
 #[test]
 fn second_stays_second() {
-    let own = backend(1, "desk", NEAR, 2);
+    let own = listed_backend(1, "desk", LOCAL_CENTRE, 2);
     let other = |incarnation, revision| {
-        let mut spec = backend_spec(1, "desk", NEAR);
+        let mut spec = backend_spec(1, "desk", LOCAL_CENTRE);
         spec.ip = u32::from(std::net::Ipv4Addr::new(10, 9, 9, 9));
-        (spec.created, spec.incarnation) = (9, incarnation);
+        (spec.created_revision, spec.incarnation) = (9, incarnation);
         let mut row = backend_row(spec, revision);
         row.key = "backend/i-00001".to_owned();
         row
     };
-    let mut router = desk_router(&[other(5, 9), own]);
-    router.take_rows(at(10), &[other(6, 10)]);
+    let mut router = listed_router(&[other(5, 9), own]);
+    router.apply_rows(clock_at(10), &[other(6, 10)]);
     for port in 1..10 {
-        let decision = router.on_packet(at(20), &opening(key(1, port), 0));
+        let decision = router.on_packet(clock_at(20), &opening_packet(flow_key(1, port), 0));
         let FlowDecision::Open { backend: index, .. } = decision else { panic!("{decision:?}") };
         let address = router.backend(index).expect("is known").address;
         assert_eq!(address.to_string(), "10.128.0.1:8080");
--- a/crates/foxledge-flows/tests/route_regions.rs
+++ b/crates/foxledge-flows/tests/route_regions.rs
@@ -12,7 +12,7 @@
 };
 
 fn route_in(regions: &[&str], revision: u64) -> ListRow {
-    let mut row = route("r", 443, "desk", revision);
+    let mut row = route_row("r", 443, "desk", revision);
     if let Some(RowValue::Route(route)) = &mut row.value {
         route.regions = regions.iter().map(|name| (*name).to_owned()).collect();
     }
@@ -20,26 +20,28 @@
 }
 
 fn router_with(route: ListRow) -> FlowRouter {
-    let regions = [(NEAR, "lakes"), (FAR, "plains")];
+    let regions = [(LOCAL_CENTRE, "lakes"), (REMOTE_CENTRE, "plains")];
     let regions: HashMap<_, _> = regions
         .into_iter()
         .map(|(centre, region)| (CentreName::new(centre), RegionName::new(region)))
         .collect();
-    let mut router = FlowRouter::new(RouterOptions::new(CentreName::new(NEAR)).regions(regions));
+    let mut router =
+        FlowRouter::new(RouterOptions::new(CentreName::new(LOCAL_CENTRE)).regions(regions));
     let backends = [
-        backend(1, "desk", NEAR, 2),
-        backend(2, "desk", FAR, 2),
-        backend(3, "desk", "unlisted", 2),
+        listed_backend(1, "desk", LOCAL_CENTRE, 2),
+        listed_backend(2, "desk", REMOTE_CENTRE, 2),
+        listed_backend(3, "desk", "unlisted", 2),
     ];
-    router.take_rows(at(0), &[limits(1, 1), route]);
-    router.take_rows(at(0), &backends);
-    router.set_confirmed(at(0));
+    router.apply_rows(clock_at(0), &[limits_row(1, 1), route]);
+    router.apply_rows(clock_at(0), &backends);
+    router.set_confirmed_at(clock_at(0));
     router
 }
 
 fn place(router: &mut FlowRouter, port: u16) -> Option<u64> {
-    let decision = router.on_packet(at(u64::from(port)), &opening(key(1, port), 0));
-    number_of(router, &decision)
+    let decision =
+        router.on_packet(clock_at(u64::from(port)), &opening_packet(flow_key(1, port), 0));
+    decided_backend(router, &decision)
 }
 
 // Symptom: requests that must stay in a region are served in another.
@@ -55,9 +57,9 @@
 #[test]
 fn none_left_refused() {
     let mut router = router_with(route_in(&["plains"], 1));
-    let leaving = draining(&backend(2, "desk", FAR, 2), 3);
-    router.take_rows(at(50), &[leaving]);
-    let decision = router.on_packet(at(60), &opening(key(1, 1), 0));
+    let leaving = draining_row(&listed_backend(2, "desk", REMOTE_CENTRE, 2), 3);
+    router.apply_rows(clock_at(50), &[leaving]);
+    let decision = router.on_packet(clock_at(60), &opening_packet(flow_key(1, 1), 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoRegion));
 }
 
@@ -65,7 +67,7 @@
 fn free_without_regions() {
     let mut router = router_with(route_in(&[], 1));
     assert_eq!(place(&mut router, 1), Some(1));
-    router.take_rows(at(50), &[route_in(&["nowhere"], 2)]);
-    let decision = router.on_packet(at(60), &opening(key(1, 2), 0));
+    router.apply_rows(clock_at(50), &[route_in(&["nowhere"], 2)]);
+    let decision = router.on_packet(clock_at(60), &opening_packet(flow_key(1, 2), 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoRegion));
 }
--- a/crates/foxledge-flows/tests/same_id.rs
+++ b/crates/foxledge-flows/tests/same_id.rs
@@ -6,36 +6,37 @@
 
 use common::*;
 use foxledge_flows::{
-    FlowDecision, FlowKey, FlowRouter, HealthClass, HealthNote, NoteKind, rows::BackendRow,
+    FlowDecision, FlowKey, FlowRouter, HealthClass, HealthObservation, ObservationKind,
+    rows::BackendRow,
 };
 
 const FIRST: u64 = 1_792_453_826_049;
 const SECOND: u64 = 1_792_453_829_000;
 
 fn spec(incarnation: u64) -> BackendRow {
-    BackendRow { incarnation, ..backend_spec(1, "desk", NEAR) }
+    BackendRow { incarnation, ..backend_spec(1, "desk", LOCAL_CENTRE) }
 }
 
 /// A router that knows backend server 1 by its first start, and one far away.
 fn first_router() -> FlowRouter {
-    desk_router(&[backend_row(spec(FIRST), 2), backend(2, "desk", FAR, 2)])
+    listed_router(&[backend_row(spec(FIRST), 2), listed_backend(2, "desk", REMOTE_CENTRE, 2)])
 }
 
 fn health_of(router: &FlowRouter, now: u64) -> HealthClass {
-    router.backend_of(1).expect("is known").health.class(at(now))
+    router.backend_by_number(1).expect("is known").health.class(clock_at(now))
 }
 
-fn note(incarnation: u64, kind: NoteKind, when: u64) -> HealthNote {
-    HealthNote { number: 1, incarnation, kind, at: at(when) }
+fn note(incarnation: u64, kind: ObservationKind, when: u64) -> HealthObservation {
+    HealthObservation { number: 1, incarnation, kind, observed_at: clock_at(when) }
 }
 
 /// Leaves the opening packets of callers unanswered at backend server 1.
 fn silence(router: &mut FlowRouter, sent: u64) {
-    let flow = key(7, 100);
-    let decision = router.on_packet(at(sent), &opening(flow, 0));
-    assert_eq!(number_of(router, &decision), Some(1));
-    router.check_overdue(at(sent + 41));
-    router.on_packet(at(sent + 200), &opening(flow, 1));
+    let flow = flow_key(7, 100);
+    let decision = router.on_packet(clock_at(sent), &opening_packet(flow, 0));
+    assert_eq!(decided_backend(router, &decision), Some(1));
+    router.report_overdue_openings(clock_at(sent + 41));
+    router.on_packet(clock_at(sent + 200), &opening_packet(flow, 1));
 }
 
 // Symptom: a backend server that starts again under its id gets no packets.
@@ -46,16 +47,16 @@
     let mut router = first_router();
     let again = BackendRow {
         ip: u32::from(Ipv4Addr::new(10, 128, 7, 7)),
-        data_centre: FAR.to_owned(),
+        data_centre: REMOTE_CENTRE.to_owned(),
         slots: 5,
         warm_in_ms: 2_000,
         ..spec(SECOND)
     };
-    router.take_rows(at(3_000), &[backend_row(again, 9)]);
-    let backend = router.backend_of(1).expect("is known");
+    router.apply_rows(clock_at(3_000), &[backend_row(again, 9)]);
+    let backend = router.backend_by_number(1).expect("is known");
     assert_eq!(backend.address.to_string(), "10.128.7.7:8080");
-    assert_eq!((&*backend.data_centre, backend.slots), (FAR, 5));
-    assert!(!backend.warm_at.is_past(at(4_900)) && backend.warm_at.is_past(at(5_001)));
+    assert_eq!((&*backend.data_centre, backend.slots), (REMOTE_CENTRE, 5));
+    assert!(!backend.warm_at.is_past(clock_at(4_900)) && backend.warm_at.is_past(clock_at(5_001)));
     assert_eq!((backend.incarnation, backend.revision), (SECOND, 9));
 }
 
@@ -67,20 +68,20 @@
     let mut router = first_router();
     silence(&mut router, 1_000);
     assert_eq!(health_of(&router, 1_300), HealthClass::Ejected);
-    router.take_rows(at(1_400), &[backend_row(spec(SECOND), 9)]);
+    router.apply_rows(clock_at(1_400), &[backend_row(spec(SECOND), 9)]);
     assert_eq!(health_of(&router, 1_401), HealthClass::Healthy);
-    assert_eq!(open_flow(&mut router, 1_410, key(1, 1)), Some(1));
+    assert_eq!(open_flow(&mut router, 1_410, flow_key(1, 1)), Some(1));
 }
 
 #[test]
 fn late_silence_forgotten() {
     // Sent to the former process, and found unanswered after the news of the new one.
     let mut router = first_router();
-    let flow = key(7, 100);
-    router.on_packet(at(1_000), &opening(flow, 0));
-    router.take_rows(at(1_020), &[backend_row(spec(SECOND), 9)]);
-    router.check_overdue(at(1_100));
-    router.on_packet(at(1_200), &opening(flow, 1));
+    let flow = flow_key(7, 100);
+    router.on_packet(clock_at(1_000), &opening_packet(flow, 0));
+    router.apply_rows(clock_at(1_020), &[backend_row(spec(SECOND), 9)]);
+    router.report_overdue_openings(clock_at(1_100));
+    router.on_packet(clock_at(1_200), &opening_packet(flow, 1));
     assert_eq!(health_of(&router, 1_201), HealthClass::Healthy);
 }
 
@@ -90,30 +91,38 @@
 #[test]
 fn former_notes_ignored() {
     let mut router = first_router();
-    router.take_rows(at(1_000), &[backend_row(spec(SECOND), 9)]);
-    for kind in [NoteKind::Suspect, NoteKind::Ejected, NoteKind::Silent] {
-        router.take_note(at(1_100), &note(FIRST, kind, 1_090));
+    router.apply_rows(clock_at(1_000), &[backend_row(spec(SECOND), 9)]);
+    for kind in
+        [ObservationKind::Suspect, ObservationKind::Ejected, ObservationKind::OpeningUnanswered]
+    {
+        router.apply_observation(clock_at(1_100), &note(FIRST, kind, 1_090));
         assert_eq!(health_of(&router, 1_101), HealthClass::Healthy, "{kind:?}");
     }
-    router.take_note(at(1_200), &note(SECOND, NoteKind::Silent, 1_190));
+    router.apply_observation(
+        clock_at(1_200),
+        &note(SECOND, ObservationKind::OpeningUnanswered, 1_190),
+    );
     assert_eq!(health_of(&router, 1_201), HealthClass::Ejected);
     // Nor does a sign of life of the former one speak for the other.
-    router.take_note(at(1_300), &note(FIRST, NoteKind::Alive, 1_290));
+    router.apply_observation(clock_at(1_300), &note(FIRST, ObservationKind::Alive, 1_290));
     assert_eq!(health_of(&router, 1_301), HealthClass::Ejected);
     // What this instance tells names the start that it saw.
     silence(&mut router, 4_000);
-    assert!(router.take_notes().iter().all(|note| note.incarnation == SECOND));
+    assert!(router.drain_observations().iter().all(|note| note.incarnation == SECOND));
 }
 
 #[test]
 fn former_life_ignored() {
     // A caller goes on with a flow that the former process opened: says nothing of this one.
     let mut router = first_router();
-    let flow = key(1, 1);
-    router.on_packet(at(1_000), &opening(flow, 0));
-    router.take_rows(at(1_010), &[backend_row(spec(SECOND), 9)]);
-    router.take_note(at(1_015), &note(SECOND, NoteKind::Silent, 1_012));
-    router.on_packet(at(1_020), &data(flow, 1, 1_000, 1));
+    let flow = flow_key(1, 1);
+    router.on_packet(clock_at(1_000), &opening_packet(flow, 0));
+    router.apply_rows(clock_at(1_010), &[backend_row(spec(SECOND), 9)]);
+    router.apply_observation(
+        clock_at(1_015),
+        &note(SECOND, ObservationKind::OpeningUnanswered, 1_012),
+    );
+    router.on_packet(clock_at(1_020), &data_packet(flow, 1, 1_000, 1));
     assert_eq!(health_of(&router, 1_021), HealthClass::Ejected);
 }
 
@@ -123,22 +132,31 @@
 #[test]
 fn former_flows_uncounted() {
     let mut router = first_router();
-    let flows: Vec<FlowKey> = (1..4).map(|port| key(1, port)).collect();
+    let flows: Vec<FlowKey> = (1..4).map(|port| flow_key(1, port)).collect();
     for flow in &flows {
         assert_eq!(open_flow(&mut router, 0, *flow), Some(1));
-        router.on_packet(at(8), &data(*flow, 1, 1_000, 1));
+        router.on_packet(clock_at(8), &data_packet(*flow, 1, 1_000, 1));
     }
-    assert_eq!(router.backend_of(1).map(|one| (one.flows, one.running)), Some((3, 3)));
-    router.take_rows(at(500), &[backend_row(spec(SECOND), 9)]);
+    assert_eq!(
+        router.backend_by_number(1).map(|one| (one.open_flows, one.running_requests)),
+        Some((3, 3))
+    );
+    router.apply_rows(clock_at(500), &[backend_row(spec(SECOND), 9)]);
     for flow in &flows {
-        let decision = router.on_packet(at(600), &data(*flow, 1, 1_100, 1));
-        assert_eq!(number_of(&router, &decision), Some(1), "its own reset tells the caller");
+        let decision = router.on_packet(clock_at(600), &data_packet(*flow, 1, 1_100, 1));
+        assert_eq!(decided_backend(&router, &decision), Some(1), "its own reset tells the caller");
     }
-    assert_eq!(router.backend_of(1).map(|one| (one.flows, one.running)), Some((0, 0)));
+    assert_eq!(
+        router.backend_by_number(1).map(|one| (one.open_flows, one.running_requests)),
+        Some((0, 0))
+    );
     // A later flow of the new process is one of its own.
-    open_flow(&mut router, 700, key(1, 9));
-    router.on_packet(at(710), &data(key(1, 9), 1, 1_000, 1));
-    assert_eq!(router.backend_of(1).map(|one| (one.flows, one.running)), Some((1, 1)));
+    open_flow(&mut router, 700, flow_key(1, 9));
+    router.on_packet(clock_at(710), &data_packet(flow_key(1, 9), 1, 1_000, 1));
+    assert_eq!(
+        router.backend_by_number(1).map(|one| (one.open_flows, one.running_requests)),
+        Some((1, 1))
+    );
 }
 
 // Symptom: an old answer of the store sends flows to a process that is gone.
@@ -147,10 +165,10 @@
 #[test]
 fn revision_decides() {
     let mut router = first_router();
-    router.take_rows(at(100), &[backend_row(spec(FIRST - 60_000), 9)]);
-    assert_eq!(router.backend_of(1).map(|one| one.incarnation), Some(FIRST - 60_000));
-    router.take_rows(at(200), &[backend_row(spec(FIRST), 8)]);
-    assert_eq!(router.backend_of(1).map(|one| one.incarnation), Some(FIRST - 60_000));
+    router.apply_rows(clock_at(100), &[backend_row(spec(FIRST - 60_000), 9)]);
+    assert_eq!(router.backend_by_number(1).map(|one| one.incarnation), Some(FIRST - 60_000));
+    router.apply_rows(clock_at(200), &[backend_row(spec(FIRST), 8)]);
+    assert_eq!(router.backend_by_number(1).map(|one| one.incarnation), Some(FIRST - 60_000));
 }
 
 #[test]
@@ -159,14 +177,14 @@
     for (drains, gone) in [(true, true), (true, false), (false, true)] {
         let mut router = first_router();
         let first = backend_row(spec(FIRST), 2);
-        let mut row = if drains { draining(&first, 3) } else { first.clone() };
-        router.take_rows(at(100), std::slice::from_ref(&row));
+        let mut row = if drains { draining_row(&first, 3) } else { first.clone() };
+        router.apply_rows(clock_at(100), std::slice::from_ref(&row));
         if gone {
-            row = removed(&row, 4, 0);
-            router.take_rows(at(5_000), &[row]);
+            row = removed_row(&row, 4, 0);
+            router.apply_rows(clock_at(5_000), &[row]);
         }
-        router.take_rows(at(9_000), &[backend_row(spec(SECOND), 9)]);
-        assert_eq!(open_flow(&mut router, 9_010, key(1, 1)), Some(1), "{drains} {gone}");
+        router.apply_rows(clock_at(9_000), &[backend_row(spec(SECOND), 9)]);
+        assert_eq!(open_flow(&mut router, 9_010, flow_key(1, 1)), Some(1), "{drains} {gone}");
     }
 }
 
@@ -175,17 +193,17 @@
     // Another has the former's address; the new process has its own.
     let mut router = first_router();
     let first = backend_row(spec(FIRST), 2);
-    router.take_rows(at(100), &[removed(&first, 3, 0)]);
-    let mut other = backend_spec(5, "desk", FAR);
+    router.apply_rows(clock_at(100), &[removed_row(&first, 3, 0)]);
+    let mut other = backend_spec(5, "desk", REMOTE_CENTRE);
     other.ip = u32::from(Ipv4Addr::new(10, 128, 0, 1));
-    router.take_rows(at(2_000), &[backend_row(other, 4)]);
+    router.apply_rows(clock_at(2_000), &[backend_row(other, 4)]);
     let again = BackendRow { ip: u32::from(Ipv4Addr::new(10, 128, 7, 7)), ..spec(SECOND) };
-    router.take_rows(at(3_000), &[backend_row(again, 5)]);
-    assert_eq!(open_flow(&mut router, 3_010, key(1, 1)), Some(1));
+    router.apply_rows(clock_at(3_000), &[backend_row(again, 5)]);
+    assert_eq!(open_flow(&mut router, 3_010, flow_key(1, 1)), Some(1));
     // Its own former address, taken by it once more, ends nothing.
-    router.take_rows(at(4_000), &[removed(&backend_row(spec(SECOND), 5), 6, 0)]);
-    router.take_rows(at(4_100), &[backend_row(spec(SECOND + 5), 7)]);
-    assert_eq!(open_flow(&mut router, 4_110, key(1, 2)), Some(1));
+    router.apply_rows(clock_at(4_000), &[removed_row(&backend_row(spec(SECOND), 5), 6, 0)]);
+    router.apply_rows(clock_at(4_100), &[backend_row(spec(SECOND + 5), 7)]);
+    assert_eq!(open_flow(&mut router, 4_110, flow_key(1, 2)), Some(1));
 }
 
 // Symptom: flows of a backend server that has just started are reset.
@@ -195,11 +213,11 @@
 #[test]
 fn no_flow_is_surely_formers() {
     let mut router = first_router();
-    let flow = key(1, 1);
-    router.on_packet(at(900), &data(flow, 1, 1_000, 1));
-    router.take_rows(at(1_000), &[backend_row(spec(SECOND), 9)]);
+    let flow = flow_key(1, 1);
+    router.on_packet(clock_at(900), &data_packet(flow, 1, 1_000, 1));
+    router.apply_rows(clock_at(1_000), &[backend_row(spec(SECOND), 9)]);
     for now in [1_010, 1_210, 1_610, 2_410] {
-        let decision = router.on_packet(at(now), &data(flow, 1, 1_000, 1));
+        let decision = router.on_packet(clock_at(now), &data_packet(flow, 1, 1_000, 1));
         assert!(matches!(decision, FlowDecision::Forward { .. }), "{decision:?}");
     }
 }
--- a/crates/foxledge-flows/tests/silent_centre.rs
+++ b/crates/foxledge-flows/tests/silent_centre.rs
@@ -6,26 +6,30 @@
 mod common;
 
 use common::*;
-use foxledge_flows::{EndReason, FlowDecision, FlowRouter, HealthNote, NoteKind};
+use foxledge_flows::{FlowDecision, FlowRouter, HealthObservation, ObservationKind, ResetReason};
 
 /// Backend servers elsewhere, from 11 on; one more lives nearby.
 const FAR_BACKENDS: u64 = 8;
 
 fn far_router() -> FlowRouter {
-    let far = (11..11 + FAR_BACKENDS).map(|number| backend(number, "desk", FAR, 2));
-    let rows: Vec<_> = far.chain([backend(1, "desk", NEAR, 2)]).collect();
-    desk_router(&rows)
+    let far =
+        (11..11 + FAR_BACKENDS).map(|number| listed_backend(number, "desk", REMOTE_CENTRE, 2));
+    let rows: Vec<_> = far.chain([listed_backend(1, "desk", LOCAL_CENTRE, 2)]).collect();
+    listed_router(&rows)
 }
 
 /// What peers tell of a backend server elsewhere.
-fn tell(router: &mut FlowRouter, number: u64, kind: NoteKind, now: u64) {
-    router.take_note(at(now), &HealthNote { number, incarnation: 0, kind, at: at(now) });
+fn tell(router: &mut FlowRouter, number: u64, kind: ObservationKind, now: u64) {
+    router.apply_observation(
+        clock_at(now),
+        &HealthObservation { number, incarnation: 0, kind, observed_at: clock_at(now) },
+    );
 }
 
 /// A request on a flow that is alone with backend server 11, and what is done with its copies.
 fn wait_in_vain(router: &mut FlowRouter) -> Vec<FlowDecision> {
-    let request = data(key(1, 1), 11, 2_000, 1);
-    [1_000, 1_200, 1_600].map(|now| router.on_packet(at(now), &request)).to_vec()
+    let request = data_packet(flow_key(1, 1), 11, 2_000, 1);
+    [1_000, 1_200, 1_600].map(|now| router.on_packet(clock_at(now), &request)).to_vec()
 }
 
 // Symptom: feeds to a data centre without power hang for 1.4 s, and many to their deadline.
@@ -34,19 +38,19 @@
 fn lone_flow_ended() {
     let mut router = far_router();
     for number in 12..16 {
-        tell(&mut router, number, NoteKind::Lost, 1_100);
+        tell(&mut router, number, ObservationKind::DataUnanswered, 1_100);
     }
     let decisions = wait_in_vain(&mut router);
     assert!(matches!(decisions[1], FlowDecision::Forward { .. }), "{:?}", decisions[1]);
-    let FlowDecision::End { reason, .. } = &decisions[2] else { panic!("{:?}", decisions[2]) };
-    assert_eq!(*reason, EndReason::CentreSilent { waited_ms: 600, silent_backends: 4 });
+    let FlowDecision::Reset { reason, .. } = &decisions[2] else { panic!("{:?}", decisions[2]) };
+    assert_eq!(*reason, ResetReason::CentreSilent { waited_ms: 600, silent_backends: 4 });
 }
 
 #[test]
 fn few_silences_keep() {
     let mut router = far_router();
     for number in 12..15 {
-        tell(&mut router, number, NoteKind::Lost, 1_100);
+        tell(&mut router, number, ObservationKind::DataUnanswered, 1_100);
     }
     assert!(matches!(wait_in_vain(&mut router)[2], FlowDecision::Forward { .. }));
 }
@@ -58,13 +62,13 @@
 fn answers_from_there_keep() {
     let mut router = far_router();
     for number in 12..16 {
-        tell(&mut router, number, NoteKind::Lost, 1_050);
+        tell(&mut router, number, ObservationKind::DataUnanswered, 1_050);
     }
     // A caller goes on at another one there.
-    let other = data(key(2, 2), 18, 500, 1);
-    router.on_packet(at(1_060), &other);
+    let other = data_packet(flow_key(2, 2), 18, 500, 1);
+    router.on_packet(clock_at(1_060), &other);
     let answered = foxledge_flows::FlowPacket { acknowledged: 900, ..other };
-    router.on_packet(at(1_110), &foxledge_flows::FlowPacket { length: 0, ..answered });
+    router.on_packet(clock_at(1_110), &foxledge_flows::FlowPacket { length: 0, ..answered });
     assert!(matches!(wait_in_vain(&mut router)[2], FlowDecision::Forward { .. }));
 }
 
@@ -72,13 +76,13 @@
 fn old_silence_keeps() {
     let mut router = far_router();
     for number in 12..16 {
-        router.take_note(
-            at(1_000),
-            &HealthNote {
+        router.apply_observation(
+            clock_at(1_000),
+            &HealthObservation {
                 number,
                 incarnation: 0,
-                kind: NoteKind::Lost,
-                at: foxledge_core::time::ClockTime::ZERO.after_millis(3_600_000 - 2_500),
+                kind: ObservationKind::DataUnanswered,
+                observed_at: foxledge_core::time::ClockTime::ZERO.after_millis(3_600_000 - 2_500),
             },
         );
     }
--- a/crates/foxledge-flows/tests/slow_backend.rs
+++ b/crates/foxledge-flows/tests/slow_backend.rs
@@ -21,14 +21,14 @@
         let now = start + u64::from(index) * gap;
         ends.sort_unstable();
         while let Some((end, port, number)) = ends.first().copied().filter(|end| end.0 <= now) {
-            let mut finish = packet(key(1, port), PacketKind::Finish, number as u32);
+            let mut finish = flow_packet(flow_key(1, port), PacketKind::Finish, number as u32);
             finish.acknowledged = 700;
-            router.on_packet(at(end), &finish);
+            router.on_packet(clock_at(end), &finish);
             ends.remove(0);
         }
         let port = 1_024 + (start as u16) + index;
-        let number = open_flow(router, now, key(1, port)).expect("is placed");
-        router.on_packet(at(now + 7), &data(key(1, port), number as u32, 1, 1));
+        let number = open_flow(router, now, flow_key(1, port)).expect("is placed");
+        router.on_packet(clock_at(now + 7), &data_packet(flow_key(1, port), number as u32, 1, 1));
         let work = if number == slow { SLOW_MS } else { USUAL_MS };
         ends.push((now + 7 + work, port, number));
         counts[number as usize] += 1;
@@ -37,8 +37,9 @@
 }
 
 fn four_backends() -> FlowRouter {
-    let backends: Vec<_> = (1..=4).map(|number| backend(number, "desk", NEAR, 2)).collect();
-    desk_router(&backends)
+    let backends: Vec<_> =
+        (1..=4).map(|number| listed_backend(number, "desk", LOCAL_CENTRE, 2)).collect();
+    listed_router(&backends)
 }
 
 // Symptom: a quarter of the bids is late while three backend servers are nearly idle.
--- a/crates/foxledge-flows/tests/trial_turns.rs
+++ b/crates/foxledge-flows/tests/trial_turns.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use foxledge_core::names::CentreName;
-use foxledge_flows::{FlowRouter, HealthClass, HealthNote, RouterOptions};
+use foxledge_flows::{FlowRouter, HealthClass, HealthObservation, RouterOptions};
 
 /// Time in milliseconds until a note has gone round.
 const NOTE_MS: u64 = 5;
@@ -13,17 +13,17 @@
 /// Routers that know a backend server near and another far away.
 fn fleet() -> Vec<FlowRouter> {
     let rows = [
-        limits(1, 1),
-        route("r", 443, "desk", 1),
-        backend(1, "desk", NEAR, 2),
-        backend(2, "desk", FAR, 2),
+        limits_row(1, 1),
+        route_row("r", 443, "desk", 1),
+        listed_backend(1, "desk", LOCAL_CENTRE, 2),
+        listed_backend(2, "desk", REMOTE_CENTRE, 2),
     ];
     let router = |seed: usize| {
-        let options = RouterOptions::new(CentreName::new(NEAR)).seed(seed as u64);
+        let options = RouterOptions::new(CentreName::new(LOCAL_CENTRE)).seed(seed as u64);
         let mut router = FlowRouter::new(options);
-        router.take_rows(at(0), &rows);
-        router.set_confirmed(at(0));
-        router.set_others(INSTANCES - 1);
+        router.apply_rows(clock_at(0), &rows);
+        router.set_confirmed_at(clock_at(0));
+        router.set_peer_count(INSTANCES - 1);
         router
     };
     (0..INSTANCES).map(router).collect()
@@ -32,31 +32,31 @@
 /// Flows placed at backend server 1, which answers none until `alive_at`, in each second.
 fn trials(alive_at: u64) -> Vec<usize> {
     let mut routers = fleet();
-    let mut notes: Vec<(u64, HealthNote)> = Vec::new();
+    let mut notes: Vec<(u64, HealthObservation)> = Vec::new();
     let mut placed = vec![0; 12];
     for now in (0..12_000).step_by(5) {
         for (_, note) in notes.iter().filter(|(due, _)| *due == now) {
-            routers.iter_mut().for_each(|router| router.take_note(at(now), note));
+            routers.iter_mut().for_each(|router| router.apply_observation(clock_at(now), note));
         }
         notes.retain(|(due, _)| *due > now);
         for (index, router) in routers.iter_mut().enumerate() {
-            router.check_overdue(at(now));
+            router.report_overdue_openings(clock_at(now));
             // One flow in 50 ms at each instance.
             if (now / 5) as usize % 10 == index % 10 {
-                let flow = key(index as u8 + 1, 1_024 + (now / 5) as u16);
-                let decision = router.on_packet(at(now), &opening(flow, 0));
-                let number = number_of(router, &decision).expect("is placed");
+                let flow = flow_key(index as u8 + 1, 1_024 + (now / 5) as u16);
+                let decision = router.on_packet(clock_at(now), &opening_packet(flow, 0));
+                let number = decided_backend(router, &decision).expect("is placed");
                 placed[(now / 1_000) as usize] += usize::from(number == 1);
                 if number == 2 || now >= alive_at {
-                    router.on_packet(at(now), &data(flow, number as u32, 1_000, 1));
+                    router.on_packet(clock_at(now), &data_packet(flow, number as u32, 1_000, 1));
                 }
             }
-            notes.extend(router.take_notes().into_iter().map(|note| (now + NOTE_MS, note)));
+            notes.extend(router.drain_observations().into_iter().map(|note| (now + NOTE_MS, note)));
         }
     }
     let healthy = routers.iter().filter(|router| {
-        let health = &router.backend_of(1).expect("is known").health;
-        health.class(at(12_000)) == HealthClass::Healthy
+        let health = &router.backend_by_number(1).expect("is known").health;
+        health.class(clock_at(12_000)) == HealthClass::Healthy
     });
     assert_eq!(healthy.count(), if alive_at < 12_000 { INSTANCES } else { 0 });
     placed
--- a/crates/foxledge-gossip/src/backend_evidence.rs
+++ b/crates/foxledge-gossip/src/backend_evidence.rs
@@ -14,7 +14,7 @@
 //! - Signs older than [`TELL_MS`] are forgotten everywhere.
 
 use foxledge_core::time::ClockTime;
-use foxledge_flows::{NoteKind, health::SUSPECT_MS};
+use foxledge_flows::{ObservationKind, health::SUSPICION_TIMEOUT_MS};
 
 /// How long signs are told, in milliseconds: as long as they count as evidence of a death.
 const TELL_MS: u64 = 3_000;
@@ -47,7 +47,7 @@
     /// that share theirs count as one, which delays a belief and never makes one.
     pub id: u16,
     /// What was seen.
-    pub kind: NoteKind,
+    pub kind: ObservationKind,
     /// When, on the clock of this process.
     pub at: ClockTime,
 }
@@ -96,7 +96,7 @@
     }
 
     /// Takes a sign; returns what it means if it is news.
-    pub fn take(&mut self, now: ClockTime, sign: HealthSign) -> Option<NoteKind> {
+    pub fn take(&mut self, now: ClockTime, sign: HealthSign) -> Option<ObservationKind> {
         self.signs.retain(|known| !is_old(now, known));
         if is_old(now, &sign) {
             return None;
@@ -110,16 +110,16 @@
         self.signs.push(sign);
         self.forget_needless();
         let after = self.verdict();
-        if sign.kind == NoteKind::Alive {
+        if sign.kind == ObservationKind::Alive {
             let is_renewal = life.is_none_or(|life| is_renewed(life.at, sign.at));
-            return (after.belief < before.belief || is_renewal).then_some(NoteKind::Alive);
+            return (after.belief < before.belief || is_renewal).then_some(ObservationKind::Alive);
         }
         let is_stronger = after.belief > before.belief;
         if !is_stronger && !after.renews(&before) {
             return None;
         }
         match after.belief {
-            HealthBelief::Ejected => Some(NoteKind::Ejected),
+            HealthBelief::Ejected => Some(ObservationKind::Ejected),
             _ => Some(sign.kind),
         }
     }
@@ -154,7 +154,7 @@
     /// True when who told these signs believes no less.
     pub(crate) fn is_known_by(&self, signs: &[HealthSign]) -> bool {
         let is_newer = |sign: &HealthSign, life: &HealthSign| {
-            sign.kind == NoteKind::Alive && (sign.id == life.id || sign.at >= life.at)
+            sign.kind == ObservationKind::Alive && (sign.id == life.id || sign.at >= life.at)
         };
         let knows_life =
             self.life().is_none_or(|life| signs.iter().any(|sign| is_newer(sign, &life)));
@@ -175,18 +175,18 @@
             let meant = deciding.iter().copied().filter(|sign| is_meant(sign));
             meant.max_by_key(by_age)
         };
-        let lost = newest(&|sign| sign.kind == NoteKind::Lost);
+        let lost = newest(&|sign| sign.kind == ObservationKind::DataUnanswered);
         let silence = newest(&|sign| is_silence(sign) && Some(*sign) != lost);
         match self.belief() {
             HealthBelief::Unharmed => Vec::new(),
             HealthBelief::Dead => lost.into_iter().chain(silence).collect(),
             HealthBelief::Silent => lost.or(silence).into_iter().collect(),
-            HealthBelief::Ejected => match newest(&|sign| sign.kind == NoteKind::Ejected) {
+            HealthBelief::Ejected => match newest(&|sign| sign.kind == ObservationKind::Ejected) {
                 Some(ejection) => vec![ejection],
                 None => deciding,
             },
             HealthBelief::Suspected => {
-                newest(&|sign| sign.kind == NoteKind::Suspect).into_iter().collect()
+                newest(&|sign| sign.kind == ObservationKind::Suspect).into_iter().collect()
             }
         }
     }
@@ -254,9 +254,9 @@
         deciding.iter().filter(|sign| is_meant(sign)).map(|sign| sign.at).collect()
     };
     let silences = of(&is_silence);
-    let ejections = of(&|sign| sign.kind == NoteKind::Ejected);
-    let suspicions = of(&|sign| sign.kind == NoteKind::Suspect);
-    let is_lost = deciding.iter().any(|sign| sign.kind == NoteKind::Lost);
+    let ejections = of(&|sign| sign.kind == ObservationKind::Ejected);
+    let suspicions = of(&|sign| sign.kind == ObservationKind::Suspect);
+    let is_lost = deciding.iter().any(|sign| sign.kind == ObservationKind::DataUnanswered);
     let are_close = match suspicions[..] {
         [one, other] => are_close(one, other),
         _ => false,
@@ -282,7 +282,7 @@
 fn deciding(signs: &[HealthSign]) -> Vec<HealthSign> {
     let life = newest_life(signs);
     let is_standing = |sign: &&HealthSign| life.is_none_or(|life| sign.at > life.at);
-    let is_against = |sign: &&HealthSign| sign.kind != NoteKind::Alive;
+    let is_against = |sign: &&HealthSign| sign.kind != ObservationKind::Alive;
     let mut standing: Vec<_> = signs.iter().filter(is_against).filter(is_standing).collect();
     standing.sort_unstable_by_key(|sign| std::cmp::Reverse(by_age(sign)));
     let mut counts = [0; 5];
@@ -295,7 +295,7 @@
 }
 
 fn newest_life(signs: &[HealthSign]) -> Option<HealthSign> {
-    let lives = signs.iter().filter(|sign| sign.kind == NoteKind::Alive);
+    let lives = signs.iter().filter(|sign| sign.kind == ObservationKind::Alive);
     lives.max_by_key(|sign| by_age(sign)).copied()
 }
 
@@ -305,7 +305,7 @@
 }
 
 fn is_silence(sign: &HealthSign) -> bool {
-    matches!(sign.kind, NoteKind::Silent | NoteKind::Lost)
+    matches!(sign.kind, ObservationKind::OpeningUnanswered | ObservationKind::DataUnanswered)
 }
 
 /// True when a sign is too old to be told.
@@ -320,5 +320,5 @@
 
 /// True when the second of two suspicions comes before the first has lapsed.
 fn are_close(one: ClockTime, other: ClockTime) -> bool {
-    !one.min(other).after_millis(SUSPECT_MS).is_past(one.max(other))
+    !one.min(other).after_millis(SUSPICION_TIMEOUT_MS).is_past(one.max(other))
 }
--- a/crates/foxledge-gossip/src/config_pull.rs
+++ b/crates/foxledge-gossip/src/config_pull.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddrV4;
 
 use foxledge_core::time::ClockTime;
-use foxledge_flows::{HeldConfig, rows::ListRow};
+use foxledge_flows::{RetainedConfig, rows::ListRow};
 
 use crate::{
     copies::PAGE_BUDGET,
@@ -60,7 +60,7 @@
             return;
         };
         let (mut packer, mut size) = (RowPacker::default(), 0);
-        let (count, has_more) = held.page(&question.after, |row| {
+        let (count, has_more) = held.page_length(&question.after, |row| {
             size += packer.push(row);
             size <= PAGE_BUDGET
         });
@@ -90,18 +90,18 @@
             self.config_pull = Some(pull);
             return self.ask_config(from, version, after);
         }
-        if let Some(held) = HeldConfig::of(pull.rows.iter()) {
+        if let Some(held) = RetainedConfig::from_rows(pull.rows.iter()) {
             self.put_held(held);
         }
     }
 
     /// Puts a list in force that is newer than the one that is.
-    fn put_held(&mut self, held: HeldConfig) {
+    fn put_held(&mut self, held: RetainedConfig) {
         let version = held.version();
         if version <= self.version_in_force() {
             return;
         }
-        let former = self.held.take().or_else(|| HeldConfig::of(self.list.rows()));
+        let former = self.held.take().or_else(|| RetainedConfig::from_rows(self.list.rows()));
         let rows = match former {
             Some(former) => former.changes_to(&held, self.list.head()),
             None => held.rows().cloned().collect(),
--- a/crates/foxledge-gossip/src/copies.rs
+++ b/crates/foxledge-gossip/src/copies.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddrV4, time::Duration};
 
 use foxledge_core::time::ClockTime;
-use foxledge_flows::list::{ChangeReach, ListCursor};
+use foxledge_flows::list::{ChangeCoverage, ListCursor};
 use prost::Message;
 use rand::Rng;
 
@@ -84,7 +84,7 @@
 
     /// True when what differs since `revision`, told over a gap, can be taken.
     pub(crate) fn takes_gap_after(&self, revision: u64) -> bool {
-        self.list.head() == revision && !self.list.is_uneven()
+        self.list.head() == revision && !self.list.has_rows_past_head()
     }
 
     fn near_holder(&mut self, now: ClockTime) -> Option<SocketAddrV4> {
@@ -96,7 +96,7 @@
     fn pull_from(&mut self, now: ClockTime, from: SocketAddrV4) {
         let ticket = self.rng.random();
         let mut pull = ListPull::new(now, from, ticket, self.list.head());
-        if !self.list.is_uneven() {
+        if !self.list.has_rows_past_head() {
             pull = pull.over_gaps();
         }
         let question = pull.question();
@@ -124,7 +124,7 @@
         if self.is_over_budget(now, pull, reach) || !self.admit_pull(now, from) {
             return self.send_busy(now, from, pull.ticket);
         }
-        let cursor = match pull.is_copy == (reach == ChangeReach::None) {
+        let cursor = match pull.is_copy == (reach == ChangeCoverage::Unavailable) {
             true => ListCursor { revision: pull.revision, key: pull.key.as_str().into() },
             false => ListCursor::start(),
         };
@@ -134,18 +134,18 @@
     /// True when changes are asked for that the budget doesn't allow now.
     ///
     /// A transfer that goes on isn't broken off: its rows would be sent twice.
-    fn is_over_budget(&self, now: ClockTime, pull: &PullMessage, reach: ChangeReach) -> bool {
-        let begins = pull.known == Some(pull.revision) && reach != ChangeReach::None;
+    fn is_over_budget(&self, now: ClockTime, pull: &PullMessage, reach: ChangeCoverage) -> bool {
+        let begins = pull.known == Some(pull.revision) && reach != ChangeCoverage::Unavailable;
         begins && self.pages_paid_at > now.after_millis(PAGES_AHEAD_MS)
     }
 
     /// How the asker can be told what it lacks.
-    fn reach_for(&self, pull: &PullMessage) -> ChangeReach {
+    fn reach_for(&self, pull: &PullMessage) -> ChangeCoverage {
         match pull.known {
-            _ if pull.is_copy => ChangeReach::None,
-            Some(known) => self.list.reach_of(known),
-            None if pull.revision < self.list.floor() => ChangeReach::None,
-            None => ChangeReach::Full,
+            _ if pull.is_copy => ChangeCoverage::Unavailable,
+            Some(known) => self.list.coverage_since(known),
+            None if pull.revision < self.list.floor() => ChangeCoverage::Unavailable,
+            None => ChangeCoverage::Complete,
         }
     }
 
@@ -177,7 +177,7 @@
         to: SocketAddrV4,
         ticket: u32,
         mut cursor: ListCursor,
-        reach: ChangeReach,
+        reach: ChangeCoverage,
     ) {
         for index in 0..BURST {
             let (rows, next) = self.packed_page(now, &cursor, PAGE_BUDGET);
@@ -186,8 +186,8 @@
                 index,
                 has_more: next.is_some(),
                 rows: Some(rows),
-                is_copy: reach == ChangeReach::None,
-                has_gap: reach == ChangeReach::OverGap,
+                is_copy: reach == ChangeCoverage::Unavailable,
+                has_gap: reach == ChangeCoverage::AcrossGap,
                 head: self.list.head(),
                 floor: self.list.floor(),
                 claims: if index == 0 { self.claim_messages(now, MOST_CLAIMS) } else { Vec::new() },
@@ -230,10 +230,10 @@
                 }
                 self.hold_config(head);
                 let taken = match kind {
-                    PulledKind::Copy => self.list.take_copy(now, rows, head, floor),
-                    PulledKind::Changes => self.list.take_changes(now, rows, head),
+                    PulledKind::Copy => self.list.apply_snapshot(now, rows, head, floor),
+                    PulledKind::Changes => self.list.apply_changes(now, rows, head),
                     PulledKind::OverGap { known } if self.takes_gap_after(known) => {
-                        self.list.take_over_gap(now, rows, head)
+                        self.list.apply_changes_across_gap(now, rows, head)
                     }
                     // News that came meanwhile may lie within the gap.
                     PulledKind::OverGap { .. } => return self.begin_pull(now, from),
--- a/crates/foxledge-gossip/src/effects.rs
+++ b/crates/foxledge-gossip/src/effects.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 
 use foxledge_core::time::ClockTime;
-use foxledge_flows::{HealthNote, rows::ListRow, source::ReadMode};
+use foxledge_flows::{HealthObservation, rows::ListRow, source::ReadMode};
 use serde::Serialize;
 
 use crate::{
@@ -33,8 +33,8 @@
     pub fn word(self) -> &'static str {
         match self {
             ReadOrder::First => "first",
-            ReadOrder::All(ReadMode::Newest) => "all",
-            ReadOrder::All(ReadMode::MaybeOld) => "all_maybe_old",
+            ReadOrder::All(ReadMode::Linearizable) => "all",
+            ReadOrder::All(ReadMode::Serializable) => "all_maybe_old",
             ReadOrder::Watch { .. } => "watch",
         }
     }
@@ -103,7 +103,7 @@
     /// The store confirmed the list as the newest at this time.
     Confirmed(ClockTime),
     /// Another instance observed a backend server.
-    Note(HealthNote),
+    Note(HealthObservation),
     /// Another instance hands on a caller's packet that it can't place.
     Packet(Vec<u8>),
     /// Something worth a log line.
--- a/crates/foxledge-gossip/src/evidence.rs
+++ b/crates/foxledge-gossip/src/evidence.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 use foxledge_core::time::ClockTime;
-use foxledge_flows::HealthNote;
+use foxledge_flows::HealthObservation;
 use rand::{Rng, rngs::StdRng};
 
 use crate::backend_evidence::{
@@ -53,7 +53,7 @@
         start: BackendStart,
         sign: HealthSign,
         origin: SignOrigin,
-    ) -> Option<HealthNote> {
+    ) -> Option<HealthObservation> {
         if is_old(now, &sign) {
             return None;
         }
@@ -67,7 +67,7 @@
         let kind = state.take(now, sign)?;
         (state.told, state.heard, state.tell_at, state.origin) = (0, 0, now, origin);
         let BackendStart { number, incarnation } = start;
-        Some(HealthNote { number, incarnation, kind, at: sign.at })
+        Some(HealthObservation { number, incarnation, kind, observed_at: sign.at })
     }
 
     /// Counts that another instance told all that is believed here.
--- a/crates/foxledge-gossip/src/in_force.rs
+++ b/crates/foxledge-gossip/src/in_force.rs
@@ -1,7 +1,7 @@
 //! Which of the list's rows are put in force.
 
 use foxledge_flows::{
-    HeldConfig,
+    RetainedConfig,
     revisions::{epoch_of, number_of},
     rows::{ListRow, RowValue, is_config_key},
 };
@@ -23,8 +23,8 @@
             return;
         }
         self.held = match known {
-            0 => HeldConfig::of(self.preview.rows()),
-            _ => HeldConfig::of(self.list.rows()),
+            0 => RetainedConfig::from_rows(self.preview.rows()),
+            _ => RetainedConfig::from_rows(self.list.rows()),
         };
     }
 
@@ -35,7 +35,7 @@
         rows.retain(|row| !is_config_key(&row.key));
         let (version, store_version) = (held.version(), self.list.version());
         if store_version >= version
-            && let Some(listed) = HeldConfig::of(self.list.rows())
+            && let Some(listed) = RetainedConfig::from_rows(self.list.rows())
         {
             rows.extend(held.changes_to(&listed, self.list.head()));
             self.note_held(None);
@@ -64,13 +64,13 @@
     pub fn all_in_force(&self) -> Vec<ListRow> {
         let is_shown = |row: &&ListRow| self.held.is_none() || !is_config_key(&row.key);
         let listed = self.list.rows().filter(is_shown);
-        let held = self.held.iter().flat_map(HeldConfig::rows);
+        let held = self.held.iter().flat_map(RetainedConfig::rows);
         listed.chain(held).cloned().collect()
     }
 
     /// The operators' version in force; 0 while none is known.
     pub fn version_in_force(&self) -> u64 {
-        self.held.as_ref().map_or(self.list.version(), HeldConfig::version)
+        self.held.as_ref().map_or(self.list.version(), RetainedConfig::version)
     }
 
     /// Number of routes in force.
--- a/crates/foxledge-gossip/src/learning.rs
+++ b/crates/foxledge-gossip/src/learning.rs
@@ -130,8 +130,8 @@
         }
         let rows = beat.rows.clone().map(PackedRows::unpack).unwrap_or_default();
         let rows = match is_whole {
-            true => self.list.take_changes(now, rows, beat.head),
-            false => self.list.take_over_gap(now, rows, beat.head),
+            true => self.list.apply_changes(now, rows, beat.head),
+            false => self.list.apply_changes_across_gap(now, rows, beat.head),
         };
         self.rows_taken(now, rows, known, from.to_string());
     }
@@ -180,6 +180,6 @@
             });
             self.effects.push(FleetEffect::Event(event));
         }
-        self.list.forget_removed(now);
+        self.list.remove_expired(now);
     }
 }
--- a/crates/foxledge-gossip/src/member.rs
+++ b/crates/foxledge-gossip/src/member.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashMap, net::SocketAddrV4};
 
 use foxledge_core::time::ClockTime;
-use foxledge_flows::{FleetList, HeldConfig, ListReading, SourceError};
+use foxledge_flows::{FleetList, ListReading, RetainedConfig, SourceError};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 use crate::{
@@ -55,7 +55,7 @@
     /// The list as it is known.
     pub(crate) list: FleetList,
     /// The operators' list in force, while the store has an older one.
-    pub(crate) held: Option<HeldConfig>,
+    pub(crate) held: Option<RetainedConfig>,
     /// Its version, once that was told.
     pub(crate) held_version: Option<u64>,
     /// The transfer of one that another instance holds.
--- a/crates/foxledge-gossip/src/packing.rs
+++ b/crates/foxledge-gossip/src/packing.rs
@@ -172,7 +172,7 @@
             draining: row.draining,
             warm_in_ms: row.warm_in_ms,
             incarnation: row.incarnation,
-            created: row.created,
+            created: row.created_revision,
         }
     }
 
@@ -245,7 +245,7 @@
         draining: packed.draining,
         warm_in_ms: packed.warm_in_ms,
         incarnation: packed.incarnation,
-        created: packed.created,
+        created_revision: packed.created,
     }
 }
 
--- a/crates/foxledge-gossip/src/previewing.rs
+++ b/crates/foxledge-gossip/src/previewing.rs
@@ -34,7 +34,7 @@
             return;
         }
         let head = reading.head;
-        let rows = self.list.preview(reading.items);
+        let rows = self.list.partial_rows(reading.items);
         let version = rows.iter().find_map(ListRow::config_version).unwrap_or(0);
         let (epoch, revision) = (epoch_of(head), number_of(head));
         let event = FleetEvent::ListPreviewed { version, epoch, revision, rows: rows.len() };
@@ -56,7 +56,7 @@
     pub(crate) fn end_preview(&mut self) -> Vec<ListRow> {
         let rows = self.preview.take_rows();
         let head = self.list.head();
-        let is_gone = |row: &ListRow| !self.list.holds(&row.key);
+        let is_gone = |row: &ListRow| !self.list.contains(&row.key);
         rows.into_iter().filter(is_gone).map(|row| gone(row, head)).collect()
     }
 }
--- a/crates/foxledge-gossip/src/pulls.rs
+++ b/crates/foxledge-gossip/src/pulls.rs
@@ -89,7 +89,8 @@
 impl ListPull {
     /// Begins a transfer of what changed after `known`.
     pub fn new(now: ClockTime, from: SocketAddrV4, ticket: u32, known: u64) -> ListPull {
-        let cursor = if known == 0 { ListCursor::start() } else { ListCursor::after(known) };
+        let cursor =
+            if known == 0 { ListCursor::start() } else { ListCursor::after_revision(known) };
         ListPull {
             from,
             ticket,
--- a/crates/foxledge-gossip/src/reading.rs
+++ b/crates/foxledge-gossip/src/reading.rs
@@ -93,7 +93,7 @@
             return;
         }
         let (order, reason) = match self.preview.is_known() {
-            true => (ReadOrder::All(ReadMode::MaybeOld), ReadReason::Rest),
+            true => (ReadOrder::All(ReadMode::Serializable), ReadReason::Rest),
             false => (ReadOrder::First, ReadReason::Start),
         };
         self.call_store(now, ReadCall { order, reason });
@@ -145,7 +145,7 @@
         let is_short = self.list.len() <= SHORT_LIST;
         let far_behind = (is_far_behind && is_short).then_some(ReadReason::FarBehind);
         if let Some(reason) = self.copy_reason.or(far_behind) {
-            return ReadCall { order: ReadOrder::All(ReadMode::Newest), reason };
+            return ReadCall { order: ReadOrder::All(ReadMode::Linearizable), reason };
         }
         let is_sure = self
             .confirmed_at
@@ -177,7 +177,7 @@
         for item in self.refused.take(&reading, scope) {
             self.effects.push(FleetEffect::Event(FleetEvent::ItemRefused(item)));
         }
-        if reading.is_part {
+        if reading.is_partial {
             return self.take_preview(now, reading);
         }
         let former = self.list.head();
@@ -189,12 +189,12 @@
         }
         self.hold_config(head);
         let (rows, is_newest) = match order {
-            ReadOrder::First => (self.list.take_reading(now, reading), false),
+            ReadOrder::First => (self.list.apply_reading(now, reading), false),
             ReadOrder::All(mode) => {
                 self.copy_reason = None;
-                (self.list.take_reading(now, reading), mode == ReadMode::Newest)
+                (self.list.apply_reading(now, reading), mode == ReadMode::Linearizable)
             }
-            ReadOrder::Watch { .. } => (self.list.take_watch(now, reading), true),
+            ReadOrder::Watch { .. } => (self.list.apply_watch(now, reading), true),
         };
         if is_newest {
             self.claim(now, head);
--- a/crates/foxledge-gossip/src/refused.rs
+++ b/crates/foxledge-gossip/src/refused.rs
@@ -48,7 +48,7 @@
         let mut news = Vec::new();
         for item in &reading.items {
             let faults = refused_items(item);
-            if !matches!(item, ItemChange::Malformed { .. } | ItemChange::BackendRefused { .. }) {
+            if !matches!(item, ItemChange::Malformed { .. } | ItemChange::BackendInvalid { .. }) {
                 self.end(item);
             }
             for refused in faults {
@@ -70,7 +70,7 @@
 
     /// Forgets the item that lay where a good one does now, or none.
     fn end(&mut self, item: &ItemChange) {
-        if let ItemChange::Backend { id, .. } | ItemChange::BackendGone { id, .. } = item {
+        if let ItemChange::Backend { id, .. } | ItemChange::BackendRemoved { id, .. } = item {
             self.items.remove(&backend_key(id));
         }
         if let ItemChange::Config { .. } = item {
@@ -96,9 +96,9 @@
     };
     match item {
         ItemChange::Malformed { key, fault, .. } => vec![refused(key.clone(), fault)],
-        ItemChange::BackendRefused { id, fault, .. } => vec![refused(backend_key(id), fault)],
+        ItemChange::BackendInvalid { id, fault, .. } => vec![refused(backend_key(id), fault)],
         ItemChange::Config { config, .. } => {
-            let services = config.refused_services.iter();
+            let services = config.invalid_services.iter();
             services.map(|service| refused(service_key(&service.name), &service.fault)).collect()
         }
         _ => Vec::new(),
