--- a/crates/foxledge-gossip/src/signs.rs
+++ b/crates/foxledge-gossip/src/signs.rs
@@ -7,7 +7,7 @@
 //! | 12 to 0 | age in milliseconds |
 
 use foxledge_core::time::ClockTime;
-use foxledge_flows::NoteKind;
+use foxledge_flows::ObservationKind;
 
 use crate::{backend_evidence::HealthSign, spreading::age_ms};
 
@@ -20,11 +20,11 @@
 /// A sign as it is told now.
 pub(crate) fn pack_sign(now: ClockTime, sign: &HealthSign) -> u32 {
     let kind = match sign.kind {
-        NoteKind::Suspect => 1,
-        NoteKind::Ejected => 2,
-        NoteKind::Silent => 3,
-        NoteKind::Lost => 4,
-        NoteKind::Alive => 5,
+        ObservationKind::Suspect => 1,
+        ObservationKind::Ejected => 2,
+        ObservationKind::OpeningUnanswered => 3,
+        ObservationKind::DataUnanswered => 4,
+        ObservationKind::Alive => 5,
     };
     let age = age_ms(now, sign.at).min(OLDEST_MS);
     u32::from(sign.id) << ID_SHIFT | kind << KIND_SHIFT | age
@@ -33,11 +33,11 @@
 /// The sign that was told; none for kinds of later versions.
 pub(crate) fn unpack_sign(now: ClockTime, word: u32) -> Option<HealthSign> {
     let kind = match word >> KIND_SHIFT & KIND_MASK {
-        1 => NoteKind::Suspect,
-        2 => NoteKind::Ejected,
-        3 => NoteKind::Silent,
-        4 => NoteKind::Lost,
-        5 => NoteKind::Alive,
+        1 => ObservationKind::Suspect,
+        2 => ObservationKind::Ejected,
+        3 => ObservationKind::OpeningUnanswered,
+        4 => ObservationKind::DataUnanswered,
+        5 => ObservationKind::Alive,
         _ => return None,
     };
     let at = now.before_millis(u64::from(word & OLDEST_MS));
--- a/crates/foxledge-gossip/src/spreading.rs
+++ b/crates/foxledge-gossip/src/spreading.rs
@@ -4,8 +4,8 @@
 
 use foxledge_core::time::ClockTime;
 use foxledge_flows::{
-    HeldConfig,
-    list::{ChangeReach, ListCursor},
+    RetainedConfig,
+    list::{ChangeCoverage, ListCursor},
 };
 use prost::Message;
 use rand::{Rng, seq::IndexedRandom};
@@ -265,7 +265,7 @@
             wants_answer: false,
             peer_count: self.peers.len() as u32,
             has_crossed: self.news_from == NewsOrigin::Far,
-            held_version: self.held.as_ref().map_or(0, HeldConfig::version),
+            held_version: self.held.as_ref().map_or(0, RetainedConfig::version),
         };
         // Rows go first: who lacks them asks for them, who lacks instances hears of others.
         while beat.encoded_len() > LARGEST_BODY && beat.peers.pop().is_some() {}
@@ -275,16 +275,16 @@
     /// The rows that changed after `base`, if one message holds them.
     fn rows_since(&self, now: ClockTime, base: Option<u64>) -> ToldRows {
         let Some(base) = base.filter(|base| *base > 0) else { return ToldRows::default() };
-        let reach = self.list.reach_of(base);
-        if reach == ChangeReach::None {
+        let reach = self.list.coverage_since(base);
+        if reach == ChangeCoverage::Unavailable {
             return ToldRows::default();
         }
         if base >= self.list.head() {
             return ToldRows { base: Some(self.list.head()), ..ToldRows::default() };
         }
-        match (self.packed_page(now, &ListCursor::after(base), ROW_BUDGET), reach) {
+        match (self.packed_page(now, &ListCursor::after_revision(base), ROW_BUDGET), reach) {
             ((_, Some(_)), _) => ToldRows::default(),
-            ((rows, None), ChangeReach::OverGap) => {
+            ((rows, None), ChangeCoverage::AcrossGap) => {
                 ToldRows { base: None, gap_base: Some(base), rows: Some(rows) }
             }
             ((rows, None), _) => ToldRows { base: Some(base), gap_base: None, rows: Some(rows) },
@@ -299,7 +299,7 @@
         budget: usize,
     ) -> (PackedRows, Option<ListCursor>) {
         let mut packer = RowPacker::default();
-        let page = self.list.page_by(now, cursor, budget, |row| packer.push(row));
+        let page = self.list.page_with_size(now, cursor, budget, |row| packer.push(row));
         (packer.finish(page.rows.len()), page.next)
     }
 
--- a/crates/foxledge-gossip/src/telling.rs
+++ b/crates/foxledge-gossip/src/telling.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddrV4;
 
 use foxledge_core::time::ClockTime;
-use foxledge_flows::HealthNote;
+use foxledge_flows::HealthObservation;
 use prost::Message;
 use rand::Rng;
 
@@ -38,11 +38,11 @@
 
 impl FleetMember {
     /// Shares what this instance observed of backend servers.
-    pub fn share_notes(&mut self, now: ClockTime, notes: &[HealthNote]) {
+    pub fn share_notes(&mut self, now: ClockTime, notes: &[HealthObservation]) {
         let mut is_news = false;
         for note in notes {
             let start = BackendStart { number: note.number, incarnation: note.incarnation };
-            let sign = HealthSign { id: self.rng.random(), kind: note.kind, at: note.at };
+            let sign = HealthSign { id: self.rng.random(), kind: note.kind, at: note.observed_at };
             is_news |= self.evidence.take(now, start, sign, SignOrigin::Own).is_some();
         }
         if is_news {
--- a/crates/foxledge-gossip/src/vanished.rs
+++ b/crates/foxledge-gossip/src/vanished.rs
@@ -50,7 +50,7 @@
         question: &TokenQuestion,
     ) {
         let asked = &question.tokens[..question.tokens.len().min(MOST_TOKENS)];
-        let rows = self.list.vanished(now, |number| asked.contains(&token_of(number)));
+        let rows = self.list.removed_backends(now, |number| asked.contains(&token_of(number)));
         let mut rows = rows.iter().peekable();
         for _ in 0..MOST_ANSWERS {
             let (mut packer, mut size, mut count) = (RowPacker::default(), 0, 0);
@@ -73,7 +73,7 @@
     /// Takes backend servers that vanished before this instance knew them.
     pub(crate) fn take_vanished(&mut self, now: ClockTime, answer: TokenAnswer) {
         let rows = answer.rows.map(|rows| rows.unpack()).unwrap_or_default();
-        let taken = self.list.take_vanished(now, rows);
+        let taken = self.list.apply_removed_backends(now, rows);
         if !taken.is_empty() {
             self.effects.push(FleetEffect::Rows(taken));
         }
--- a/crates/foxledge-gossip/tests/common/mod.rs
+++ b/crates/foxledge-gossip/tests/common/mod.rs
@@ -10,7 +10,7 @@
 
 use foxledge_core::{names::CentreName, time::ClockTime};
 use foxledge_flows::{
-    HealthNote, ItemChange, ListReading, SourceError,
+    HealthObservation, ItemChange, ListReading, SourceError,
     revisions::{epoch_of, number_of, revision_of},
     rows::{BackendRow, LimitsRow, ListRow, RouteRow, ServiceRow},
     source::{ConfigReading, ReadMode},
@@ -72,7 +72,7 @@
     start: u64,
     pub paused_until: u64,
     pub events: Vec<(u64, FleetEvent)>,
-    pub notes: Vec<HealthNote>,
+    pub notes: Vec<HealthObservation>,
     /// Packets that others handed to it.
     pub packets: Vec<Vec<u8>>,
     pub sent: u64,
@@ -174,7 +174,7 @@
             draining,
             warm_in_ms: 0,
             incarnation,
-            created: 0,
+            created_revision: 0,
         };
         let id = format!("i-{number:x}");
         let item = ItemChange::Backend { revision: self.head, id: id.clone(), backend };
@@ -186,7 +186,7 @@
         self.head += 1;
         let id = format!("i-{number:x}");
         let fault = "no JSON".to_owned();
-        let item = ItemChange::BackendRefused { revision: self.head, id: id.clone(), fault };
+        let item = ItemChange::BackendInvalid { revision: self.head, id: id.clone(), fault };
         self.put(id, item);
     }
 
@@ -194,7 +194,7 @@
         self.head += 1;
         let id = format!("i-{number:x}");
         self.items.remove(&id);
-        self.log.push((self.head, ItemChange::BackendGone { revision: self.head, id }));
+        self.log.push((self.head, ItemChange::BackendRemoved { revision: self.head, id }));
         self.record();
     }
 
@@ -272,7 +272,7 @@
 
     fn all(&self) -> ListReading {
         let items = self.items.values().cloned().collect();
-        ListReading::whole(items, self.head).of_epoch(self.epoch)
+        ListReading::complete(items, self.head).with_epoch(self.epoch)
     }
 
     /// A whole reading; the store changes between its pages when `tear` is set.
@@ -286,7 +286,7 @@
         let former = old.iter().filter(|item| key_of(item) < middle).cloned();
         let later = self.items.range(middle.clone()..).map(|(_, item)| item.clone());
         let items = former.chain(later).collect();
-        ListReading::whole(items, number_of(*at)).of_epoch(self.epoch)
+        ListReading::complete(items, number_of(*at)).with_epoch(self.epoch)
     }
 
     /// Everything as it stood some revisions ago.
@@ -296,7 +296,7 @@
         }
         let until = ..=revision_of(self.epoch, self.head.saturating_sub(self.lag));
         let Some((at, items)) = self.history.range(until).next_back() else { return self.all() };
-        ListReading::whole(items.clone(), number_of(*at)).of_epoch(epoch_of(*at))
+        ListReading::complete(items.clone(), number_of(*at)).with_epoch(epoch_of(*at))
     }
 
     fn after(&self, after: u64) -> Result<ListReading, SourceError> {
@@ -307,7 +307,7 @@
         }
         let items = self.log.iter().filter(|(revision, _)| *revision > after);
         let items = items.map(|(_, item)| item.clone()).collect();
-        Ok(ListReading::whole(items, self.head).of_epoch(self.epoch))
+        Ok(ListReading::complete(items, self.head).with_epoch(self.epoch))
     }
 }
 
@@ -315,8 +315,8 @@
 fn key_of(item: &ItemChange) -> String {
     match item {
         ItemChange::Backend { id, .. }
-        | ItemChange::BackendRefused { id, .. }
-        | ItemChange::BackendGone { id, .. } => id.clone(),
+        | ItemChange::BackendInvalid { id, .. }
+        | ItemChange::BackendRemoved { id, .. } => id.clone(),
         ItemChange::EvacuationBegun { data_centre, .. }
         | ItemChange::EvacuationEnded { data_centre, .. } => format!("evacuate-{data_centre}"),
         ItemChange::Config { .. } | ItemChange::Malformed { .. } => "config".to_owned(),
@@ -485,7 +485,7 @@
         }
     }
 
-    pub fn share(&mut self, index: usize, note: HealthNote) {
+    pub fn share(&mut self, index: usize, note: HealthObservation) {
         let now = self.now();
         if let Some(member) = &mut self.seats[index].member {
             member.share_notes(now, &[note]);
@@ -672,7 +672,9 @@
     fn call(&mut self, member: usize, start: u64, call: ReadCall) {
         let order = call.order;
         match order {
-            ReadOrder::First | ReadOrder::All(ReadMode::MaybeOld) => self.store.cheap_calls += 1,
+            ReadOrder::First | ReadOrder::All(ReadMode::Serializable) => {
+                self.store.cheap_calls += 1
+            }
             _ => self.store.calls += 1,
         }
         let state = self.store_state.get(&member).copied().unwrap_or(StoreState::Serving);
@@ -684,17 +686,17 @@
                     Event::Answer { member, start, order, answer: error },
                 );
             }
-            (StoreState::Refusing, _) => Err(SourceError::Refused(503)),
+            (StoreState::Refusing, _) => Err(SourceError::UnexpectedStatus(503)),
             (StoreState::Serving, ReadOrder::First) => {
                 let mut reading = self.store.all_of_old();
-                reading.is_part = reading.items.len() > PAGE_ITEMS;
+                reading.is_partial = reading.items.len() > PAGE_ITEMS;
                 reading.items.truncate(PAGE_ITEMS);
                 Ok(reading)
             }
-            (StoreState::Serving, ReadOrder::All(ReadMode::MaybeOld)) => {
+            (StoreState::Serving, ReadOrder::All(ReadMode::Serializable)) => {
                 Ok(self.store.all_of_old())
             }
-            (StoreState::Serving, ReadOrder::All(ReadMode::Newest)) => {
+            (StoreState::Serving, ReadOrder::All(ReadMode::Linearizable)) => {
                 Ok(self.store.all_in_pages())
             }
             (StoreState::Serving, ReadOrder::Watch { after, wait_ms }) => {
--- a/crates/foxledge-gossip/tests/dropped_history.rs
+++ b/crates/foxledge-gossip/tests/dropped_history.rs
@@ -77,7 +77,7 @@
     fleet.store.tear = 1;
     fleet.store.compact();
     let is_uneven = |fleet: &VirtualFleet, index: usize| {
-        fleet.seats[index].member.as_ref().is_some_and(|one| one.list().is_uneven())
+        fleet.seats[index].member.as_ref().is_some_and(|one| one.list().has_rows_past_head())
     };
     assert!(fleet.run_until(5_000, |fleet| is_uneven(fleet, 0)).is_some(), "isn't read in pages");
     fleet.store.remove(0xf00);
--- a/crates/foxledge-gossip/tests/evacuation_spread.rs
+++ b/crates/foxledge-gossip/tests/evacuation_spread.rs
@@ -26,7 +26,7 @@
 /// True when every instance that runs has the wish in force, or none has.
 fn all_hold(fleet: &VirtualFleet, is_evacuated: bool) -> bool {
     let key = evacuation_key(CENTRE);
-    fleet.members().all(|member| member.list().holds(&key) == is_evacuated)
+    fleet.members().all(|member| member.list().contains(&key) == is_evacuated)
 }
 
 fn assert_soon(fleet: &mut VirtualFleet, is_evacuated: bool, case: &str) {
@@ -134,5 +134,5 @@
     fleet.run(BOUND_MS);
     let key = evacuation_key("centre-1");
     assert!(all_hold(&fleet, false));
-    assert!(fleet.members().all(|member| !member.list().holds(&key)));
+    assert!(fleet.members().all(|member| !member.list().contains(&key)));
 }
--- a/crates/foxledge-gossip/tests/evidence_states.rs
+++ b/crates/foxledge-gossip/tests/evidence_states.rs
@@ -4,17 +4,17 @@
 
 use common::{VirtualFleet, settled_fleet};
 use foxledge_core::time::ClockTime;
-use foxledge_flows::{HealthNote, HealthState, NoteKind};
+use foxledge_flows::{HealthObservation, HealthState, ObservationKind};
 
 /// The backend server of these tests.
 const NUMBER: u64 = 3;
 
-fn share(fleet: &mut VirtualFleet, seat: usize, kind: NoteKind) {
-    let note = HealthNote { number: NUMBER, incarnation: 1, kind, at: fleet.now() };
+fn share(fleet: &mut VirtualFleet, seat: usize, kind: ObservationKind) {
+    let note = HealthObservation { number: NUMBER, incarnation: 1, kind, observed_at: fleet.now() };
     fleet.share(seat, note);
 }
 
-fn kinds(fleet: &VirtualFleet, seat: usize) -> Vec<NoteKind> {
+fn kinds(fleet: &VirtualFleet, seat: usize) -> Vec<ObservationKind> {
     fleet.seats[seat].notes.iter().map(|note| note.kind).collect()
 }
 
@@ -22,7 +22,7 @@
 fn belief(fleet: &VirtualFleet, seat: usize) -> HealthState {
     let mut state = HealthState::default();
     for note in &fleet.seats[seat].notes {
-        state.on_note(note.at, note, 0);
+        state.on_observation(note.observed_at, note, 0);
     }
     state
 }
@@ -36,9 +36,9 @@
 #[test]
 fn signs_add_up() {
     let mut fleet = settled_fleet(&[3, 3, 3], 1);
-    share(&mut fleet, 0, NoteKind::Lost);
+    share(&mut fleet, 0, ObservationKind::DataUnanswered);
     fleet.run(300);
-    share(&mut fleet, 8, NoteKind::Lost);
+    share(&mut fleet, 8, ObservationKind::DataUnanswered);
     fleet.run(300);
     for seat in 1..8 {
         assert!(is_dead(&fleet, seat, fleet.now()), "instance {seat}: {:?}", kinds(&fleet, seat));
@@ -48,20 +48,24 @@
 #[test]
 fn two_suspicions_eject() {
     let mut fleet = settled_fleet(&[3, 3, 3], 1);
-    share(&mut fleet, 0, NoteKind::Suspect);
+    share(&mut fleet, 0, ObservationKind::Suspect);
     fleet.run(100);
-    share(&mut fleet, 4, NoteKind::Suspect);
+    share(&mut fleet, 4, ObservationKind::Suspect);
     fleet.run(300);
     for seat in [1, 2, 3, 5, 6, 7, 8] {
-        assert_eq!(kinds(&fleet, seat), [NoteKind::Suspect, NoteKind::Ejected], "instance {seat}");
+        assert_eq!(
+            kinds(&fleet, seat),
+            [ObservationKind::Suspect, ObservationKind::Ejected],
+            "instance {seat}"
+        );
     }
     // A suspicion that comes after the first has lapsed is a first one again.
     fleet.run(3_500);
-    share(&mut fleet, 0, NoteKind::Suspect);
+    share(&mut fleet, 0, ObservationKind::Suspect);
     fleet.run(400);
-    share(&mut fleet, 4, NoteKind::Suspect);
+    share(&mut fleet, 4, ObservationKind::Suspect);
     fleet.run(300);
-    assert_eq!(kinds(&fleet, 1)[2..], [NoteKind::Suspect, NoteKind::Suspect]);
+    assert_eq!(kinds(&fleet, 1)[2..], [ObservationKind::Suspect, ObservationKind::Suspect]);
 }
 
 // Symptom: a backend server that serves again gets no new flows, and flows there end.
@@ -71,16 +75,16 @@
 #[test]
 fn life_refutes() {
     let mut fleet = settled_fleet(&[3, 3], 1);
-    share(&mut fleet, 0, NoteKind::Lost);
-    share(&mut fleet, 1, NoteKind::Lost);
+    share(&mut fleet, 0, ObservationKind::DataUnanswered);
+    share(&mut fleet, 1, ObservationKind::DataUnanswered);
     fleet.run(20);
     let old: Vec<_> = fleet.newest.iter().cloned().collect();
     fleet.run(500);
-    share(&mut fleet, 2, NoteKind::Alive);
+    share(&mut fleet, 2, ObservationKind::Alive);
     fleet.run(500);
     let before: Vec<_> = (3..6).map(|seat| kinds(&fleet, seat)).collect();
     for seat in 3..6 {
-        assert_eq!(kinds(&fleet, seat).last(), Some(&NoteKind::Alive), "instance {seat}");
+        assert_eq!(kinds(&fleet, seat).last(), Some(&ObservationKind::Alive), "instance {seat}");
         for message in &old {
             let from = fleet.seats[0].address;
             fleet.deliver(seat, from, message.clone());
@@ -101,11 +105,11 @@
 #[test]
 fn late_life_erases_nothing() {
     let mut fleet = settled_fleet(&[3, 3], 1);
-    share(&mut fleet, 2, NoteKind::Alive);
+    share(&mut fleet, 2, ObservationKind::Alive);
     fleet.run(300);
     let old: Vec<_> = fleet.newest.iter().cloned().collect();
-    share(&mut fleet, 0, NoteKind::Lost);
-    share(&mut fleet, 1, NoteKind::Lost);
+    share(&mut fleet, 0, ObservationKind::DataUnanswered);
+    share(&mut fleet, 1, ObservationKind::DataUnanswered);
     fleet.run(300);
     for seat in 3..6 {
         assert!(is_dead(&fleet, seat, fleet.now()), "instance {seat}: {:?}", kinds(&fleet, seat));
@@ -117,7 +121,11 @@
     fleet.run(500);
     for seat in 3..6 {
         let known = kinds(&fleet, seat);
-        assert_eq!(known.iter().filter(|kind| **kind == NoteKind::Alive).count(), 1, "{known:?}");
+        assert_eq!(
+            known.iter().filter(|kind| **kind == ObservationKind::Alive).count(),
+            1,
+            "{known:?}"
+        );
         assert!(is_dead(&fleet, seat, fleet.now()), "instance {seat}: {known:?}");
     }
 }
@@ -128,14 +136,14 @@
 #[test]
 fn long_death_known() {
     let mut fleet = settled_fleet(&[3, 3, 3], 1);
-    share(&mut fleet, 0, NoteKind::Silent);
+    share(&mut fleet, 0, ObservationKind::OpeningUnanswered);
     let mut seen = [fleet.now(); 9];
     for step in 0..20 {
         seen[step % 9] = fleet.now();
-        share(&mut fleet, step % 9, NoteKind::Lost);
+        share(&mut fleet, step % 9, ObservationKind::DataUnanswered);
         fleet.run(500);
         for (seat, seen) in seen.iter().enumerate() {
-            let heard = fleet.seats[seat].notes.iter().map(|note| note.at);
+            let heard = fleet.seats[seat].notes.iter().map(|note| note.observed_at);
             let newest = heard.chain([*seen]).max().expect("has seen something");
             let age = fleet.now().since(newest).as_millis();
             assert!(step < 2 || age <= 2_500, "instance {seat}: {age:?} ms");
@@ -151,9 +159,14 @@
 #[test]
 fn starts_kept_apart() {
     let mut fleet = settled_fleet(&[3, 3], 1);
-    share(&mut fleet, 0, NoteKind::Lost);
+    share(&mut fleet, 0, ObservationKind::DataUnanswered);
     fleet.run(200);
-    let note = HealthNote { number: NUMBER, incarnation: 2, kind: NoteKind::Lost, at: fleet.now() };
+    let note = HealthObservation {
+        number: NUMBER,
+        incarnation: 2,
+        kind: ObservationKind::DataUnanswered,
+        observed_at: fleet.now(),
+    };
     fleet.share(1, note);
     fleet.run(200);
     let heard: Vec<_> = fleet.seats[4].notes.iter().map(|note| note.incarnation).collect();
@@ -169,11 +182,11 @@
     let mut fleet = settled_fleet(&[60, 60], 1);
     fleet.seats.iter_mut().for_each(|seat| seat.events.clear());
     for step in 0..300 {
-        let note = HealthNote {
+        let note = HealthObservation {
             number: step % 40,
             incarnation: step,
-            kind: NoteKind::Lost,
-            at: fleet.now(),
+            kind: ObservationKind::DataUnanswered,
+            observed_at: fleet.now(),
         };
         fleet.share(step as usize % 120, note);
         fleet.run(50);
--- a/crates/foxledge-gossip/tests/mass_deaths.rs
+++ b/crates/foxledge-gossip/tests/mass_deaths.rs
@@ -6,7 +6,7 @@
 
 use common::{VirtualFleet, settled_fleet};
 use foxledge_core::time::ClockTime;
-use foxledge_flows::{HealthNote, HealthState, NoteKind};
+use foxledge_flows::{HealthObservation, HealthState, ObservationKind};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 /// First number of the backend servers that die.
@@ -27,7 +27,7 @@
 const MOST_BYTES: u64 = 170_000;
 
 /// What is found at which instance, by the millisecond.
-type Plan = Vec<(u64, usize, HealthNote)>;
+type Plan = Vec<(u64, usize, HealthObservation)>;
 
 /// What instances make of all that they observe and hear.
 struct Beliefs {
@@ -51,18 +51,21 @@
         }
     }
 
-    fn take(&mut self, now: ClockTime, index: usize, note: &HealthNote) {
+    fn take(&mut self, now: ClockTime, index: usize, note: &HealthObservation) {
         let state = self.states.entry((index, note.number)).or_default();
-        state.on_note(now, note, 0);
+        state.on_observation(now, note, 0);
         if state.is_dead(now) {
             self.learned.entry((index, note.number)).or_insert(now);
         }
     }
 
     /// Takes what an instance finds itself.
-    fn observe(&mut self, now: ClockTime, index: usize, note: &HealthNote) {
+    fn observe(&mut self, now: ClockTime, index: usize, note: &HealthObservation) {
         self.take(now, index, note);
-        if !matches!(note.kind, NoteKind::Silent | NoteKind::Lost) {
+        if !matches!(
+            note.kind,
+            ObservationKind::OpeningUnanswered | ObservationKind::DataUnanswered
+        ) {
             return;
         }
         let signs = self.signs.entry(note.number).or_default();
@@ -102,14 +105,20 @@
 fn deaths(numbers: std::ops::Range<u64>, seats: std::ops::Range<usize>, seed: u64) -> Plan {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut plan = Plan::new();
-    let kinds = [NoteKind::Suspect, NoteKind::Silent, NoteKind::Lost, NoteKind::Lost];
+    let kinds = [
+        ObservationKind::Suspect,
+        ObservationKind::OpeningUnanswered,
+        ObservationKind::DataUnanswered,
+        ObservationKind::DataUnanswered,
+    ];
     for number in numbers {
         let opened = rng.random_range(40..300);
         let asked = rng.random_range(600..900);
         let times = [opened, opened + 160, asked, asked + rng.random_range(0..200)];
         for (at, kind) in times.into_iter().zip(kinds) {
             let seat = rng.random_range(seats.clone());
-            let note = HealthNote { number, incarnation: 1, kind, at: ClockTime::ZERO };
+            let note =
+                HealthObservation { number, incarnation: 1, kind, observed_at: ClockTime::ZERO };
             plan.push((at, seat, note));
         }
     }
@@ -122,8 +131,8 @@
     let mut plan = plan.into_iter().peekable();
     for millis in 0..millis {
         while let Some((_, seat, mut note)) = plan.next_if(|(at, ..)| *at <= millis) {
-            note.at = fleet.now();
-            beliefs.observe(note.at, seat, &note);
+            note.observed_at = fleet.now();
+            beliefs.observe(note.observed_at, seat, &note);
             fleet.share(seat, note);
         }
         fleet.run(1);
--- a/crates/foxledge-gossip/tests/packed_rows.rs
+++ b/crates/foxledge-gossip/tests/packed_rows.rs
@@ -22,7 +22,7 @@
             draining,
             warm_in_ms: starts.0,
             incarnation: starts.1,
-            created: starts.2,
+            created_revision: starts.2,
         },
     )
 }
@@ -100,7 +100,7 @@
                 draining: false,
                 warm_in_ms: 0,
                 incarnation: 0,
-                created: 0,
+                created_revision: 0,
             };
             let value = Some(RowValue::Backend(backend));
             ListRow { key: format!("backend/i-{number:x}"), revision: 300 + index, value }
--- a/crates/foxledge-gossip/tests/quiet_fleet.rs
+++ b/crates/foxledge-gossip/tests/quiet_fleet.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{StoreState, VirtualFleet, settled_fleet};
-use foxledge_flows::{HealthNote, NoteKind};
+use foxledge_flows::{HealthObservation, ObservationKind};
 
 #[test]
 fn few_calls() {
@@ -112,7 +112,12 @@
     let mut fleet = settled_fleet(&[3, 3, 3], 1);
     fleet.seats[4].lag_us = 120_000;
     fleet.seats[7].lag_us = 80_000;
-    let note = HealthNote { number: 3, incarnation: 0, kind: NoteKind::Suspect, at: fleet.now() };
+    let note = HealthObservation {
+        number: 3,
+        incarnation: 0,
+        kind: ObservationKind::Suspect,
+        observed_at: fleet.now(),
+    };
     fleet.share(0, note);
     fleet.run(3_000);
     for (index, seat) in fleet.seats.iter().enumerate().skip(1) {
--- a/crates/foxledge-gossip/tests/random_lists.rs
+++ b/crates/foxledge-gossip/tests/random_lists.rs
@@ -213,7 +213,7 @@
             let is_known = (self.heads[index], self.changes[index]) == (head, seat.changes);
             (self.heads[index], self.changes[index]) = (head, seat.changes);
             // Of an uneven list nothing is promised but what comes after it.
-            if head == 0 || is_known || member.list().is_uneven() {
+            if head == 0 || is_known || member.list().has_rows_past_head() {
                 continue;
             }
             let items = self.fleet.store.history.get(&head).expect("was a revision");
@@ -270,7 +270,7 @@
                 }
                 for service in &config.services {
                     let value = ExtensionValue::Service(service.clone());
-                    rows.insert(service_key(&service.name), RowValue::extension(&value));
+                    rows.insert(service_key(&service.name), RowValue::from_extension(&value));
                 }
                 rows.insert(LIMITS_KEY.to_owned(), RowValue::Limits(config.limits.clone()));
             }
@@ -281,11 +281,11 @@
                 let data_centre = data_centre.clone();
                 let key = evacuation_key(&data_centre);
                 let value = ExtensionValue::Evacuation(EvacuationRow { data_centre });
-                rows.insert(key, RowValue::extension(&value));
+                rows.insert(key, RowValue::from_extension(&value));
             }
             ItemChange::EvacuationEnded { .. }
-            | ItemChange::BackendGone { .. }
-            | ItemChange::BackendRefused { .. }
+            | ItemChange::BackendRemoved { .. }
+            | ItemChange::BackendInvalid { .. }
             | ItemChange::Malformed { .. } => {}
         }
     }
@@ -301,7 +301,7 @@
 /// The key of a backend server's entry that another writer spoiled.
 fn spoiled_key(item: &ItemChange) -> Option<String> {
     match item {
-        ItemChange::BackendRefused { id, .. } => Some(backend_key(id)),
+        ItemChange::BackendInvalid { id, .. } => Some(backend_key(id)),
         _ => None,
     }
 }
--- a/crates/foxledge-gossip/tests/sign_algebra.rs
+++ b/crates/foxledge-gossip/tests/sign_algebra.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use foxledge_core::time::ClockTime;
-use foxledge_flows::NoteKind;
+use foxledge_flows::ObservationKind;
 use foxledge_gossip::backend_evidence::{BackendEvidence, HealthBelief, HealthSign, SignOrigin};
 use proptest::prelude::*;
 
@@ -15,19 +15,19 @@
     ClockTime::from_micros(3_600_000_000 + millis * 1_000)
 }
 
-fn any_kind() -> impl Strategy<Value = NoteKind> {
+fn any_kind() -> impl Strategy<Value = ObservationKind> {
     prop_oneof![
-        Just(NoteKind::Alive),
-        Just(NoteKind::Suspect),
-        Just(NoteKind::Ejected),
-        Just(NoteKind::Silent),
-        Just(NoteKind::Lost),
+        Just(ObservationKind::Alive),
+        Just(ObservationKind::Suspect),
+        Just(ObservationKind::Ejected),
+        Just(ObservationKind::OpeningUnanswered),
+        Just(ObservationKind::DataUnanswered),
     ]
 }
 
 fn any_signs() -> impl Strategy<Value = Vec<HealthSign>> {
     prop::collection::vec((any_kind(), 0..SPAN_MS), 1..12).prop_map(|seen| {
-        let sign = |(index, (kind, millis)): (usize, (NoteKind, u64))| HealthSign {
+        let sign = |(index, (kind, millis)): (usize, (ObservationKind, u64))| HealthSign {
             id: index as u16,
             kind,
             at: at(millis),
@@ -46,13 +46,14 @@
 
 /// What a set of signs means, told in the plainest way.
 fn meaning(signs: &[HealthSign]) -> HealthBelief {
-    let life = signs.iter().filter(|sign| sign.kind == NoteKind::Alive).map(|sign| sign.at).max();
+    let life =
+        signs.iter().filter(|sign| sign.kind == ObservationKind::Alive).map(|sign| sign.at).max();
     let standing = signs.iter().filter(|sign| life.is_none_or(|life| sign.at > life));
     let standing: Vec<_> = standing.collect();
     let count = |kind| standing.iter().filter(|sign| sign.kind == kind).count();
     let mut suspicions: Vec<_> = standing
         .iter()
-        .filter(|sign| sign.kind == NoteKind::Suspect)
+        .filter(|sign| sign.kind == ObservationKind::Suspect)
         .map(|sign| sign.at.as_micros())
         .collect();
     suspicions.sort_unstable();
@@ -60,10 +61,13 @@
         [.., one, other] => other - one <= 300_000,
         _ => false,
     };
-    match (count(NoteKind::Silent) + count(NoteKind::Lost), count(NoteKind::Lost)) {
+    match (
+        count(ObservationKind::OpeningUnanswered) + count(ObservationKind::DataUnanswered),
+        count(ObservationKind::DataUnanswered),
+    ) {
         (2.., 1..) => HealthBelief::Dead,
         (1.., _) => HealthBelief::Silent,
-        _ if are_close || count(NoteKind::Ejected) > 0 => HealthBelief::Ejected,
+        _ if are_close || count(ObservationKind::Ejected) > 0 => HealthBelief::Ejected,
         _ if !suspicions.is_empty() => HealthBelief::Suspected,
         _ => HealthBelief::Unharmed,
     }
@@ -142,12 +146,12 @@
 #[test]
 fn all_orders_agree() {
     let kinds = [
-        (NoteKind::Lost, 100),
-        (NoteKind::Alive, 200),
-        (NoteKind::Silent, 300),
-        (NoteKind::Suspect, 320),
-        (NoteKind::Lost, 400),
-        (NoteKind::Suspect, 450),
+        (ObservationKind::DataUnanswered, 100),
+        (ObservationKind::Alive, 200),
+        (ObservationKind::OpeningUnanswered, 300),
+        (ObservationKind::Suspect, 320),
+        (ObservationKind::DataUnanswered, 400),
+        (ObservationKind::Suspect, 450),
     ];
     let signs: Vec<_> = kinds
         .iter()
--- a/crates/foxledge-gossip/tests/store_epoch.rs
+++ b/crates/foxledge-gossip/tests/store_epoch.rs
@@ -23,11 +23,11 @@
     let address = "10.1.0.1:7000".parse().expect("is an address");
     let options = MemberOptions::new(address, CentreName::new("toledo"));
     let mut member = FleetMember::new(options, ClockTime::ZERO);
-    let all = ReadOrder::All(ReadMode::Newest);
+    let all = ReadOrder::All(ReadMode::Linearizable);
     let now = ClockTime::from_micros(1_000_000);
-    member.on_reading(now, all, Ok(ListReading::whole(Vec::new(), 9)));
+    member.on_reading(now, all, Ok(ListReading::complete(Vec::new(), 9)));
     events(&mut member);
-    member.on_reading(now, all, Ok(ListReading::whole(Vec::new(), 7)));
+    member.on_reading(now, all, Ok(ListReading::complete(Vec::new(), 7)));
     let told = events(&mut member);
     let passed_over = FleetEvent::ReadingPassedOver {
         order: "all",
@@ -60,7 +60,7 @@
     let options = MemberOptions::new(address, CentreName::new("toledo"));
     let mut member = FleetMember::new(options, ClockTime::ZERO);
     let at = |second: u64| ClockTime::from_micros(second * 1_000_000);
-    let all = ReadOrder::All(ReadMode::Newest);
+    let all = ReadOrder::All(ReadMode::Linearizable);
     let calls = |member: &mut FleetMember, second: u64| {
         member.on_time(at(second));
         let effects = member.take_effects().into_iter();
@@ -70,7 +70,7 @@
         };
         effects.filter_map(call).collect::<Vec<_>>()
     };
-    member.on_reading(at(1), all, Ok(ListReading::whole(Vec::new(), 9)));
+    member.on_reading(at(1), all, Ok(ListReading::complete(Vec::new(), 9)));
     let asked = calls(&mut member, 3);
     let watch = asked.last().expect("asks").order;
     assert!(matches!(watch, ReadOrder::Watch { after: 9, .. }), "{asked:?}");
--- a/crates/foxledge-soak/tests/store_client.rs
+++ b/crates/foxledge-soak/tests/store_client.rs
@@ -36,7 +36,7 @@
     let near = next_address();
     let link = StoreLink::start(near, address).await.expect("starts");
     let mut client = StoreClient::new(near);
-    assert!(client.read_all(ReadMode::Newest).await.is_ok());
+    assert!(client.read_all(ReadMode::Linearizable).await.is_ok());
     (store, link, client)
 }
 
@@ -68,7 +68,7 @@
         // The stand-in's pages hold twelve items.
         let (_store, address) = store_with_entries(40).await;
         let mut client = StoreClient::new(address);
-        for mode in [ReadMode::Newest, ReadMode::MaybeOld] {
+        for mode in [ReadMode::Linearizable, ReadMode::Serializable] {
             let reading = client.read_all(mode).await.expect("is read");
             assert_eq!(reading.items.len(), 41);
             assert_eq!(reading.head, 141);
@@ -81,8 +81,8 @@
     run(async {
         for (entries, items, is_part) in [(11, 12, false), (40, 12, true)] {
             let (_store, address) = store_with_entries(entries).await;
-            let reading = StoreClient::new(address).read_first().await.expect("is read");
-            assert_eq!((reading.items.len(), reading.is_part), (items, is_part));
+            let reading = StoreClient::new(address).read_first_page().await.expect("is read");
+            assert_eq!((reading.items.len(), reading.is_partial), (items, is_part));
             assert!(matches!(reading.items[0], ItemChange::Config { .. }));
         }
     });
@@ -93,7 +93,7 @@
     run(async {
         let (store, address) = store_with_entries(2).await;
         let mut client = StoreClient::new(address);
-        let head = client.read_all(ReadMode::Newest).await.expect("is read").head;
+        let head = client.read_all(ReadMode::Linearizable).await.expect("is read").head;
         let quiet = client.watch(head, 20).await.expect("is answered");
         assert_eq!((quiet.items.len(), quiet.head), (0, head));
         store.put("servers/i-00000001", &server(1, "draining"));
@@ -102,7 +102,7 @@
         assert_eq!(reading.head, head + 2);
         let ItemChange::Backend { backend, .. } = &reading.items[0] else { panic!("no entry") };
         assert!(backend.draining);
-        let gone = ItemChange::BackendGone { revision: head + 2, id: "i-00000002".to_owned() };
+        let gone = ItemChange::BackendRemoved { revision: head + 2, id: "i-00000002".to_owned() };
         assert_eq!(reading.items[1], gone);
     });
 }
@@ -112,7 +112,7 @@
     run(async {
         let (store, address) = store_with_entries(2).await;
         let mut client = StoreClient::new(address);
-        let head = client.read_all(ReadMode::Newest).await.expect("is read").head;
+        let head = client.read_all(ReadMode::Linearizable).await.expect("is read").head;
         store.remove("servers/i-00000002");
         store.compact();
         assert_eq!(client.watch(head, 50).await, Err(SourceError::HistoryGone));
@@ -125,11 +125,11 @@
         let (store, address) = store_with_entries(2).await;
         store.restore(&store.copy());
         let mut client = StoreClient::new(address);
-        let reading = client.read_all(ReadMode::Newest).await.expect("is read");
+        let reading = client.read_all(ReadMode::Linearizable).await.expect("is read");
         assert_eq!(reading.epoch(), 1);
         store.restore(&store.copy());
-        assert_eq!(client.read_first().await.expect("is read").epoch(), 2);
-        let reading = client.read_all(ReadMode::MaybeOld).await.expect("is read");
+        assert_eq!(client.read_first_page().await.expect("is read").epoch(), 2);
+        let reading = client.read_all(ReadMode::Serializable).await.expect("is read");
         assert_eq!(reading.epoch(), 2);
         assert_eq!(reading.head, revision_of(2, 103));
         assert!(reading.items.iter().all(|item| epoch_of(item.revision()) == 2));
@@ -144,7 +144,7 @@
         let mut client = StoreClient::new(address);
         let copy = store.copy();
         store.remove("servers/i-00000002");
-        let head = client.read_all(ReadMode::Newest).await.expect("is read").head;
+        let head = client.read_all(ReadMode::Linearizable).await.expect("is read").head;
         store.restore(&copy);
         assert_eq!(client.watch(head, 20).await, Err(SourceError::HistoryGone));
         // The store has reached the revision again.
@@ -152,10 +152,10 @@
             store.put("servers/i-00000001", &server(1, state));
         }
         assert_eq!(client.watch(head, 20).await, Err(SourceError::HistoryGone));
-        let head = client.read_all(ReadMode::Newest).await.expect("is read").head;
+        let head = client.read_all(ReadMode::Linearizable).await.expect("is read").head;
         store.remove("servers/i-00000002");
         let reading = client.watch(head, 1_000).await.expect("is answered");
-        let gone = ItemChange::BackendGone { revision: head + 1, id: "i-00000002".to_owned() };
+        let gone = ItemChange::BackendRemoved { revision: head + 1, id: "i-00000002".to_owned() };
         assert_eq!(reading.items, [gone]);
     });
 }
@@ -166,9 +166,9 @@
         let (store, address) = store_with_entries(1).await;
         let mut client = StoreClient::new(address);
         store.set_mode(StoreMode::Refusing);
-        assert_eq!(client.watch(0, 10).await, Err(SourceError::Refused(503)));
+        assert_eq!(client.watch(0, 10).await, Err(SourceError::UnexpectedStatus(503)));
         store.set_mode(StoreMode::Serving);
-        assert!(client.read_all(ReadMode::Newest).await.is_ok());
+        assert!(client.read_all(ReadMode::Linearizable).await.is_ok());
     });
 }
 
@@ -204,7 +204,7 @@
 fn nobody_there() {
     run(async {
         let mut client = StoreClient::new(next_address());
-        let answer = client.read_all(ReadMode::Newest).await;
+        let answer = client.read_all(ReadMode::Linearizable).await;
         assert!(matches!(answer, Err(SourceError::Connection(_))), "{answer:?}");
     });
 }
@@ -219,10 +219,11 @@
         let (store, address) = store_with_entries(2).await;
         let mut client = StoreClient::new(address);
         store.set_mode(StoreMode::Silent);
-        let answer = tokio::time::timeout(Duration::from_millis(700), client.read_first()).await;
+        let answer =
+            tokio::time::timeout(Duration::from_millis(700), client.read_first_page()).await;
         assert!(matches!(answer, Ok(Err(SourceError::Timeout(_)))), "{answer:?}");
         store.set_mode(StoreMode::Serving);
-        assert!(client.read_first().await.is_ok());
+        assert!(client.read_first_page().await.is_ok());
     });
 }
 
@@ -236,9 +237,9 @@
         let mut client = StoreClient::new(address);
         store.set_mode(StoreMode::Slow(700));
         for _ in 0..2 {
-            assert!(matches!(client.read_first().await, Err(SourceError::Timeout(_))));
+            assert!(matches!(client.read_first_page().await, Err(SourceError::Timeout(_))));
         }
-        assert!(client.read_first().await.is_ok());
+        assert!(client.read_first_page().await.is_ok());
     });
 }
 
@@ -248,7 +249,7 @@
     run(async {
         let (store, address) = store_with_entries(1).await;
         let mut client = StoreClient::new(address);
-        let head = client.read_all(ReadMode::Newest).await.expect("is read").head;
+        let head = client.read_all(ReadMode::Linearizable).await.expect("is read").head;
         let padding = "x".repeat(3 << 20);
         for version in 8..11 {
             store.put("op/config", &json!({ "version": version, "padding": padding }));
