--- a/crates/foxledge-daemon/src/packets/daemon.rs
+++ b/crates/foxledge-daemon/src/packets/daemon.rs
@@ -152,7 +152,7 @@
         .incarnation(incarnation)
         .link_mbps(settings.link_mbps)
         .seeds(settings.seeds.clone())
-        .tell_load(settings.shares_load)
+        .report_load(settings.shares_load)
         .seed(rng.random());
     let mut log = EventLog::on_stdout(settings.lines_per_s)?;
     let line = StartLine {
@@ -311,7 +311,7 @@
     let member = context.member.borrow();
     let metrics = &context.metrics;
     metrics.peers.set(member.peer_count() as i64);
-    metrics.is_reader.set(i64::from(member.is_reading()));
+    metrics.is_reader.set(i64::from(member.is_reading_store()));
     metrics.list_age_ms.set(context.confirmed_age_ms().map_or(-1, |age| age as i64));
     metrics.lines_suppressed.set(context.log.borrow().suppressed() as i64);
 }
--- a/crates/foxledge-daemon/src/packets/fleet_part.rs
+++ b/crates/foxledge-daemon/src/packets/fleet_part.rs
@@ -7,7 +7,7 @@
     time::ClockTime,
 };
 use foxledge_flows::{HealthObservation, ListReading, SourceError, revisions::number_of};
-use foxledge_gossip::{FleetEffect, FleetEvent, LARGEST_MESSAGE, ReadCall, ReadOrder};
+use foxledge_gossip::{FleetEffect, FleetEvent, MAX_MESSAGE_BYTES, StoreCall, StoreQuery};
 use serde::Serialize;
 use stakker::{CX, FixedTimerKey, after, call, fail, fwd_to};
 use stakker_mio::{
@@ -20,7 +20,7 @@
 use super::{context::SharedContext, flow_part::FlowPart, life_part::LifePart, side::SideOrder};
 
 /// Larger than any message, so that one that is too long shows as cut.
-const READ_SIZE: usize = 2 * LARGEST_MESSAGE;
+const READ_SIZE: usize = 2 * MAX_MESSAGE_BYTES;
 /// Shortest time between two turns for timers, in milliseconds: timers that
 /// fall due together are served together.
 const TICK_MS: u64 = 5;
@@ -67,7 +67,7 @@
     /// Tells other instances what packets told of backend servers.
     pub fn share_notes(&mut self, cx: CX![], notes: Vec<HealthObservation>) {
         let now = self.context.clock.now();
-        self.context.member.borrow_mut().share_notes(now, &notes);
+        self.context.member.borrow_mut().share_observations(now, &notes);
         self.carry_out(cx);
     }
 
@@ -79,7 +79,7 @@
     /// Asks other instances for backend servers that vanished before this one started.
     pub fn ask_tokens(&mut self, cx: CX![], tokens: Vec<u32>) {
         let now = self.context.clock.now();
-        self.context.member.borrow_mut().ask_tokens(now, tokens);
+        self.context.member.borrow_mut().query_removed_backends(now, tokens);
         self.carry_out(cx);
     }
 
@@ -87,20 +87,20 @@
     pub fn take_reading(
         &mut self,
         cx: CX![],
-        order: ReadOrder,
+        order: StoreQuery,
         answer: Result<ListReading, SourceError>,
     ) {
         let outcome = answer.as_ref().map_or_else(SourceError::as_str, |_| "answered");
         self.context.metrics.store_calls.with_label_values(&[outcome]).inc();
         let now = self.context.clock.now();
-        self.context.member.borrow_mut().on_reading(now, order, answer);
+        self.context.member.borrow_mut().handle_store_response(now, order, answer);
         self.carry_out(cx);
     }
 
     /// Tells other instances that this one stops.
     pub fn leave(&mut self, cx: CX![]) {
         let now = self.context.clock.now();
-        self.context.member.borrow_mut().leave(now);
+        self.context.member.borrow_mut().announce_leave(now);
         self.carry_out(cx);
     }
 
@@ -108,7 +108,7 @@
         self.timer = None;
         self.discard_after_pause();
         let now = self.context.clock.now();
-        self.context.member.borrow_mut().on_time(now);
+        self.context.member.borrow_mut().handle_timers(now);
         self.context.log.borrow_mut().flush(now);
         self.carry_out(cx);
     }
@@ -160,13 +160,13 @@
         metrics.messages.with_label_values(&["in"]).inc();
         metrics.message_bytes.with_label_values(&["in"]).inc_by(bytes.len() as u64);
         let now = self.context.clock.now();
-        if !self.context.member.borrow_mut().on_datagram(now, from, bytes) {
+        if !self.context.member.borrow_mut().handle_datagram(now, from, bytes) {
             metrics.malformed.with_label_values(&["message"]).inc();
         }
     }
 
     fn carry_out(&mut self, cx: CX![]) {
-        let effects = self.context.member.borrow_mut().take_effects();
+        let effects = self.context.member.borrow_mut().drain_effects();
         for effect in effects {
             self.carry_out_one(effect);
         }
@@ -174,11 +174,11 @@
         self.set_timer(cx);
     }
 
-    fn call_store(&self, call: ReadCall) {
+    fn call_store(&self, call: StoreCall) {
         let metrics = &self.context.metrics;
-        let labels = [call.order.word(), call.reason.word()];
+        let labels = [call.query.as_str(), call.reason.as_str()];
         metrics.store_readings.with_label_values(&labels).inc();
-        if self.context.side.send(SideOrder::Read(call.order)).is_err() {
+        if self.context.side.send(SideOrder::Read(call.query)).is_err() {
             // The side thread is gone, and its end is being reported.
             metrics.store_calls.with_label_values(&["unsent"]).inc();
         }
@@ -187,9 +187,9 @@
     fn carry_out_one(&mut self, effect: FleetEffect) {
         let directory = &self.context.directory;
         match effect {
-            FleetEffect::Send { to, bytes } => self.send(SocketAddr::V4(to), &bytes),
-            FleetEffect::Read(call) => self.call_store(call),
-            FleetEffect::Rows(rows) => {
+            FleetEffect::SendDatagram { to, bytes } => self.send(SocketAddr::V4(to), &bytes),
+            FleetEffect::CallStore(call) => self.call_store(call),
+            FleetEffect::ApplyRows(rows) => {
                 self.set_list_metrics();
                 if let Some(flows) = directory.get::<FlowPart>() {
                     call!([flows], take_rows(rows));
@@ -198,13 +198,13 @@
                     call!([life], consider_serving());
                 }
             }
-            FleetEffect::Restored(rows) => {
+            FleetEffect::ApplyRestoredRows(rows) => {
                 self.set_list_metrics();
                 if let Some(flows) = directory.get::<FlowPart>() {
                     call!([flows], take_restored(rows));
                 }
             }
-            FleetEffect::Confirmed(at) => {
+            FleetEffect::RecordConfirmation(at) => {
                 if let Some(flows) = directory.get::<FlowPart>() {
                     call!([flows], take_confirmation(at));
                 }
@@ -212,17 +212,17 @@
                     call!([life], consider_serving());
                 }
             }
-            FleetEffect::Note(note) => {
+            FleetEffect::RecordObservation(note) => {
                 if let Some(flows) = directory.get::<FlowPart>() {
                     call!([flows], take_note(note));
                 }
             }
-            FleetEffect::Packet(bytes) => {
+            FleetEffect::HandlePacket(bytes) => {
                 if let Some(flows) = directory.get::<FlowPart>() {
                     call!([flows], take_relayed(bytes));
                 }
             }
-            FleetEffect::Event(event) => self.log_event(&event),
+            FleetEffect::LogEvent(event) => self.log_event(&event),
         }
     }
 
@@ -269,13 +269,13 @@
     fn set_list_metrics(&self) {
         let member = self.context.member.borrow();
         self.context.metrics.list_revision.set(number_of(member.list().head()) as i64);
-        self.context.metrics.list_version.set(member.version_in_force() as i64);
-        self.context.metrics.config_held.set(i64::from(member.holds_config()));
+        self.context.metrics.list_version.set(member.effective_version() as i64);
+        self.context.metrics.config_held.set(i64::from(member.is_retaining_config()));
     }
 
     fn set_timer(&mut self, cx: CX![]) {
         let now = self.context.clock.now();
-        let next = self.context.member.borrow().next_at(now);
+        let next = self.context.member.borrow().next_timer_at(now);
         let wait = next.remaining(now).max(Duration::from_millis(TICK_MS));
         self.context.due_at.set(now.after(wait));
         if let Some(key) = self.timer.take() {
--- a/crates/foxledge-daemon/src/packets/flow_load.rs
+++ b/crates/foxledge-daemon/src/packets/flow_load.rs
@@ -53,7 +53,7 @@
         }
         let (load, pressure) = (self.router.collect_local_load(now), self.router.load_ratio());
         let mut member = self.context.member.borrow_mut();
-        member.set_own_load(now, load, pressure);
+        member.set_local_load(now, load, pressure);
         let view = member.load_view(now);
         drop(member);
         if let Some(view) = view {
@@ -79,7 +79,7 @@
         if !self.shares_load {
             return metrics.load_view_age_ms.set(-1);
         }
-        let sent = self.context.member.borrow().load_messages();
+        let sent = self.context.member.borrow().load_messages_sent();
         metrics.load_messages.inc_by(sent.saturating_sub(metrics.load_messages.get()));
         let mut reports = self.router.load_reports(now);
         reports.truncate(MOST_SERVICES);
--- a/crates/foxledge-daemon/src/packets/flow_part.rs
+++ b/crates/foxledge-daemon/src/packets/flow_part.rs
@@ -120,7 +120,7 @@
         drop(settings);
         let mut router = FlowRouter::new(options);
         let member = context.member.borrow();
-        router.apply_rows(context.clock.now(), &member.all_in_force());
+        router.apply_rows(context.clock.now(), &member.effective_rows());
         if let Some(at) = member.confirmed_at() {
             router.set_confirmed_at(at);
         }
@@ -175,7 +175,7 @@
         self.log_list_news();
         let mut member = self.context.member.borrow_mut();
         self.router.set_peer_count(member.peer_count());
-        self.router.set_neighbours(now, member.neighbours(now));
+        self.router.set_neighbours(now, member.recent_neighbours(now));
     }
 
     /// Takes the region of each data centre, as the settings changed.
@@ -355,7 +355,7 @@
     fn relay(&mut self, now: ClockTime, size: usize, packet: &FlowPacket, origin: PacketOrigin) {
         let bytes = &self.frame[HEADROOM_BYTES..HEADROOM_BYTES + size];
         let is_first = matches!(origin, PacketOrigin::Network(_));
-        if !is_first || !self.context.member.borrow_mut().relay(now, bytes) {
+        if !is_first || !self.context.member.borrow_mut().relay_packet(now, bytes) {
             return self.drop_packet(now, packet, DropReason::UnknownToken);
         }
         self.context.metrics.packets.with_label_values(&["relay"]).inc();
--- a/crates/foxledge-daemon/src/packets/life_part.rs
+++ b/crates/foxledge-daemon/src/packets/life_part.rs
@@ -125,7 +125,7 @@
         self.set_phase(EnginePhase::Serving, "the list is known");
         let member = self.context.member.borrow();
         let line = LifeLine::Serving {
-            version: member.version_in_force(),
+            version: member.effective_version(),
             epoch: epoch_of(member.list().head()),
             revision: number_of(member.list().head()),
             list_age_ms: self.context.confirmed_age_ms(),
--- a/crates/foxledge-daemon/src/packets/reports.rs
+++ b/crates/foxledge-daemon/src/packets/reports.rs
@@ -169,14 +169,14 @@
     pub fn new(member: &FleetMember, now: ClockTime) -> MemberReport {
         let list = member.list();
         MemberReport {
-            version: member.version_in_force(),
+            version: member.effective_version(),
             store_version: list.version(),
             epoch: epoch_of(list.head()),
             revision: list.head(),
             confirmed_age_ms: member.confirmed_at().map(|at| now.since(at).as_millis() as u64),
-            is_reader: member.is_reading(),
+            is_reader: member.is_reading_store(),
             peers: member.peer_count(),
-            routes: member.routes_in_force(),
+            routes: member.effective_route_count(),
             refused_items: member.refused_items().cloned().collect(),
         }
     }
--- a/crates/foxledge-daemon/src/packets/side.rs
+++ b/crates/foxledge-daemon/src/packets/side.rs
@@ -19,7 +19,7 @@
 };
 use foxledge_engine::EnginePhase;
 use foxledge_flows::{FlowKey, ListReading, ListSource, SourceError};
-use foxledge_gossip::ReadOrder;
+use foxledge_gossip::StoreQuery;
 use serde::Deserialize;
 use serde_json::{Value, json};
 use stakker::sync::Channel;
@@ -41,13 +41,13 @@
 #[derive(Clone, Copy, Debug)]
 pub enum SideOrder {
     /// Call the store.
-    Read(ReadOrder),
+    Read(StoreQuery),
 }
 
 /// `SideEvent` is what the side thread tells the main thread.
 pub enum SideEvent {
     /// The store's answer to an order.
-    Reading(ReadOrder, Result<ListReading, SourceError>),
+    Reading(StoreQuery, Result<ListReading, SourceError>),
     /// An operator asks something.
     Asked(OperatorQuestion, oneshot::Sender<Value>),
     /// The thread has ended.
@@ -147,9 +147,9 @@
 ) {
     while let Some(SideOrder::Read(order)) = orders.recv().await {
         let answer = match order {
-            ReadOrder::First => source.read_first_page().await,
-            ReadOrder::All(mode) => source.read_all(mode).await,
-            ReadOrder::Watch { after, wait_ms } => source.watch(after, wait_ms).await,
+            StoreQuery::FirstPage => source.read_first_page().await,
+            StoreQuery::All(mode) => source.read_all(mode).await,
+            StoreQuery::Watch { after, wait_ms } => source.watch(after, wait_ms).await,
         };
         events.send(SideEvent::Reading(order, answer));
     }
--- a/crates/foxledge-flows/tests/list_order.rs
+++ b/crates/foxledge-flows/tests/list_order.rs
@@ -301,7 +301,10 @@
     read(&mut list, vec![config(1, 5, &["a"]), server(1, 3)], 30);
     let reaches = [4, 5, 6, 12, 29, 30, 31].map(|revision| list.coverage_since(revision));
     use ChangeCoverage::{AcrossGap, Complete, Unavailable};
-    assert_eq!(reaches, [None, AcrossGap, None, None, None, Complete, Complete]);
+    assert_eq!(
+        reaches,
+        [Unavailable, AcrossGap, Unavailable, Unavailable, Unavailable, Complete, Complete]
+    );
     assert_eq!(list.floor(), 30);
     ahead.apply_snapshot(clock_at(10), list.rows().cloned().collect(), list.head(), list.floor());
     assert_eq!(live_keys(&ahead), live_keys(&list));
--- a/crates/foxledge-gossip/examples/fleet_scale.rs
+++ b/crates/foxledge-gossip/examples/fleet_scale.rs
@@ -42,18 +42,18 @@
         MomentMeter {
             name,
             start_us: fleet.now_us,
-            sent: fleet.seats.iter().map(|seat| seat.sent_bytes).collect(),
-            far: fleet.far_bytes,
-            pages: fleet.store.pages.clone(),
-            kinds: fleet.kinds.clone(),
-            far_kinds: fleet.far_kinds.clone(),
+            sent: fleet.instances.iter().map(|seat| seat.sent_bytes).collect(),
+            far: fleet.remote_bytes,
+            pages: fleet.store.page_counts.clone(),
+            kinds: fleet.bytes_by_kind.clone(),
+            far_kinds: fleet.remote_bytes_by_kind.clone(),
         }
     }
 
     fn print(self, fleet: &VirtualFleet, took: Option<u64>) {
         let seconds = (fleet.now_us - self.start_us) as f64 / 1e6;
         let mut rates: Vec<_> = fleet
-            .seats
+            .instances
             .iter()
             .zip(&self.sent)
             .map(|(seat, before)| (seat.sent_bytes - before) as f64 / seconds / 1e3)
@@ -61,15 +61,15 @@
         rates.sort_by(f64::total_cmp);
         println!(
             "{},{},{seconds:.1},{},{:.1},{:.1},{},{},{},{}",
-            fleet.seats.len(),
+            fleet.instances.len(),
             self.name,
             took.map_or_else(|| "-".to_owned(), |ms| ms.to_string()),
             rates[rates.len() / 2],
             rates[rates.len() - 1],
-            (fleet.far_bytes - self.far) / 1_000,
-            grown(&fleet.store.pages, &self.pages),
-            grown(&fleet.kinds, &self.kinds),
-            grown(&fleet.far_kinds, &self.far_kinds),
+            (fleet.remote_bytes - self.far) / 1_000,
+            grown(&fleet.store.page_counts, &self.pages),
+            grown(&fleet.bytes_by_kind, &self.kinds),
+            grown(&fleet.remote_bytes_by_kind, &self.far_kinds),
         );
     }
 }
@@ -86,7 +86,7 @@
 fn change(fleet: &mut VirtualFleet, first: u64, count: u64, gap_ms: u64) {
     for number in 0..count {
         fleet.store.register(first + number, number % 3 == 0);
-        fleet.store_changed();
+        fleet.answer_watches();
         fleet.run(gap_ms);
     }
 }
@@ -99,7 +99,7 @@
     }
     fleet.store.remove(first);
     fleet.store.compact();
-    fleet.store_changed();
+    fleet.answer_watches();
 }
 
 fn play(
@@ -112,27 +112,30 @@
     let meter = MomentMeter::new(fleet, name);
     moment(fleet);
     let head = fleet.store.head;
-    let took = fleet.run_until(most, |fleet| fleet.all_know(head));
+    let took = fleet.run_until(most, |fleet| fleet.all_have_list(head));
     fleet.run(rest);
     meter.print(fleet, took);
 }
 
 /// The store turns away the instances that `is_meant` names, and those that read it.
 fn turn_away(fleet: &mut VirtualFleet, is_meant: impl Fn(usize) -> bool) {
-    let reads = |seat: &common::Seat| seat.member.as_ref().is_some_and(|one| one.is_reading());
-    let seats = fleet.seats.iter().enumerate();
+    let reads = |seat: &common::VirtualInstance| {
+        seat.member.as_ref().is_some_and(|one| one.is_reading_store())
+    };
+    let seats = fleet.instances.iter().enumerate();
     let meant = seats.filter(|(index, seat)| is_meant(*index) || reads(seat));
     fleet.store_state = meant.map(|(index, _)| (index, StoreState::Refusing)).collect();
-    fleet.store_changed();
+    fleet.answer_watches();
 }
 
 /// A fleet that hasn't started, of which six instances in each data centre have wide links.
 fn new_fleet(instances: usize) -> VirtualFleet {
     let in_centre = (instances / CENTRES).max(WIDE);
     let mut fleet = VirtualFleet::new(&[in_centre; CENTRES], 1);
-    (fleet.message_us, fleet.item_ns, fleet.page_us) = (MESSAGE_US, ITEM_NS, PAGE_US);
-    fleet.store.is_brief = true;
-    for (index, seat) in fleet.seats.iter_mut().enumerate() {
+    (fleet.message_cost_us, fleet.store_item_ns, fleet.store_page_us) =
+        (MESSAGE_US, ITEM_NS, PAGE_US);
+    fleet.store.is_history_disabled = true;
+    for (index, seat) in fleet.instances.iter_mut().enumerate() {
         seat.link_mbps = if index % in_centre < WIDE { 200 } else { 20 };
     }
     fleet.store.publish(1, ROUTES);
@@ -148,11 +151,11 @@
         for number in 1..=backends {
             fleet.store.register(number, false);
             if number % GROWTH_BATCH == 0 {
-                fleet.store_changed();
+                fleet.answer_watches();
                 fleet.run(GROWTH_MS);
             }
         }
-        fleet.store_changed();
+        fleet.answer_watches();
     };
     play(&mut fleet, "starts while the list grows", grow, 20_000, 2_000);
 }
@@ -176,7 +179,7 @@
     };
     play(fleet, "dropped amid changes", amid_changes, 10_000, 3_000);
     let restart = |fleet: &mut VirtualFleet| {
-        let some = (0..fleet.seats.len()).step_by(18);
+        let some = (0..fleet.instances.len()).step_by(18);
         some.clone().for_each(|index| fleet.kill(index));
         fleet.run(2_000);
         some.for_each(|index| fleet.start(index));
@@ -188,7 +191,7 @@
         fleet.run(4_500);
         fleet.store_state.clear();
         fleet.store.publish(2, ROUTES);
-        fleet.store_changed();
+        fleet.answer_watches();
     };
     play(fleet, "store away 4.5 s", outage, 10_000, 3_000);
     let some_turned_away = |fleet: &mut VirtualFleet| {
@@ -198,7 +201,7 @@
     };
     play(fleet, "a third turned away 9 s", some_turned_away, 10_000, 3_000);
     let lose_power = |fleet: &mut VirtualFleet| {
-        let some = (0..fleet.seats.len()).filter(|index| index % 20 < 11);
+        let some = (0..fleet.instances.len()).filter(|index| index % 20 < 11);
         some.clone().for_each(|index| fleet.kill(index));
         fleet.run(2_000);
         some.for_each(|index| fleet.start(index));
--- a/crates/foxledge-gossip/examples/load_scale.rs
+++ b/crates/foxledge-gossip/examples/load_scale.rs
@@ -12,7 +12,7 @@
 mod load_model;
 
 use common::{VirtualFleet, settle};
-use load_model::{CALM_MEASURE_MS, LoadModel, STEP_MS};
+use load_model::{CALM_MEASURE_INTERVAL_MS, LoadModel, STEP_MS};
 
 /// Requests a slot from which overflow acts.
 const FULL: f64 = 0.8;
@@ -33,9 +33,9 @@
     fn new(fleet: &VirtualFleet) -> CostMeter {
         CostMeter {
             start_us: fleet.now_us,
-            load: fleet.kinds.get("load").copied().unwrap_or(0),
-            far_load: fleet.far_kinds.get("load").copied().unwrap_or(0),
-            sent: fleet.seats.iter().map(|seat| seat.sent_bytes).collect(),
+            load: fleet.bytes_by_kind.get("load").copied().unwrap_or(0),
+            far_load: fleet.remote_bytes_by_kind.get("load").copied().unwrap_or(0),
+            sent: fleet.instances.iter().map(|seat| seat.sent_bytes).collect(),
         }
     }
 
@@ -43,7 +43,7 @@
     /// a second and instance.
     fn rates(&self, fleet: &VirtualFleet) -> String {
         let seconds = (fleet.now_us - self.start_us) as f64 / 1e6;
-        let count = fleet.seats.len() as f64;
+        let count = fleet.instances.len() as f64;
         let now = CostMeter::new(fleet);
         let sent: Vec<_> = now.sent.iter().zip(&self.sent).map(|(now, then)| now - then).collect();
         let rate = |bytes: u64| bytes as f64 / seconds;
@@ -71,16 +71,16 @@
 
 impl ViewMeter {
     fn take(&mut self, fleet: &mut VirtualFleet, model: &LoadModel) {
-        for seat in 0..fleet.seats.len() {
+        for seat in 0..fleet.instances.len() {
             let Some(view) = fleet.load_view(seat) else { continue };
             let now = fleet.now();
             self.views += 1;
             self.sure += u64::from(view.is_reliable);
-            let member = fleet.seats[seat].member.as_ref().expect("lives");
-            self.busy += u64::from(member.load_pace(now).is_fast());
+            let member = fleet.instances[seat].member.as_ref().expect("lives");
+            self.busy += u64::from(member.load_report_pace(now).is_fast());
             for (index, centre) in model.centres.iter().enumerate() {
-                let Some(viewed) = model.viewed(&view, index) else { continue };
-                let error = (viewed - model.running(index)).abs() / centre.slots;
+                let Some(viewed) = model.viewed_requests(&view, index) else { continue };
+                let error = (viewed - model.running_requests(index)).abs() / centre.slots;
                 let told_at = view.centres[&centre.name].reported_at;
                 let age_ms = now.since(told_at).as_micros() as f64 / 1e3;
                 let is_near = model.centre_of(seat) == index;
@@ -122,9 +122,10 @@
     for step in 1..=LONGEST_MS / STEP_MS {
         model.run(fleet, STEP_MS);
         let mut counts = [(0, 0); 2];
-        for seat in 0..fleet.seats.len() {
+        for seat in 0..fleet.instances.len() {
             let place = usize::from(model.centre_of(seat) != centre);
-            let viewed = fleet.load_view(seat).and_then(|view| model.viewed(&view, centre));
+            let viewed =
+                fleet.load_view(seat).and_then(|view| model.viewed_requests(&view, centre));
             let is_known = viewed.is_some_and(|one| one >= FULL * model.centres[centre].slots);
             counts[place].0 += usize::from(is_known);
             counts[place].1 += 1;
@@ -149,7 +150,7 @@
     factor: f64,
     centres: std::ops::Range<usize>,
 ) {
-    model.centres[centres].iter_mut().for_each(|centre| centre.factor = factor);
+    model.centres[centres].iter_mut().for_each(|centre| centre.demand_factor = factor);
     let cost = CostMeter::new(fleet);
     let word = |ms: Option<u64>| ms.map_or_else(|| "-".to_owned(), |ms| ms.to_string());
     let known = match factor > 1.0 {
@@ -161,9 +162,9 @@
         model.run(fleet, 400);
         meter.take(fleet, model);
     }
-    let (count, all) = (fleet.seats.len(), model.centres.len());
+    let (count, all) = (fleet.instances.len(), model.centres.len());
     println!("{count},{all},{name},{},{},{}", known.join(","), cost.rates(fleet), meter.line());
-    model.centres.iter_mut().for_each(|centre| centre.factor = 1.0);
+    model.centres.iter_mut().for_each(|centre| centre.demand_factor = 1.0);
     model.run(fleet, 8_000);
 }
 
@@ -175,10 +176,10 @@
     let (slots, seed) = (number(3, 3.0), number(4, 1.0) as u64);
     let counts: Vec<_> = (0..centres).map(|index| (instances + index) / centres).collect();
     let mut fleet = VirtualFleet::new(&counts, seed);
-    fleet.seats.iter_mut().for_each(|seat| seat.tells_load = true);
+    fleet.instances.iter_mut().for_each(|seat| seat.reports_load = true);
     let mut fleet = settle(fleet);
     let mut model = LoadModel::new(&fleet, slots, seed);
-    model.calm_measure_ms = number(5, CALM_MEASURE_MS as f64) as u64;
+    model.calm_measure_interval_ms = number(5, CALM_MEASURE_INTERVAL_MS as f64) as u64;
     model.run(&mut fleet, 4_000);
     println!(
         "instances,data centres,day,near know after ms,far know after ms,load B/s,far load B/s,\
--- a/crates/foxledge-gossip/src/backend_evidence.rs
+++ b/crates/foxledge-gossip/src/backend_evidence.rs
@@ -2,7 +2,7 @@
 //!
 //! # Signs add up, whatever their way
 //!
-//! A [`HealthSign`] is one observation of one instance. Copies of it come by many ways, late and
+//! A [`ObservationRecord`] is one observation of one instance. Copies of it come by many ways, late and
 //! repeatedly; all are one sign, named by its identity, at the time of its earliest copy. What
 //! is believed depends on the set of signs alone: taking them is commutative, associative and
 //! idempotent, as of each kind the newest decide and only a sign of life takes something away.
@@ -32,7 +32,7 @@
 const MOST_SIGNS: usize = 16;
 /// How often an instance tells a change at once, less the times that it hears the same: told once,
 /// a change misses one instance in twenty.
-pub(crate) const PROMPT_TELLINGS: u32 = 2;
+pub(crate) const PROMPT_SENDS: u32 = 2;
 /// How often it tells it in all: the last instances of a large data centre hear of it when all
 /// others repeat it.
 const TELLINGS: u32 = 6;
@@ -40,70 +40,76 @@
 /// that it missed hears of it before its callers' second copies, at 600 ms.
 const REPEAT_MS: u64 = 200;
 
-/// `HealthSign` is what one instance saw of a backend server.
+/// `ObservationRecord` is what one instance saw of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HealthSign {
+pub struct ObservationRecord {
     /// Chosen at random by the observer: copies that come by several ways are one. Two signs
     /// that share theirs count as one, which delays a belief and never makes one.
     pub id: u16,
     /// What was seen.
     pub kind: ObservationKind,
     /// When, on the clock of this process.
-    pub at: ClockTime,
+    pub observed_at: ClockTime,
 }
 
-/// `SignOrigin` is where a sign was seen, as far as is known here.
+/// `ObservationOrigin` is where a sign was seen, as far as is known here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SignOrigin {
+pub enum ObservationOrigin {
     /// Here.
-    Own,
+    Local,
     /// At another instance of the own data centre.
-    Near,
+    SameCentre,
     /// From another one, whose instances tell all others.
-    Far,
+    RemoteCentre,
 }
 
-/// `FarReach` is which other data centres are told of a backend server.
+/// `RemoteScope` is which other data centres are told of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum FarReach {
+pub enum RemoteScope {
     /// None: they tell each other.
     None,
     /// All of them by some of the instances that tell it.
-    Some,
+    Sampled,
     /// All of them by this instance, which saw it first.
-    Sure,
+    Always,
 }
 
 /// `BackendEvidence` is the signs of one backend server, and how far they were told.
 #[derive(Clone, Debug)]
 pub struct BackendEvidence {
     /// Signs that count, and others that are remembered for their copies.
-    signs: Vec<HealthSign>,
+    signs: Vec<ObservationRecord>,
     /// How often it was told here since it last changed.
-    pub(crate) told: u32,
+    pub(crate) send_count: u32,
     /// How often others told it here since then.
-    pub(crate) heard: u32,
+    pub(crate) echo_count: u32,
     /// When it is told next.
-    pub(crate) tell_at: ClockTime,
+    pub(crate) next_send_at: ClockTime,
     /// Where its last change was heard of.
-    pub(crate) origin: SignOrigin,
+    pub(crate) origin: ObservationOrigin,
 }
 
 impl BackendEvidence {
     /// Nothing yet.
-    pub fn new(origin: SignOrigin) -> BackendEvidence {
-        BackendEvidence { signs: Vec::new(), told: 0, heard: 0, tell_at: ClockTime::MAX, origin }
+    pub fn new(origin: ObservationOrigin) -> BackendEvidence {
+        BackendEvidence {
+            signs: Vec::new(),
+            send_count: 0,
+            echo_count: 0,
+            next_send_at: ClockTime::MAX,
+            origin,
+        }
     }
 
     /// Takes a sign; returns what it means if it is news.
-    pub fn take(&mut self, now: ClockTime, sign: HealthSign) -> Option<ObservationKind> {
-        self.signs.retain(|known| !is_old(now, known));
-        if is_old(now, &sign) {
+    pub fn record(&mut self, now: ClockTime, sign: ObservationRecord) -> Option<ObservationKind> {
+        self.signs.retain(|known| !is_expired(now, known));
+        if is_expired(now, &sign) {
             return None;
         }
         if let Some(known) = self.signs.iter_mut().find(|known| known.id == sign.id) {
             // Told from hop to hop, a sign seems later by the way; the first word is truest.
-            known.at = known.at.min(sign.at);
+            known.observed_at = known.observed_at.min(sign.observed_at);
             return None;
         }
         let (life, before) = (self.life(), self.verdict());
@@ -111,7 +117,7 @@
         self.forget_needless();
         let after = self.verdict();
         if sign.kind == ObservationKind::Alive {
-            let is_renewal = life.is_none_or(|life| is_renewed(life.at, sign.at));
+            let is_renewal = life.is_none_or(|life| is_renewed(life.observed_at, sign.observed_at));
             return (after.belief < before.belief || is_renewal).then_some(ObservationKind::Alive);
         }
         let is_stronger = after.belief > before.belief;
@@ -119,80 +125,85 @@
             return None;
         }
         match after.belief {
-            HealthBelief::Ejected => Some(ObservationKind::Ejected),
+            InferredHealth::Ejected => Some(ObservationKind::Ejected),
             _ => Some(sign.kind),
         }
     }
 
     /// What is believed.
-    pub fn belief(&self) -> HealthBelief {
+    pub fn inferred_health(&self) -> InferredHealth {
         self.verdict().belief
     }
 
     /// When it is told after it was told so often.
-    pub(crate) fn next_telling(&self, now: ClockTime) -> ClockTime {
-        match self.told {
-            ..PROMPT_TELLINGS => now,
+    pub(crate) fn next_send_time(&self, now: ClockTime) -> ClockTime {
+        match self.send_count {
+            ..PROMPT_SENDS => now,
             // A suspicion has lapsed by then.
-            ..TELLINGS if self.belief() != HealthBelief::Suspected => now.after_millis(REPEAT_MS),
+            ..TELLINGS if self.inferred_health() != InferredHealth::Suspected => {
+                now.after_millis(REPEAT_MS)
+            }
             _ => ClockTime::MAX,
         }
     }
 
     /// Which other data centres are told: at once by those where it was seen, and once more
     /// by all, as ways between some of them may be cut.
-    pub(crate) fn reach(&self) -> FarReach {
-        match (self.told, self.origin) {
-            (0, SignOrigin::Own) => FarReach::Sure,
-            (..PROMPT_TELLINGS, SignOrigin::Far) => FarReach::None,
-            (..PROMPT_TELLINGS, _) => FarReach::Some,
-            (told, _) if told + 1 == TELLINGS => FarReach::Some,
-            _ => FarReach::None,
+    pub(crate) fn remote_scope(&self) -> RemoteScope {
+        match (self.send_count, self.origin) {
+            (0, ObservationOrigin::Local) => RemoteScope::Always,
+            (..PROMPT_SENDS, ObservationOrigin::RemoteCentre) => RemoteScope::None,
+            (..PROMPT_SENDS, _) => RemoteScope::Sampled,
+            (told, _) if told + 1 == TELLINGS => RemoteScope::Sampled,
+            _ => RemoteScope::None,
         }
     }
 
     /// True when who told these signs believes no less.
-    pub(crate) fn is_known_by(&self, signs: &[HealthSign]) -> bool {
-        let is_newer = |sign: &HealthSign, life: &HealthSign| {
-            sign.kind == ObservationKind::Alive && (sign.id == life.id || sign.at >= life.at)
+    pub(crate) fn is_covered_by(&self, signs: &[ObservationRecord]) -> bool {
+        let is_newer = |sign: &ObservationRecord, life: &ObservationRecord| {
+            sign.kind == ObservationKind::Alive
+                && (sign.id == life.id || sign.observed_at >= life.observed_at)
         };
         let knows_life =
             self.life().is_none_or(|life| signs.iter().any(|sign| is_newer(sign, &life)));
-        knows_life && verdict_of(signs).belief >= self.belief()
+        knows_life && verdict_of(signs).belief >= self.inferred_health()
     }
 
     /// What is still told: the newest sign of life, and of the others those that suffice for
     /// what is believed.
-    pub fn told_signs(&self, now: ClockTime) -> impl Iterator<Item = HealthSign> {
+    pub fn disseminated_records(&self, now: ClockTime) -> impl Iterator<Item = ObservationRecord> {
         let told = self.life().into_iter().chain(self.sufficient());
-        told.filter(move |sign| !is_old(now, sign))
+        told.filter(move |sign| !is_expired(now, sign))
     }
 
     /// The newest signs from which others conclude the same.
-    fn sufficient(&self) -> Vec<HealthSign> {
+    fn sufficient(&self) -> Vec<ObservationRecord> {
         let deciding = deciding(&self.signs);
-        let newest = |is_meant: &dyn Fn(&HealthSign) -> bool| {
+        let newest = |is_meant: &dyn Fn(&ObservationRecord) -> bool| {
             let meant = deciding.iter().copied().filter(|sign| is_meant(sign));
             meant.max_by_key(by_age)
         };
         let lost = newest(&|sign| sign.kind == ObservationKind::DataUnanswered);
         let silence = newest(&|sign| is_silence(sign) && Some(*sign) != lost);
-        match self.belief() {
-            HealthBelief::Unharmed => Vec::new(),
-            HealthBelief::Dead => lost.into_iter().chain(silence).collect(),
-            HealthBelief::Silent => lost.or(silence).into_iter().collect(),
-            HealthBelief::Ejected => match newest(&|sign| sign.kind == ObservationKind::Ejected) {
-                Some(ejection) => vec![ejection],
-                None => deciding,
-            },
-            HealthBelief::Suspected => {
+        match self.inferred_health() {
+            InferredHealth::Healthy => Vec::new(),
+            InferredHealth::Dead => lost.into_iter().chain(silence).collect(),
+            InferredHealth::Unresponsive => lost.or(silence).into_iter().collect(),
+            InferredHealth::Ejected => {
+                match newest(&|sign| sign.kind == ObservationKind::Ejected) {
+                    Some(ejection) => vec![ejection],
+                    None => deciding,
+                }
+            }
+            InferredHealth::Suspected => {
                 newest(&|sign| sign.kind == ObservationKind::Suspect).into_iter().collect()
             }
         }
     }
 
     /// The newest sign of life.
-    fn life(&self) -> Option<HealthSign> {
+    fn life(&self) -> Option<ObservationRecord> {
         newest_life(&self.signs)
     }
 
@@ -214,24 +225,24 @@
     }
 }
 
-/// `HealthBelief` is what signs come to, the weakest first.
+/// `InferredHealth` is what signs come to, the weakest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum HealthBelief {
+pub enum InferredHealth {
     /// Nothing speaks against it.
-    Unharmed,
+    Healthy,
     /// One new flow wasn't answered as fast as others.
     Suspected,
     /// It gets no new flows for a while.
     Ejected,
     /// Something stayed unanswered though it was sent again.
-    Silent,
+    Unresponsive,
     /// Two flows stayed unanswered, one of them open.
     Dead,
 }
 
 /// `HealthVerdict` is what is believed, and how new the signs for it are.
 struct HealthVerdict {
-    belief: HealthBelief,
+    belief: InferredHealth,
     newest_at: ClockTime,
 }
 
@@ -239,19 +250,19 @@
     /// True when the same is believed on evidence so much newer that it counts anew.
     fn renews(&self, former: &HealthVerdict) -> bool {
         let is_newer = match self.belief {
-            HealthBelief::Unharmed => false,
+            InferredHealth::Healthy => false,
             // The former suspicion has lapsed, or the two would eject.
-            HealthBelief::Suspected => self.newest_at > former.newest_at,
+            InferredHealth::Suspected => self.newest_at > former.newest_at,
             _ => is_renewed(former.newest_at, self.newest_at),
         };
         self.belief == former.belief && is_newer
     }
 }
 
-fn verdict_of(signs: &[HealthSign]) -> HealthVerdict {
+fn verdict_of(signs: &[ObservationRecord]) -> HealthVerdict {
     let deciding = deciding(signs);
-    let of = |is_meant: &dyn Fn(&HealthSign) -> bool| -> Vec<ClockTime> {
-        deciding.iter().filter(|sign| is_meant(sign)).map(|sign| sign.at).collect()
+    let of = |is_meant: &dyn Fn(&ObservationRecord) -> bool| -> Vec<ClockTime> {
+        deciding.iter().filter(|sign| is_meant(sign)).map(|sign| sign.observed_at).collect()
     };
     let silences = of(&is_silence);
     let ejections = of(&|sign| sign.kind == ObservationKind::Ejected);
@@ -264,29 +275,30 @@
     let newest_at = |times: &[ClockTime]| times.iter().copied().max().unwrap_or(ClockTime::ZERO);
     let (belief, newest_at) = if !silences.is_empty() {
         let is_dead = is_lost && silences.len() >= DEATH_SIGNS;
-        let belief = if is_dead { HealthBelief::Dead } else { HealthBelief::Silent };
+        let belief = if is_dead { InferredHealth::Dead } else { InferredHealth::Unresponsive };
         (belief, newest_at(&silences))
     } else if are_close {
-        (HealthBelief::Ejected, newest_at(&ejections).max(newest_at(&suspicions)))
+        (InferredHealth::Ejected, newest_at(&ejections).max(newest_at(&suspicions)))
     } else if !ejections.is_empty() {
-        (HealthBelief::Ejected, newest_at(&ejections))
+        (InferredHealth::Ejected, newest_at(&ejections))
     } else if !suspicions.is_empty() {
-        (HealthBelief::Suspected, newest_at(&suspicions))
+        (InferredHealth::Suspected, newest_at(&suspicions))
     } else {
-        (HealthBelief::Unharmed, ClockTime::ZERO)
+        (InferredHealth::Healthy, ClockTime::ZERO)
     };
     HealthVerdict { belief, newest_at }
 }
 
 /// Of each kind the newest signs of silence that no sign of life refutes.
-fn deciding(signs: &[HealthSign]) -> Vec<HealthSign> {
+fn deciding(signs: &[ObservationRecord]) -> Vec<ObservationRecord> {
     let life = newest_life(signs);
-    let is_standing = |sign: &&HealthSign| life.is_none_or(|life| sign.at > life.at);
-    let is_against = |sign: &&HealthSign| sign.kind != ObservationKind::Alive;
+    let is_standing =
+        |sign: &&ObservationRecord| life.is_none_or(|life| sign.observed_at > life.observed_at);
+    let is_against = |sign: &&ObservationRecord| sign.kind != ObservationKind::Alive;
     let mut standing: Vec<_> = signs.iter().filter(is_against).filter(is_standing).collect();
     standing.sort_unstable_by_key(|sign| std::cmp::Reverse(by_age(sign)));
     let mut counts = [0; 5];
-    let is_among_newest = |sign: &&HealthSign| {
+    let is_among_newest = |sign: &&ObservationRecord| {
         let count = &mut counts[sign.kind as usize];
         *count += 1;
         *count <= DECIDING_SIGNS
@@ -294,23 +306,23 @@
     standing.into_iter().filter(is_among_newest).copied().collect()
 }
 
-fn newest_life(signs: &[HealthSign]) -> Option<HealthSign> {
+fn newest_life(signs: &[ObservationRecord]) -> Option<ObservationRecord> {
     let lives = signs.iter().filter(|sign| sign.kind == ObservationKind::Alive);
     lives.max_by_key(|sign| by_age(sign)).copied()
 }
 
 /// Orders signs by time; the same everywhere for those of one moment.
-fn by_age(sign: &HealthSign) -> (ClockTime, u16) {
-    (sign.at, sign.id)
+fn by_age(sign: &ObservationRecord) -> (ClockTime, u16) {
+    (sign.observed_at, sign.id)
 }
 
-fn is_silence(sign: &HealthSign) -> bool {
+fn is_silence(sign: &ObservationRecord) -> bool {
     matches!(sign.kind, ObservationKind::OpeningUnanswered | ObservationKind::DataUnanswered)
 }
 
 /// True when a sign is too old to be told.
-pub(crate) fn is_old(now: ClockTime, sign: &HealthSign) -> bool {
-    sign.at.after_millis(TELL_MS).is_past(now)
+pub(crate) fn is_expired(now: ClockTime, sign: &ObservationRecord) -> bool {
+    sign.observed_at.after_millis(TELL_MS).is_past(now)
 }
 
 /// True when what was seen at `at` is so much newer than what says the same that it counts anew.
--- a/crates/foxledge-gossip/src/config_pull.rs
+++ b/crates/foxledge-gossip/src/config_pull.rs
@@ -10,10 +10,10 @@
 use foxledge_flows::{RetainedConfig, rows::ListRow};
 
 use crate::{
-    copies::PAGE_BUDGET,
     effects::FleetEffect,
+    list_transfer::MAX_PAGE_ROW_BYTES,
     member::FleetMember,
-    messages::{BeatMessage, ConfigPage, ConfigQuestion, MessageBody},
+    messages::{ConfigPage, ConfigRequest, HeartbeatMessage, MessageBody},
     packing::RowPacker,
 };
 
@@ -33,8 +33,13 @@
 impl FleetMember {
     /// Asks for the operators' list that another instance holds, if it is newer than the one in
     /// force here and the list brings none.
-    pub(crate) fn consider_held(&mut self, now: ClockTime, from: SocketAddrV4, beat: &BeatMessage) {
-        let is_newer = beat.held_version > self.version_in_force();
+    pub(crate) fn pull_retained_config(
+        &mut self,
+        now: ClockTime,
+        from: SocketAddrV4,
+        beat: &HeartbeatMessage,
+    ) {
+        let is_newer = beat.held_version > self.effective_version();
         let is_asking = self.config_pull.as_ref().is_some_and(|pull| !pull.until.is_past(now));
         if !is_newer || is_asking || self.list.head() == 0 || beat.head > self.list.head() {
             return;
@@ -50,28 +55,29 @@
     }
 
     fn ask_config(&mut self, to: SocketAddrV4, version: u64, after: String) {
-        self.send(to, MessageBody::ConfigQuestion(ConfigQuestion { version, after }));
+        self.send_message(to, MessageBody::ConfigRequest(ConfigRequest { version, after }));
     }
 
     /// Answers with a page of the list that is held here, if it still is.
-    pub(crate) fn answer_config(&mut self, from: SocketAddrV4, question: &ConfigQuestion) {
-        let Some(held) = self.held.as_ref().filter(|held| held.version() == question.version)
+    pub(crate) fn handle_config_request(&mut self, from: SocketAddrV4, question: &ConfigRequest) {
+        let Some(held) =
+            self.retained_config.as_ref().filter(|held| held.version() == question.version)
         else {
             return;
         };
         let (mut packer, mut size) = (RowPacker::default(), 0);
         let (count, has_more) = held.page_length(&question.after, |row| {
             size += packer.push(row);
-            size <= PAGE_BUDGET
+            size <= MAX_PAGE_ROW_BYTES
         });
         let rows = Some(packer.finish(count));
-        let ConfigQuestion { version, after } = question.clone();
+        let ConfigRequest { version, after } = question.clone();
         let page = ConfigPage { version, after, rows, has_more };
-        self.send(from, MessageBody::ConfigPage(page));
+        self.send_message(from, MessageBody::ConfigPage(page));
     }
 
     /// Takes a page; the last puts all of it in force.
-    pub(crate) fn take_config_page(
+    pub(crate) fn handle_config_page(
         &mut self,
         now: ClockTime,
         from: SocketAddrV4,
@@ -98,16 +104,17 @@
     /// Puts a list in force that is newer than the one that is.
     fn put_held(&mut self, held: RetainedConfig) {
         let version = held.version();
-        if version <= self.version_in_force() {
+        if version <= self.effective_version() {
             return;
         }
-        let former = self.held.take().or_else(|| RetainedConfig::from_rows(self.list.rows()));
+        let former =
+            self.retained_config.take().or_else(|| RetainedConfig::from_rows(self.list.rows()));
         let rows = match former {
             Some(former) => former.changes_to(&held, self.list.head()),
             None => held.rows().cloned().collect(),
         };
-        self.held = Some(held);
-        self.effects.push(FleetEffect::Rows(rows));
-        self.note_held(Some(version));
+        self.retained_config = Some(held);
+        self.effects.push(FleetEffect::ApplyRows(rows));
+        self.set_retained_version(Some(version));
     }
 }
--- a/crates/foxledge-gossip/src/effects.rs
+++ b/crates/foxledge-gossip/src/effects.rs
@@ -7,16 +7,16 @@
 use serde::Serialize;
 
 use crate::{
-    messages::PeerCard,
+    messages::PeerDescriptor,
     peers::{PeerChange, PeerLoss},
-    refused::RefusedItem,
+    refused_items::RefusedItem,
 };
 
-/// `ReadOrder` is one call of the store.
+/// `StoreQuery` is one call of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReadOrder {
+pub enum StoreQuery {
     /// Read what one answer holds, perhaps old.
-    First,
+    FirstPage,
     /// Read everything.
     All(ReadMode),
     /// Wait for changes.
@@ -28,14 +28,14 @@
     },
 }
 
-impl ReadOrder {
+impl StoreQuery {
     /// The order's word, as in log lines.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            ReadOrder::First => "first",
-            ReadOrder::All(ReadMode::Linearizable) => "all",
-            ReadOrder::All(ReadMode::Serializable) => "all_maybe_old",
-            ReadOrder::Watch { .. } => "watch",
+            StoreQuery::FirstPage => "first",
+            StoreQuery::All(ReadMode::Linearizable) => "all",
+            StoreQuery::All(ReadMode::Serializable) => "all_maybe_old",
+            StoreQuery::Watch { .. } => "watch",
         }
     }
 }
@@ -62,7 +62,7 @@
 
 impl ReadReason {
     /// The reason's word, as in metrics.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             ReadReason::Start => "start",
             ReadReason::Rest => "rest",
@@ -75,11 +75,11 @@
     }
 }
 
-/// `ReadCall` is a call of the store and its reason.
+/// `StoreCall` is a call of the store and its reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ReadCall {
+pub struct StoreCall {
     /// What is asked.
-    pub order: ReadOrder,
+    pub query: StoreQuery,
     /// Why.
     pub reason: ReadReason,
 }
@@ -88,26 +88,26 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetEffect {
     /// Send a message to an instance.
-    Send {
+    SendDatagram {
         /// The receiver.
         to: SocketAddrV4,
         /// The bytes.
         bytes: Vec<u8>,
     },
     /// Call the store; one call at a time is out.
-    Read(ReadCall),
+    CallStore(StoreCall),
     /// Rows changed in the list.
-    Rows(Vec<ListRow>),
+    ApplyRows(Vec<ListRow>),
     /// Rows differ in the list of a store that came back from an older copy.
-    Restored(Vec<ListRow>),
+    ApplyRestoredRows(Vec<ListRow>),
     /// The store confirmed the list as the newest at this time.
-    Confirmed(ClockTime),
+    RecordConfirmation(ClockTime),
     /// Another instance observed a backend server.
-    Note(HealthObservation),
+    RecordObservation(HealthObservation),
     /// Another instance hands on a caller's packet that it can't place.
-    Packet(Vec<u8>),
+    HandlePacket(Vec<u8>),
     /// Something worth a log line.
-    Event(FleetEvent),
+    LogEvent(FleetEvent),
 }
 
 /// `FleetEvent` is a change of what this instance believes.
@@ -267,19 +267,19 @@
 
 impl FleetEvent {
     /// What a report of an instance tells, if it is news.
-    pub(crate) fn of_change(change: PeerChange, card: &PeerCard) -> Option<FleetEvent> {
+    pub(crate) fn from_change(change: PeerChange, card: &PeerDescriptor) -> Option<FleetEvent> {
         let peer = card.address()?.to_string();
         let data_centre = card.data_centre.clone();
         match change {
-            PeerChange::None => None,
-            PeerChange::Found => Some(FleetEvent::PeerFound { peer, data_centre }),
+            PeerChange::Unchanged => None,
+            PeerChange::Joined => Some(FleetEvent::PeerFound { peer, data_centre }),
             PeerChange::Left => Some(FleetEvent::PeerLeft { peer, data_centre }),
-            PeerChange::CentreFound => Some(FleetEvent::CentreFound { data_centre, peer }),
+            PeerChange::CentreReachable => Some(FleetEvent::CentreFound { data_centre, peer }),
         }
     }
 
     /// What silence tells.
-    pub(crate) fn of_loss(loss: PeerLoss) -> FleetEvent {
+    pub(crate) fn from_loss(loss: PeerLoss) -> FleetEvent {
         match loss {
             PeerLoss::Peer { address, age_ms } => {
                 FleetEvent::PeerLost { peer: address.to_string(), age_ms }
--- a/crates/foxledge-gossip/src/election.rs
+++ b/crates/foxledge-gossip/src/election.rs
@@ -8,7 +8,7 @@
 use foxledge_core::time::ClockTime;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::messages::PeerCard;
+use crate::messages::PeerDescriptor;
 
 /// Time by which each rank waits longer than the one before, in milliseconds.
 ///
@@ -60,7 +60,7 @@
 
 impl ReaderRank {
     /// The rank of an instance.
-    pub fn of(card: &PeerCard) -> ReaderRank {
+    pub fn of(card: &PeerDescriptor) -> ReaderRank {
         let mut bytes = [0; 8];
         bytes[..4].copy_from_slice(&card.ip.to_be_bytes());
         bytes[4..].copy_from_slice(&card.port.to_be_bytes());
@@ -73,15 +73,15 @@
     }
 }
 
-/// `ReaderClaim` is a reader's last answer from the store, as heard.
+/// `StoreConfirmation` is a reader's last answer from the store, as heard.
 #[derive(Clone, Debug)]
-pub struct ReaderClaim {
+pub struct StoreConfirmation {
     /// The reader.
-    pub card: PeerCard,
+    pub reader: PeerDescriptor,
     /// Counts the reader's answers.
     pub serial: u32,
     /// When the store answered it.
-    pub at: ClockTime,
+    pub confirmed_at: ClockTime,
     /// The store's revision in that answer.
     pub head: u64,
 }
@@ -91,7 +91,7 @@
 pub struct ReaderElection {
     rank: ReaderRank,
     data_centre: String,
-    claims: Vec<ReaderClaim>,
+    claims: Vec<StoreConfirmation>,
     is_reading: bool,
     is_waiting: bool,
     next_at: ClockTime,
@@ -100,7 +100,7 @@
 
 impl ReaderElection {
     /// Makes the part of an instance that doesn't read yet.
-    pub fn new(card: &PeerCard) -> ReaderElection {
+    pub fn new(card: &PeerDescriptor) -> ReaderElection {
         ReaderElection {
             rank: ReaderRank::of(card),
             data_centre: card.data_centre.clone(),
@@ -123,7 +123,7 @@
     }
 
     /// Live instances that are ranked before this one.
-    pub fn rank_among<'a>(&self, live: impl Iterator<Item = &'a PeerCard>) -> usize {
+    pub fn rank_among<'a>(&self, live: impl Iterator<Item = &'a PeerDescriptor>) -> usize {
         live.filter(|card| ReaderRank::of(card) < self.rank).count()
     }
 
@@ -183,43 +183,44 @@
     }
 
     /// Takes a claim as heard; true when it is newer than the reader's last known one.
-    pub fn take_claim(&mut self, claim: ReaderClaim) -> bool {
-        let same = |known: &&mut ReaderClaim| {
-            known.card.address() == claim.card.address()
-                && known.card.incarnation == claim.card.incarnation
+    pub fn record_confirmation(&mut self, claim: StoreConfirmation) -> bool {
+        let same = |known: &&mut StoreConfirmation| {
+            known.reader.address() == claim.reader.address()
+                && known.reader.incarnation == claim.reader.incarnation
         };
         match self.claims.iter_mut().find(same) {
             Some(known) if known.serial >= claim.serial => return false,
             Some(known) => *known = claim,
             None => self.claims.push(claim),
         }
-        self.claims.sort_by_key(|claim| std::cmp::Reverse(claim.at));
+        self.claims.sort_by_key(|claim| std::cmp::Reverse(claim.confirmed_at));
         self.claims.truncate(MOST_CLAIMS);
         true
     }
 
     /// Every claim that is remembered, the newest first.
-    pub fn claims(&self) -> &[ReaderClaim] {
+    pub fn claims(&self) -> &[StoreConfirmation] {
         &self.claims
     }
 
     /// Other instances that read, as far as is known.
-    pub fn other_readers(&self, now: ClockTime) -> impl Iterator<Item = &ReaderClaim> {
+    pub fn other_readers(&self, now: ClockTime) -> impl Iterator<Item = &StoreConfirmation> {
         let own = self.rank;
-        let is_other = move |claim: &&ReaderClaim| ReaderRank::of(&claim.card) != own;
+        let is_other = move |claim: &&StoreConfirmation| ReaderRank::of(&claim.reader) != own;
         self.claims.iter().filter(move |claim| is_fresh(claim, now)).filter(is_other)
     }
 
     /// True when a better ranked instance reads.
     fn is_standby(&self, now: ClockTime) -> bool {
-        self.other_readers(now).any(|claim| ReaderRank::of(&claim.card) < self.rank)
+        self.other_readers(now).any(|claim| ReaderRank::of(&claim.reader) < self.rank)
     }
 
     /// True when all who read have narrower links than this instance.
     pub fn is_wider(&self, now: ClockTime) -> bool {
         let mut readers = self.other_readers(now).peekable();
-        let is_narrower =
-            |claim: &ReaderClaim| ReaderRank::of(&claim.card).narrowness > self.rank.narrowness;
+        let is_narrower = |claim: &StoreConfirmation| {
+            ReaderRank::of(&claim.reader).narrowness > self.rank.narrowness
+        };
         readers.peek().is_some() && readers.all(is_narrower)
     }
 
@@ -229,23 +230,23 @@
     }
 
     /// When the store last answered anybody with no more than is known up to `head`.
-    pub fn confirmed_at(&self, head: u64) -> Option<ClockTime> {
-        self.claims.iter().filter(|claim| claim.head <= head).map(|claim| claim.at).max()
+    pub fn latest_confirmation_at(&self, head: u64) -> Option<ClockTime> {
+        self.claims.iter().filter(|claim| claim.head <= head).map(|claim| claim.confirmed_at).max()
     }
 
     /// True when enough better ranked instances read: one nearby, one with a wider
     /// link, or two of any kind.
     pub fn is_needless(&self, now: ClockTime) -> bool {
-        let is_better = |claim: &&ReaderClaim| ReaderRank::of(&claim.card) < self.rank;
+        let is_better = |claim: &&StoreConfirmation| ReaderRank::of(&claim.reader) < self.rank;
         let better: Vec<_> = self.other_readers(now).filter(is_better).collect();
-        let is_served_well = |claim: &&ReaderClaim| {
-            claim.card.data_centre == self.data_centre
-                || ReaderRank::of(&claim.card).narrowness < self.rank.narrowness
+        let is_served_well = |claim: &&StoreConfirmation| {
+            claim.reader.data_centre == self.data_centre
+                || ReaderRank::of(&claim.reader).narrowness < self.rank.narrowness
         };
         better.iter().any(is_served_well) || better.len() >= READERS
     }
 }
 
-fn is_fresh(claim: &ReaderClaim, now: ClockTime) -> bool {
-    !claim.at.after_millis(CLAIM_MS).is_past(now)
+fn is_fresh(claim: &StoreConfirmation, now: ClockTime) -> bool {
+    !claim.confirmed_at.after_millis(CLAIM_MS).is_past(now)
 }
--- a/crates/foxledge-gossip/src/evidence.rs
+++ b/crates/foxledge-gossip/src/evidence.rs
@@ -13,16 +13,16 @@
 use rand::{Rng, rngs::StdRng};
 
 use crate::backend_evidence::{
-    BackendEvidence, FarReach, HealthSign, PROMPT_TELLINGS, SignOrigin, is_old,
+    BackendEvidence, ObservationOrigin, ObservationRecord, PROMPT_SENDS, RemoteScope, is_expired,
 };
 
 /// Most backend servers that are told of at a time, at some 150 bytes each: those of a data
 /// centre of the largest deployment.
 const MOST_BACKENDS: usize = 5_000;
 
-/// `BackendStart` is one start of a backend server.
+/// `BackendKey` is one start of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct BackendStart {
+pub(crate) struct BackendKey {
     /// Its number.
     pub number: u64,
     /// Which start.
@@ -33,81 +33,82 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DueEvidence {
     /// Which.
-    pub start: BackendStart,
+    pub key: BackendKey,
     /// Which other data centres are to be told too.
-    pub reach: FarReach,
+    pub remote_scope: RemoteScope,
 }
 
 /// `EvidenceTable` is what an instance tells of backend servers.
 #[derive(Debug, Default)]
 pub(crate) struct EvidenceTable {
-    states: BTreeMap<BackendStart, BackendEvidence>,
+    states: BTreeMap<BackendKey, BackendEvidence>,
 }
 
 impl EvidenceTable {
     /// Takes a sign; returns it if it changes what is believed, as the observation that it is
     /// together with what was known.
-    pub fn take(
+    pub fn record(
         &mut self,
         now: ClockTime,
-        start: BackendStart,
-        sign: HealthSign,
-        origin: SignOrigin,
+        start: BackendKey,
+        sign: ObservationRecord,
+        origin: ObservationOrigin,
     ) -> Option<HealthObservation> {
-        if is_old(now, &sign) {
+        if is_expired(now, &sign) {
             return None;
         }
         if self.states.len() >= MOST_BACKENDS && !self.states.contains_key(&start) {
-            self.forget(now);
+            self.remove_expired(now);
             if self.states.len() >= MOST_BACKENDS {
                 return None;
             }
         }
         let state = self.states.entry(start).or_insert_with(|| BackendEvidence::new(origin));
-        let kind = state.take(now, sign)?;
-        (state.told, state.heard, state.tell_at, state.origin) = (0, 0, now, origin);
-        let BackendStart { number, incarnation } = start;
-        Some(HealthObservation { number, incarnation, kind, observed_at: sign.at })
+        let kind = state.record(now, sign)?;
+        (state.send_count, state.echo_count, state.next_send_at, state.origin) =
+            (0, 0, now, origin);
+        let BackendKey { number, incarnation } = start;
+        Some(HealthObservation { number, incarnation, kind, observed_at: sign.observed_at })
     }
 
     /// Counts that another instance told all that is believed here.
-    pub fn heard(&mut self, now: ClockTime, start: BackendStart, signs: &[HealthSign]) {
+    pub fn record_echo(&mut self, now: ClockTime, start: BackendKey, signs: &[ObservationRecord]) {
         let Some(state) = self.states.get_mut(&start) else { return };
-        if !state.is_known_by(signs) {
+        if !state.is_covered_by(signs) {
             return;
         }
-        state.heard = state.heard.saturating_add(1);
-        if state.told < PROMPT_TELLINGS && state.told + state.heard >= PROMPT_TELLINGS {
-            state.told = PROMPT_TELLINGS;
-            state.tell_at = state.next_telling(now);
+        state.echo_count = state.echo_count.saturating_add(1);
+        if state.send_count < PROMPT_SENDS && state.send_count + state.echo_count >= PROMPT_SENDS {
+            state.send_count = PROMPT_SENDS;
+            state.next_send_at = state.next_send_time(now);
         }
     }
 
     /// Counts that a backend server was told of.
-    pub fn told(&mut self, now: ClockTime, start: &BackendStart) {
+    pub fn record_send(&mut self, now: ClockTime, start: &BackendKey) {
         let Some(state) = self.states.get_mut(start) else { return };
-        state.told = state.told.saturating_add(1);
-        state.tell_at = state.next_telling(now);
+        state.send_count = state.send_count.saturating_add(1);
+        state.next_send_at = state.next_send_time(now);
     }
 
     /// Forgets what is too old to be told.
-    pub fn forget(&mut self, now: ClockTime) {
-        self.states.retain(|_, state| state.told_signs(now).next().is_some());
+    pub fn remove_expired(&mut self, now: ClockTime) {
+        self.states.retain(|_, state| state.disseminated_records(now).next().is_some());
     }
 
     /// When something is to be told next, if anything is.
-    pub fn tell_at(&self) -> Option<ClockTime> {
-        let times = self.states.values().map(|state| state.tell_at);
+    pub fn next_send_at(&self) -> Option<ClockTime> {
+        let times = self.states.values().map(|state| state.next_send_at);
         times.min().filter(|at| *at < ClockTime::MAX)
     }
 
     /// What is to be told now, the least told first.
-    pub fn due(&self, rng: &mut StdRng, now: ClockTime) -> Vec<DueEvidence> {
-        self.least_told(rng, |state| state.tell_at.is_past(now))
+    pub fn due_evidence(&self, rng: &mut StdRng, now: ClockTime) -> Vec<DueEvidence> {
+        self.least_told(rng, |state| state.next_send_at.is_past(now))
     }
 
     /// All there is, the least told first.
-    pub fn all(&self, rng: &mut StdRng) -> Vec<DueEvidence> {
+    pub fn all_evidence(&self, rng: &mut StdRng) -> Vec<DueEvidence> {
         self.least_told(rng, |_| true)
     }
 
@@ -120,16 +121,18 @@
     ) -> Vec<DueEvidence> {
         let meant = self.states.iter().filter(|(_, state)| is_meant(state));
         let mut meant: Vec<_> = meant
-            .map(|(start, state)| (state.told, rng.random::<u32>(), *start, state.reach()))
+            .map(|(start, state)| {
+                (state.send_count, rng.random::<u32>(), *start, state.remote_scope())
+            })
             .collect();
         meant.sort_unstable();
-        let due = |(_, _, start, reach)| DueEvidence { start, reach };
+        let due = |(_, _, start, reach)| DueEvidence { key: start, remote_scope: reach };
         meant.into_iter().map(due).collect()
     }
 
     /// The signs of a backend server that are still told.
-    pub fn signs(&self, now: ClockTime, start: &BackendStart) -> Vec<HealthSign> {
+    pub fn records(&self, now: ClockTime, start: &BackendKey) -> Vec<ObservationRecord> {
         let state = self.states.get(start).into_iter();
-        state.flat_map(|state| state.told_signs(now)).collect()
+        state.flat_map(|state| state.disseminated_records(now)).collect()
     }
 }
--- a/crates/foxledge-gossip/src/telling.rs
+++ b/crates/foxledge-gossip/src/evidence_rounds.rs
@@ -13,13 +13,13 @@
 use rand::Rng;
 
 use crate::{
-    backend_evidence::{FarReach, HealthSign, SignOrigin},
+    backend_evidence::{ObservationOrigin, ObservationRecord, RemoteScope},
+    dissemination::{SAME_CENTRE_FANOUT, UpdateOrigin},
     effects::FleetEffect,
-    evidence::{BackendStart, DueEvidence},
+    evidence::{BackendKey, DueEvidence},
     member::FleetMember,
     messages::{EvidenceEntry, EvidenceMessage, MessageBody},
-    signs::{pack_sign, unpack_sign},
-    spreading::{NEAR_FANOUT, NewsOrigin},
+    observation_packing::{pack_record, unpack_record},
 };
 
 /// Shortest time between two rounds, in milliseconds: three hops, which reach a data centre,
@@ -38,80 +38,89 @@
 
 impl FleetMember {
     /// Shares what this instance observed of backend servers.
-    pub fn share_notes(&mut self, now: ClockTime, notes: &[HealthObservation]) {
+    pub fn share_observations(&mut self, now: ClockTime, notes: &[HealthObservation]) {
         let mut is_news = false;
         for note in notes {
-            let start = BackendStart { number: note.number, incarnation: note.incarnation };
-            let sign = HealthSign { id: self.rng.random(), kind: note.kind, at: note.observed_at };
-            is_news |= self.evidence.take(now, start, sign, SignOrigin::Own).is_some();
+            let start = BackendKey { number: note.number, incarnation: note.incarnation };
+            let sign = ObservationRecord {
+                id: self.rng.random(),
+                kind: note.kind,
+                observed_at: note.observed_at,
+            };
+            is_news |= self.evidence.record(now, start, sign, ObservationOrigin::Local).is_some();
         }
         if is_news {
-            self.round_at = Some(self.free_at);
-            self.tell_evidence(now);
+            self.next_evidence_round_at = Some(self.evidence_budget_free_at);
+            self.send_due_evidence(now);
         }
     }
 
     /// Takes what another instance tells of backend servers.
-    pub(crate) fn take_evidence(&mut self, now: ClockTime, message: &EvidenceMessage) {
-        let origin = if message.is_far { SignOrigin::Far } else { SignOrigin::Near };
+    pub(crate) fn handle_evidence(&mut self, now: ClockTime, message: &EvidenceMessage) {
+        let origin = if message.is_remote {
+            ObservationOrigin::RemoteCentre
+        } else {
+            ObservationOrigin::SameCentre
+        };
         let mut is_news = false;
         for entry in &message.backends {
-            let start = BackendStart { number: entry.number, incarnation: entry.incarnation };
-            let words = entry.signs.iter();
-            let signs: Vec<_> = words.filter_map(|word| unpack_sign(now, *word)).collect();
-            let take = |sign: &HealthSign| self.evidence.take(now, start, *sign, origin);
+            let start = BackendKey { number: entry.number, incarnation: entry.incarnation };
+            let words = entry.observations.iter();
+            let signs: Vec<_> = words.filter_map(|word| unpack_record(now, *word)).collect();
+            let take = |sign: &ObservationRecord| self.evidence.record(now, start, *sign, origin);
             let notes: Vec<_> = signs.iter().filter_map(take).collect();
             if notes.is_empty() {
-                self.evidence.heard(now, start, &signs);
+                self.evidence.record_echo(now, start, &signs);
             }
             is_news |= !notes.is_empty();
-            self.effects.extend(notes.into_iter().map(FleetEffect::Note));
+            self.effects.extend(notes.into_iter().map(FleetEffect::RecordObservation));
         }
         if is_news {
-            self.round_at = Some(self.free_at);
-            self.tell_evidence(now);
+            self.next_evidence_round_at = Some(self.evidence_budget_free_at);
+            self.send_due_evidence(now);
         }
     }
 
     /// Tells what is due, as far as the budget goes.
-    pub(crate) fn tell_evidence(&mut self, now: ClockTime) {
-        if !self.round_at.is_some_and(|at| at.is_past(now)) {
+    pub(crate) fn send_due_evidence(&mut self, now: ClockTime) {
+        if !self.next_evidence_round_at.is_some_and(|at| at.is_past(now)) {
             return;
         }
-        let due = self.evidence.due(&mut self.rng, now);
+        let due = self.evidence.due_evidence(&mut self.rng, now);
         if !due.is_empty() {
             self.tell_round(now, &due);
         }
-        self.round_at = self.evidence.tell_at().map(|at| at.max(self.free_at));
+        self.next_evidence_round_at =
+            self.evidence.next_send_at().map(|at| at.max(self.evidence_budget_free_at));
     }
 
     /// Tells an instance that has just started.
-    pub(crate) fn tell_starter(&mut self, now: ClockTime, to: SocketAddrV4) {
-        let mut all = self.evidence.all(&mut self.rng);
+    pub(crate) fn send_evidence_to_starter(&mut self, now: ClockTime, to: SocketAddrV4) {
+        let mut all = self.evidence.all_evidence(&mut self.rng);
         for _ in 0..STARTER_MESSAGES {
-            let message = self.evidence_message(now, all.iter().map(|due| &due.start));
+            let message = self.evidence_message(now, all.iter().map(|due| &due.key));
             if message.backends.is_empty() {
                 return;
             }
             all.drain(..message.backends.len());
-            self.send(to, MessageBody::Evidence(message));
+            self.send_message(to, MessageBody::Evidence(message));
         }
     }
 
     fn tell_round(&mut self, now: ClockTime, due: &[DueEvidence]) {
-        let mut near = self.peers.pick_near(&mut self.rng, now, NEAR_FANOUT);
-        near.extend(self.peers.random_quiet(&mut self.rng, now));
-        let message = self.evidence_message(now, due.iter().map(|one| &one.start));
+        let mut near = self.peers.pick_same_centre(&mut self.rng, now, SAME_CENTRE_FANOUT);
+        near.extend(self.peers.pick_random_quiet(&mut self.rng, now));
+        let message = self.evidence_message(now, due.iter().map(|one| &one.key));
         let due = &due[..message.backends.len()];
         let mut bytes = self.send_evidence(near, &message);
         let (reach, far) = self.pick_far_for(now, due);
-        let far_due = due.iter().filter(|one| one.reach >= reach);
-        let mut message = self.evidence_message(now, far_due.map(|one| &one.start));
-        message.is_far = true;
+        let far_due = due.iter().filter(|one| one.remote_scope >= reach);
+        let mut message = self.evidence_message(now, far_due.map(|one| &one.key));
+        message.is_remote = true;
         bytes += self.send_evidence(far, &message);
-        due.iter().for_each(|one| self.evidence.told(now, &one.start));
+        due.iter().for_each(|one| self.evidence.record_send(now, &one.key));
         let cost_ms = bytes as u64 * 1_000 / BYTES_PER_S;
-        self.free_at = now.after_millis(cost_ms.max(ROUND_MS));
+        self.evidence_budget_free_at = now.after_millis(cost_ms.max(ROUND_MS));
     }
 
     /// Instances of other data centres that a round is told to, and the least reach of what
@@ -120,17 +129,19 @@
         &mut self,
         now: ClockTime,
         due: &[DueEvidence],
-    ) -> (FarReach, Vec<SocketAddrV4>) {
-        let reach = due.iter().map(|one| one.reach).max().unwrap_or(FarReach::None);
+    ) -> (RemoteScope, Vec<SocketAddrV4>) {
+        let reach = due.iter().map(|one| one.remote_scope).max().unwrap_or(RemoteScope::None);
         let drawn = match reach {
-            FarReach::None => Vec::new(),
-            FarReach::Some | FarReach::Sure => self.pick_far_sometimes(now, NewsOrigin::Near),
+            RemoteScope::None => Vec::new(),
+            RemoteScope::Sampled | RemoteScope::Always => {
+                self.pick_remote_sometimes(now, UpdateOrigin::SameCentre)
+            }
         };
         match reach {
-            FarReach::Sure if drawn.is_empty() => {
-                (FarReach::Sure, self.peers.pick_far(&mut self.rng, 1))
+            RemoteScope::Always if drawn.is_empty() => {
+                (RemoteScope::Always, self.peers.pick_remote(&mut self.rng, 1))
             }
-            _ => (FarReach::Some, drawn),
+            _ => (RemoteScope::Sampled, drawn),
         }
     }
 
@@ -141,7 +152,7 @@
         }
         let bytes = to.len() * message.encoded_len();
         for address in to {
-            self.send(address, MessageBody::Evidence(message.clone()));
+            self.send_message(address, MessageBody::Evidence(message.clone()));
         }
         bytes
     }
@@ -150,16 +161,16 @@
     fn evidence_message<'a>(
         &self,
         now: ClockTime,
-        starts: impl Iterator<Item = &'a BackendStart>,
+        starts: impl Iterator<Item = &'a BackendKey>,
     ) -> EvidenceMessage {
         let mut message = EvidenceMessage::default();
         let mut bytes = 0;
         for start in starts {
-            let signs = self.evidence.signs(now, start);
+            let signs = self.evidence.records(now, start);
             let entry = EvidenceEntry {
                 number: start.number,
                 incarnation: start.incarnation,
-                signs: signs.iter().map(|sign| pack_sign(now, sign)).collect(),
+                observations: signs.iter().map(|sign| pack_record(now, sign)).collect(),
             };
             bytes += entry.encoded_len() + ENTRY_HEAD;
             if bytes > ENTRY_BUDGET {
--- a/crates/foxledge-gossip/src/pulls.rs
+++ b/crates/foxledge-gossip/src/list_pull.rs
@@ -6,7 +6,7 @@
 use foxledge_flows::{list::ListCursor, rows::ListRow};
 
 use crate::{
-    messages::{BURST, PageMessage, PullMessage},
+    messages::{PAGES_PER_REQUEST, PullPage, PullRequest},
     packing::PackedRows,
 };
 
@@ -44,7 +44,7 @@
     /// Place of the next page among those that answer the question.
     next_index: u32,
     /// Pages that came before it, by their place.
-    early: BTreeMap<u32, PageMessage>,
+    early: BTreeMap<u32, PullPage>,
     tries: u32,
     /// When to ask again.
     pub retry_at: ClockTime,
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 pub enum PullStep {
     /// Ask the peer.
-    Ask(PullMessage),
+    Ask(PullRequest),
     /// Wait for further pages.
     Wait,
     /// Everything has come.
@@ -114,12 +114,12 @@
     }
 
     /// The question for the next page.
-    pub fn question(&self) -> PullMessage {
-        PullMessage {
-            ticket: self.ticket,
+    pub fn question(&self) -> PullRequest {
+        PullRequest {
+            request_id: self.ticket,
             revision: self.cursor.revision,
             key: self.cursor.key.to_string(),
-            is_copy: self.is_copy,
+            is_snapshot: self.is_copy,
             known: self.takes_gaps.then_some(self.known),
         }
     }
@@ -129,8 +129,8 @@
     /// Pages are sent together, and the network may hand them over in another order: one
     /// that comes before its turn is kept. Were it dropped, it would be asked for again
     /// after [`PAGE_MS`], and a transfer of many pages would hardly ever end.
-    pub fn take(&mut self, now: ClockTime, page: PageMessage) -> PullStep {
-        if page.index < self.next_index || page.index >= BURST {
+    pub fn take(&mut self, now: ClockTime, page: PullPage) -> PullStep {
+        if page.index < self.next_index || page.index >= PAGES_PER_REQUEST {
             return PullStep::Wait;
         }
         self.early.insert(page.index, page);
@@ -154,11 +154,11 @@
     }
 
     /// Takes the page whose turn it is.
-    fn take_next(&mut self, now: ClockTime, page: PageMessage) -> PullStep {
+    fn take_next(&mut self, now: ClockTime, page: PullPage) -> PullStep {
         if *self.incarnation.get_or_insert(page.incarnation) != page.incarnation {
             return self.begin_again(now);
         }
-        if page.is_copy && !self.is_copy {
+        if page.is_snapshot && !self.is_copy {
             // The peer can't tell the changes since what is known here.
             self.is_copy = true;
             self.rows.clear();
@@ -168,7 +168,7 @@
         let Some(last) = rows.last().filter(|_| page.has_more) else {
             self.rows.extend(rows);
             let rows = std::mem::take(&mut self.rows);
-            let PageMessage { head, floor, .. } = page;
+            let PullPage { head, floor, .. } = page;
             return PullStep::Done { rows, kind: self.kind(), head, floor };
         };
         self.cursor = ListCursor { revision: last.revision, key: last.key.as_str().into() };
@@ -176,7 +176,7 @@
         self.next_index += 1;
         self.tries = 0;
         self.retry_at = now.after_millis(PAGE_MS);
-        if self.next_index < BURST {
+        if self.next_index < PAGES_PER_REQUEST {
             return PullStep::Wait;
         }
         self.ask_again()
--- a/crates/foxledge-gossip/src/copies.rs
+++ b/crates/foxledge-gossip/src/list_transfer.rs
@@ -8,14 +8,14 @@
 use rand::Rng;
 
 use crate::{
+    dissemination::MAX_CONFIRMATIONS,
+    list_pull::{ListPull, PullStep, PulledKind},
     member::FleetMember,
-    messages::{BURST, MessageBody, PageMessage, PullMessage},
-    pulls::{ListPull, PullStep, PulledKind},
-    spreading::MOST_CLAIMS,
+    messages::{MessageBody, PAGES_PER_REQUEST, PullPage, PullRequest},
 };
 
 /// Bytes of rows in one page: beside them are three readers at most, of 70 bytes.
-pub(crate) const PAGE_BUDGET: usize = 1_100;
+pub(crate) const MAX_PAGE_ROW_BYTES: usize = 1_100;
 /// Instances that are served with rows at a time. A copy that goes out alone is whole
 /// soonest, and from then on two can hand it on.
 const MOST_SERVED: usize = 1;
@@ -50,7 +50,7 @@
         let near = self.near_holder(now);
         if near.is_none() && self.waits_for_near(now, from) {
             let wait = FAR_COPY_MS + self.rng.random_range(0..FAR_COPY_SPREAD_MS);
-            self.pull_at.get_or_insert((now.after_millis(wait), from));
+            self.next_pull.get_or_insert((now.after_millis(wait), from));
             return;
         }
         self.pull_from(now, near.unwrap_or(from));
@@ -59,8 +59,8 @@
     /// Asks again after an instance was busy, the same or another, or after the wait for one
     /// nearby that has the list.
     pub(crate) fn begin_waiting_pull(&mut self, now: ClockTime) {
-        let Some((_, from)) = self.pull_at.take_if(|(at, _)| at.is_past(now)) else { return };
-        if self.pull.is_none() && self.peers.may_know_more(&from, self.list.head()) {
+        let Some((_, from)) = self.next_pull.take_if(|(at, _)| at.is_past(now)) else { return };
+        if self.pull.is_none() && self.peers.may_have_newer_list(&from, self.list.head()) {
             let near = self.near_holder(now);
             self.pull_from(now, near.unwrap_or(from));
         }
@@ -72,25 +72,25 @@
     /// that read the store; of changes, one of some instances asks for them at once and hands
     /// them on.
     fn waits_for_near(&mut self, now: ClockTime, from: SocketAddrV4) -> bool {
-        if self.peers.is_near(&from) {
+        if self.peers.is_same_centre(&from) {
             return false;
         }
         if self.list.head() == 0 {
-            return self.preview.is_known();
+            return self.preview.was_received();
         }
-        let together = self.peers.count_near(now) as u32 + 1;
+        let together = self.peers.count_same_centre(now) as u32 + 1;
         !self.rng.random_ratio(1, together.min(FAR_ASKERS))
     }
 
     /// True when what differs since `revision`, told over a gap, can be taken.
-    pub(crate) fn takes_gap_after(&self, revision: u64) -> bool {
+    pub(crate) fn can_apply_gap_after(&self, revision: u64) -> bool {
         self.list.head() == revision && !self.list.has_rows_past_head()
     }
 
     fn near_holder(&mut self, now: ClockTime) -> Option<SocketAddrV4> {
-        let holders = self.peers.holders(&mut self.rng, now, self.list.head(), 1);
-        let address = holders.first()?.card.as_ref()?.address()?;
-        self.peers.is_near(&address).then_some(address)
+        let holders = self.peers.pick_list_holders(&mut self.rng, now, self.list.head(), 1);
+        let address = holders.first()?.descriptor.as_ref()?.address()?;
+        self.peers.is_same_centre(&address).then_some(address)
     }
 
     fn pull_from(&mut self, now: ClockTime, from: SocketAddrV4) {
@@ -101,8 +101,8 @@
         }
         let question = pull.question();
         self.pull = Some(pull);
-        self.pull_at = None;
-        self.send(from, MessageBody::Pull(question));
+        self.next_pull = None;
+        self.send_message(from, MessageBody::PullRequest(question));
     }
 
     /// Asks again when a page hasn't come in time, or gives the peer up.
@@ -113,36 +113,41 @@
             return;
         }
         if let PullStep::Ask(question) = pull.retry(now) {
-            self.send(pull.from, MessageBody::Pull(question));
+            self.send_message(pull.from, MessageBody::PullRequest(question));
             self.pull = Some(pull);
         }
     }
 
     /// Answers a question for rows with pages, or turns it away.
-    pub(crate) fn answer_pull(&mut self, now: ClockTime, from: SocketAddrV4, pull: &PullMessage) {
+    pub(crate) fn handle_pull_request(
+        &mut self,
+        now: ClockTime,
+        from: SocketAddrV4,
+        pull: &PullRequest,
+    ) {
         let reach = self.reach_for(pull);
         if self.is_over_budget(now, pull, reach) || !self.admit_pull(now, from) {
-            return self.send_busy(now, from, pull.ticket);
+            return self.send_busy(now, from, pull.request_id);
         }
-        let cursor = match pull.is_copy == (reach == ChangeCoverage::Unavailable) {
+        let cursor = match pull.is_snapshot == (reach == ChangeCoverage::Unavailable) {
             true => ListCursor { revision: pull.revision, key: pull.key.as_str().into() },
             false => ListCursor::start(),
         };
-        self.send_pages(now, from, pull.ticket, cursor, reach);
+        self.send_pages(now, from, pull.request_id, cursor, reach);
     }
 
     /// True when changes are asked for that the budget doesn't allow now.
     ///
     /// A transfer that goes on isn't broken off: its rows would be sent twice.
-    fn is_over_budget(&self, now: ClockTime, pull: &PullMessage, reach: ChangeCoverage) -> bool {
+    fn is_over_budget(&self, now: ClockTime, pull: &PullRequest, reach: ChangeCoverage) -> bool {
         let begins = pull.known == Some(pull.revision) && reach != ChangeCoverage::Unavailable;
-        begins && self.pages_paid_at > now.after_millis(PAGES_AHEAD_MS)
+        begins && self.page_budget_free_at > now.after_millis(PAGES_AHEAD_MS)
     }
 
     /// How the asker can be told what it lacks.
-    fn reach_for(&self, pull: &PullMessage) -> ChangeCoverage {
+    fn reach_for(&self, pull: &PullRequest) -> ChangeCoverage {
         match pull.known {
-            _ if pull.is_copy => ChangeCoverage::Unavailable,
+            _ if pull.is_snapshot => ChangeCoverage::Unavailable,
             Some(known) => self.list.coverage_since(known),
             None if pull.revision < self.list.floor() => ChangeCoverage::Unavailable,
             None => ChangeCoverage::Complete,
@@ -165,9 +170,9 @@
 
     /// Turns a question away, and names others that may answer it.
     fn send_busy(&mut self, now: ClockTime, to: SocketAddrV4, ticket: u32) {
-        let peers = self.peers.holders(&mut self.rng, now, 0, HOLDERS);
-        let page = PageMessage { ticket, is_busy: true, peers, ..PageMessage::default() };
-        self.send(to, MessageBody::Page(page));
+        let peers = self.peers.pick_list_holders(&mut self.rng, now, 0, HOLDERS);
+        let page = PullPage { request_id: ticket, is_busy: true, peers, ..PullPage::default() };
+        self.send_message(to, MessageBody::PullPage(page));
     }
 
     /// Sends as many pages as one question is answered with.
@@ -179,25 +184,30 @@
         mut cursor: ListCursor,
         reach: ChangeCoverage,
     ) {
-        for index in 0..BURST {
-            let (rows, next) = self.packed_page(now, &cursor, PAGE_BUDGET);
-            let message = PageMessage {
-                ticket,
+        for index in 0..PAGES_PER_REQUEST {
+            let (rows, next) = self.packed_page(now, &cursor, MAX_PAGE_ROW_BYTES);
+            let message = PullPage {
+                request_id: ticket,
                 index,
                 has_more: next.is_some(),
                 rows: Some(rows),
-                is_copy: reach == ChangeCoverage::Unavailable,
+                is_snapshot: reach == ChangeCoverage::Unavailable,
                 has_gap: reach == ChangeCoverage::AcrossGap,
                 head: self.list.head(),
                 floor: self.list.floor(),
-                claims: if index == 0 { self.claim_messages(now, MOST_CLAIMS) } else { Vec::new() },
+                confirmations: if index == 0 {
+                    self.confirmation_messages(now, MAX_CONFIRMATIONS)
+                } else {
+                    Vec::new()
+                },
                 is_busy: false,
                 peers: Vec::new(),
-                incarnation: self.card.incarnation,
+                incarnation: self.descriptor.incarnation,
             };
             let cost = message.encoded_len() as u64 * 1_000_000 / CHANGES_BYTES_PER_S;
-            self.pages_paid_at = self.pages_paid_at.max(now).after(Duration::from_micros(cost));
-            self.send(to, MessageBody::Page(message));
+            self.page_budget_free_at =
+                self.page_budget_free_at.max(now).after(Duration::from_micros(cost));
+            self.send_message(to, MessageBody::PullPage(message));
             let Some(next) = next else {
                 self.served.remove(&to);
                 return;
@@ -207,20 +217,22 @@
     }
 
     /// Takes a page of the transfer that goes on; the last puts all of it in force.
-    pub(crate) fn take_page(&mut self, now: ClockTime, page: PageMessage) {
-        let Some(mut pull) = self.pull.take_if(|pull| pull.ticket == page.ticket) else { return };
+    pub(crate) fn handle_pull_page(&mut self, now: ClockTime, page: PullPage) {
+        let Some(mut pull) = self.pull.take_if(|pull| pull.ticket == page.request_id) else {
+            return;
+        };
         let from = pull.from;
         if page.is_busy {
-            self.learn_peer_list(now, &page.peers);
+            self.merge_peers(now, &page.peers);
             let wait = self.rng.random_range(BUSY_MS..BUSY_MS * 3);
-            self.ask_at = self.ask_at.max(now.after_millis(wait));
-            self.pull_at = Some((now.after_millis(wait), from));
+            self.next_seed_query_at = self.next_seed_query_at.max(now.after_millis(wait));
+            self.next_pull = Some((now.after_millis(wait), from));
             return;
         }
-        self.learn_claims(now, &page.claims);
+        self.merge_confirmations(now, &page.confirmations);
         match pull.take(now, page) {
             PullStep::Ask(question) => {
-                self.send(from, MessageBody::Pull(question));
+                self.send_message(from, MessageBody::PullRequest(question));
                 self.pull = Some(pull);
             }
             PullStep::Done { rows, kind, head, floor } => {
@@ -228,25 +240,25 @@
                 if known == 0 && head < self.preview.head() {
                     return;
                 }
-                self.hold_config(head);
+                self.retain_config_across_restore(head);
                 let taken = match kind {
                     PulledKind::Copy => self.list.apply_snapshot(now, rows, head, floor),
                     PulledKind::Changes => self.list.apply_changes(now, rows, head),
-                    PulledKind::OverGap { known } if self.takes_gap_after(known) => {
+                    PulledKind::OverGap { known } if self.can_apply_gap_after(known) => {
                         self.list.apply_changes_across_gap(now, rows, head)
                     }
                     // News that came meanwhile may lie within the gap.
                     PulledKind::OverGap { .. } => return self.begin_pull(now, from),
                 };
-                self.rows_taken(now, taken, known, from.to_string());
-                self.confirm();
+                self.publish_changed_rows(now, taken, known, from.to_string());
+                self.update_confirmation();
                 if known == 0 {
                     // Others that start at the same time can ask here now.
-                    self.spread(now, self.list.head(), None);
+                    self.disseminate(now, self.list.head(), None);
                 }
             }
             PullStep::Wait => {
-                self.note_progress(now);
+                self.record_transfer_progress(now);
                 self.pull = Some(pull);
             }
             PullStep::Lost => {}
--- a/crates/foxledge-gossip/src/load_packing.rs
+++ b/crates/foxledge-gossip/src/load_packing.rs
@@ -16,8 +16,8 @@
 use prost::{Message, encoding::encoded_len_varint};
 
 use crate::{
-    messages::{CentreLoadRow, FarRunningRow, LoadPartRow, ServiceLoadRow},
-    spreading::age_ms,
+    dissemination::age_ms,
+    messages::{CentreAggregateRow, InstanceReportRow, RemoteRunningRow, ServiceLoadRow},
 };
 
 /// Services taken of one row, more than a message of an instance holds.
@@ -40,17 +40,17 @@
     told_at: ClockTime,
     near: &CentreName,
     budget: usize,
-) -> LoadPartRow {
+) -> InstanceReportRow {
     let accounts = part.load.sampled_accounts.iter().take(MOST_ACCOUNTS);
-    let mut row = LoadPartRow {
+    let mut row = InstanceReportRow {
         ip: u32::from(*part.reporter.address.ip()),
         port: u32::from(part.reporter.address.port()),
         incarnation: part.reporter.incarnation,
         serial: part.serial,
         age_ms: age_ms(now, told_at),
         services: Vec::new(),
-        accounts: accounts.flat_map(|account| account.to_le_bytes()).collect(),
-        one_in: part.load.openings_per_sample,
+        sampled_accounts: accounts.flat_map(|account| account.to_le_bytes()).collect(),
+        openings_per_sample: part.load.openings_per_sample,
     };
     row.services = pack_services(&part.load.services, near, budget, row.encoded_len());
     row
@@ -59,17 +59,17 @@
 /// A part that was told, and when; none when its teller has no address.
 pub(crate) fn unpack_part(
     now: ClockTime,
-    row: &LoadPartRow,
+    row: &InstanceReportRow,
     near: &CentreName,
 ) -> Option<(InstanceReport, ClockTime)> {
     let port = u16::try_from(row.port).ok().filter(|port| *port > 0)?;
     let address = SocketAddrV4::new(Ipv4Addr::from(row.ip), port);
-    let words = row.accounts.chunks_exact(ACCOUNT_BYTES).take(MOST_ACCOUNTS);
+    let words = row.sampled_accounts.chunks_exact(ACCOUNT_BYTES).take(MOST_ACCOUNTS);
     let accounts = words.filter_map(|word| Some(u32::from_le_bytes(word.try_into().ok()?)));
     let load = LocalLoad {
         services: unpack_services(&row.services, near),
         sampled_accounts: accounts.collect(),
-        openings_per_sample: row.one_in,
+        openings_per_sample: row.openings_per_sample,
     };
     let teller = ReporterId { address, incarnation: row.incarnation };
     let told_at = now.before_millis(u64::from(row.age_ms));
@@ -83,21 +83,21 @@
     told_at: ClockTime,
     pressed_until: ClockTime,
     budget: usize,
-) -> CentreLoadRow {
-    let mut row = CentreLoadRow {
+) -> CentreAggregateRow {
+    let mut row = CentreAggregateRow {
         data_centre: sum.data_centre.to_string(),
         serial: sum.serial,
         age_ms: age_ms(now, told_at),
         instances: sum.instances,
         services: Vec::new(),
-        pressed_ms: pressed_until.remaining_millis(now),
+        loaded_ms: pressed_until.remaining_millis(now),
     };
     row.services = pack_services(&sum.services, &sum.data_centre, budget, row.encoded_len());
     row
 }
 
 /// A sum that was told, and when.
-pub(crate) fn unpack_sum(now: ClockTime, row: &CentreLoadRow) -> (CentreAggregate, ClockTime) {
+pub(crate) fn unpack_sum(now: ClockTime, row: &CentreAggregateRow) -> (CentreAggregate, ClockTime) {
     let data_centre = CentreName::new(&row.data_centre);
     let services = unpack_services(&row.services, &data_centre);
     let sum =
@@ -129,7 +129,7 @@
 }
 
 fn pack_service(key: ServiceKey, load: &ServiceLoad, near: &CentreName) -> ServiceLoadRow {
-    let mut row = ServiceLoadRow { service: key.0, ..ServiceLoadRow::default() };
+    let mut row = ServiceLoadRow { service_hash: key.0, ..ServiceLoadRow::default() };
     for (priority, load) in load.priorities.iter().take(MOST_PRIORITIES) {
         row.arrivals.extend([*priority, whole(load.arrivals_per_s * 1e3)]);
         if load.work_us > 0.0 {
@@ -142,7 +142,7 @@
             running if centre == near => row.running = running,
             running => {
                 let data_centre = centre.to_string();
-                row.far_running.push(FarRunningRow { data_centre, running });
+                row.remote_running.push(RemoteRunningRow { data_centre, running });
             }
         }
     }
@@ -154,7 +154,7 @@
     near: &CentreName,
 ) -> BTreeMap<ServiceKey, ServiceLoad> {
     let rows = rows.iter().take(MOST_SERVICES);
-    rows.map(|row| (ServiceKey(row.service), unpack_service(row, near))).collect()
+    rows.map(|row| (ServiceKey(row.service_hash), unpack_service(row, near))).collect()
 }
 
 fn unpack_service(row: &ServiceLoadRow, near: &CentreName) -> ServiceLoad {
@@ -168,7 +168,7 @@
             one.work_us = f64::from(work_us);
         }
     }
-    for far in row.far_running.iter().take(MOST_CENTRES) {
+    for far in row.remote_running.iter().take(MOST_CENTRES) {
         load.running.insert(CentreName::new(&far.data_centre), f64::from(far.running));
     }
     if row.running > 0 {
@@ -186,7 +186,7 @@
 }
 
 fn running_of(row: &ServiceLoadRow) -> u64 {
-    let far = row.far_running.iter().map(|far| u64::from(far.running));
+    let far = row.remote_running.iter().map(|far| u64::from(far.running));
     u64::from(row.running) + far.sum::<u64>()
 }
 
--- a/crates/foxledge-gossip/src/load.rs
+++ b/crates/foxledge-gossip/src/load_reporting.rs
@@ -17,7 +17,10 @@
 use crate::{
     load_packing::{framed, pack_part, pack_sum, unpack_part, unpack_sum},
     member::FleetMember,
-    messages::{CentreLoadRow, LARGEST_BODY, LoadMessage, LoadPartRow, MessageBody, PeerCard},
+    messages::{
+        CentreAggregateRow, InstanceReportRow, LoadMessage, MAX_BODY_BYTES, MessageBody,
+        PeerDescriptor,
+    },
     options::MemberOptions,
     peers::{PeerChange, PeerLoss},
 };
@@ -89,9 +92,9 @@
     Pressed,
 }
 
-/// `LoadTeller` is what an instance knows of load, and when it tells it.
+/// `LoadReporter` is what an instance knows of load, and when it tells it.
 #[derive(Debug)]
-pub(crate) struct LoadTeller {
+pub(crate) struct LoadReporter {
     own: ReporterId,
     near: CentreName,
     table: LoadTable,
@@ -124,11 +127,11 @@
     sent: u64,
 }
 
-impl LoadTeller {
+impl LoadReporter {
     /// Makes the teller of an instance that knows no load.
-    pub fn new(now: ClockTime, options: &MemberOptions) -> LoadTeller {
+    pub fn new(now: ClockTime, options: &MemberOptions) -> LoadReporter {
         let (address, incarnation) = (options.address, options.incarnation as u32);
-        LoadTeller {
+        LoadReporter {
             own: ReporterId { address, incarnation },
             near: options.data_centre.clone(),
             table: LoadTable::new(options.data_centre.clone()),
@@ -150,7 +153,7 @@
     }
 
     /// When the next round is due; none while the own load isn't known.
-    pub fn due_at(&self, now: ClockTime) -> Option<ClockTime> {
+    pub fn next_report_at(&self, now: ClockTime) -> Option<ClockTime> {
         if self.has_own && self.onset.is_some() {
             return Some(now);
         }
@@ -230,7 +233,7 @@
 
     /// The message of a calm round, which holds the own part alone.
     fn calm_message(&self, now: ClockTime) -> LoadMessage {
-        LoadMessage { parts: self.own_row(now), ..self.empty_message(now) }
+        LoadMessage { reports: self.own_row(now), ..self.empty_message(now) }
     }
 
     /// The message of a busy round to instances of the own data centre, in about so many bytes.
@@ -240,20 +243,20 @@
         onset: Option<LoadOnset>,
         most: usize,
     ) -> LoadMessage {
-        let mut message = LoadMessage { parts: self.own_row(now), ..self.empty_message(now) };
+        let mut message = LoadMessage { reports: self.own_row(now), ..self.empty_message(now) };
         let mut bytes = message.encoded_len();
         if onset.is_some() {
             self.next_sum = self.newest_sum();
         }
         self.add_sums(now, &mut message, &mut bytes, most);
         for (part, told_at) in self.table.reports().skip(1).take(MOST_PARTS - 1) {
-            let row = pack_part(now, part, told_at, &self.near, LARGEST_BODY);
+            let row = pack_part(now, part, told_at, &self.near, MAX_BODY_BYTES);
             let size = framed(row.encoded_len());
             if bytes + size > most {
                 break;
             }
             bytes += size;
-            message.parts.push(row);
+            message.reports.push(row);
         }
         message
     }
@@ -279,42 +282,42 @@
         let (later, sooner) = sums.split_at(first);
         for (sum, told_at) in sooner.iter().chain(later) {
             let until = self.pressed_until.get(&sum.data_centre).copied().unwrap_or_default();
-            let row = pack_sum(now, sum, *told_at, until, LARGEST_BODY);
+            let row = pack_sum(now, sum, *told_at, until, MAX_BODY_BYTES);
             let size = framed(row.encoded_len());
-            let limit = if message.centres.is_empty() { LARGEST_BODY } else { most };
+            let limit = if message.aggregates.is_empty() { MAX_BODY_BYTES } else { most };
             if *bytes + size > limit {
                 break;
             }
             *bytes += size;
-            message.centres.push(row);
+            message.aggregates.push(row);
         }
-        self.next_sum = first + message.centres.len().max(1);
+        self.next_sum = first + message.aggregates.len().max(1);
     }
 
     /// The message to another data centre: the sum of the own one.
     fn far_message(&self, now: ClockTime) -> LoadMessage {
-        let budget = LARGEST_BODY - HEAD_BYTES;
+        let budget = MAX_BODY_BYTES - HEAD_BYTES;
         let until = match self.schedule.is_loaded() {
             true => now.after_millis(PRESSED_MS),
             false => ClockTime::ZERO,
         };
         let row = pack_sum(now, &self.table.local_aggregate(now), now, until, budget);
-        LoadMessage { is_far: true, centres: vec![row], ..self.empty_message(now) }
+        LoadMessage { is_remote: true, aggregates: vec![row], ..self.empty_message(now) }
     }
 
     fn empty_message(&self, now: ClockTime) -> LoadMessage {
         LoadMessage {
-            is_far: false,
-            parts: Vec::new(),
-            centres: Vec::new(),
-            turn_ms: self.table.fleet_clock_ms(now),
-            is_pressed: self.schedule.is_loaded(),
-            is_busy: self.schedule.pace(now).is_fast(),
+            is_remote: false,
+            reports: Vec::new(),
+            aggregates: Vec::new(),
+            fleet_clock_ms: self.table.fleet_clock_ms(now),
+            is_loaded: self.schedule.is_loaded(),
+            is_fast: self.schedule.pace(now).is_fast(),
         }
     }
 
-    fn own_row(&self, now: ClockTime) -> Vec<LoadPartRow> {
-        let budget = LARGEST_BODY - HEAD_BYTES;
+    fn own_row(&self, now: ClockTime) -> Vec<InstanceReportRow> {
+        let budget = MAX_BODY_BYTES - HEAD_BYTES;
         let own = self.table.reports().take(1);
         own.map(|(part, told_at)| pack_part(now, part, told_at, &self.near, budget)).collect()
     }
@@ -333,12 +336,12 @@
     ///
     /// Only a newer sum tells that it is pressed. Relayed as the time left, the word would gain at
     /// each hop what the message took, and never end.
-    fn take_sum(&mut self, now: ClockTime, row: &CentreLoadRow) {
+    fn take_sum(&mut self, now: ClockTime, row: &CentreAggregateRow) {
         let (sum, told_at) = unpack_sum(now, row);
         let data_centre = sum.data_centre.clone();
         let is_newer = self.table.apply_aggregate(now, sum, told_at);
-        if is_newer && row.pressed_ms > 0 && data_centre != self.near {
-            let left_ms = u64::from(row.pressed_ms).min(PRESSED_MS);
+        if is_newer && row.loaded_ms > 0 && data_centre != self.near {
+            let left_ms = u64::from(row.loaded_ms).min(PRESSED_MS);
             let until = now.after_millis(left_ms);
             self.note_pressed(now, data_centre, until, LoadOnset::Heard);
             self.schedule.record_loaded_centre(until.before_millis(PRESSED_MS));
@@ -350,41 +353,41 @@
     /// Sets the load that this instance sees, and the largest load of a service in its data
     /// centre in requests a slot; tells them when that is due. Does nothing unless load is
     /// reported.
-    pub fn set_own_load(&mut self, now: ClockTime, own: LocalLoad, pressure: f64) {
+    pub fn set_local_load(&mut self, now: ClockTime, own: LocalLoad, pressure: f64) {
         self.count_instances(now);
-        let Some(load) = &mut self.load else { return };
+        let Some(load) = &mut self.load_reporter else { return };
         let running = own.services.values().flat_map(|service| service.running.values()).sum();
         load.table.set_local_load(now, load.own, own);
         load.has_own = true;
         load.table.remove_expired(now);
         load.note_own(now, running, pressure);
-        self.tell_load(now);
+        self.report_load(now);
     }
 
     /// The load of all data centres as it is known; none unless load is reported. Account
     /// samples are handed out once.
     pub fn load_view(&mut self, now: ClockTime) -> Option<Arc<LoadView>> {
         self.count_instances(now);
-        Some(self.load.as_mut()?.table.build_view(now))
+        Some(self.load_reporter.as_mut()?.table.build_view(now))
     }
 
     /// How often this instance tells its load.
-    pub fn load_pace(&self, now: ClockTime) -> ReportPace {
-        self.load.as_ref().map_or(ReportPace::Slow, |load| load.schedule.pace(now))
+    pub fn load_report_pace(&self, now: ClockTime) -> ReportPace {
+        self.load_reporter.as_ref().map_or(ReportPace::Slow, |load| load.schedule.pace(now))
     }
 
     /// Messages of load sent since the start.
-    pub fn load_messages(&self) -> u64 {
-        self.load.as_ref().map_or(0, |load| load.sent)
+    pub fn load_messages_sent(&self) -> u64 {
+        self.load_reporter.as_ref().map_or(0, |load| load.sent)
     }
 
     /// Tells load when that is due.
-    pub(crate) fn tell_load(&mut self, now: ClockTime) {
-        let due_at = self.load.as_ref().and_then(|load| load.due_at(now));
-        if self.card.is_leaving || !due_at.is_some_and(|at| at.is_past(now)) {
+    pub(crate) fn report_load(&mut self, now: ClockTime) {
+        let due_at = self.load_reporter.as_ref().and_then(|load| load.next_report_at(now));
+        if self.descriptor.is_leaving || !due_at.is_some_and(|at| at.is_past(now)) {
             return;
         }
-        let Some(load) = &mut self.load else { return };
+        let Some(load) = &mut self.load_reporter else { return };
         let onset = load.onset.take();
         let fanout = match onset {
             None | Some(LoadOnset::HeardOther) => NEAR_FANOUT,
@@ -393,8 +396,8 @@
         };
         let is_first = onset >= Some(LoadOnset::Heard);
         let most = if is_first { ONSET_BYTES } else { RELAY_BYTES };
-        let near = self.peers.pick_near(&mut self.rng, now, fanout);
-        let instances = self.peers.near_size(now) as u32 + 1;
+        let near = self.peers.pick_same_centre(&mut self.rng, now, fanout);
+        let instances = self.peers.same_centre_size(now) as u32 + 1;
         load.schedule.record_report_sent(now);
         load.table.remove_expired(now);
         let message = match load.schedule.pace(now) {
@@ -409,22 +412,22 @@
             && (onset == Some(LoadOnset::Pressed)
                 || self.rng.random_ratio(FAR_TELLERS.min(instances), instances))
         {
-            let far = self.peers.pick_far(&mut self.rng, 1);
+            let far = self.peers.pick_remote(&mut self.rng, 1);
             bytes += self.send_load(far, message);
         }
-        if let Some(load) = &mut self.load {
+        if let Some(load) = &mut self.load_reporter {
             load.pay(now, bytes, onset);
         }
     }
 
     /// Takes what another instance tells of load.
-    pub(crate) fn take_load(&mut self, now: ClockTime, from: SocketAddrV4, message: LoadMessage) {
-        let is_far = message.is_far || self.peers.is_far(&from);
-        let Some(load) = &mut self.load else { return };
-        load.table.adopt_fleet_clock(now, message.turn_ms);
+    pub(crate) fn handle_load(&mut self, now: ClockTime, from: SocketAddrV4, message: LoadMessage) {
+        let is_far = message.is_remote || self.peers.is_remote(&from);
+        let Some(load) = &mut self.load_reporter else { return };
+        load.table.adopt_fleet_clock(now, message.fleet_clock_ms);
         let most_sums = if is_far { 1 } else { MOST_SUMS };
-        for row in message.centres.iter().take(most_sums) {
-            if self.peers.knows_centre(&row.data_centre) {
+        for row in message.aggregates.iter().take(most_sums) {
+            if self.peers.has_centre(&row.data_centre) {
                 load.take_sum(now, row);
             }
         }
@@ -432,15 +435,15 @@
             self.take_parts(now, &message);
             self.answer_load(now, from, &message);
         }
-        self.tell_load(now);
+        self.report_load(now);
     }
 
     /// Answers an instance whose load has jumped with the own part, unless it is told anyway.
     fn answer_load(&mut self, now: ClockTime, to: SocketAddrV4, message: &LoadMessage) {
-        let Some(load) = &mut self.load else { return };
-        let is_asked = message.is_busy && !message.is_pressed && message.centres.is_empty();
+        let Some(load) = &mut self.load_reporter else { return };
+        let is_asked = message.is_fast && !message.is_loaded && message.aggregates.is_empty();
         let is_calm = load.has_own && !load.schedule.pace(now).is_fast();
-        if !is_asked || !is_calm || self.card.is_leaving || !load.answer_at.is_past(now) {
+        if !is_asked || !is_calm || self.descriptor.is_leaving || !load.answer_at.is_past(now) {
             return;
         }
         load.answer_at = now.after_millis(ANSWER_MS);
@@ -450,10 +453,10 @@
 
     /// Takes parts of the own data centre; the first is the sender's own.
     fn take_parts(&mut self, now: ClockTime, message: &LoadMessage) {
-        let Some(load) = &mut self.load else { return };
-        let sender_pace = if message.is_busy { ReportPace::Fast } else { ReportPace::Slow };
+        let Some(load) = &mut self.load_reporter else { return };
+        let sender_pace = if message.is_fast { ReportPace::Fast } else { ReportPace::Slow };
         let mut pace = sender_pace;
-        for row in message.parts.iter().take(MOST_PARTS) {
+        for row in message.reports.iter().take(MOST_PARTS) {
             let pace = std::mem::replace(&mut pace, ReportPace::Fast);
             let Some((part, told_at)) = unpack_part(now, row, &load.near) else { continue };
             let ReporterId { address, incarnation } = part.reporter;
@@ -462,7 +465,7 @@
             }
             load.table.apply_report(now, part, told_at, pace);
         }
-        if message.is_pressed {
+        if message.is_loaded {
             let near = load.near.clone();
             load.note_pressed(now, near, now.after_millis(PRESSED_MS), LoadOnset::Heard);
             load.schedule.record_loaded_centre(now);
@@ -470,15 +473,15 @@
     }
 
     /// Drops the part of an instance that left or started again.
-    pub(crate) fn drop_load(&mut self, change: PeerChange, card: &PeerCard) {
-        let (Some(load), Some(address)) = (&mut self.load, card.address()) else { return };
+    pub(crate) fn remove_peer_load(&mut self, change: PeerChange, card: &PeerDescriptor) {
+        let (Some(load), Some(address)) = (&mut self.load_reporter, card.address()) else { return };
         let is_gone = match change {
             PeerChange::Left => true,
-            PeerChange::Found => load.table.reports().any(|(part, _)| {
+            PeerChange::Joined => load.table.reports().any(|(part, _)| {
                 let ReporterId { address: of, incarnation } = part.reporter;
                 of == address && incarnation != card.incarnation as u32
             }),
-            PeerChange::None | PeerChange::CentreFound => false,
+            PeerChange::Unchanged | PeerChange::CentreReachable => false,
         };
         if is_gone {
             load.table.remove_instance(&address);
@@ -486,29 +489,29 @@
     }
 
     /// Drops the part of an instance that doesn't answer.
-    pub(crate) fn drop_lost_load(&mut self, loss: &PeerLoss) {
-        if let (Some(load), PeerLoss::Peer { address, .. }) = (&mut self.load, loss) {
+    pub(crate) fn remove_lost_peer_load(&mut self, loss: &PeerLoss) {
+        if let (Some(load), PeerLoss::Peer { address, .. }) = (&mut self.load_reporter, loss) {
             load.table.remove_instance(address);
         }
     }
 
     /// Takes the numbers of instances and data centres from membership.
     fn count_instances(&mut self, now: ClockTime) {
-        let Some(load) = &mut self.load else { return };
-        load.others = self.peers.near_size(now);
+        let Some(load) = &mut self.load_reporter else { return };
+        load.others = self.peers.same_centre_size(now);
         let is_unknown = load.others == 0 && !load.alone_at.is_past(now);
         load.table.set_instances(if is_unknown { 0 } else { load.others as u32 + 1 });
-        load.table.set_alive_centres(self.peers.centres().map(CentreName::new).collect());
+        load.table.set_alive_centres(self.peers.remote_centres().map(CentreName::new).collect());
     }
 
     /// Sends a message to some instances; returns the bytes.
     fn send_load(&mut self, to: Vec<SocketAddrV4>, message: LoadMessage) -> usize {
         let bytes = to.len() * message.encoded_len();
-        if let Some(load) = &mut self.load {
+        if let Some(load) = &mut self.load_reporter {
             load.sent += to.len() as u64;
         }
         for address in to {
-            self.send(address, MessageBody::Load(message.clone()));
+            self.send_message(address, MessageBody::Load(message.clone()));
         }
         bytes
     }
--- a/crates/foxledge-gossip/src/member.rs
+++ b/crates/foxledge-gossip/src/member.rs
@@ -8,17 +8,17 @@
 
 use crate::{
     config_pull::ConfigPull,
-    effects::{FleetEffect, ReadOrder, ReadReason},
+    dissemination::UpdateOrigin,
+    effects::{FleetEffect, ReadReason, StoreQuery},
     election::{ReaderElection, ReaderRank},
     evidence::EvidenceTable,
-    load::LoadTeller,
-    messages::{FleetMessage, MessageBody, PeerCard},
+    list_pull::ListPull,
+    load_reporting::LoadReporter,
+    messages::{FleetMessage, MessageBody, PeerDescriptor},
     options::MemberOptions,
+    partial_list::PartialList,
     peers::PeerTable,
-    preview::ListPreview,
-    pulls::ListPull,
-    refused::{RefusedItem, RefusedTable},
-    spreading::NewsOrigin,
+    refused_items::{RefusedItem, RefusedTable},
 };
 
 /// Longest time between two heartbeats, in milliseconds.
@@ -49,19 +49,19 @@
     /// Who this instance is and whom it asks first.
     pub(crate) options: MemberOptions,
     /// This instance as others are told.
-    pub(crate) card: PeerCard,
+    pub(crate) descriptor: PeerDescriptor,
     /// Random choices.
     pub(crate) rng: StdRng,
     /// The list as it is known.
     pub(crate) list: FleetList,
     /// The operators' list in force, while the store has an older one.
-    pub(crate) held: Option<RetainedConfig>,
+    pub(crate) retained_config: Option<RetainedConfig>,
     /// Its version, once that was told.
-    pub(crate) held_version: Option<u64>,
+    pub(crate) logged_retained_version: Option<u64>,
     /// The transfer of one that another instance holds.
     pub(crate) config_pull: Option<ConfigPull>,
     /// The part of it that serves before all is known.
-    pub(crate) preview: ListPreview,
+    pub(crate) preview: PartialList,
     /// The instances that are known.
     pub(crate) peers: PeerTable,
     /// This instance's part in reading the store.
@@ -69,53 +69,53 @@
     /// The transfer of rows that goes on.
     pub(crate) pull: Option<ListPull>,
     /// When to ask again, after an instance was busy.
-    pub(crate) pull_at: Option<(ClockTime, SocketAddrV4)>,
+    pub(crate) next_pull: Option<(ClockTime, SocketAddrV4)>,
     /// Instances that are being served with rows, and until when they count.
     pub(crate) served: HashMap<SocketAddrV4, ClockTime>,
     /// What is told of the health of backend servers.
     pub(crate) evidence: EvidenceTable,
     /// When it is told next; none while there is nothing to tell.
-    pub(crate) round_at: Option<ClockTime>,
+    pub(crate) next_evidence_round_at: Option<ClockTime>,
     /// What is told of load; none when load isn't reported.
-    pub(crate) load: Option<LoadTeller>,
+    pub(crate) load_reporter: Option<LoadReporter>,
     /// When the pages that were sent, whole copies included, are paid for by their budget.
-    pub(crate) pages_paid_at: ClockTime,
+    pub(crate) page_budget_free_at: ClockTime,
     /// When the budget allows the next round.
-    pub(crate) free_at: ClockTime,
+    pub(crate) evidence_budget_free_at: ClockTime,
     /// When the store last confirmed the list, as far as is known.
     pub(crate) confirmed_at: Option<ClockTime>,
     /// The confirmation that others were last told.
-    pub(crate) told_at: ClockTime,
+    pub(crate) announced_confirmation_at: ClockTime,
     /// Where the newest rows or confirmation came from.
-    pub(crate) news_from: NewsOrigin,
+    pub(crate) update_origin: UpdateOrigin,
     /// Counts this instance's answers from the store.
-    pub(crate) serial: u32,
+    pub(crate) response_serial: u32,
     /// Epoch of the store's history in its last answer to this instance.
     pub(crate) store_epoch: Option<u64>,
     /// When the store was last called.
     pub(crate) called_at: ClockTime,
     /// When peers are asked for a newer confirmation; none after the second time.
-    pub(crate) doubt_at: Option<ClockTime>,
+    pub(crate) next_confirmation_query_at: Option<ClockTime>,
     /// When peers count as handing over no more rows.
-    pub(crate) stalled_at: ClockTime,
+    pub(crate) transfer_stalled_at: ClockTime,
     /// When an instance that has heard of no other counts as the only one.
-    pub(crate) isolated_at: ClockTime,
+    pub(crate) isolation_assumed_at: ClockTime,
     /// Items of the store that can't be understood.
     pub(crate) refused: RefusedTable,
     /// Why the list must be read whole; none while changes will do.
-    pub(crate) copy_reason: Option<ReadReason>,
+    pub(crate) full_read_reason: Option<ReadReason>,
     /// A seed was heard of that starts at the same time.
-    pub(crate) is_together: bool,
+    pub(crate) has_starting_seed: bool,
     /// From when on the next message to others tells all that a heartbeat can.
-    pub(crate) whole_at: ClockTime,
+    pub(crate) next_full_heartbeat_at: ClockTime,
     /// When the next heartbeat is due at the latest.
-    pub(crate) beat_at: ClockTime,
+    pub(crate) next_heartbeat_at: ClockTime,
     /// When an unheard data centre is asked again.
-    pub(crate) unheard_at: ClockTime,
+    pub(crate) next_centre_query_at: ClockTime,
     /// When seeds are asked next, while no list is known.
-    pub(crate) ask_at: ClockTime,
+    pub(crate) next_seed_query_at: ClockTime,
     /// When a first list is read from the store.
-    pub(crate) start_at: ClockTime,
+    pub(crate) first_read_at: ClockTime,
     /// What is to be done.
     pub(crate) effects: Vec<FleetEffect>,
 }
@@ -123,7 +123,7 @@
 impl FleetMember {
     /// Makes a member that knows nothing; its first questions are due at once.
     pub fn new(options: MemberOptions, now: ClockTime) -> FleetMember {
-        let card = PeerCard {
+        let card = PeerDescriptor {
             ip: u32::from(*options.address.ip()),
             port: u32::from(options.address.port()),
             data_centre: options.data_centre.to_string(),
@@ -146,39 +146,39 @@
         };
         FleetMember {
             election: ReaderElection::new(&card),
-            card,
+            descriptor: card,
             rng,
             list: FleetList::new(),
-            held: None,
+            retained_config: None,
             config_pull: None,
-            held_version: None,
-            preview: ListPreview::default(),
+            logged_retained_version: None,
+            preview: PartialList::default(),
             peers: PeerTable::new(options.data_centre.as_str()),
             pull: None,
-            pull_at: None,
+            next_pull: None,
             served: HashMap::new(),
             evidence: EvidenceTable::default(),
-            round_at: None,
-            load: options.tells_load.then(|| LoadTeller::new(now, &options)),
-            pages_paid_at: now,
-            free_at: now,
+            next_evidence_round_at: None,
+            load_reporter: options.reports_load.then(|| LoadReporter::new(now, &options)),
+            page_budget_free_at: now,
+            evidence_budget_free_at: now,
             confirmed_at: None,
-            told_at: ClockTime::ZERO,
-            news_from: NewsOrigin::Near,
-            serial: 0,
+            announced_confirmation_at: ClockTime::ZERO,
+            update_origin: UpdateOrigin::SameCentre,
+            response_serial: 0,
             store_epoch: None,
             called_at: now,
-            doubt_at: None,
-            stalled_at: now,
-            isolated_at: now.after_millis(isolated_ms),
+            next_confirmation_query_at: None,
+            transfer_stalled_at: now,
+            isolation_assumed_at: now.after_millis(isolated_ms),
             refused: RefusedTable::default(),
-            copy_reason: None,
-            is_together: false,
-            whole_at: now,
-            beat_at: now.after_millis(BEAT_MS),
-            unheard_at: now,
-            ask_at: now,
-            start_at: now.after_millis(wait),
+            full_read_reason: None,
+            has_starting_seed: false,
+            next_full_heartbeat_at: now,
+            next_heartbeat_at: now.after_millis(BEAT_MS),
+            next_centre_query_at: now,
+            next_seed_query_at: now,
+            first_read_at: now.after_millis(wait),
             effects: Vec::new(),
             options,
         }
@@ -186,7 +186,7 @@
 
     /// True when all routes are known, by the list or as they were before the store lost them.
     fn knows_routes(&self) -> bool {
-        self.list.has_routes() || self.holds_config()
+        self.list.has_routes() || self.is_retaining_config()
     }
 
     /// The list as it is known.
@@ -200,7 +200,7 @@
     }
 
     /// True while this instance reads the store.
-    pub fn is_reading(&self) -> bool {
+    pub fn is_reading_store(&self) -> bool {
         self.election.is_reading()
     }
 
@@ -210,7 +210,7 @@
     }
 
     /// Other instances of the own data centre, those that fell silent lately included.
-    pub fn neighbours(&mut self, now: ClockTime) -> Vec<SocketAddrV4> {
+    pub fn recent_neighbours(&mut self, now: ClockTime) -> Vec<SocketAddrV4> {
         self.peers.neighbours(now)
     }
 
@@ -220,7 +220,7 @@
     }
 
     /// What is to be done, in order.
-    pub fn take_effects(&mut self) -> Vec<FleetEffect> {
+    pub fn drain_effects(&mut self) -> Vec<FleetEffect> {
         std::mem::take(&mut self.effects)
     }
 
@@ -230,76 +230,78 @@
     }
 
     /// When [`FleetMember::on_time`] is due next.
-    pub fn next_at(&self, now: ClockTime) -> ClockTime {
-        let mut next = self.beat_at;
+    pub fn next_timer_at(&self, now: ClockTime) -> ClockTime {
+        let mut next = self.next_heartbeat_at;
         if !self.knows_routes() {
-            next = next.min(self.ask_at);
+            next = next.min(self.next_seed_query_at);
         }
         if let Some(pull) = &self.pull {
             next = next.min(pull.retry_at);
         }
-        if let Some((at, _)) = self.pull_at {
+        if let Some((at, _)) = self.next_pull {
             next = next.min(at);
         }
         if let Some(at) = self.election.call_at() {
             next = next.min(at);
         }
-        if let Some(at) = self.round_at {
+        if let Some(at) = self.next_evidence_round_at {
             next = next.min(at);
         }
-        if self.card.is_leaving {
+        if self.descriptor.is_leaving {
             return next;
         }
-        if let Some(at) = self.doubt_at {
+        if let Some(at) = self.next_confirmation_query_at {
             next = next.min(at);
         }
-        if let Some(at) = self.load.as_ref().and_then(|load| load.due_at(now)) {
+        if let Some(at) = self.load_reporter.as_ref().and_then(|load| load.next_report_at(now)) {
             next = next.min(at);
         }
         if self.list.head() == 0 && !self.election.is_waiting() {
-            next = next.min(self.start_at);
+            next = next.min(self.first_read_at);
         }
         if self.list.head() > 0 && !self.election.is_reading() {
-            next = next.min(self.read_at(now));
+            next = next.min(self.reading_starts_at(now));
         }
         next
     }
 
     /// Does what is due.
-    pub fn on_time(&mut self, now: ClockTime) {
-        if !self.knows_routes() && self.ask_at.is_past(now) {
-            let wait = if self.preview.is_known() { ASK_REST_MS } else { ASK_MS };
-            self.ask_at = now.after_millis(wait);
-            self.ask_seeds(now);
+    pub fn handle_timers(&mut self, now: ClockTime) {
+        if !self.knows_routes() && self.next_seed_query_at.is_past(now) {
+            let wait = if self.preview.was_received() { ASK_REST_MS } else { ASK_MS };
+            self.next_seed_query_at = now.after_millis(wait);
+            self.query_seeds(now);
         }
         self.begin_waiting_pull(now);
         self.retry_pull(now);
-        self.ask_in_doubt(now);
+        self.query_confirmation(now);
         self.consider_reading(now);
-        self.tell_evidence(now);
-        self.tell_load(now);
-        if self.beat_at.is_past(now) {
-            self.beat(now);
+        self.send_due_evidence(now);
+        self.report_load(now);
+        if self.next_heartbeat_at.is_past(now) {
+            self.send_periodic_heartbeat(now);
         }
     }
 
     /// Takes a datagram of another instance; false when it isn't a message.
-    pub fn on_datagram(&mut self, now: ClockTime, from: SocketAddrV4, bytes: &[u8]) -> bool {
+    pub fn handle_datagram(&mut self, now: ClockTime, from: SocketAddrV4, bytes: &[u8]) -> bool {
         let Some(message) = FleetMessage::from_datagram(bytes) else { return false };
         match message.body {
-            Some(MessageBody::Beat(beat)) => self.take_beat(now, from, beat),
-            Some(MessageBody::Pull(pull)) => self.answer_pull(now, from, &pull),
-            Some(MessageBody::Page(page)) => self.take_page(now, page),
-            Some(MessageBody::Evidence(evidence)) => self.take_evidence(now, &evidence),
-            Some(MessageBody::TokenQuestion(question)) => {
-                self.answer_tokens(now, from, &question);
+            Some(MessageBody::Heartbeat(beat)) => self.handle_heartbeat(now, from, beat),
+            Some(MessageBody::PullRequest(pull)) => self.handle_pull_request(now, from, &pull),
+            Some(MessageBody::PullPage(page)) => self.handle_pull_page(now, page),
+            Some(MessageBody::Evidence(evidence)) => self.handle_evidence(now, &evidence),
+            Some(MessageBody::TokenQuery(question)) => {
+                self.handle_token_query(now, from, &question);
             }
-            Some(MessageBody::TokenAnswer(answer)) => self.take_vanished(now, answer),
-            Some(MessageBody::ConfigQuestion(question)) => self.answer_config(from, &question),
-            Some(MessageBody::ConfigPage(page)) => self.take_config_page(now, from, page),
-            Some(MessageBody::Load(load)) => self.take_load(now, from, load),
-            Some(MessageBody::Packet(packet)) => {
-                self.effects.push(FleetEffect::Packet(packet.bytes));
+            Some(MessageBody::TokenResponse(answer)) => self.apply_removed_backends(now, answer),
+            Some(MessageBody::ConfigRequest(question)) => {
+                self.handle_config_request(from, &question)
+            }
+            Some(MessageBody::ConfigPage(page)) => self.handle_config_page(now, from, page),
+            Some(MessageBody::Load(load)) => self.handle_load(now, from, load),
+            Some(MessageBody::RelayedPacket(packet)) => {
+                self.effects.push(FleetEffect::HandlePacket(packet.bytes));
             }
             None => return false,
         }
@@ -307,28 +309,28 @@
     }
 
     /// Takes the store's answer to a [`FleetEffect::Read`].
-    pub fn on_reading(
+    pub fn handle_store_response(
         &mut self,
         now: ClockTime,
-        order: ReadOrder,
+        order: StoreQuery,
         answer: Result<ListReading, SourceError>,
     ) {
         match answer {
-            Ok(reading) => self.take_reading(now, order, reading),
-            Err(error) => self.take_failure(now, &error),
+            Ok(reading) => self.apply_store_reading(now, order, reading),
+            Err(error) => self.handle_store_failure(now, &error),
         }
         self.consider_reading(now);
     }
 
     /// Tells others that this instance stops, and reads the store no more.
-    pub fn leave(&mut self, now: ClockTime) {
-        self.card.is_leaving = true;
+    pub fn announce_leave(&mut self, now: ClockTime) {
+        self.descriptor.is_leaving = true;
         self.election.end();
-        let all = self.peers.all();
-        self.send_beats(now, self.list.head(), all, Vec::new());
+        let all = self.peers.addresses();
+        self.send_heartbeats(now, self.list.head(), all, Vec::new());
     }
 
-    pub(crate) fn confirmed_ms(&self, now: ClockTime) -> Option<u64> {
+    pub(crate) fn confirmation_age_ms(&self, now: ClockTime) -> Option<u64> {
         Some(now.since(self.confirmed_at?).as_millis() as u64)
     }
 }
--- a/crates/foxledge-gossip/src/messages.rs
+++ b/crates/foxledge-gossip/src/messages.rs
@@ -8,10 +8,10 @@
 use crate::packing::PackedRows;
 
 /// Largest message in bytes: fits a datagram on every usual link unfragmented.
-pub const LARGEST_MESSAGE: usize = 1_400;
+pub const MAX_MESSAGE_BYTES: usize = 1_400;
 
 /// Largest body of a message: beside it are the digest, the body's kind and its length.
-pub(crate) const LARGEST_BODY: usize = LARGEST_MESSAGE - DIGEST_SIZE - 3;
+pub(crate) const MAX_BODY_BYTES: usize = MAX_MESSAGE_BYTES - DIGEST_SIZE - 3;
 /// Bytes of the digest in front of a message.
 const DIGEST_SIZE: usize = 8;
 /// Names the form of messages: those of another form have another digest.
@@ -64,28 +64,28 @@
 pub enum MessageBody {
     /// Heartbeat with news.
     #[prost(message, tag = "1")]
-    Beat(BeatMessage),
+    Heartbeat(HeartbeatMessage),
     /// Question for rows.
     #[prost(message, tag = "2")]
-    Pull(PullMessage),
+    PullRequest(PullRequest),
     /// Rows that were asked for.
     #[prost(message, tag = "3")]
-    Page(PageMessage),
+    PullPage(PullPage),
     /// The health of backend servers.
     #[prost(message, tag = "4")]
     Evidence(EvidenceMessage),
     /// Question for backend servers that vanished.
     #[prost(message, tag = "5")]
-    TokenQuestion(TokenQuestion),
+    TokenQuery(TokenQuery),
     /// Backend servers that vanished.
     #[prost(message, tag = "6")]
-    TokenAnswer(TokenAnswer),
+    TokenResponse(TokenResponse),
     /// A caller's packet that the sender can't place.
     #[prost(message, tag = "7")]
-    Packet(RelayedPacket),
+    RelayedPacket(RelayedPacket),
     /// Question for the operators' list that is held.
     #[prost(message, tag = "8")]
-    ConfigQuestion(ConfigQuestion),
+    ConfigRequest(ConfigRequest),
     /// Rows of it.
     #[prost(message, tag = "9")]
     ConfigPage(ConfigPage),
@@ -96,7 +96,7 @@
 
 /// `ConfigQuestion` asks for rows of the operators' list that the receiver holds.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct ConfigQuestion {
+pub struct ConfigRequest {
     /// Its version.
     #[prost(uint64, tag = "1")]
     pub version: u64,
@@ -132,7 +132,7 @@
 
 /// `TokenQuestion` asks which backend servers tokens of open flows named.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct TokenQuestion {
+pub struct TokenQuery {
     /// The tokens.
     #[prost(fixed32, repeated, tag = "1")]
     pub tokens: Vec<u32>,
@@ -140,15 +140,15 @@
 
 /// `TokenAnswer` is backend servers that vanished.
 #[derive(Clone, PartialEq, Message)]
-pub struct TokenAnswer {
+pub struct TokenResponse {
     /// The rows of what is gone.
     #[prost(message, optional, tag = "1")]
     pub rows: Option<PackedRows>,
 }
 
-/// `PeerCard` is who an instance is.
+/// `PeerDescriptor` is who an instance is.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct PeerCard {
+pub struct PeerDescriptor {
     /// IPv4 address for messages, as a number.
     #[prost(fixed32, tag = "1")]
     pub ip: u32,
@@ -169,7 +169,7 @@
     pub link_mbps: u32,
 }
 
-impl PeerCard {
+impl PeerDescriptor {
     /// Where it takes messages; none when the port is none.
     pub fn address(&self) -> Option<SocketAddrV4> {
         let port = u16::try_from(self.port).ok().filter(|port| *port > 0)?;
@@ -177,12 +177,12 @@
     }
 }
 
-/// `BeatMessage` is a heartbeat with what may be news.
+/// `HeartbeatMessage` is a heartbeat with what may be news.
 #[derive(Clone, PartialEq, Message)]
-pub struct BeatMessage {
+pub struct HeartbeatMessage {
     /// The sender.
     #[prost(message, optional, tag = "1")]
-    pub from: Option<PeerCard>,
+    pub sender: Option<PeerDescriptor>,
     /// Revision up to which the sender knows the list in full.
     #[prost(uint64, tag = "2")]
     pub head: u64,
@@ -194,19 +194,19 @@
     pub rows: Option<PackedRows>,
     /// Some instances that the sender knows.
     #[prost(message, repeated, tag = "7")]
-    pub peers: Vec<HeardPeer>,
+    pub peers: Vec<PeerEntry>,
     /// The last answers of the store that are known, by reader.
     #[prost(message, repeated, tag = "8")]
-    pub claims: Vec<ClaimMessage>,
+    pub confirmations: Vec<ConfirmationMessage>,
     /// The sender has just started and asks for an answer.
     #[prost(bool, tag = "9")]
-    pub wants_answer: bool,
+    pub wants_response: bool,
     /// Number of instances that the sender knows.
     #[prost(uint32, tag = "10")]
     pub peer_count: u32,
     /// The newest of this came to the sender's data centre from another one.
     #[prost(bool, tag = "11")]
-    pub has_crossed: bool,
+    pub is_from_remote_centre: bool,
     /// Version of the operators' list that the sender holds, as the store has an older one; 0
     /// when it holds none.
     #[prost(uint64, tag = "12")]
@@ -217,12 +217,12 @@
     pub gap_base: Option<u64>,
 }
 
-/// `HeardPeer` is an instance and how long ago somebody last heard from it.
+/// `PeerEntry` is an instance and how long ago somebody last heard from it.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct HeardPeer {
+pub struct PeerEntry {
     /// The instance.
     #[prost(message, optional, tag = "1")]
-    pub card: Option<PeerCard>,
+    pub descriptor: Option<PeerDescriptor>,
     /// Time since then in milliseconds.
     #[prost(uint32, tag = "2")]
     pub age_ms: u32,
@@ -231,15 +231,15 @@
     pub head: u64,
 }
 
-/// `ClaimMessage` is a reader's last answer from the store.
+/// `ConfirmationMessage` is a reader's last answer from the store.
 ///
 /// What is told of time is told as an age, which shrinks by the way at every
 /// hop. The serial number tells what is new from what only seems so.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct ClaimMessage {
+pub struct ConfirmationMessage {
     /// The reader.
     #[prost(message, optional, tag = "1")]
-    pub card: Option<PeerCard>,
+    pub reader: Option<PeerDescriptor>,
     /// Counts the reader's answers.
     #[prost(uint32, tag = "2")]
     pub serial: u32,
@@ -256,7 +256,7 @@
 pub struct EvidenceMessage {
     /// The sender is of another data centre than the receiver.
     #[prost(bool, tag = "1")]
-    pub is_far: bool,
+    pub is_remote: bool,
     /// The backend servers.
     #[prost(message, repeated, tag = "2")]
     pub backends: Vec<EvidenceEntry>,
@@ -273,15 +273,15 @@
     pub incarnation: u64,
     /// The signs: identity, kind and age of each in 32 bits.
     #[prost(fixed32, repeated, tag = "3")]
-    pub signs: Vec<u32>,
+    pub observations: Vec<u32>,
 }
 
-/// `PullMessage` asks for the rows after a cursor.
+/// `PullRequest` asks for the rows after a cursor.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct PullMessage {
+pub struct PullRequest {
     /// Chosen by the asker, returned with the page.
     #[prost(fixed32, tag = "1")]
-    pub ticket: u32,
+    pub request_id: u32,
     /// Revision of the cursor.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
@@ -290,7 +290,7 @@
     pub key: String,
     /// A whole copy is being read.
     #[prost(bool, tag = "4")]
-    pub is_copy: bool,
+    pub is_snapshot: bool,
     /// Revision up to which the asker knows the list, if it takes changes over a gap.
     #[prost(uint64, optional, tag = "5")]
     pub known: Option<u64>,
@@ -299,14 +299,14 @@
 /// Pages that answer one question, sent together.
 ///
 /// One page a question would take a way there and back for each of a long list's pages.
-pub const BURST: u32 = 8;
+pub const PAGES_PER_REQUEST: u32 = 8;
 
-/// `PageMessage` is some rows after a cursor.
+/// `PullPage` is some rows after a cursor.
 #[derive(Clone, PartialEq, Message)]
-pub struct PageMessage {
+pub struct PullPage {
     /// The asker's ticket.
     #[prost(fixed32, tag = "1")]
-    pub ticket: u32,
+    pub request_id: u32,
     /// The rows.
     #[prost(message, optional, tag = "2")]
     pub rows: Option<PackedRows>,
@@ -318,7 +318,7 @@
     pub has_more: bool,
     /// The rows are part of a whole copy.
     #[prost(bool, tag = "4")]
-    pub is_copy: bool,
+    pub is_snapshot: bool,
     /// Revision up to which the sender knows the list in full.
     #[prost(uint64, tag = "5")]
     pub head: u64,
@@ -327,13 +327,13 @@
     pub floor: u64,
     /// The last answers of the store that are known, by reader.
     #[prost(message, repeated, tag = "6")]
-    pub claims: Vec<ClaimMessage>,
+    pub confirmations: Vec<ConfirmationMessage>,
     /// The sender serves others at the moment and holds no rows in this page.
     #[prost(bool, tag = "9")]
     pub is_busy: bool,
     /// Instances that may serve instead.
     #[prost(message, repeated, tag = "10")]
-    pub peers: Vec<HeardPeer>,
+    pub peers: Vec<PeerEntry>,
     /// Of the sender's process.
     #[prost(fixed64, tag = "11")]
     pub incarnation: u64,
@@ -347,27 +347,27 @@
 pub struct LoadMessage {
     /// The sender is of another data centre than the receiver.
     #[prost(bool, tag = "1")]
-    pub is_far: bool,
+    pub is_remote: bool,
     /// Load of instances of the data centre, the sender's first.
     #[prost(message, repeated, tag = "2")]
-    pub parts: Vec<LoadPartRow>,
+    pub reports: Vec<InstanceReportRow>,
     /// Load of data centres; between data centres the sender's alone.
     #[prost(message, repeated, tag = "3")]
-    pub centres: Vec<CentreLoadRow>,
+    pub aggregates: Vec<CentreAggregateRow>,
     /// Shared clock of the order of return, in milliseconds.
     #[prost(uint32, tag = "4")]
-    pub turn_ms: u32,
+    pub fleet_clock_ms: u32,
     /// The sender's data centre is pressed.
     #[prost(bool, tag = "5")]
-    pub is_pressed: bool,
+    pub is_loaded: bool,
     /// The sender reports at the busy pace.
     #[prost(bool, tag = "6")]
-    pub is_busy: bool,
+    pub is_fast: bool,
 }
 
-/// `LoadPartRow` is the load that one instance sees.
+/// `InstanceReportRow` is the load that one instance sees.
 #[derive(Clone, PartialEq, Message)]
-pub struct LoadPartRow {
+pub struct InstanceReportRow {
     /// IPv4 address of the instance, as a number.
     #[prost(fixed32, tag = "1")]
     pub ip: u32,
@@ -388,15 +388,15 @@
     pub services: Vec<ServiceLoadRow>,
     /// Hashes of client accounts, 32 bits each with the low byte first.
     #[prost(bytes = "vec", tag = "7")]
-    pub accounts: Vec<u8>,
+    pub sampled_accounts: Vec<u8>,
     /// Openings of which one is in the sample of accounts; 0 when there is none.
     #[prost(uint32, tag = "8")]
-    pub one_in: u32,
+    pub openings_per_sample: u32,
 }
 
-/// `CentreLoadRow` is the load of all callers of a data centre.
+/// `CentreAggregateRow` is the load of all callers of a data centre.
 #[derive(Clone, PartialEq, Message)]
-pub struct CentreLoadRow {
+pub struct CentreAggregateRow {
     /// The data centre.
     #[prost(string, tag = "1")]
     pub data_centre: String,
@@ -415,7 +415,7 @@
     /// Time for which the data centre still counts as pressed, in milliseconds; 0 when it
     /// doesn't.
     #[prost(uint32, tag = "6")]
-    pub pressed_ms: u32,
+    pub loaded_ms: u32,
 }
 
 /// `ServiceLoadRow` is the load of one service.
@@ -423,7 +423,7 @@
 pub struct ServiceLoadRow {
     /// Low half of the hash of its name.
     #[prost(fixed32, tag = "1")]
-    pub service: u32,
+    pub service_hash: u32,
     /// Pairs of a priority and its arrivals in thousandths a second.
     #[prost(uint32, repeated, tag = "2")]
     pub arrivals: Vec<u32>,
@@ -435,12 +435,12 @@
     pub running: u32,
     /// Requests that run in others.
     #[prost(message, repeated, tag = "5")]
-    pub far_running: Vec<FarRunningRow>,
+    pub remote_running: Vec<RemoteRunningRow>,
 }
 
-/// `FarRunningRow` is requests that run in another data centre.
+/// `RemoteRunningRow` is requests that run in another data centre.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct FarRunningRow {
+pub struct RemoteRunningRow {
     /// The data centre.
     #[prost(string, tag = "1")]
     pub data_centre: String,
--- a/crates/foxledge-gossip/src/signs.rs
+++ b/crates/foxledge-gossip/src/observation_packing.rs
@@ -9,7 +9,7 @@
 use foxledge_core::time::ClockTime;
 use foxledge_flows::ObservationKind;
 
-use crate::{backend_evidence::HealthSign, spreading::age_ms};
+use crate::{backend_evidence::ObservationRecord, dissemination::age_ms};
 
 const ID_SHIFT: u32 = 16;
 const KIND_SHIFT: u32 = 13;
@@ -18,7 +18,7 @@
 const OLDEST_MS: u32 = (1 << KIND_SHIFT) - 1;
 
 /// A sign as it is told now.
-pub(crate) fn pack_sign(now: ClockTime, sign: &HealthSign) -> u32 {
+pub(crate) fn pack_record(now: ClockTime, sign: &ObservationRecord) -> u32 {
     let kind = match sign.kind {
         ObservationKind::Suspect => 1,
         ObservationKind::Ejected => 2,
@@ -26,12 +26,12 @@
         ObservationKind::DataUnanswered => 4,
         ObservationKind::Alive => 5,
     };
-    let age = age_ms(now, sign.at).min(OLDEST_MS);
+    let age = age_ms(now, sign.observed_at).min(OLDEST_MS);
     u32::from(sign.id) << ID_SHIFT | kind << KIND_SHIFT | age
 }
 
 /// The sign that was told; none for kinds of later versions.
-pub(crate) fn unpack_sign(now: ClockTime, word: u32) -> Option<HealthSign> {
+pub(crate) fn unpack_record(now: ClockTime, word: u32) -> Option<ObservationRecord> {
     let kind = match word >> KIND_SHIFT & KIND_MASK {
         1 => ObservationKind::Suspect,
         2 => ObservationKind::Ejected,
@@ -41,5 +41,5 @@
         _ => return None,
     };
     let at = now.before_millis(u64::from(word & OLDEST_MS));
-    Some(HealthSign { id: (word >> ID_SHIFT) as u16, kind, at })
+    Some(ObservationRecord { id: (word >> ID_SHIFT) as u16, kind, observed_at: at })
 }
--- a/crates/foxledge-gossip/src/options.rs
+++ b/crates/foxledge-gossip/src/options.rs
@@ -15,7 +15,7 @@
     pub(crate) seed: u64,
     pub(crate) watch_ms: u64,
     pub(crate) takeover_ms: u64,
-    pub(crate) tells_load: bool,
+    pub(crate) reports_load: bool,
 }
 
 impl MemberOptions {
@@ -30,7 +30,7 @@
             seed: 0,
             watch_ms: 1_000,
             takeover_ms: 1_700,
-            tells_load: false,
+            reports_load: false,
         }
     }
 
@@ -73,8 +73,8 @@
     }
 
     /// Sets whether load is reported to other instances and taken from them; off by default.
-    pub fn tell_load(mut self, tells_load: bool) -> MemberOptions {
-        self.tells_load = tells_load;
+    pub fn report_load(mut self, tells_load: bool) -> MemberOptions {
+        self.reports_load = tells_load;
         self
     }
 }
--- a/crates/foxledge-gossip/src/relays.rs
+++ b/crates/foxledge-gossip/src/packet_relay.rs
@@ -14,12 +14,12 @@
 
 impl FleetMember {
     /// Hands a packet to an instance that has the list; false when none is known.
-    pub fn relay(&mut self, now: ClockTime, packet: &[u8]) -> bool {
-        let holders = self.peers.holders(&mut self.rng, now, 0, 1);
-        let holder = holders.first().and_then(|peer| peer.card.as_ref()?.address());
+    pub fn relay_packet(&mut self, now: ClockTime, packet: &[u8]) -> bool {
+        let holders = self.peers.pick_list_holders(&mut self.rng, now, 0, 1);
+        let holder = holders.first().and_then(|peer| peer.descriptor.as_ref()?.address());
         let Some(address) = holder else { return false };
         let packet = RelayedPacket { bytes: packet.to_vec() };
-        self.send(address, MessageBody::Packet(packet));
+        self.send_message(address, MessageBody::RelayedPacket(packet));
         true
     }
 }
--- a/crates/foxledge-gossip/src/packing.rs
+++ b/crates/foxledge-gossip/src/packing.rs
@@ -190,7 +190,7 @@
 
 impl PackedRows {
     /// Packs rows.
-    pub fn of(rows: &[ListRow]) -> PackedRows {
+    pub fn pack(rows: &[ListRow]) -> PackedRows {
         let mut packer = RowPacker::default();
         for row in rows {
             packer.push(row);
--- a/crates/foxledge-gossip/src/preview.rs
+++ b/crates/foxledge-gossip/src/partial_list.rs
@@ -6,18 +6,18 @@
 
 use foxledge_flows::rows::{LIMITS_KEY, ListRow};
 
-/// `ListPreview` is the part that serves.
+/// `PartialList` is the part that serves.
 #[derive(Debug, Default)]
-pub(crate) struct ListPreview {
+pub(crate) struct PartialList {
     rows: Vec<ListRow>,
     /// Revision of the part: older lists aren't taken after it.
     head: u64,
 }
 
-impl ListPreview {
+impl PartialList {
     /// A part of the list as of a revision.
-    pub(crate) fn new(rows: Vec<ListRow>, head: u64) -> ListPreview {
-        ListPreview { rows, head }
+    pub(crate) fn new(rows: Vec<ListRow>, head: u64) -> PartialList {
+        PartialList { rows, head }
     }
 
     /// The rows of the part.
@@ -36,7 +36,7 @@
     }
 
     /// True once there was one.
-    pub(crate) fn is_known(&self) -> bool {
+    pub(crate) fn was_received(&self) -> bool {
         self.head > 0
     }
 
--- a/crates/foxledge-gossip/src/previewing.rs
+++ b/crates/foxledge-gossip/src/partial_start.rs
@@ -11,7 +11,7 @@
 use crate::{
     effects::{FleetEffect, FleetEvent},
     member::FleetMember,
-    preview::ListPreview,
+    partial_list::PartialList,
 };
 
 /// Time in which peers may bring the rest, in milliseconds, before it is read: those that
@@ -25,11 +25,11 @@
 impl FleetMember {
     /// True when flows can be placed: by the list, or by a part of it.
     pub fn can_serve(&self) -> bool {
-        self.list.has_routes() || self.preview.has_routes() || self.holds_config()
+        self.list.has_routes() || self.preview.has_routes() || self.is_retaining_config()
     }
 
     /// Takes a part of the list; the rest comes from peers, or is read later.
-    pub(crate) fn take_preview(&mut self, now: ClockTime, reading: ListReading) {
+    pub(crate) fn apply_partial_list(&mut self, now: ClockTime, reading: ListReading) {
         if self.list.head() > 0 {
             return;
         }
@@ -38,22 +38,22 @@
         let version = rows.iter().find_map(ListRow::config_version).unwrap_or(0);
         let (epoch, revision) = (epoch_of(head), number_of(head));
         let event = FleetEvent::ListPreviewed { version, epoch, revision, rows: rows.len() };
-        self.effects.push(FleetEffect::Event(event));
-        self.effects.push(FleetEffect::Rows(rows.clone()));
-        self.preview = ListPreview::new(rows, head);
+        self.effects.push(FleetEffect::LogEvent(event));
+        self.effects.push(FleetEffect::ApplyRows(rows.clone()));
+        self.preview = PartialList::new(rows, head);
         let is_seed = self.options.seeds.contains(&self.options.address);
         let wait = match is_seed || self.rng.random_ratio(1, EAGER) {
             true => 0,
             false => REST_MS + self.rng.random_range(0..REST_SPREAD_MS),
         };
-        self.start_at = now.after_millis(wait);
+        self.first_read_at = now.after_millis(wait);
     }
 
     /// Rows that take out what the part held and the list, known now, doesn't.
     ///
     /// Otherwise a backend server that left in between would get new flows for ever, as
     /// the list never tells that it is gone.
-    pub(crate) fn end_preview(&mut self) -> Vec<ListRow> {
+    pub(crate) fn end_partial_list(&mut self) -> Vec<ListRow> {
         let rows = self.preview.take_rows();
         let head = self.list.head();
         let is_gone = |row: &ListRow| !self.list.contains(&row.key);
--- a/crates/foxledge-gossip/src/picks.rs
+++ b/crates/foxledge-gossip/src/peer_selection.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, rngs::StdRng};
 
 use crate::{
-    messages::HeardPeer,
+    messages::PeerEntry,
     peers::{PeerRecord, PeerTable},
 };
 
@@ -42,8 +42,19 @@
 
 impl PeerTable {
     /// Up to `count` random instances of the own data centre that were heard of lately.
-    pub fn pick_near(&self, rng: &mut StdRng, now: ClockTime, count: usize) -> Vec<SocketAddrV4> {
-        pick(rng, self.fresh_near(now).filter_map(|record| record.card.address()).collect(), count)
+    pub fn pick_same_centre(
+        &self,
+        rng: &mut StdRng,
+        now: ClockTime,
+        count: usize,
+    ) -> Vec<SocketAddrV4> {
+        pick(
+            rng,
+            self.responsive_same_centre(now)
+                .filter_map(|record| record.descriptor.address())
+                .collect(),
+            count,
+        )
     }
 
     /// An instance of the own data centre that was silent for long, to be asked for a sign of
@@ -55,7 +66,7 @@
     pub fn pick_quiet(&mut self, rng: &mut StdRng, now: ClockTime) -> Option<SocketAddrV4> {
         let near = &self.near;
         let is_due = |record: &PeerRecord| {
-            let is_near = record.card.data_centre == *near;
+            let is_near = record.descriptor.data_centre == *near;
             is_near && record.is_quiet(now) && record.answer_by.is_past(now)
         };
         let due = self.records.iter().filter(|(_, record)| is_due(record));
@@ -70,27 +81,30 @@
 
     /// A random instance of the own data centre that was silent for long, to be told of news
     /// all the same: most such are alive.
-    pub fn random_quiet(&self, rng: &mut StdRng, now: ClockTime) -> Option<SocketAddrV4> {
-        let near = self.records.values().filter(|record| record.card.data_centre == self.near);
+    pub fn pick_random_quiet(&self, rng: &mut StdRng, now: ClockTime) -> Option<SocketAddrV4> {
+        let near =
+            self.records.values().filter(|record| record.descriptor.data_centre == self.near);
         let quiet = near.filter(|record| record.is_quiet(now));
-        pick(rng, quiet.filter_map(|record| record.card.address()).collect(), 1).pop()
+        pick(rng, quiet.filter_map(|record| record.descriptor.address()).collect(), 1).pop()
     }
 
     /// An instance of another data centre from which nothing has come for long, to be asked
     /// for a sign of life: the newest known there.
     pub fn pick_unheard(&self, rng: &mut StdRng, now: ClockTime) -> Option<SocketAddrV4> {
-        let newest = self.newest_far().into_values();
+        let newest = self.latest_remote().into_values();
         let unheard =
-            newest.filter(|record| record.heard_at.after_millis(CENTRE_QUIET_MS).is_past(now));
-        pick(rng, unheard.filter_map(|record| record.card.address()).collect(), 1).pop()
+            newest.filter(|record| record.last_heard_at.after_millis(CENTRE_QUIET_MS).is_past(now));
+        pick(rng, unheard.filter_map(|record| record.descriptor.address()).collect(), 1).pop()
     }
 
     /// Up to `count` random instances of each other data centre.
-    pub fn pick_far(&self, rng: &mut StdRng, count: usize) -> Vec<SocketAddrV4> {
+    pub fn pick_remote(&self, rng: &mut StdRng, count: usize) -> Vec<SocketAddrV4> {
         let mut centres: BTreeMap<&str, Vec<SocketAddrV4>> = BTreeMap::new();
-        for record in self.records.values().filter(|record| record.card.data_centre != self.near) {
-            let Some(address) = record.card.address() else { continue };
-            centres.entry(record.card.data_centre.as_str()).or_default().push(address);
+        for record in
+            self.records.values().filter(|record| record.descriptor.data_centre != self.near)
+        {
+            let Some(address) = record.descriptor.address() else { continue };
+            centres.entry(record.descriptor.data_centre.as_str()).or_default().push(address);
         }
         let mut picked: Vec<_> =
             centres.into_values().flat_map(|all| pick(rng, all, count)).collect();
@@ -100,16 +114,16 @@
 
     /// Some random instances as they are told to one of data centre `centre`: mostly of its
     /// own, as it may learn of those from nobody else.
-    pub fn sample(
+    pub fn sample_entries(
         &self,
         rng: &mut StdRng,
         now: ClockTime,
         centre: &str,
         size: SampleSize,
-    ) -> Vec<HeardPeer> {
+    ) -> Vec<PeerEntry> {
         let fresh = self.records.iter().filter(|(_, record)| !record.is_quiet(now));
         let (near, far): (Vec<_>, Vec<_>) =
-            fresh.partition(|(_, record)| record.card.data_centre == centre);
+            fresh.partition(|(_, record)| record.descriptor.data_centre == centre);
         let addresses = |of: Vec<(&SocketAddrV4, &PeerRecord)>| {
             of.into_iter().map(|(address, _)| *address).collect::<Vec<_>>()
         };
@@ -121,29 +135,31 @@
 
     /// Up to `count` random instances that know the list beyond `head`, as they are told to
     /// others: nearby ones heard of lately, or else any nearby, or else far ones.
-    pub fn holders(
+    pub fn pick_list_holders(
         &self,
         rng: &mut StdRng,
         now: ClockTime,
         head: u64,
         count: usize,
-    ) -> Vec<HeardPeer> {
+    ) -> Vec<PeerEntry> {
         let all = self.records.values().filter(|record| record.head > head && record.asks == 0);
-        let rank =
-            |record: &PeerRecord| (record.card.data_centre != self.near, record.is_quiet(now));
+        let rank = |record: &PeerRecord| {
+            (record.descriptor.data_centre != self.near, record.is_quiet(now))
+        };
         let Some(best) = all.clone().map(rank).min() else { return Vec::new() };
         let best = all.filter(|record| rank(record) == best);
-        let picked = pick(rng, best.filter_map(|record| record.card.address()).collect(), count);
+        let picked =
+            pick(rng, best.filter_map(|record| record.descriptor.address()).collect(), count);
         let records = picked.iter().filter_map(|address| self.records.get(address));
         records.map(|record| heard(record, now)).collect()
     }
 }
 
 /// An instance as it is told to others.
-fn heard(record: &PeerRecord, now: ClockTime) -> HeardPeer {
-    let age = now.since(record.heard_at).as_millis();
-    HeardPeer {
-        card: Some(record.card.clone()),
+fn heard(record: &PeerRecord, now: ClockTime) -> PeerEntry {
+    let age = now.since(record.last_heard_at).as_millis();
+    PeerEntry {
+        descriptor: Some(record.descriptor.clone()),
         age_ms: u32::try_from(age).unwrap_or(u32::MAX),
         head: record.head,
     }
--- a/crates/foxledge-gossip/src/peers.rs
+++ b/crates/foxledge-gossip/src/peers.rs
@@ -10,7 +10,7 @@
 
 use foxledge_core::time::ClockTime;
 
-use crate::messages::PeerCard;
+use crate::messages::PeerDescriptor;
 
 /// Silence after which an instance of the own data centre is asked for a sign of life, in
 /// milliseconds: five heartbeats.
@@ -38,11 +38,11 @@
 /// `PeerRecord` is what is known of another instance.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerRecord {
-    pub card: PeerCard,
+    pub descriptor: PeerDescriptor,
     /// Silence in milliseconds after which it is quiet.
     quiet_ms: u64,
     /// When somebody last heard from it.
-    pub heard_at: ClockTime,
+    pub last_heard_at: ClockTime,
     /// Revision up to which it knew the list.
     pub head: u64,
     /// Questions since it was last heard of.
@@ -52,15 +52,22 @@
 }
 
 impl PeerRecord {
-    fn new(near: &str, card: &PeerCard, heard_at: ClockTime, head: u64) -> PeerRecord {
+    fn new(near: &str, card: &PeerDescriptor, heard_at: ClockTime, head: u64) -> PeerRecord {
         let quiet_ms = if card.data_centre == near { QUIET_MS } else { FAR_QUIET_MS };
         let answer_by = ClockTime::ZERO;
-        PeerRecord { card: card.clone(), quiet_ms, heard_at, head, asks: 0, answer_by }
+        PeerRecord {
+            descriptor: card.clone(),
+            quiet_ms,
+            last_heard_at: heard_at,
+            head,
+            asks: 0,
+            answer_by,
+        }
     }
 
     /// True when it wasn't heard of for long.
     pub fn is_quiet(&self, now: ClockTime) -> bool {
-        self.heard_at.after_millis(self.quiet_ms).is_past(now)
+        self.last_heard_at.after_millis(self.quiet_ms).is_past(now)
     }
 
     fn is_lost(&self, now: ClockTime) -> bool {
@@ -72,13 +79,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerChange {
     /// Nothing that is news.
-    None,
+    Unchanged,
     /// An instance of the own data centre was heard of for the first time since its start.
-    Found,
+    Joined,
     /// An instance stops.
     Left,
     /// Another data centre is heard of, again or for the first time.
-    CentreFound,
+    CentreReachable,
 }
 
 /// `PeerLoss` is what silence tells.
@@ -114,7 +121,7 @@
     /// made room in a large fleet or have fallen silent.
     neighbours: HashMap<SocketAddrV4, ClockTime>,
     /// Other data centres that are heard of.
-    centres: BTreeSet<String>,
+    remote_centres: BTreeSet<String>,
 }
 
 impl PeerTable {
@@ -124,23 +131,28 @@
     }
 
     /// Takes a report that somebody heard from an instance at `heard_at`.
-    pub fn take(&mut self, card: &PeerCard, heard_at: ClockTime, head: u64) -> PeerChange {
-        let Some(address) = card.address() else { return PeerChange::None };
+    pub fn record_contact(
+        &mut self,
+        card: &PeerDescriptor,
+        heard_at: ClockTime,
+        head: u64,
+    ) -> PeerChange {
+        let Some(address) = card.address() else { return PeerChange::Unchanged };
         if self.left.get(&address) == Some(&card.incarnation) {
-            return PeerChange::None;
+            return PeerChange::Unchanged;
         }
         if card.is_leaving {
             remember(&mut self.left, address, card.incarnation);
             self.found.remove(&address);
             let known = self.records.remove(&address);
-            return if known.is_some() { PeerChange::Left } else { PeerChange::None };
+            return if known.is_some() { PeerChange::Left } else { PeerChange::Unchanged };
         }
         let is_newer = match self.records.get(&address) {
-            Some(record) => heard_at > record.heard_at,
+            Some(record) => heard_at > record.last_heard_at,
             None => self.make_room(card, heard_at),
         };
         if !is_newer {
-            return PeerChange::None;
+            return PeerChange::Unchanged;
         }
         if card.data_centre == self.near {
             self.note_neighbour(address, heard_at);
@@ -150,20 +162,20 @@
     }
 
     /// What it means that an instance was heard of.
-    fn change_by(&mut self, address: SocketAddrV4, card: &PeerCard) -> PeerChange {
+    fn change_by(&mut self, address: SocketAddrV4, card: &PeerDescriptor) -> PeerChange {
         if card.data_centre != self.near {
-            let is_news = !self.centres.contains(&card.data_centre);
+            let is_news = !self.remote_centres.contains(&card.data_centre);
             if is_news {
-                self.centres.insert(card.data_centre.clone());
+                self.remote_centres.insert(card.data_centre.clone());
             }
-            return if is_news { PeerChange::CentreFound } else { PeerChange::None };
+            return if is_news { PeerChange::CentreReachable } else { PeerChange::Unchanged };
         }
         let former = remember(&mut self.found, address, card.incarnation);
-        if former == Some(card.incarnation) { PeerChange::None } else { PeerChange::Found }
+        if former == Some(card.incarnation) { PeerChange::Unchanged } else { PeerChange::Joined }
     }
 
     /// Forgets instances that are lost, and returns what that tells.
-    pub fn forget(&mut self, now: ClockTime) -> Vec<PeerLoss> {
+    pub fn remove_lost(&mut self, now: ClockTime) -> Vec<PeerLoss> {
         let mut losses = self.forget_near(now);
         losses.extend(self.forget_far(now));
         losses
@@ -172,10 +184,10 @@
     fn forget_near(&mut self, now: ClockTime) -> Vec<PeerLoss> {
         let (near, found, mut losses) = (&self.near, &mut self.found, Vec::new());
         self.records.retain(|address, record| {
-            let is_lost = record.card.data_centre == *near && record.is_lost(now);
+            let is_lost = record.descriptor.data_centre == *near && record.is_lost(now);
             if is_lost {
                 found.remove(address);
-                let age_ms = now.since(record.heard_at).as_millis() as u64;
+                let age_ms = now.since(record.last_heard_at).as_millis() as u64;
                 losses.push(PeerLoss::Peer { address: *address, age_ms });
             }
             !is_lost
@@ -187,19 +199,21 @@
     /// over, it is the way back.
     fn forget_far(&mut self, now: ClockTime) -> Vec<PeerLoss> {
         let newest: BTreeMap<String, ClockTime> = self
-            .newest_far()
+            .latest_remote()
             .into_values()
-            .map(|record| (record.card.data_centre.clone(), record.heard_at))
+            .map(|record| (record.descriptor.data_centre.clone(), record.last_heard_at))
             .collect();
         let near = &self.near;
         self.records.retain(|_, record| {
-            let centre = &record.card.data_centre;
-            centre == near || !record.is_quiet(now) || newest.get(centre) == Some(&record.heard_at)
+            let centre = &record.descriptor.data_centre;
+            centre == near
+                || !record.is_quiet(now)
+                || newest.get(centre) == Some(&record.last_heard_at)
         });
         let is_silent = |at: ClockTime| at.after_millis(FAR_QUIET_MS).is_past(now);
         let mut losses = Vec::new();
         for (data_centre, at) in newest.into_iter().filter(|(_, at)| is_silent(*at)) {
-            if self.centres.remove(&data_centre) {
+            if self.remote_centres.remove(&data_centre) {
                 let age_ms = now.since(at).as_millis() as u64;
                 losses.push(PeerLoss::Centre { data_centre, age_ms });
             }
@@ -208,12 +222,16 @@
     }
 
     /// The instance of each other data centre that was heard of last.
-    pub(crate) fn newest_far(&self) -> BTreeMap<&str, &PeerRecord> {
+    pub(crate) fn latest_remote(&self) -> BTreeMap<&str, &PeerRecord> {
         let mut newest: BTreeMap<&str, &PeerRecord> = BTreeMap::new();
-        for record in self.records.values().filter(|record| record.card.data_centre != self.near) {
-            let known = newest.entry(record.card.data_centre.as_str()).or_insert(record);
+        for record in
+            self.records.values().filter(|record| record.descriptor.data_centre != self.near)
+        {
+            let known = newest.entry(record.descriptor.data_centre.as_str()).or_insert(record);
             // Of two heard of at the same time always the same, whatever the map's order.
-            if (record.heard_at, record.card.ip) > (known.heard_at, known.card.ip) {
+            if (record.last_heard_at, record.descriptor.ip)
+                > (known.last_heard_at, known.descriptor.ip)
+            {
                 *known = record;
             }
         }
@@ -242,14 +260,15 @@
     }
 
     /// Number of instances of the own data centre that were heard of lately.
-    pub fn count_near(&self, now: ClockTime) -> usize {
-        self.fresh_near(now).count()
+    pub fn count_same_centre(&self, now: ClockTime) -> usize {
+        self.responsive_same_centre(now).count()
     }
 
     /// Number of other instances of the own data centre: those known and not lost, or those heard
     /// of within a minute where the view holds only a part.
-    pub fn near_size(&self, now: ClockTime) -> usize {
-        let near = self.records.values().filter(|record| record.card.data_centre == self.near);
+    pub fn same_centre_size(&self, now: ClockTime) -> usize {
+        let near =
+            self.records.values().filter(|record| record.descriptor.data_centre == self.near);
         let known = near.count();
         if known < MOST_NEAR {
             return known;
@@ -259,13 +278,13 @@
     }
 
     /// Other data centres that are heard of.
-    pub fn centres(&self) -> impl Iterator<Item = &str> {
-        self.centres.iter().map(String::as_str)
+    pub fn remote_centres(&self) -> impl Iterator<Item = &str> {
+        self.remote_centres.iter().map(String::as_str)
     }
 
     /// True when another data centre is heard of.
-    pub fn knows_centre(&self, data_centre: &str) -> bool {
-        self.centres.contains(data_centre)
+    pub fn has_centre(&self, data_centre: &str) -> bool {
+        self.remote_centres.contains(data_centre)
     }
 
     /// True when this start of an instance, of which the low half is given, said that it stops.
@@ -274,59 +293,64 @@
     }
 
     /// True when an instance is known to be of another data centre.
-    pub fn is_far(&self, address: &SocketAddrV4) -> bool {
-        self.records.get(address).is_some_and(|record| record.card.data_centre != self.near)
+    pub fn is_remote(&self, address: &SocketAddrV4) -> bool {
+        self.records.get(address).is_some_and(|record| record.descriptor.data_centre != self.near)
     }
 
     /// Number of all other instances, as far as can be told from a part of them: data centres
     /// are taken to be of one size.
     pub fn fleet_size(&self) -> usize {
-        let far = self.newest_far().len();
-        let is_near = |record: &&PeerRecord| record.card.data_centre == self.near;
+        let far = self.latest_remote().len();
+        let is_near = |record: &&PeerRecord| record.descriptor.data_centre == self.near;
         let near = self.records.values().filter(is_near).count();
         self.len().max(near + far * (near + 1))
     }
 
     /// True when an instance is known to be of the own data centre.
-    pub fn is_near(&self, address: &SocketAddrV4) -> bool {
-        self.records.get(address).is_some_and(|record| record.card.data_centre == self.near)
+    pub fn is_same_centre(&self, address: &SocketAddrV4) -> bool {
+        self.records.get(address).is_some_and(|record| record.descriptor.data_centre == self.near)
     }
 
     /// True unless an instance was last heard of with a list no newer than `head`.
-    pub fn may_know_more(&self, address: &SocketAddrV4, head: u64) -> bool {
+    pub fn may_have_newer_list(&self, address: &SocketAddrV4, head: u64) -> bool {
         self.records.get(address).is_none_or(|record| record.head > head)
     }
 
     /// Every known instance.
-    pub fn all(&self) -> Vec<SocketAddrV4> {
+    pub fn addresses(&self) -> Vec<SocketAddrV4> {
         let mut all: Vec<_> = self.records.keys().copied().collect();
         all.sort_unstable();
         all
     }
 
     /// Instances heard of lately.
-    pub fn live(&self, now: ClockTime) -> impl Iterator<Item = &PeerCard> {
+    pub fn live(&self, now: ClockTime) -> impl Iterator<Item = &PeerDescriptor> {
         let is_live =
-            move |record: &&PeerRecord| !record.heard_at.after_millis(STALE_MS).is_past(now);
-        self.records.values().filter(is_live).map(|record| &record.card)
+            move |record: &&PeerRecord| !record.last_heard_at.after_millis(STALE_MS).is_past(now);
+        self.records.values().filter(is_live).map(|record| &record.descriptor)
     }
 
-    pub(crate) fn fresh_near(&self, now: ClockTime) -> impl Iterator<Item = &PeerRecord> {
-        let near = self.records.values().filter(|record| record.card.data_centre == self.near);
+    pub(crate) fn responsive_same_centre(
+        &self,
+        now: ClockTime,
+    ) -> impl Iterator<Item = &PeerRecord> {
+        let near =
+            self.records.values().filter(|record| record.descriptor.data_centre == self.near);
         near.filter(move |record| !record.is_quiet(now))
     }
 
-    fn make_room(&mut self, card: &PeerCard, heard_at: ClockTime) -> bool {
+    fn make_room(&mut self, card: &PeerDescriptor, heard_at: ClockTime) -> bool {
         let centre = card.data_centre.as_str();
         let limit = if centre == self.near { MOST_NEAR } else { MOST_FAR };
-        let same = self.records.iter().filter(|(_, record)| record.card.data_centre == centre);
+        let same =
+            self.records.iter().filter(|(_, record)| record.descriptor.data_centre == centre);
         if same.clone().count() < limit {
             return true;
         }
         // The instance heard of longest ago makes room, so that views keep mixing.
-        let oldest = same.min_by_key(|(address, record)| (record.heard_at, **address));
+        let oldest = same.min_by_key(|(address, record)| (record.last_heard_at, **address));
         let Some((address, record)) = oldest else { return true };
-        if record.heard_at >= heard_at {
+        if record.last_heard_at >= heard_at {
             return false;
         }
         let address = *address;
--- a/crates/foxledge-gossip/src/refused.rs
+++ b/crates/foxledge-gossip/src/refused_items.rs
@@ -40,7 +40,11 @@
     /// Takes changes, or everything when `reading` is whole; returns what is new.
     ///
     /// An item that lies there for long is told once, not with each reading.
-    pub(crate) fn take(&mut self, reading: &ListReading, scope: ReadingScope) -> Vec<RefusedItem> {
+    pub(crate) fn record_reading(
+        &mut self,
+        reading: &ListReading,
+        scope: ReadingScope,
+    ) -> Vec<RefusedItem> {
         let known = match scope {
             ReadingScope::Everything => std::mem::take(&mut self.items),
             ReadingScope::Changes => BTreeMap::new(),
--- a/crates/foxledge-gossip/src/vanished.rs
+++ b/crates/foxledge-gossip/src/removed_backends.rs
@@ -14,7 +14,7 @@
 use crate::{
     effects::FleetEffect,
     member::FleetMember,
-    messages::{MessageBody, TokenAnswer, TokenQuestion},
+    messages::{MessageBody, TokenQuery, TokenResponse},
     packing::RowPacker,
 };
 
@@ -28,26 +28,26 @@
 impl FleetMember {
     /// Asks one instance nearby and one elsewhere which backend servers these tokens named. Where
     /// a whole data centre has started anew, only others remember.
-    pub fn ask_tokens(&mut self, now: ClockTime, mut tokens: Vec<u32>) {
+    pub fn query_removed_backends(&mut self, now: ClockTime, mut tokens: Vec<u32>) {
         tokens.truncate(MOST_TOKENS);
         if tokens.is_empty() {
             return;
         }
-        let mut asked = self.peers.pick_near(&mut self.rng, now, 1);
-        let far = self.peers.pick_far(&mut self.rng, 1);
+        let mut asked = self.peers.pick_same_centre(&mut self.rng, now, 1);
+        let far = self.peers.pick_remote(&mut self.rng, 1);
         asked.extend(far.choose(&mut self.rng));
         for address in asked {
             let tokens = tokens.clone();
-            self.send(address, MessageBody::TokenQuestion(TokenQuestion { tokens }));
+            self.send_message(address, MessageBody::TokenQuery(TokenQuery { tokens }));
         }
     }
 
     /// Answers with those of the asked that vanished and are remembered here.
-    pub(crate) fn answer_tokens(
+    pub(crate) fn handle_token_query(
         &mut self,
         now: ClockTime,
         from: SocketAddrV4,
-        question: &TokenQuestion,
+        question: &TokenQuery,
     ) {
         let asked = &question.tokens[..question.tokens.len().min(MOST_TOKENS)];
         let rows = self.list.removed_backends(now, |number| asked.contains(&token_of(number)));
@@ -66,16 +66,16 @@
                 return;
             }
             let rows = Some(packer.finish(count));
-            self.send(from, MessageBody::TokenAnswer(TokenAnswer { rows }));
+            self.send_message(from, MessageBody::TokenResponse(TokenResponse { rows }));
         }
     }
 
     /// Takes backend servers that vanished before this instance knew them.
-    pub(crate) fn take_vanished(&mut self, now: ClockTime, answer: TokenAnswer) {
+    pub(crate) fn apply_removed_backends(&mut self, now: ClockTime, answer: TokenResponse) {
         let rows = answer.rows.map(|rows| rows.unpack()).unwrap_or_default();
         let taken = self.list.apply_removed_backends(now, rows);
         if !taken.is_empty() {
-            self.effects.push(FleetEffect::Rows(taken));
+            self.effects.push(FleetEffect::ApplyRows(taken));
         }
     }
 }
--- a/crates/foxledge-gossip/src/reading.rs
+++ b/crates/foxledge-gossip/src/store_reading.rs
@@ -8,11 +8,11 @@
 };
 
 use crate::{
-    effects::{FleetEffect, FleetEvent, ReadCall, ReadOrder, ReadReason},
-    election::{ReaderClaim, ReaderElection},
+    dissemination::UpdateOrigin,
+    effects::{FleetEffect, FleetEvent, ReadReason, StoreCall, StoreQuery},
+    election::{ReaderElection, StoreConfirmation},
     member::FleetMember,
-    refused::ReadingScope,
-    spreading::NewsOrigin,
+    refused_items::ReadingScope,
 };
 
 /// Longest time that an answer takes beside what its watch waits, in milliseconds.
@@ -44,7 +44,7 @@
 impl FleetMember {
     /// Begins to read when nobody has confirmed the list for too long, and calls when due.
     pub(crate) fn consider_reading(&mut self, now: ClockTime) {
-        if self.card.is_leaving {
+        if self.descriptor.is_leaving {
             return;
         }
         if self.list.head() == 0 {
@@ -54,13 +54,13 @@
             let rank = self.rank(now);
             // The first to read after a start may be one with a narrow link.
             let relieves = rank == 0 && self.election.is_wider(now);
-            if !relieves && !self.read_at(now).is_past(now) {
+            if !relieves && !self.reading_starts_at(now).is_past(now) {
                 return;
             }
             self.election.begin(now);
-            let confirmed_age_ms = self.confirmed_ms(now);
+            let confirmed_age_ms = self.confirmation_age_ms(now);
             self.effects
-                .push(FleetEffect::Event(FleetEvent::ReadingBegun { confirmed_age_ms, rank }));
+                .push(FleetEffect::LogEvent(FleetEvent::ReadingBegun { confirmed_age_ms, rank }));
         }
         if self.election.call_at().is_some_and(|at| at.is_past(now)) {
             let call = self.next_call(now);
@@ -68,20 +68,20 @@
         }
     }
 
-    fn call_store(&mut self, now: ClockTime, call: ReadCall) {
+    fn call_store(&mut self, now: ClockTime, call: StoreCall) {
         self.election.called();
         self.called_at = now;
         if call.reason != ReadReason::Changes {
             let event = FleetEvent::StoreCalled {
-                order: call.order.word(),
+                order: call.query.as_str(),
                 reason: call.reason,
                 known_revision: number_of(self.list.head()),
-                confirmed_age_ms: self.confirmed_ms(now),
+                confirmed_age_ms: self.confirmation_age_ms(now),
                 rank: self.rank(now),
             };
-            self.effects.push(FleetEffect::Event(event));
+            self.effects.push(FleetEffect::LogEvent(event));
         }
-        self.effects.push(FleetEffect::Read(call));
+        self.effects.push(FleetEffect::CallStore(call));
     }
 
     /// Reads a first list, in the way that is cheap for the store and may be old.
@@ -89,14 +89,14 @@
     /// That doesn't make this instance a reader: whether the list is the newest
     /// is heard from peers.
     fn read_first(&mut self, now: ClockTime) {
-        if self.election.is_waiting() || !self.start_at.is_past(now) {
+        if self.election.is_waiting() || !self.first_read_at.is_past(now) {
             return;
         }
-        let (order, reason) = match self.preview.is_known() {
-            true => (ReadOrder::All(ReadMode::Serializable), ReadReason::Rest),
-            false => (ReadOrder::First, ReadReason::Start),
+        let (order, reason) = match self.preview.was_received() {
+            true => (StoreQuery::All(ReadMode::Serializable), ReadReason::Rest),
+            false => (StoreQuery::FirstPage, ReadReason::Start),
         };
-        self.call_store(now, ReadCall { order, reason });
+        self.call_store(now, StoreCall { query: order, reason });
     }
 
     /// Number of instances that are ranked before this one, as far as is known.
@@ -110,16 +110,16 @@
     }
 
     /// When this instance begins to read unless it hears of a confirmation before.
-    pub(crate) fn read_at(&self, now: ClockTime) -> ClockTime {
+    pub(crate) fn reading_starts_at(&self, now: ClockTime) -> ClockTime {
         let at = match self.confirmed_at {
             Some(at) => at.after_millis(self.options.takeover_ms),
-            None => self.start_at.after_millis(UNSURE_MS),
+            None => self.first_read_at.after_millis(UNSURE_MS),
         };
         if self.election.is_behind(now, self.list.head()) {
-            return at.max(self.stalled_at).after_millis(self.behind_patience_ms(now));
+            return at.max(self.transfer_stalled_at).after_millis(self.behind_patience_ms(now));
         }
         if self.confirmed_at.is_none() && self.peers.live(now).next().is_none() {
-            return at.max(self.isolated_at);
+            return at.max(self.isolation_assumed_at);
         }
         at.after_millis(ReaderElection::patience_ms(self.rank(now)))
     }
@@ -134,18 +134,18 @@
     }
 
     /// Notes that peers are at handing over what is newer.
-    pub(crate) fn note_progress(&mut self, now: ClockTime) {
-        self.stalled_at = now.after_millis(STALLED_MS);
+    pub(crate) fn record_transfer_progress(&mut self, now: ClockTime) {
+        self.transfer_stalled_at = now.after_millis(STALLED_MS);
     }
 
     /// The next call of the store: everything, or what changed.
-    fn next_call(&self, now: ClockTime) -> ReadCall {
+    fn next_call(&self, now: ClockTime) -> StoreCall {
         let is_far_behind =
             self.confirmed_at.is_some_and(|at| at.after_millis(FAR_BEHIND_MS).is_past(now));
         let is_short = self.list.len() <= SHORT_LIST;
         let far_behind = (is_far_behind && is_short).then_some(ReadReason::FarBehind);
-        if let Some(reason) = self.copy_reason.or(far_behind) {
-            return ReadCall { order: ReadOrder::All(ReadMode::Linearizable), reason };
+        if let Some(reason) = self.full_read_reason.or(far_behind) {
+            return StoreCall { query: StoreQuery::All(ReadMode::Linearizable), reason };
         }
         let is_sure = self
             .confirmed_at
@@ -154,47 +154,52 @@
             true => (self.options.watch_ms, ReadReason::Changes),
             false => (GLANCE_MS, ReadReason::Unsure),
         };
-        ReadCall { order: ReadOrder::Watch { after: self.list.head(), wait_ms }, reason }
+        StoreCall { query: StoreQuery::Watch { after: self.list.head(), wait_ms }, reason }
     }
 
     /// Takes an answer of the store, and tells everybody what it brought.
-    pub(crate) fn take_reading(&mut self, now: ClockTime, order: ReadOrder, reading: ListReading) {
+    pub(crate) fn apply_store_reading(
+        &mut self,
+        now: ClockTime,
+        order: StoreQuery,
+        reading: ListReading,
+    ) {
         self.note_reading(now, order, &reading);
         let known = epoch_of(self.list.head());
         if reading.epoch() < known {
             // What was true before the store came back from a copy confirms nothing.
             let error = SourceError::OlderEpoch { answered: reading.epoch(), known };
-            return self.take_failure(now, &error);
+            return self.handle_store_failure(now, &error);
         }
         let failures = self.election.succeeded(now);
         if failures > 0 {
-            self.effects.push(FleetEffect::Event(FleetEvent::StoreRegained { failures }));
+            self.effects.push(FleetEffect::LogEvent(FleetEvent::StoreRegained { failures }));
         }
         let scope = match order {
-            ReadOrder::All(_) => ReadingScope::Everything,
-            ReadOrder::First | ReadOrder::Watch { .. } => ReadingScope::Changes,
+            StoreQuery::All(_) => ReadingScope::Everything,
+            StoreQuery::FirstPage | StoreQuery::Watch { .. } => ReadingScope::Changes,
         };
-        for item in self.refused.take(&reading, scope) {
-            self.effects.push(FleetEffect::Event(FleetEvent::ItemRefused(item)));
+        for item in self.refused.record_reading(&reading, scope) {
+            self.effects.push(FleetEffect::LogEvent(FleetEvent::ItemRefused(item)));
         }
         if reading.is_partial {
-            return self.take_preview(now, reading);
+            return self.apply_partial_list(now, reading);
         }
         let former = self.list.head();
         let head = reading.head;
         if former == 0 && head < self.preview.head() {
             // Older than what serves already.
-            self.start_at = now.after_millis(START_RETRY_MS);
+            self.first_read_at = now.after_millis(START_RETRY_MS);
             return;
         }
-        self.hold_config(head);
+        self.retain_config_across_restore(head);
         let (rows, is_newest) = match order {
-            ReadOrder::First => (self.list.apply_reading(now, reading), false),
-            ReadOrder::All(mode) => {
-                self.copy_reason = None;
+            StoreQuery::FirstPage => (self.list.apply_reading(now, reading), false),
+            StoreQuery::All(mode) => {
+                self.full_read_reason = None;
                 (self.list.apply_reading(now, reading), mode == ReadMode::Linearizable)
             }
-            ReadOrder::Watch { .. } => (self.list.apply_watch(now, reading), true),
+            StoreQuery::Watch { .. } => (self.list.apply_watch(now, reading), true),
         };
         if is_newest {
             self.claim(now, head);
@@ -202,28 +207,28 @@
         if former > 0 && (1..=FEW_CHANGES).contains(&rows.len()) {
             self.election.expect_more(now);
         }
-        self.confirm();
-        self.rows_taken(now, rows, former, "store".to_owned());
+        self.update_confirmation();
+        self.publish_changed_rows(now, rows, former, "store".to_owned());
         if self.confirmed_at.is_none() {
             // A first list: peers' word whether it is the newest is waited for.
-            self.start_at = now;
+            self.first_read_at = now;
         }
         if self.election.is_reading() && self.election.is_needless(now) {
             let readers = self.election.other_readers(now).count();
             self.election.end();
-            self.effects.push(FleetEffect::Event(FleetEvent::ReadingEnded { readers }));
+            self.effects.push(FleetEffect::LogEvent(FleetEvent::ReadingEnded { readers }));
         }
-        self.news_from = NewsOrigin::Near;
-        self.spread_widely(now, former);
+        self.update_origin = UpdateOrigin::SameCentre;
+        self.disseminate_widely(now, former);
     }
 
     /// Notes what an answer tells of the store's history, if that is news.
-    fn note_reading(&mut self, now: ClockTime, order: ReadOrder, reading: &ListReading) {
+    fn note_reading(&mut self, now: ClockTime, order: StoreQuery, reading: &ListReading) {
         let known_revision = self.list.head();
         let epoch = reading.epoch();
         if self.store_epoch != Some(epoch) {
             let former_epoch = self.store_epoch.replace(epoch);
-            self.effects.push(FleetEffect::Event(FleetEvent::StoreEpochChanged {
+            self.effects.push(FleetEffect::LogEvent(FleetEvent::StoreEpochChanged {
                 epoch,
                 former_epoch,
                 revision: number_of(reading.head),
@@ -231,13 +236,13 @@
             }));
         }
         if reading.head < known_revision {
-            self.effects.push(FleetEffect::Event(FleetEvent::ReadingPassedOver {
-                order: order.word(),
+            self.effects.push(FleetEffect::LogEvent(FleetEvent::ReadingPassedOver {
+                order: order.as_str(),
                 epoch,
                 revision: number_of(reading.head),
                 items: reading.items.len(),
                 known_revision: number_of(known_revision),
-                confirmed_age_ms: self.confirmed_ms(now),
+                confirmed_age_ms: self.confirmation_age_ms(now),
             }));
         }
     }
@@ -247,33 +252,38 @@
     /// An answer that comes later than any can came before a pause of this
     /// process, nobody knows when; it counts from the call.
     fn claim(&mut self, now: ClockTime, head: u64) {
-        self.serial += 1;
+        self.response_serial += 1;
         let is_late = self.called_at.after_millis(self.options.watch_ms + SLOWEST_MS).is_past(now);
         let at = if is_late { self.called_at } else { now };
-        let card = self.card.clone();
-        self.election.take_claim(ReaderClaim { card, serial: self.serial, at, head });
+        let card = self.descriptor.clone();
+        self.election.record_confirmation(StoreConfirmation {
+            reader: card,
+            serial: self.response_serial,
+            confirmed_at: at,
+            head,
+        });
     }
 
     /// Takes the failure of a call, and leaves reading to others if they are served.
-    pub(crate) fn take_failure(&mut self, now: ClockTime, error: &SourceError) {
+    pub(crate) fn handle_store_failure(&mut self, now: ClockTime, error: &SourceError) {
         if *error == SourceError::HistoryGone {
-            self.copy_reason = Some(ReadReason::HistoryGone);
+            self.full_read_reason = Some(ReadReason::HistoryGone);
             self.election.succeeded(now);
             return;
         }
         if self.election.failures() == 0 {
-            let confirmed_age_ms = self.confirmed_ms(now);
+            let confirmed_age_ms = self.confirmation_age_ms(now);
             let error = error.to_string();
             self.effects
-                .push(FleetEffect::Event(FleetEvent::StoreLost { error, confirmed_age_ms }));
+                .push(FleetEffect::LogEvent(FleetEvent::StoreLost { error, confirmed_age_ms }));
         }
         let is_unusable = matches!(error, SourceError::Timeout(_) | SourceError::Malformed(_));
         if is_unusable && self.list.head() > 0 {
-            self.copy_reason.get_or_insert(ReadReason::Unanswered);
+            self.full_read_reason.get_or_insert(ReadReason::Unanswered);
         }
         let rank = self.rank(now);
         self.election.failed(now, rank);
-        self.start_at = now.after_millis(START_RETRY_MS);
+        self.first_read_at = now.after_millis(START_RETRY_MS);
         let is_confirmed = self
             .confirmed_at
             .is_some_and(|at| !at.after_millis(self.options.takeover_ms).is_past(now));
@@ -281,7 +291,7 @@
             // Others are served while this instance isn't.
             let readers = self.election.other_readers(now).count();
             self.election.end();
-            self.effects.push(FleetEffect::Event(FleetEvent::ReadingEnded { readers }));
+            self.effects.push(FleetEffect::LogEvent(FleetEvent::ReadingEnded { readers }));
         }
     }
 }
--- a/crates/foxledge-gossip/tests/common/load_model.rs
+++ b/crates/foxledge-gossip/tests/common/load_model.rs
@@ -15,16 +15,16 @@
 pub const STEP_MS: u64 = 5;
 /// Time between two measurements of a router, in milliseconds.
 const BUSY_MEASURE_MS: u64 = 50;
-pub const CALM_MEASURE_MS: u64 = 50;
+pub const CALM_MEASURE_INTERVAL_MS: u64 = 50;
 /// Requests a slot on a calm day: 89 of 240.
-pub const CALM_LOAD: f64 = 0.37;
+pub const CALM_REQUESTS_PER_SLOT: f64 = 0.37;
 /// Requests a slot that run or queue at most: 2 slots and 8 places.
 const MOST_LOAD: f64 = 5.0;
 /// Work of a request by priority, in microseconds, and its part of the requests.
 const KINDS: [(f64, f64); 2] = [(72_000.0, 0.33), (55_000.0, 0.67)];
 
 /// The service of the model.
-pub fn desk() -> ServiceKey {
+pub fn model_service() -> ServiceKey {
     ServiceKey::of("desk")
 }
 
@@ -42,7 +42,7 @@
     pub name: CentreName,
     pub slots: f64,
     /// Requests of its callers, as a multiple of a calm day's.
-    pub factor: f64,
+    pub demand_factor: f64,
     seats: Vec<usize>,
 }
 
@@ -50,7 +50,7 @@
 pub struct LoadModel {
     pub centres: Vec<CentreModel>,
     /// Time between two measurements of a calm router, in milliseconds.
-    pub calm_measure_ms: u64,
+    pub calm_measure_interval_ms: u64,
     routers: Vec<RouterModel>,
     rng: StdRng,
 }
@@ -59,23 +59,23 @@
     /// A calm day with this many slots to an instance.
     pub fn new(fleet: &VirtualFleet, slots: f64, seed: u64) -> LoadModel {
         let mut seats: BTreeMap<String, Vec<usize>> = BTreeMap::new();
-        for (index, seat) in fleet.seats.iter().enumerate() {
-            seats.entry(seat.centre.clone()).or_default().push(index);
+        for (index, seat) in fleet.instances.iter().enumerate() {
+            seats.entry(seat.data_centre.clone()).or_default().push(index);
         }
         let centre = |(name, seats): (String, Vec<usize>)| CentreModel {
             name: CentreName::new(&name),
             slots: slots * seats.len() as f64,
-            factor: 1.0,
+            demand_factor: 1.0,
             seats,
         };
         let mut rng = StdRng::seed_from_u64(seed);
         let router = |_: &_| RouterModel {
-            due_at: fleet.now().after_millis(rng.random_range(0..CALM_MEASURE_MS)),
+            due_at: fleet.now().after_millis(rng.random_range(0..CALM_MEASURE_INTERVAL_MS)),
             ..RouterModel::default()
         };
-        let routers = fleet.seats.iter().map(router).collect();
+        let routers = fleet.instances.iter().map(router).collect();
         let centres = seats.into_iter().map(centre).collect();
-        LoadModel { centres, calm_measure_ms: CALM_MEASURE_MS, routers, rng }
+        LoadModel { centres, calm_measure_interval_ms: CALM_MEASURE_INTERVAL_MS, routers, rng }
     }
 
     /// Runs fleet and model for some milliseconds.
@@ -88,15 +88,16 @@
     }
 
     /// Requests of a data centre's callers that run.
-    pub fn running(&self, centre: usize) -> f64 {
+    pub fn running_requests(&self, centre: usize) -> f64 {
         let seats = self.centres[centre].seats.iter();
         f64::from(seats.map(|seat| self.routers[*seat].running.iter().sum::<u32>()).sum::<u32>())
     }
 
     /// Requests of its callers that run, by what a view tells; none when it tells nothing.
-    pub fn viewed(&self, view: &LoadView, centre: usize) -> Option<f64> {
+    pub fn viewed_requests(&self, view: &LoadView, centre: usize) -> Option<f64> {
         let load = view.centres.get(&self.centres[centre].name)?;
-        let running = load.services.get(&desk()).into_iter().flat_map(|one| one.running.values());
+        let running =
+            load.services.get(&model_service()).into_iter().flat_map(|one| one.running.values());
         Some(running.sum())
     }
 
@@ -107,7 +108,7 @@
     }
 
     /// The instances of a data centre.
-    pub fn seats(&self, centre: usize) -> &[usize] {
+    pub fn instances_of(&self, centre: usize) -> &[usize] {
         &self.centres[centre].seats
     }
 
@@ -116,12 +117,12 @@
         let step_s = STEP_MS as f64 / 1e3;
         let mean_us: f64 = KINDS.iter().map(|(work_us, part)| work_us * part).sum();
         for index in 0..self.centres.len() {
-            let running = self.running(index);
+            let running = self.running_requests(index);
             let centre = &self.centres[index];
             let mut room = (centre.slots * MOST_LOAD - running).max(0.0) as u32;
             let pace = (centre.slots / running.max(1.0)).min(1.0);
-            let calm_per_s = centre.slots * CALM_LOAD / mean_us * 1e6;
-            let begun = calm_per_s * centre.factor * step_s / centre.seats.len() as f64;
+            let calm_per_s = centre.slots * CALM_REQUESTS_PER_SLOT / mean_us * 1e6;
+            let begun = calm_per_s * centre.demand_factor * step_s / centre.seats.len() as f64;
             for seat in &centre.seats {
                 let router = &mut self.routers[*seat];
                 for (kind, (work_us, part)) in KINDS.iter().enumerate() {
@@ -142,18 +143,18 @@
     fn measure(&mut self, fleet: &mut VirtualFleet) {
         let now = fleet.now();
         for seat in 0..self.routers.len() {
-            let is_paused = fleet.seats[seat].paused_until > fleet.now_us;
+            let is_paused = fleet.instances[seat].paused_until_us > fleet.now_us;
             if is_paused || !self.routers[seat].due_at.is_past(now) {
                 continue;
             }
             let Some(view) = fleet.load_view(seat) else { continue };
             let pressure = self.pressure(&view, self.centre_of(seat));
-            let load = self.own_load(seat, now);
-            fleet.set_own_load(seat, load, pressure);
-            let member = fleet.seats[seat].member.as_ref();
-            let wait = match member.map(|member| member.load_pace(now)) {
+            let load = self.local_load(seat, now);
+            fleet.set_local_load(seat, load, pressure);
+            let member = fleet.instances[seat].member.as_ref();
+            let wait = match member.map(|member| member.load_report_pace(now)) {
                 Some(ReportPace::Fast) => BUSY_MEASURE_MS,
-                _ => self.calm_measure_ms,
+                _ => self.calm_measure_interval_ms,
             };
             self.routers[seat].due_at = now.after_millis(wait);
         }
@@ -162,12 +163,12 @@
     /// Requests a slot that run in a data centre, by a view.
     fn pressure(&self, view: &LoadView, centre: usize) -> f64 {
         let CentreModel { name, slots, .. } = &self.centres[centre];
-        let services = view.centres.values().filter_map(|one| one.services.get(&desk()));
+        let services = view.centres.values().filter_map(|one| one.services.get(&model_service()));
         services.filter_map(|one| one.running.get(name)).sum::<f64>() / slots
     }
 
     /// The load that an instance sees.
-    pub fn own_load(&self, seat: usize, now: ClockTime) -> LocalLoad {
+    pub fn local_load(&self, seat: usize, now: ClockTime) -> LocalLoad {
         let router = &self.routers[seat];
         let priority = |(kind, (work_us, _)): (usize, &(f64, f64))| {
             let arrivals_per_s = router.gauges[kind].events_per_s(now);
@@ -179,7 +180,7 @@
             priorities: KINDS.iter().enumerate().map(priority).collect(),
             running: BTreeMap::from([(name, running)]),
         };
-        LocalLoad { services: BTreeMap::from([(desk(), load)]), ..LocalLoad::default() }
+        LocalLoad { services: BTreeMap::from([(model_service(), load)]), ..LocalLoad::default() }
     }
 }
 
