--- a/crates/foxledge-gossip/tests/common/mod.rs
+++ b/crates/foxledge-gossip/tests/common/mod.rs
@@ -15,7 +15,7 @@
     rows::{BackendRow, LimitsRow, ListRow, RouteRow, ServiceRow},
     source::{ConfigReading, ReadMode},
 };
-use foxledge_gossip::{FleetEffect, FleetEvent, FleetMember, MemberOptions, ReadCall, ReadOrder};
+use foxledge_gossip::{FleetEffect, FleetEvent, FleetMember, MemberOptions, StoreCall, StoreQuery};
 use foxledge_load::{LoadView, LocalLoad};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -28,10 +28,26 @@
 const NEWEST: usize = 200;
 
 enum Event {
-    Wake { member: usize, timer: u64 },
-    Datagram { member: usize, from: SocketAddrV4, bytes: Vec<u8> },
-    Answer { member: usize, start: u64, order: ReadOrder, answer: Result<ListReading, SourceError> },
-    WatchEnd { member: usize, start: u64, order: ReadOrder },
+    Wake {
+        member: usize,
+        timer: u64,
+    },
+    Datagram {
+        member: usize,
+        from: SocketAddrV4,
+        bytes: Vec<u8>,
+    },
+    Answer {
+        member: usize,
+        start: u64,
+        order: StoreQuery,
+        answer: Result<ListReading, SourceError>,
+    },
+    WatchEnd {
+        member: usize,
+        start: u64,
+        order: StoreQuery,
+    },
 }
 
 /// `StoreState` is how the store answers a member.
@@ -39,7 +55,7 @@
 pub enum StoreState {
     Serving,
     Refusing,
-    Silent,
+    Unresponsive,
 }
 
 #[derive(Default)]
@@ -51,43 +67,43 @@
     /// Rises each time the store comes back from a copy.
     pub epoch: u64,
     pub calls: u64,
-    pub cheap_calls: u64,
+    pub stale_read_calls: u64,
     /// Everything that was published, as it stood at each revision as members know it.
     pub history: BTreeMap<u64, Vec<ItemChange>>,
     /// Revisions by which a reading is behind that may be old.
-    pub lag: u64,
+    pub stale_revisions: u64,
     /// Calls by what was asked, each page of a whole reading one.
-    pub pages: BTreeMap<(&'static str, &'static str), u64>,
+    pub page_counts: BTreeMap<(&'static str, &'static str), u64>,
     /// Revisions by which the first half of the next whole reading is older than the rest.
-    pub tear: u64,
+    pub torn_revisions: u64,
     /// Keeps no history: that of thousands of items would fill the memory.
-    pub is_brief: bool,
+    pub is_history_disabled: bool,
 }
 
-pub struct Seat {
+pub struct VirtualInstance {
     pub member: Option<FleetMember>,
     pub address: SocketAddrV4,
-    pub centre: String,
+    pub data_centre: String,
     /// Counts starts, so that answers to a former process are lost.
     start: u64,
-    pub paused_until: u64,
+    pub paused_until_us: u64,
     pub events: Vec<(u64, FleetEvent)>,
-    pub notes: Vec<HealthObservation>,
+    pub observations: Vec<HealthObservation>,
     /// Packets that others handed to it.
-    pub packets: Vec<Vec<u8>>,
-    pub sent: u64,
+    pub relayed_packets: Vec<Vec<u8>>,
+    pub sent_messages: u64,
     pub sent_bytes: u64,
     /// Times that rows of its list changed.
-    pub changes: u64,
+    pub row_changes: u64,
     /// All rows that were put in force.
-    pub rows: Vec<ListRow>,
+    pub applied_rows: Vec<ListRow>,
     /// Revisions of the list after each change.
-    pub heads: Vec<u64>,
+    pub applied_heads: Vec<u64>,
     /// Time that messages to it wait before they are read.
-    pub lag_us: u64,
+    pub receive_delay_us: u64,
     pub link_mbps: u32,
     /// Its next start reports load.
-    pub tells_load: bool,
+    pub reports_load: bool,
     /// Until when it works on what it has read.
     busy_until: u64,
     /// The timer that counts; a member sets it anew after everything it does.
@@ -99,34 +115,34 @@
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: HashMap<u64, Event>,
     count: u64,
-    pub seats: Vec<Seat>,
+    pub instances: Vec<VirtualInstance>,
     by_address: HashMap<SocketAddrV4, usize>,
     pub store: VirtualStore,
     pub store_state: HashMap<usize, StoreState>,
-    watches: Vec<(usize, u64, ReadOrder)>,
-    pub cut: HashSet<(usize, usize)>,
-    pub loss: f64,
+    watches: Vec<(usize, u64, StoreQuery)>,
+    pub cut_links: HashSet<(usize, usize)>,
+    pub loss_rate: f64,
     rng: StdRng,
     seeds: Vec<SocketAddrV4>,
-    pub largest: usize,
+    pub max_datagram_bytes: usize,
     /// The newest datagrams, for tests that damage them.
-    pub newest: std::collections::VecDeque<Vec<u8>>,
+    pub recent_datagrams: std::collections::VecDeque<Vec<u8>>,
     /// Longest time by which a datagram is later than others sent with it.
     pub jitter_us: u64,
     /// Bytes that went from one data centre to another.
-    pub far_bytes: u64,
+    pub remote_bytes: u64,
     /// The same by kind of message: heartbeats, questions, pages, evidence.
-    pub far_kinds: BTreeMap<&'static str, u64>,
+    pub remote_bytes_by_kind: BTreeMap<&'static str, u64>,
     /// Bytes that members sent, by kind of message.
-    pub kinds: BTreeMap<&'static str, u64>,
+    pub bytes_by_kind: BTreeMap<&'static str, u64>,
     /// Work of a member for each message in or out, in microseconds.
-    pub message_us: u64,
+    pub message_cost_us: u64,
     /// Until when the store's link is taken by answers.
     link_until: u64,
     /// Time that the store's link takes for one item, in nanoseconds.
-    pub item_ns: u64,
+    pub store_item_ns: u64,
     /// Time that each further page of a whole reading takes, in microseconds.
-    pub page_us: u64,
+    pub store_page_us: u64,
 }
 
 impl VirtualStore {
@@ -158,11 +174,11 @@
     }
 
     pub fn register(&mut self, number: u64, draining: bool) {
-        self.register_start(number, draining, 0);
+        self.register_incarnation(number, draining, 0);
     }
 
     /// Registers a backend server that tells which start of it this is.
-    pub fn register_start(&mut self, number: u64, draining: bool, incarnation: u64) {
+    pub fn register_incarnation(&mut self, number: u64, draining: bool, incarnation: u64) {
         self.head += 1;
         let backend = BackendRow {
             number,
@@ -182,7 +198,7 @@
     }
 
     /// Lets another writer overwrite a backend server's entry.
-    pub fn spoil(&mut self, number: u64) {
+    pub fn corrupt_entry(&mut self, number: u64) {
         self.head += 1;
         let id = format!("i-{number:x}");
         let fault = "no JSON".to_owned();
@@ -208,7 +224,7 @@
     }
 
     /// Takes a data centre back, if it is evacuated.
-    pub fn take_back(&mut self, data_centre: &str) {
+    pub fn end_evacuation(&mut self, data_centre: &str) {
         if self.items.remove(&format!("evacuate-{data_centre}")).is_none() {
             return;
         }
@@ -254,17 +270,17 @@
     }
 
     /// Counts the calls of an answer with so many items; returns them.
-    fn count_pages(&mut self, call: ReadCall, items: usize) -> u64 {
-        let pages = match call.order {
-            ReadOrder::All(_) => items.div_ceil(PAGE_ITEMS).max(1) as u64,
-            ReadOrder::First | ReadOrder::Watch { .. } => 1,
+    fn count_pages(&mut self, call: StoreCall, items: usize) -> u64 {
+        let pages = match call.query {
+            StoreQuery::All(_) => items.div_ceil(PAGE_ITEMS).max(1) as u64,
+            StoreQuery::FirstPage | StoreQuery::Watch { .. } => 1,
         };
-        *self.pages.entry((call.order.word(), call.reason.word())).or_default() += pages;
+        *self.page_counts.entry((call.query.as_str(), call.reason.as_str())).or_default() += pages;
         pages
     }
 
     fn record(&mut self) {
-        if self.is_brief {
+        if self.is_history_disabled {
             return;
         }
         self.history.insert(self.revision(), self.items.values().cloned().collect());
@@ -277,7 +293,7 @@
 
     /// A whole reading; the store changes between its pages when `tear` is set.
     fn all_in_pages(&mut self) -> ListReading {
-        let tear = std::mem::take(&mut self.tear);
+        let tear = std::mem::take(&mut self.torn_revisions);
         let first = revision_of(self.epoch, 0);
         let until = revision_of(self.epoch, self.head.saturating_sub(tear));
         let known = self.history.range(first..=until).next_back();
@@ -291,10 +307,10 @@
 
     /// Everything as it stood some revisions ago.
     fn all_of_old(&self) -> ListReading {
-        if self.is_brief {
+        if self.is_history_disabled {
             return self.all();
         }
-        let until = ..=revision_of(self.epoch, self.head.saturating_sub(self.lag));
+        let until = ..=revision_of(self.epoch, self.head.saturating_sub(self.stale_revisions));
         let Some((at, items)) = self.history.range(until).next_back() else { return self.all() };
         ListReading::complete(items.clone(), number_of(*at)).with_epoch(epoch_of(*at))
     }
@@ -331,52 +347,52 @@
             queue: BinaryHeap::new(),
             events: HashMap::new(),
             count: 0,
-            seats: Vec::new(),
+            instances: Vec::new(),
             by_address: HashMap::new(),
             store: VirtualStore::default(),
             store_state: HashMap::new(),
             watches: Vec::new(),
-            cut: HashSet::new(),
-            loss: 0.0,
+            cut_links: HashSet::new(),
+            loss_rate: 0.0,
             rng: StdRng::seed_from_u64(seed),
             seeds: Vec::new(),
-            largest: 0,
-            newest: Default::default(),
+            max_datagram_bytes: 0,
+            recent_datagrams: Default::default(),
             jitter_us: 0,
-            far_bytes: 0,
-            far_kinds: BTreeMap::new(),
-            kinds: BTreeMap::new(),
-            message_us: 0,
+            remote_bytes: 0,
+            remote_bytes_by_kind: BTreeMap::new(),
+            bytes_by_kind: BTreeMap::new(),
+            message_cost_us: 0,
             link_until: 0,
-            item_ns: 0,
-            page_us: 0,
+            store_item_ns: 0,
+            store_page_us: 0,
         };
         for (centre, count) in counts.iter().enumerate() {
             for index in 0..*count {
                 let (high, low) = ((index / 250) as u8, (index % 250) as u8);
                 let ip = Ipv4Addr::new(10, 1 + centre as u8, high, 1 + low);
-                let seat = Seat {
+                let seat = VirtualInstance {
                     member: None,
                     address: SocketAddrV4::new(ip, 7_000),
-                    centre: format!("centre-{centre}"),
+                    data_centre: format!("centre-{centre}"),
                     start: 0,
-                    paused_until: 0,
+                    paused_until_us: 0,
                     events: Vec::new(),
-                    notes: Vec::new(),
-                    packets: Vec::new(),
-                    sent: 0,
+                    observations: Vec::new(),
+                    relayed_packets: Vec::new(),
+                    sent_messages: 0,
                     sent_bytes: 0,
-                    changes: 0,
-                    rows: Vec::new(),
-                    heads: Vec::new(),
-                    lag_us: 0,
+                    row_changes: 0,
+                    applied_rows: Vec::new(),
+                    applied_heads: Vec::new(),
+                    receive_delay_us: 0,
                     link_mbps: 100,
-                    tells_load: false,
+                    reports_load: false,
                     busy_until: 0,
                     timer: 0,
                 };
-                fleet.by_address.insert(seat.address, fleet.seats.len());
-                fleet.seats.push(seat);
+                fleet.by_address.insert(seat.address, fleet.instances.len());
+                fleet.instances.push(seat);
             }
         }
         let first: Vec<_> = counts
@@ -387,39 +403,39 @@
                 Some(index)
             })
             .collect();
-        fleet.seeds = first.iter().take(3).map(|index| fleet.seats[*index].address).collect();
+        fleet.seeds = first.iter().take(3).map(|index| fleet.instances[*index].address).collect();
         fleet
     }
 
     pub fn start_all(&mut self) {
-        for index in 0..self.seats.len() {
+        for index in 0..self.instances.len() {
             self.start(index);
         }
     }
 
     pub fn start(&mut self, index: usize) {
         let seed = self.rng.random();
-        let seat = &mut self.seats[index];
+        let seat = &mut self.instances[index];
         seat.start += 1;
-        let options = MemberOptions::new(seat.address, CentreName::new(&seat.centre))
+        let options = MemberOptions::new(seat.address, CentreName::new(&seat.data_centre))
             .incarnation(self.rng.random())
             .link_mbps(seat.link_mbps)
             .seeds(self.seeds.clone())
             .seed(seed)
-            .tell_load(seat.tells_load);
+            .report_load(seat.reports_load);
         seat.member = Some(FleetMember::new(options, ClockTime::from_micros(self.now_us)));
         self.wake_at(index, self.now_us);
     }
 
     pub fn kill(&mut self, index: usize) {
-        self.seats[index].member = None;
+        self.instances[index].member = None;
         self.watches.retain(|(member, ..)| *member != index);
     }
 
-    pub fn cut_off(&mut self, index: usize) {
-        for other in 0..self.seats.len() {
-            self.cut.insert((index, other));
-            self.cut.insert((other, index));
+    pub fn isolate(&mut self, index: usize) {
+        for other in 0..self.instances.len() {
+            self.cut_links.insert((index, other));
+            self.cut_links.insert((other, index));
         }
     }
 
@@ -454,50 +470,50 @@
     }
 
     /// True when every living member knows the list up to `head`.
-    pub fn all_know(&self, head: u64) -> bool {
+    pub fn all_have_list(&self, head: u64) -> bool {
         self.members().all(|member| member.list().head() >= head)
     }
 
     pub fn members(&self) -> impl Iterator<Item = &FleetMember> {
-        self.seats.iter().filter_map(|seat| seat.member.as_ref())
+        self.instances.iter().filter_map(|seat| seat.member.as_ref())
     }
 
-    pub fn readers(&self) -> usize {
-        self.members().filter(|member| member.is_reading()).count()
+    pub fn reader_count(&self) -> usize {
+        self.members().filter(|member| member.is_reading_store()).count()
     }
 
     /// Age of the oldest confirmation in milliseconds; none when one has none.
-    pub fn oldest_confirmation(&self) -> Option<u64> {
+    pub fn max_confirmation_age_ms(&self) -> Option<u64> {
         let ages = self
             .members()
             .map(|member| Some(self.now().since(member.confirmed_at()?).as_millis() as u64));
         ages.collect::<Option<Vec<_>>>()?.into_iter().max()
     }
 
-    pub fn messages(&self) -> u64 {
-        self.seats.iter().map(|seat| seat.sent).sum()
+    pub fn sent_messages(&self) -> u64 {
+        self.instances.iter().map(|seat| seat.sent_messages).sum()
     }
 
     /// Ends watches that wait for a change, as the store does.
-    pub fn store_changed(&mut self) {
+    pub fn answer_watches(&mut self) {
         for (member, start, order) in std::mem::take(&mut self.watches) {
             self.answer_watch(member, start, order);
         }
     }
 
-    pub fn share(&mut self, index: usize, note: HealthObservation) {
+    pub fn share_observation(&mut self, index: usize, note: HealthObservation) {
         let now = self.now();
-        if let Some(member) = &mut self.seats[index].member {
-            member.share_notes(now, &[note]);
+        if let Some(member) = &mut self.instances[index].member {
+            member.share_observations(now, &[note]);
         }
         self.carry_out(index);
     }
 
     /// Sets the load that a member sees.
-    pub fn set_own_load(&mut self, index: usize, load: LocalLoad, pressure: f64) {
+    pub fn set_local_load(&mut self, index: usize, load: LocalLoad, pressure: f64) {
         let now = self.now();
-        if let Some(member) = &mut self.seats[index].member {
-            member.set_own_load(now, load, pressure);
+        if let Some(member) = &mut self.instances[index].member {
+            member.set_local_load(now, load, pressure);
         }
         self.carry_out(index);
         self.set_timer(index);
@@ -506,23 +522,23 @@
     /// Load as a member knows it.
     pub fn load_view(&mut self, index: usize) -> Option<Arc<LoadView>> {
         let now = self.now();
-        self.seats[index].member.as_mut()?.load_view(now)
+        self.instances[index].member.as_mut()?.load_view(now)
     }
 
     /// Lets a member ask others which backend servers these tokens named.
-    pub fn ask_tokens(&mut self, index: usize, tokens: Vec<u32>) {
+    pub fn query_removed_backends(&mut self, index: usize, tokens: Vec<u32>) {
         let now = self.now();
-        if let Some(member) = &mut self.seats[index].member {
-            member.ask_tokens(now, tokens);
+        if let Some(member) = &mut self.instances[index].member {
+            member.query_removed_backends(now, tokens);
         }
         self.carry_out(index);
     }
 
     /// Lets a member hand a packet to another.
-    pub fn relay(&mut self, index: usize, packet: &[u8]) -> bool {
+    pub fn relay_packet(&mut self, index: usize, packet: &[u8]) -> bool {
         let now = self.now();
-        let is_sent = match &mut self.seats[index].member {
-            Some(member) => member.relay(now, packet),
+        let is_sent = match &mut self.instances[index].member {
+            Some(member) => member.relay_packet(now, packet),
             None => false,
         };
         self.carry_out(index);
@@ -530,14 +546,14 @@
     }
 
     /// Lets a member have a datagram that somebody sends again.
-    pub fn deliver(&mut self, member: usize, from: SocketAddrV4, bytes: Vec<u8>) {
+    pub fn inject_datagram(&mut self, member: usize, from: SocketAddrV4, bytes: Vec<u8>) {
         self.push(self.now_us, Event::Datagram { member, from, bytes });
     }
 
     pub fn leave(&mut self, index: usize) {
         let now = self.now();
-        if let Some(member) = &mut self.seats[index].member {
-            member.leave(now);
+        if let Some(member) = &mut self.instances[index].member {
+            member.announce_leave(now);
         }
         self.carry_out(index);
     }
@@ -549,16 +565,16 @@
     }
 
     fn wake_at(&mut self, member: usize, at: u64) {
-        self.seats[member].timer += 1;
-        let timer = self.seats[member].timer;
+        self.instances[member].timer += 1;
+        let timer = self.instances[member].timer;
         self.push(at.max(self.now_us), Event::Wake { member, timer });
     }
 
     /// Sets the timer to when the member is due next, as the daemon does.
     fn set_timer(&mut self, member: usize) {
         let now = self.now();
-        let Some(one) = &self.seats[member].member else { return };
-        let next = one.next_at(now).as_micros().max(self.now_us + 5_000);
+        let Some(one) = &self.instances[member].member else { return };
+        let next = one.next_timer_at(now).as_micros().max(self.now_us + 5_000);
         self.wake_at(member, next);
     }
 
@@ -566,14 +582,14 @@
         let now = self.now();
         match event {
             Event::Wake { member, timer } => {
-                if self.seats[member].timer != timer {
+                if self.instances[member].timer != timer {
                     return;
                 }
                 if self.is_paused(member) {
-                    return self.wake_at(member, self.seats[member].paused_until);
+                    return self.wake_at(member, self.instances[member].paused_until_us);
                 }
-                let Some(one) = &mut self.seats[member].member else { return };
-                one.on_time(now);
+                let Some(one) = &mut self.instances[member].member else { return };
+                one.handle_timers(now);
                 self.carry_out(member);
                 self.set_timer(member);
             }
@@ -581,28 +597,28 @@
                 if self.is_paused(member) {
                     return;
                 }
-                let busy_until = self.seats[member].busy_until;
+                let busy_until = self.instances[member].busy_until;
                 if busy_until > self.now_us {
                     return self.push(busy_until, Event::Datagram { member, from, bytes });
                 }
-                self.seats[member].busy_until = self.now_us + self.message_us;
-                let Some(one) = &mut self.seats[member].member else { return };
-                assert!(one.on_datagram(now, from, &bytes), "a member's message can't be read");
+                self.instances[member].busy_until = self.now_us + self.message_cost_us;
+                let Some(one) = &mut self.instances[member].member else { return };
+                assert!(one.handle_datagram(now, from, &bytes), "a member's message can't be read");
                 self.carry_out(member);
                 self.set_timer(member);
             }
             Event::Answer { member, start, order, answer } => {
-                let seat = &mut self.seats[member];
+                let seat = &mut self.instances[member];
                 if seat.start != start {
                     return;
                 }
                 let Some(one) = &mut seat.member else { return };
-                one.on_reading(now, order, answer);
+                one.handle_store_response(now, order, answer);
                 self.carry_out(member);
                 self.set_timer(member);
             }
             Event::WatchEnd { member, start, order } => {
-                let waits = |one: &(usize, u64, ReadOrder)| *one == (member, start, order);
+                let waits = |one: &(usize, u64, StoreQuery)| *one == (member, start, order);
                 if let Some(index) = self.watches.iter().position(waits) {
                     self.watches.swap_remove(index);
                     self.answer_watch(member, start, order);
@@ -612,74 +628,78 @@
     }
 
     fn is_paused(&self, member: usize) -> bool {
-        self.seats[member].paused_until > self.now_us
+        self.instances[member].paused_until_us > self.now_us
     }
 
     fn carry_out(&mut self, index: usize) {
-        let Some(member) = &mut self.seats[index].member else { return };
-        let effects = member.take_effects();
-        let (start, address) = (self.seats[index].start, self.seats[index].address);
+        let Some(member) = &mut self.instances[index].member else { return };
+        let effects = member.drain_effects();
+        let (start, address) = (self.instances[index].start, self.instances[index].address);
         for effect in effects {
             match effect {
-                FleetEffect::Send { to, bytes } => self.send(index, address, to, bytes),
-                FleetEffect::Read(call) => self.call(index, start, call),
-                FleetEffect::Event(event) => {
+                FleetEffect::SendDatagram { to, bytes } => self.send(index, address, to, bytes),
+                FleetEffect::CallStore(call) => self.call(index, start, call),
+                FleetEffect::LogEvent(event) => {
                     let at = (self.now_us - START_US) / 1_000;
-                    self.seats[index].events.push((at, event));
+                    self.instances[index].events.push((at, event));
                 }
-                FleetEffect::Note(note) => self.seats[index].notes.push(note),
-                FleetEffect::Packet(bytes) => self.seats[index].packets.push(bytes),
-                FleetEffect::Rows(rows) | FleetEffect::Restored(rows) => {
-                    self.seats[index].changes += 1;
-                    self.seats[index].rows.extend(rows);
-                    let member = self.seats[index].member.as_ref();
+                FleetEffect::RecordObservation(note) => {
+                    self.instances[index].observations.push(note)
+                }
+                FleetEffect::HandlePacket(bytes) => {
+                    self.instances[index].relayed_packets.push(bytes)
+                }
+                FleetEffect::ApplyRows(rows) | FleetEffect::ApplyRestoredRows(rows) => {
+                    self.instances[index].row_changes += 1;
+                    self.instances[index].applied_rows.extend(rows);
+                    let member = self.instances[index].member.as_ref();
                     let head = member.map_or(0, |one| one.list().head());
                     if head > 0 {
-                        self.seats[index].heads.push(head);
+                        self.instances[index].applied_heads.push(head);
                     }
                 }
-                FleetEffect::Confirmed(_) => {}
+                FleetEffect::RecordConfirmation(_) => {}
             }
         }
     }
 
     fn send(&mut self, index: usize, from: SocketAddrV4, to: SocketAddrV4, bytes: Vec<u8>) {
-        self.seats[index].sent += 1;
-        let busy_from = self.seats[index].busy_until.max(self.now_us);
-        self.seats[index].busy_until = busy_from + self.message_us;
-        self.seats[index].sent_bytes += bytes.len() as u64;
-        *self.kinds.entry(kind_of(&bytes)).or_default() += bytes.len() as u64;
-        self.largest = self.largest.max(bytes.len());
-        self.newest.push_back(bytes.clone());
-        if self.newest.len() > NEWEST {
-            self.newest.pop_front();
+        self.instances[index].sent_messages += 1;
+        let busy_from = self.instances[index].busy_until.max(self.now_us);
+        self.instances[index].busy_until = busy_from + self.message_cost_us;
+        self.instances[index].sent_bytes += bytes.len() as u64;
+        *self.bytes_by_kind.entry(kind_of(&bytes)).or_default() += bytes.len() as u64;
+        self.max_datagram_bytes = self.max_datagram_bytes.max(bytes.len());
+        self.recent_datagrams.push_back(bytes.clone());
+        if self.recent_datagrams.len() > NEWEST {
+            self.recent_datagrams.pop_front();
         }
         let Some(member) = self.by_address.get(&to).copied() else { return };
-        if self.cut.contains(&(index, member)) || self.rng.random_bool(self.loss) {
+        if self.cut_links.contains(&(index, member)) || self.rng.random_bool(self.loss_rate) {
             return;
         }
-        let is_near = self.seats[index].centre == self.seats[member].centre;
+        let is_near = self.instances[index].data_centre == self.instances[member].data_centre;
         if !is_near {
-            self.far_bytes += bytes.len() as u64;
-            *self.far_kinds.entry(kind_of(&bytes)).or_default() += bytes.len() as u64;
+            self.remote_bytes += bytes.len() as u64;
+            *self.remote_bytes_by_kind.entry(kind_of(&bytes)).or_default() += bytes.len() as u64;
         }
         let way = if is_near { 200 } else { 500 };
         let jitter = if self.jitter_us > 0 { self.rng.random_range(0..self.jitter_us) } else { 0 };
-        let at = self.now_us + way + jitter + self.seats[member].lag_us;
+        let at = self.now_us + way + jitter + self.instances[member].receive_delay_us;
         self.push(at, Event::Datagram { member, from, bytes });
     }
 
-    fn call(&mut self, member: usize, start: u64, call: ReadCall) {
-        let order = call.order;
+    fn call(&mut self, member: usize, start: u64, call: StoreCall) {
+        let order = call.query;
         match order {
-            ReadOrder::First | ReadOrder::All(ReadMode::Serializable) => {
-                self.store.cheap_calls += 1
+            StoreQuery::FirstPage | StoreQuery::All(ReadMode::Serializable) => {
+                self.store.stale_read_calls += 1
             }
             _ => self.store.calls += 1,
         }
         let state = self.store_state.get(&member).copied().unwrap_or(StoreState::Serving);
         let answer = match (state, order) {
-            (StoreState::Silent, _) => {
+            (StoreState::Unresponsive, _) => {
                 let error = Err(SourceError::Timeout(1_450));
                 return self.push(
                     self.now_us + 1_450_000,
@@ -687,19 +707,19 @@
                 );
             }
             (StoreState::Refusing, _) => Err(SourceError::UnexpectedStatus(503)),
-            (StoreState::Serving, ReadOrder::First) => {
+            (StoreState::Serving, StoreQuery::FirstPage) => {
                 let mut reading = self.store.all_of_old();
                 reading.is_partial = reading.items.len() > PAGE_ITEMS;
                 reading.items.truncate(PAGE_ITEMS);
                 Ok(reading)
             }
-            (StoreState::Serving, ReadOrder::All(ReadMode::Serializable)) => {
+            (StoreState::Serving, StoreQuery::All(ReadMode::Serializable)) => {
                 Ok(self.store.all_of_old())
             }
-            (StoreState::Serving, ReadOrder::All(ReadMode::Linearizable)) => {
+            (StoreState::Serving, StoreQuery::All(ReadMode::Linearizable)) => {
                 Ok(self.store.all_in_pages())
             }
-            (StoreState::Serving, ReadOrder::Watch { after, wait_ms }) => {
+            (StoreState::Serving, StoreQuery::Watch { after, wait_ms }) => {
                 if self.store.revision() == after && self.store.floor <= self.store.head {
                     self.store.count_pages(call, 0);
                     self.watches.push((member, start, order));
@@ -711,15 +731,16 @@
         };
         let items = answer.as_ref().map_or(0, |reading| reading.items.len());
         let pages = self.store.count_pages(call, items);
-        self.link_until = self.link_until.max(self.now_us) + items as u64 * self.item_ns / 1_000;
-        let at = self.link_until + STORE_US + (pages - 1) * self.page_us;
+        self.link_until =
+            self.link_until.max(self.now_us) + items as u64 * self.store_item_ns / 1_000;
+        let at = self.link_until + STORE_US + (pages - 1) * self.store_page_us;
         self.push(at, Event::Answer { member, start, order, answer });
     }
 
-    fn answer_watch(&mut self, member: usize, start: u64, order: ReadOrder) {
-        let ReadOrder::Watch { after, .. } = order else { return };
+    fn answer_watch(&mut self, member: usize, start: u64, order: StoreQuery) {
+        let StoreQuery::Watch { after, .. } = order else { return };
         let state = self.store_state.get(&member).copied().unwrap_or(StoreState::Serving);
-        if state == StoreState::Silent {
+        if state == StoreState::Unresponsive {
             let answer = Err(SourceError::Timeout(1_450));
             return self
                 .push(self.now_us + 450_000, Event::Answer { member, start, order, answer });
@@ -754,6 +775,6 @@
     fleet.store.publish(1, 10);
     fleet.start_all();
     fleet.run(6_000);
-    assert!(fleet.all_know(fleet.store.head), "the fleet doesn't settle");
+    assert!(fleet.all_have_list(fleet.store.head), "the fleet doesn't settle");
     fleet
 }
--- a/crates/foxledge-gossip/tests/damaged_messages.rs
+++ b/crates/foxledge-gossip/tests/damaged_messages.rs
@@ -5,7 +5,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use common::{VirtualFleet, settled_fleet};
-use foxledge_gossip::{FleetEffect, LARGEST_MESSAGE};
+use foxledge_gossip::{FleetEffect, MAX_MESSAGE_BYTES};
 use proptest::prelude::*;
 
 /// Most messages with which one is answered: a flood mustn't become a larger one.
@@ -17,7 +17,7 @@
 fn busy_fleet() -> VirtualFleet {
     let mut fleet = settled_fleet(&[3, 2], 1);
     fleet.store.publish(2, 60);
-    fleet.store_changed();
+    fleet.answer_watches();
     fleet.run(300);
     fleet.kill(4);
     fleet.start(4);
@@ -28,18 +28,18 @@
 /// Gives a datagram to a member and checks what it makes of it; true when it is taken.
 fn feed(fleet: &mut VirtualFleet, bytes: &[u8]) -> Result<bool, TestCaseError> {
     let now = fleet.now();
-    let member = fleet.seats[0].member.as_mut().expect("lives");
-    let is_taken = member.on_datagram(now, SENDER, bytes);
+    let member = fleet.instances[0].member.as_mut().expect("lives");
+    let is_taken = member.handle_datagram(now, SENDER, bytes);
     let mut sent = 0;
-    for effect in member.take_effects() {
-        if let FleetEffect::Send { bytes, .. } = effect {
-            prop_assert!(bytes.len() <= LARGEST_MESSAGE);
+    for effect in member.drain_effects() {
+        if let FleetEffect::SendDatagram { bytes, .. } = effect {
+            prop_assert!(bytes.len() <= MAX_MESSAGE_BYTES);
             sent += 1;
         }
     }
     prop_assert!(sent <= MOST_ANSWERS, "{sent} messages");
-    let _ = member.next_at(now);
-    member.on_time(now);
+    let _ = member.next_timer_at(now);
+    member.handle_timers(now);
     Ok(is_taken)
 }
 
@@ -68,7 +68,7 @@
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<prop::sample::Index>(), any::<u8>()), 400)
     ) {
         let mut fleet = busy_fleet();
-        let newest: Vec<_> = fleet.newest.iter().cloned().collect();
+        let newest: Vec<_> = fleet.recent_datagrams.iter().cloned().collect();
         for (which, place, value) in &changes {
             let mut bytes = which.get(&newest).clone();
             let at = place.index(bytes.len());
--- a/crates/foxledge-gossip/tests/dropped_history.rs
+++ b/crates/foxledge-gossip/tests/dropped_history.rs
@@ -11,15 +11,15 @@
 /// 300 instances in six data centres before 3,000 backend servers, some time after their start.
 fn large_fleet() -> VirtualFleet {
     let mut fleet = VirtualFleet::new(&[50; 6], 1);
-    fleet.store.is_brief = true;
+    fleet.store.is_history_disabled = true;
     for number in 1..=3_000 {
         fleet.store.register(number, false);
     }
     fleet.store.publish(1, 20);
-    (fleet.message_us, fleet.item_ns) = (450, 2_000);
+    (fleet.message_cost_us, fleet.store_item_ns) = (450, 2_000);
     fleet.start_all();
     fleet.run(8_000);
-    assert!(fleet.all_know(fleet.store.head), "the fleet doesn't settle");
+    assert!(fleet.all_have_list(fleet.store.head), "the fleet doesn't settle");
     fleet
 }
 
@@ -32,19 +32,19 @@
     fleet.store.remove(first);
     fleet.store.remove(7);
     fleet.store.compact();
-    fleet.store_changed();
+    fleet.answer_watches();
 }
 
 // Guards against a fleet that copies the whole list, or reads it, when the history is lost.
 #[test]
 fn lost_history_is_cheap() {
     let mut fleet = large_fleet();
-    let calls = |fleet: &VirtualFleet| fleet.store.pages.values().sum::<u64>();
-    let before = (calls(&fleet), fleet.kinds.get("page").copied().unwrap_or(0));
+    let calls = |fleet: &VirtualFleet| fleet.store.page_counts.values().sum::<u64>();
+    let before = (calls(&fleet), fleet.bytes_by_kind.get("page").copied().unwrap_or(0));
     for round in 0..3 {
         drop_history(&mut fleet, 10_000 + round * 100);
         let head = fleet.store.head;
-        let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_know(head));
+        let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_have_list(head));
         assert!(took.is_some(), "round {round}: not within {BOUND_MS} ms");
         fleet.run(2_000);
     }
@@ -53,7 +53,7 @@
     };
     assert!(fleet.members().all(|member| member.list().rows().find(is_left).is_none()));
     let calls = calls(&fleet) - before.0;
-    let pages = fleet.kinds.get("page").copied().unwrap_or(0) - before.1;
+    let pages = fleet.bytes_by_kind.get("page").copied().unwrap_or(0) - before.1;
     println!("{calls} calls, {pages} bytes of pages");
     // Two readers that read seven pages each time, and their watches.
     assert!(calls <= 3 * (2 * 7 + 20), "{calls} calls");
@@ -66,18 +66,18 @@
 #[test]
 fn uneven_list_takes_copy() {
     let mut fleet = common::settled_fleet(&[1, 1], 1);
-    fleet.cut_off(0);
+    fleet.isolate(0);
     let head = fleet.store.head;
     for index in [0, 1] {
         fleet.store_state.insert(index, StoreState::Refusing);
     }
-    fleet.store_changed();
+    fleet.answer_watches();
     fleet.store_state.remove(&0);
     fleet.store.register(0xf00, false);
-    fleet.store.tear = 1;
+    fleet.store.torn_revisions = 1;
     fleet.store.compact();
     let is_uneven = |fleet: &VirtualFleet, index: usize| {
-        fleet.seats[index].member.as_ref().is_some_and(|one| one.list().has_rows_past_head())
+        fleet.instances[index].member.as_ref().is_some_and(|one| one.list().has_rows_past_head())
     };
     assert!(fleet.run_until(5_000, |fleet| is_uneven(fleet, 0)).is_some(), "isn't read in pages");
     fleet.store.remove(0xf00);
@@ -85,9 +85,9 @@
     fleet.store_state.insert(0, StoreState::Refusing);
     fleet.store_state.remove(&1);
     assert!(fleet.members().all(|member| member.list().head() == head));
-    fleet.cut.clear();
+    fleet.cut_links.clear();
     let newest = fleet.store.head;
-    assert!(fleet.run_until(8_000, |fleet| fleet.all_know(newest)).is_some());
+    assert!(fleet.run_until(8_000, |fleet| fleet.all_have_list(newest)).is_some());
     for member in fleet.members() {
         let is_left = |row: &&foxledge_flows::rows::ListRow| {
             row.key == "backend/i-f00" && !matches!(row.value, Some(RowValue::Removed(_)))
--- a/crates/foxledge-gossip/tests/evacuation_spread.rs
+++ b/crates/foxledge-gossip/tests/evacuation_spread.rs
@@ -15,12 +15,12 @@
 
 fn evacuate(fleet: &mut VirtualFleet) {
     fleet.store.evacuate(CENTRE);
-    fleet.store_changed();
+    fleet.answer_watches();
 }
 
 fn take_back(fleet: &mut VirtualFleet) {
-    fleet.store.take_back(CENTRE);
-    fleet.store_changed();
+    fleet.store.end_evacuation(CENTRE);
+    fleet.answer_watches();
 }
 
 /// True when every instance that runs has the wish in force, or none has.
@@ -49,9 +49,9 @@
 // Sequence: the store refuses a third of them, or is silent to them, from before the wish.
 #[test]
 fn some_turned_away() {
-    for state in [StoreState::Refusing, StoreState::Silent] {
+    for state in [StoreState::Refusing, StoreState::Unresponsive] {
         let mut fleet = settled_fleet(SIZES[1], 2);
-        for member in (0..fleet.seats.len()).step_by(3) {
+        for member in (0..fleet.instances.len()).step_by(3) {
             fleet.store_state.insert(member, state);
         }
         evacuate(&mut fleet);
@@ -66,15 +66,15 @@
     let mut fleet = settled_fleet(SIZES[1], 3);
     evacuate(&mut fleet);
     fleet.store.compact();
-    for member in (0..fleet.seats.len()).step_by(2) {
+    for member in (0..fleet.instances.len()).step_by(2) {
         fleet.kill(member);
         fleet.start(member);
     }
     assert_soon(&mut fleet, true, "half started anew");
-    for member in 0..fleet.seats.len() {
+    for member in 0..fleet.instances.len() {
         fleet.kill(member);
     }
-    for member in 0..fleet.seats.len() {
+    for member in 0..fleet.instances.len() {
         fleet.start(member);
     }
     fleet.run(2_000);
@@ -90,14 +90,14 @@
     assert_soon(&mut fleet, true, "before the cut");
     for (from, to) in (0..18).flat_map(|from| (0..18).map(move |to| (from, to))) {
         if (from < 6) != (to < 6) {
-            fleet.cut.insert((from, to));
+            fleet.cut_links.insert((from, to));
         }
     }
     take_back(&mut fleet);
     assert_soon(&mut fleet, false, "in the cut");
     evacuate(&mut fleet);
     assert_soon(&mut fleet, true, "again, in the cut");
-    fleet.cut.clear();
+    fleet.cut_links.clear();
     fleet.run(3_000);
     assert!(all_hold(&fleet, true), "after the cut");
 }
@@ -109,7 +109,7 @@
     let mut fleet = settled_fleet(&[6, 6], 5);
     evacuate(&mut fleet);
     assert_soon(&mut fleet, true, "before");
-    fleet.seats[3].paused_until = fleet.now_us + 4_000_000;
+    fleet.instances[3].paused_until_us = fleet.now_us + 4_000_000;
     take_back(&mut fleet);
     fleet.store.compact();
     fleet.run(4_000);
@@ -123,7 +123,7 @@
     for turn in 0..6 {
         match turn % 2 {
             0 => fleet.store.evacuate("centre-1"),
-            _ => fleet.store.take_back("centre-1"),
+            _ => fleet.store.end_evacuation("centre-1"),
         }
         match turn % 3 {
             0 => evacuate(&mut fleet),
--- a/crates/foxledge-gossip/tests/evidence_states.rs
+++ b/crates/foxledge-gossip/tests/evidence_states.rs
@@ -11,17 +11,17 @@
 
 fn share(fleet: &mut VirtualFleet, seat: usize, kind: ObservationKind) {
     let note = HealthObservation { number: NUMBER, incarnation: 1, kind, observed_at: fleet.now() };
-    fleet.share(seat, note);
+    fleet.share_observation(seat, note);
 }
 
 fn kinds(fleet: &VirtualFleet, seat: usize) -> Vec<ObservationKind> {
-    fleet.seats[seat].notes.iter().map(|note| note.kind).collect()
+    fleet.instances[seat].observations.iter().map(|note| note.kind).collect()
 }
 
 /// What an instance believes by what it has heard.
 fn belief(fleet: &VirtualFleet, seat: usize) -> HealthState {
     let mut state = HealthState::default();
-    for note in &fleet.seats[seat].notes {
+    for note in &fleet.instances[seat].observations {
         state.on_observation(note.observed_at, note, 0);
     }
     state
@@ -78,7 +78,7 @@
     share(&mut fleet, 0, ObservationKind::DataUnanswered);
     share(&mut fleet, 1, ObservationKind::DataUnanswered);
     fleet.run(20);
-    let old: Vec<_> = fleet.newest.iter().cloned().collect();
+    let old: Vec<_> = fleet.recent_datagrams.iter().cloned().collect();
     fleet.run(500);
     share(&mut fleet, 2, ObservationKind::Alive);
     fleet.run(500);
@@ -86,8 +86,8 @@
     for seat in 3..6 {
         assert_eq!(kinds(&fleet, seat).last(), Some(&ObservationKind::Alive), "instance {seat}");
         for message in &old {
-            let from = fleet.seats[0].address;
-            fleet.deliver(seat, from, message.clone());
+            let from = fleet.instances[0].address;
+            fleet.inject_datagram(seat, from, message.clone());
         }
     }
     fleet.run(1_000);
@@ -107,15 +107,15 @@
     let mut fleet = settled_fleet(&[3, 3], 1);
     share(&mut fleet, 2, ObservationKind::Alive);
     fleet.run(300);
-    let old: Vec<_> = fleet.newest.iter().cloned().collect();
+    let old: Vec<_> = fleet.recent_datagrams.iter().cloned().collect();
     share(&mut fleet, 0, ObservationKind::DataUnanswered);
     share(&mut fleet, 1, ObservationKind::DataUnanswered);
     fleet.run(300);
     for seat in 3..6 {
         assert!(is_dead(&fleet, seat, fleet.now()), "instance {seat}: {:?}", kinds(&fleet, seat));
         for message in &old {
-            let from = fleet.seats[0].address;
-            fleet.deliver(seat, from, message.clone());
+            let from = fleet.instances[0].address;
+            fleet.inject_datagram(seat, from, message.clone());
         }
     }
     fleet.run(500);
@@ -143,7 +143,7 @@
         share(&mut fleet, step % 9, ObservationKind::DataUnanswered);
         fleet.run(500);
         for (seat, seen) in seen.iter().enumerate() {
-            let heard = fleet.seats[seat].notes.iter().map(|note| note.observed_at);
+            let heard = fleet.instances[seat].observations.iter().map(|note| note.observed_at);
             let newest = heard.chain([*seen]).max().expect("has seen something");
             let age = fleet.now().since(newest).as_millis();
             assert!(step < 2 || age <= 2_500, "instance {seat}: {age:?} ms");
@@ -151,7 +151,11 @@
     }
     // Not every sign is passed on: one changes nothing where another has just come.
     for seat in 0..9 {
-        assert!(fleet.seats[seat].notes.len() <= 20, "{} notes", fleet.seats[seat].notes.len());
+        assert!(
+            fleet.instances[seat].observations.len() <= 20,
+            "{} notes",
+            fleet.instances[seat].observations.len()
+        );
     }
 }
 
@@ -167,9 +171,10 @@
         kind: ObservationKind::DataUnanswered,
         observed_at: fleet.now(),
     };
-    fleet.share(1, note);
+    fleet.share_observation(1, note);
     fleet.run(200);
-    let heard: Vec<_> = fleet.seats[4].notes.iter().map(|note| note.incarnation).collect();
+    let heard: Vec<_> =
+        fleet.instances[4].observations.iter().map(|note| note.incarnation).collect();
     assert_eq!(heard, [1, 2]);
 }
 
@@ -180,7 +185,7 @@
 #[test]
 fn telling_asks_nobody() {
     let mut fleet = settled_fleet(&[60, 60], 1);
-    fleet.seats.iter_mut().for_each(|seat| seat.events.clear());
+    fleet.instances.iter_mut().for_each(|seat| seat.events.clear());
     for step in 0..300 {
         let note = HealthObservation {
             number: step % 40,
@@ -188,10 +193,10 @@
             kind: ObservationKind::DataUnanswered,
             observed_at: fleet.now(),
         };
-        fleet.share(step as usize % 120, note);
+        fleet.share_observation(step as usize % 120, note);
         fleet.run(50);
     }
-    let events = fleet.seats.iter().flat_map(|seat| &seat.events);
+    let events = fleet.instances.iter().flat_map(|seat| &seat.events);
     let lost = events.filter(|(_, event)| event.kind() == "peer_lost").count();
     assert_eq!(lost, 0);
 }
--- a/crates/foxledge-gossip/tests/far_bytes.rs
+++ b/crates/foxledge-gossip/tests/far_bytes.rs
@@ -15,16 +15,16 @@
     }
     fleet.store.publish(1, 20);
     // A message is 25 us of work at a twentieth of a core, an item 250 bytes at 1 Gbit/s.
-    (fleet.message_us, fleet.item_ns) = (450, 2_000);
+    (fleet.message_cost_us, fleet.store_item_ns) = (450, 2_000);
     fleet
 }
 
 /// Bytes of one kind that have gone to other data centres while something is played.
 fn far_bytes(fleet: &mut VirtualFleet, kind: &str, play: impl FnOnce(&mut VirtualFleet)) -> u64 {
-    fleet.far_kinds.clear();
+    fleet.remote_bytes_by_kind.clear();
     play(fleet);
-    println!("{:?}", fleet.far_kinds);
-    fleet.far_kinds.get(kind).copied().unwrap_or(0)
+    println!("{:?}", fleet.remote_bytes_by_kind);
+    fleet.remote_bytes_by_kind.get(kind).copied().unwrap_or(0)
 }
 
 // Symptom: ways between data centres carry 8 MB when a fleet starts, and 5 MB in ten seconds
@@ -38,7 +38,7 @@
         fleet.start_all();
         fleet.run(3_000);
     });
-    assert!(fleet.all_know(fleet.store.head));
+    assert!(fleet.all_have_list(fleet.store.head));
     assert!(started <= copies(300) / 10, "{started} bytes of pages, all started");
     fleet.run(10_000);
     let restarted = far_bytes(&mut fleet, "page", |fleet| {
@@ -61,13 +61,13 @@
     for counts in [&[17; 6][..], &[50; 6], &[73; 6]] {
         let mut fleet = settled_fleet(counts, 1);
         fleet.run(10_000);
-        let count = fleet.seats.len() as u64;
+        let count = fleet.instances.len() as u64;
         let quiet = far_bytes(&mut fleet, "beat", |fleet| fleet.run(10_000)) / 10 / count;
         assert!(quiet <= 200, "{counts:?}: {quiet} bytes a second and instance");
         let changes = far_bytes(&mut fleet, "beat", |fleet| {
             for number in 0..100 {
                 fleet.store.register(10_000 + number, false);
-                fleet.store_changed();
+                fleet.answer_watches();
                 fleet.run(100);
             }
         });
@@ -85,13 +85,13 @@
     for counts in [&[2, 2, 2, 1][..], &[17; 6], &[50; 6], &[73; 6]] {
         let mut fleet = settled_fleet(counts, 1);
         fleet.run(20_000);
-        fleet.seats.iter_mut().for_each(|seat| seat.events.clear());
+        fleet.instances.iter_mut().for_each(|seat| seat.events.clear());
         fleet.run(20_000);
         let changed = ["peer_found", "peer_lost", "peer_left", "centre_found", "centre_lost"];
-        let events = fleet.seats.iter().flat_map(|seat| &seat.events);
+        let events = fleet.instances.iter().flat_map(|seat| &seat.events);
         let told: Vec<_> = events.filter(|(_, event)| changed.contains(&event.kind())).collect();
         // In views of 64 out of 73, an instance may be met for the first time late.
-        let first_met = if counts[0] > 64 { fleet.seats.len() * 4 } else { 0 };
+        let first_met = if counts[0] > 64 { fleet.instances.len() * 4 } else { 0 };
         assert!(told.len() <= first_met, "{counts:?}: in 20 s {told:?}");
     }
 }
@@ -100,17 +100,17 @@
 #[test]
 fn real_losses_told() {
     let mut fleet = settled_fleet(&[10, 10, 10], 1);
-    fleet.seats.iter_mut().for_each(|seat| seat.events.clear());
+    fleet.instances.iter_mut().for_each(|seat| seat.events.clear());
     fleet.kill(4);
     for near in 20..30 {
         for far in 0..20 {
-            fleet.cut.insert((near, far));
-            fleet.cut.insert((far, near));
+            fleet.cut_links.insert((near, far));
+            fleet.cut_links.insert((far, near));
         }
     }
     fleet.run(20_000);
     let told = |fleet: &VirtualFleet, seat: usize, kind: &str| {
-        fleet.seats[seat].events.iter().filter(|(_, event)| event.kind() == kind).count()
+        fleet.instances[seat].events.iter().filter(|(_, event)| event.kind() == kind).count()
     };
     for seat in (0..10).filter(|seat| *seat != 4) {
         assert_eq!(told(&fleet, seat, "peer_lost"), 1, "instance {seat}");
@@ -120,7 +120,7 @@
         assert_eq!(told(&fleet, seat, "centre_lost"), 2, "instance {seat}");
         assert_eq!(told(&fleet, seat, "peer_lost"), 0, "instance {seat}");
     }
-    fleet.cut.clear();
+    fleet.cut_links.clear();
     fleet.run(10_000);
     for seat in 20..30 {
         assert_eq!(told(&fleet, seat, "centre_found"), 2, "instance {seat}");
--- a/crates/foxledge-gossip/tests/held_config.rs
+++ b/crates/foxledge-gossip/tests/held_config.rs
@@ -4,14 +4,14 @@
 
 use std::collections::BTreeMap;
 
-use common::{Seat, VirtualFleet, settled_fleet};
+use common::{VirtualFleet, VirtualInstance, settled_fleet};
 use foxledge_flows::rows::{LIMITS_KEY, RowValue};
 
 /// What the rows that a member put in force say together, by key; versions never fall.
-fn in_force(seat: &Seat) -> BTreeMap<String, RowValue> {
+fn in_force(seat: &VirtualInstance) -> BTreeMap<String, RowValue> {
     let mut rows = BTreeMap::new();
     let mut newest = 0;
-    for row in &seat.rows {
+    for row in &seat.applied_rows {
         if let Some(RowValue::Limits(limits)) = &row.value {
             assert!(limits.version >= newest, "{} after {newest}", limits.version);
             newest = limits.version;
@@ -36,7 +36,7 @@
 }
 
 fn assert_in_force(fleet: &VirtualFleet, wanted: u64, count: usize) {
-    for (index, seat) in fleet.seats.iter().enumerate() {
+    for (index, seat) in fleet.instances.iter().enumerate() {
         let rows = in_force(seat);
         assert_eq!((version(&rows), routes(&rows)), (wanted, count), "member {index}");
     }
@@ -45,7 +45,7 @@
 /// Publishes a version with some routes.
 fn publish(fleet: &mut VirtualFleet, version: u64, routes: usize) {
     fleet.store.publish(version, routes);
-    fleet.store_changed();
+    fleet.answer_watches();
     fleet.run(2_500);
 }
 
@@ -57,7 +57,7 @@
     }
     assert_in_force(&fleet, 4, 12);
     fleet.store.restore(2);
-    fleet.store_changed();
+    fleet.answer_watches();
     fleet.run(1_500);
     fleet
 }
@@ -80,14 +80,14 @@
     let fleet = restored_fleet(5);
     for member in fleet.members() {
         let rows: BTreeMap<_, _> = member
-            .all_in_force()
+            .effective_rows()
             .into_iter()
             .filter(|row| !matches!(row.value, Some(RowValue::Removed(_))))
             .filter_map(|row| Some((row.key, row.value?)))
             .collect();
         assert_eq!((version(&rows), routes(&rows)), (4, 12));
-        assert_eq!((member.version_in_force(), member.routes_in_force()), (4, 12));
-        assert!(member.holds_config());
+        assert_eq!((member.effective_version(), member.effective_route_count()), (4, 12));
+        assert!(member.is_retaining_config());
     }
 }
 
@@ -104,7 +104,7 @@
 fn second_restore_held_off() {
     let mut fleet = restored_fleet(3);
     fleet.store.restore(1);
-    fleet.store_changed();
+    fleet.answer_watches();
     fleet.run(1_500);
     assert_in_force(&fleet, 4, 12);
     publish(&mut fleet, 5, 3);
@@ -118,7 +118,7 @@
     let mut fleet = restored_fleet(6);
     for index in [1, 4] {
         fleet.kill(index);
-        fleet.seats[index].rows.clear();
+        fleet.instances[index].applied_rows.clear();
         fleet.start(index);
     }
     fleet.run(2_500);
@@ -126,7 +126,7 @@
     // What they hold goes on to the next ones.
     for index in [0, 2, 3] {
         fleet.kill(index);
-        fleet.seats[index].rows.clear();
+        fleet.instances[index].applied_rows.clear();
         fleet.start(index);
     }
     fleet.run(2_500);
@@ -142,11 +142,11 @@
     publish(&mut fleet, 2, 6);
     publish(&mut fleet, 3, 1_400);
     fleet.store.restore(1);
-    fleet.store_changed();
+    fleet.answer_watches();
     fleet.run(1_500);
-    fleet.loss = 0.05;
+    fleet.loss_rate = 0.05;
     fleet.kill(1);
-    fleet.seats[1].rows.clear();
+    fleet.instances[1].applied_rows.clear();
     fleet.start(1);
     fleet.run(6_000);
     assert_in_force(&fleet, 3, 1_400);
@@ -157,7 +157,7 @@
 fn starters_agree() {
     let mut fleet = restored_fleet(4);
     fleet.kill(1);
-    fleet.seats[1].rows.clear();
+    fleet.instances[1].applied_rows.clear();
     fleet.start(1);
     fleet.run(2_000);
     publish(&mut fleet, 5, 8);
--- a/crates/foxledge-gossip/tests/load_faults.rs
+++ b/crates/foxledge-gossip/tests/load_faults.rs
@@ -9,7 +9,7 @@
 use common::{StoreState, VirtualFleet, settle};
 use foxledge_core::names::CentreName;
 use foxledge_load::{LocalLoad, PriorityLoad, ServiceLoad};
-use load_model::{LoadModel, desk};
+use load_model::{LoadModel, model_service};
 use prost::Message;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -19,8 +19,8 @@
 /// A settled fleet in which the members that `tells` names report load.
 fn telling_fleet(counts: &[usize], tells: impl Fn(usize) -> bool) -> VirtualFleet {
     let mut fleet = VirtualFleet::new(counts, 1);
-    let seats = fleet.seats.iter_mut().enumerate();
-    seats.for_each(|(index, seat)| seat.tells_load = tells(index));
+    let seats = fleet.instances.iter_mut().enumerate();
+    seats.for_each(|(index, seat)| seat.reports_load = tells(index));
     settle(fleet)
 }
 
@@ -31,18 +31,18 @@
         priorities: BTreeMap::from([(1, priority)]),
         running: BTreeMap::from([(CentreName::new(centre), running)]),
     };
-    LocalLoad { services: BTreeMap::from([(desk(), load)]), ..LocalLoad::default() }
+    LocalLoad { services: BTreeMap::from([(model_service(), load)]), ..LocalLoad::default() }
 }
 
 /// Lets members report the same load every 50 ms, in a pressed fleet.
 fn report(fleet: &mut VirtualFleet, millis: u64, running: impl Fn(usize) -> f64) {
     for _ in 0..millis / 50 {
-        for seat in 0..fleet.seats.len() {
-            if fleet.seats[seat].paused_until > fleet.now_us {
+        for seat in 0..fleet.instances.len() {
+            if fleet.instances[seat].paused_until_us > fleet.now_us {
                 continue;
             }
-            let centre = fleet.seats[seat].centre.clone();
-            fleet.set_own_load(seat, running_in(&centre, running(seat)), PRESSURE);
+            let centre = fleet.instances[seat].data_centre.clone();
+            fleet.set_local_load(seat, running_in(&centre, running(seat)), PRESSURE);
         }
         fleet.run(50);
     }
@@ -52,7 +52,8 @@
 fn viewed(fleet: &mut VirtualFleet, seat: usize, centre: &str) -> Option<f64> {
     let view = fleet.load_view(seat)?;
     let load = view.centres.get(&CentreName::new(centre))?;
-    let running = load.services.get(&desk()).into_iter().flat_map(|one| one.running.values());
+    let running =
+        load.services.get(&model_service()).into_iter().flat_map(|one| one.running.values());
     Some(running.sum())
 }
 
@@ -62,7 +63,7 @@
 }
 
 fn load_bytes(fleet: &VirtualFleet) -> u64 {
-    fleet.kinds.get("load").copied().unwrap_or(0)
+    fleet.bytes_by_kind.get("load").copied().unwrap_or(0)
 }
 
 /// `TellerFault` is how an instance falls silent.
@@ -86,7 +87,7 @@
         assert!(most >= 108.0 - 0.01, "{fault:?}: {most} requests");
         match fault {
             TellerFault::Death => fleet.kill(7),
-            TellerFault::Freeze => fleet.seats[7].paused_until = u64::MAX,
+            TellerFault::Freeze => fleet.instances[7].paused_until_us = u64::MAX,
             TellerFault::Leave => {
                 fleet.leave(7);
                 fleet.kill(7);
@@ -122,20 +123,20 @@
     let mut fleet = telling_fleet(&[20, 20, 20, 19], |_| true);
     let mut model = LoadModel::new(&fleet, 3.0, 1);
     model.run(&mut fleet, 4_000);
-    fleet.loss = 0.3;
+    fleet.loss_rate = 0.3;
     model.run(&mut fleet, 3_000);
-    model.centres[0].factor = 3.2;
+    model.centres[0].demand_factor = 3.2;
     // Overflow is to be in effect by then.
     model.run(&mut fleet, 500);
     let full = 0.8 * model.centres[0].slots;
     let mut knowing = 0;
-    for seat in 0..fleet.seats.len() {
+    for seat in 0..fleet.instances.len() {
         let view = fleet.load_view(seat).expect("reports load");
-        knowing += usize::from(model.viewed(&view, 0).is_some_and(|known| known >= full));
+        knowing += usize::from(model.viewed_requests(&view, 0).is_some_and(|known| known >= full));
     }
-    assert!(knowing * 100 >= fleet.seats.len() * 95, "{knowing} know");
+    assert!(knowing * 100 >= fleet.instances.len() * 95, "{knowing} know");
     model.run(&mut fleet, 1_000);
-    for seat in 0..fleet.seats.len() {
+    for seat in 0..fleet.instances.len() {
         assert!(fleet.load_view(seat).expect("reports load").is_reliable, "instance {seat}");
     }
 }
@@ -149,7 +150,7 @@
     let lost = CentreName::new("centre-2");
     for inside in 12..18 {
         for outside in 0..12 {
-            fleet.cut.extend([(inside, outside), (outside, inside)]);
+            fleet.cut_links.extend([(inside, outside), (outside, inside)]);
         }
     }
     report(&mut fleet, 2_200, |_| 4.0);
@@ -159,7 +160,7 @@
         assert_eq!(view.centres.contains_key(&lost), seat >= 12, "instance {seat}");
         assert_eq!(view.unreported_centres.contains(&lost), seat < 12, "instance {seat}");
     }
-    fleet.cut.clear();
+    fleet.cut_links.clear();
     report(&mut fleet, 500, |_| 4.0);
     for seat in 0..12 {
         assert_viewed(&mut fleet, seat, "centre-2", 24.0);
@@ -207,7 +208,7 @@
     fleet.kill(3);
     fleet.run(200);
     fleet.start(3);
-    fleet.set_own_load(3, running_in("centre-0", 4.0), 0.0);
+    fleet.set_local_load(3, running_in("centre-0", 4.0), 0.0);
     assert!(!fleet.load_view(3).expect("reports load").is_reliable);
     report(&mut fleet, 500, |_| 4.0);
     assert!(fleet.load_view(3).expect("reports load").is_reliable);
@@ -229,8 +230,8 @@
 #[test]
 fn store_away() {
     let mut fleet = telling_fleet(&[8, 8], |_| true);
-    fleet.store_state = (0..16).map(|seat| (seat, StoreState::Silent)).collect();
-    fleet.store_changed();
+    fleet.store_state = (0..16).map(|seat| (seat, StoreState::Unresponsive)).collect();
+    fleet.answer_watches();
     fleet.run(5_000);
     report(&mut fleet, 1_000, |_| 4.0);
     for seat in 0..16 {
@@ -326,13 +327,13 @@
 fn absurd_values() {
     let mut fleet = telling_fleet(&[8, 8], |_| true);
     report(&mut fleet, 1_000, |_| 4.0);
-    let from: SocketAddrV4 = fleet.seats[5].address;
+    let from: SocketAddrV4 = fleet.instances[5].address;
     let part = |port: u32| ForgedPart {
         ip: u32::from(*from.ip()),
         port,
         serial: u32::MAX,
         age_ms: 0,
-        services: (0..200).chain([desk().0]).map(absurd_service).collect(),
+        services: (0..200).chain([model_service().0]).map(absurd_service).collect(),
         accounts: vec![7; 1_001],
         one_in: u32::MAX,
     };
@@ -340,7 +341,7 @@
         data_centre: name.to_owned(),
         serial: u32::MAX,
         instances: u32::MAX,
-        services: vec![absurd_service(desk().0)],
+        services: vec![absurd_service(model_service().0)],
         pressed_ms: u32::MAX,
     };
     let load = ForgedLoad {
@@ -351,8 +352,8 @@
         is_pressed: true,
         is_busy: true,
     };
-    fleet.deliver(0, from, datagram(load.clone()));
-    fleet.deliver(1, from, datagram(ForgedLoad { is_far: true, ..load }));
+    fleet.inject_datagram(0, from, datagram(load.clone()));
+    fleet.inject_datagram(1, from, datagram(ForgedLoad { is_far: true, ..load }));
     report(&mut fleet, 50, |_| 4.0);
     for seat in 0..2 {
         let view = fleet.load_view(seat).expect("reports load");
--- a/crates/foxledge-gossip/tests/load_messages.rs
+++ b/crates/foxledge-gossip/tests/load_messages.rs
@@ -6,7 +6,7 @@
 };
 
 use foxledge_core::{names::CentreName, time::ClockTime};
-use foxledge_gossip::{FleetEffect, FleetMember, LARGEST_MESSAGE, MemberOptions};
+use foxledge_gossip::{FleetEffect, FleetMember, MAX_MESSAGE_BYTES, MemberOptions};
 use foxledge_load::{LocalLoad, PriorityLoad, ServiceKey, ServiceLoad};
 
 fn start() -> ClockTime {
@@ -18,7 +18,7 @@
     let options = MemberOptions::new(address(number), CentreName::new("toledo"))
         .incarnation(u64::from(number))
         .seeds(vec![address(1), address(2)])
-        .tell_load(true);
+        .report_load(true);
     FleetMember::new(options, start())
 }
 
@@ -27,7 +27,7 @@
     let mut pair = [member(1), member(2)];
     for _ in 0..3 {
         for from in 0..2 {
-            pair[from].on_time(start());
+            pair[from].handle_timers(start());
             exchange(&mut pair, from, start());
         }
     }
@@ -36,15 +36,15 @@
 
 /// Hands what a member sends to the other; returns the sizes.
 fn exchange(pair: &mut [FleetMember; 2], from: usize, now: ClockTime) -> Vec<usize> {
-    let effects = pair[from].take_effects();
+    let effects = pair[from].drain_effects();
     let sent = effects.into_iter().filter_map(|effect| match effect {
-        FleetEffect::Send { bytes, .. } => Some(bytes),
+        FleetEffect::SendDatagram { bytes, .. } => Some(bytes),
         _ => None,
     });
     let address = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, from as u8 + 1), 7_000);
     let sent: Vec<_> = sent.collect();
     for bytes in &sent {
-        assert!(pair[1 - from].on_datagram(now, address, bytes));
+        assert!(pair[1 - from].handle_datagram(now, address, bytes));
     }
     sent.iter().map(Vec::len).collect()
 }
@@ -71,9 +71,9 @@
     let accounts: Vec<_> = (0..12).map(|index| index * 0x0101_0101).collect();
     let services = BTreeMap::from([(desk, load.clone())]);
     let own = LocalLoad { services, sampled_accounts: accounts.clone(), openings_per_sample: 9 };
-    pair[0].set_own_load(start(), own, 0.0);
+    pair[0].set_local_load(start(), own, 0.0);
     exchange(&mut pair, 0, start());
-    pair[1].set_own_load(start(), LocalLoad::default(), 0.0);
+    pair[1].set_local_load(start(), LocalLoad::default(), 0.0);
     let view = pair[1].load_view(start()).expect("reports load");
     let told = &view.centres[&CentreName::new("toledo")];
     // The mean of the part and an empty one, times two instances.
@@ -92,11 +92,11 @@
         (ServiceKey(number), load)
     });
     let own = LocalLoad { services: services.collect(), ..LocalLoad::default() };
-    pair[0].set_own_load(start(), own.clone(), 10.0);
+    pair[0].set_local_load(start(), own.clone(), 10.0);
     let sizes = exchange(&mut pair, 0, start());
     assert!(!sizes.is_empty());
-    assert!(sizes.iter().all(|size| *size <= LARGEST_MESSAGE), "{sizes:?}");
-    pair[1].set_own_load(start(), LocalLoad::default(), 0.0);
+    assert!(sizes.iter().all(|size| *size <= MAX_MESSAGE_BYTES), "{sizes:?}");
+    pair[1].set_local_load(start(), LocalLoad::default(), 0.0);
     let view = pair[1].load_view(start()).expect("reports load");
     let told = &view.centres[&CentreName::new("toledo")].services;
     assert!((20..500).contains(&told.len()), "{} services", told.len());
@@ -104,20 +104,20 @@
     assert!(told.keys().all(|key| key.0 >= least), "{:?}", told.keys());
     // Relayed among others, in a round of a busy instance.
     let later = start().after_millis(500);
-    pair[1].set_own_load(later, own, 10.0);
+    pair[1].set_local_load(later, own, 10.0);
     let sizes = exchange(&mut pair, 1, later);
-    assert!(sizes.iter().all(|size| *size <= LARGEST_MESSAGE), "{sizes:?}");
+    assert!(sizes.iter().all(|size| *size <= MAX_MESSAGE_BYTES), "{sizes:?}");
 }
 
 // Guards against messages of an instance that has said that it stops.
 #[test]
 fn none_after_leaving() {
     let mut pair = pair();
-    pair[0].set_own_load(start(), LocalLoad::default(), 0.0);
+    pair[0].set_local_load(start(), LocalLoad::default(), 0.0);
     exchange(&mut pair, 0, start());
-    pair[0].leave(start());
+    pair[0].announce_leave(start());
     exchange(&mut pair, 0, start());
     let later = start().after_millis(5_000);
-    pair[0].set_own_load(later, LocalLoad::default(), 10.0);
-    assert!(pair[0].take_effects().is_empty());
+    pair[0].set_local_load(later, LocalLoad::default(), 10.0);
+    assert!(pair[0].drain_effects().is_empty());
 }
--- a/crates/foxledge-gossip/tests/load_spread.rs
+++ b/crates/foxledge-gossip/tests/load_spread.rs
@@ -19,7 +19,7 @@
 /// A fleet that reports load, and a calm day that has lasted for some seconds.
 fn calm_day(counts: &[usize], seed: u64) -> (VirtualFleet, LoadModel) {
     let mut fleet = VirtualFleet::new(counts, seed);
-    fleet.seats.iter_mut().for_each(|seat| seat.tells_load = true);
+    fleet.instances.iter_mut().for_each(|seat| seat.reports_load = true);
     let mut fleet = settle(fleet);
     let mut model = LoadModel::new(&fleet, SLOTS, seed);
     model.run(&mut fleet, 4_000);
@@ -28,8 +28,9 @@
 
 /// True when most instances near or far know that data centre 0 is full.
 fn is_known(fleet: &VirtualFleet, model: &LoadModel, views: &[Option<f64>], is_near: bool) -> bool {
-    let meant: Vec<_> =
-        (0..fleet.seats.len()).filter(|seat| (model.centre_of(*seat) == 0) == is_near).collect();
+    let meant: Vec<_> = (0..fleet.instances.len())
+        .filter(|seat| (model.centre_of(*seat) == 0) == is_near)
+        .collect();
     let full = FULL * model.centres[0].slots;
     let knowing = meant.iter().filter(|seat| views[**seat].is_some_and(|viewed| viewed >= full));
     knowing.count() as f64 >= MOST * meant.len() as f64
@@ -38,15 +39,15 @@
 /// Plays a burst of data centre 0; milliseconds until it is full, and until that is known
 /// near and far.
 fn play_burst(fleet: &mut VirtualFleet, model: &mut LoadModel) -> [Option<u64>; 3] {
-    model.centres[0].factor = 3.2;
+    model.centres[0].demand_factor = 3.2;
     let (mut known, mut full) = ([None; 2], None);
     for step in 1..=1_000 / STEP_MS {
         model.run(fleet, STEP_MS);
-        if model.running(0) >= FULL * model.centres[0].slots {
+        if model.running_requests(0) >= FULL * model.centres[0].slots {
             full = full.or(Some(step * STEP_MS));
         }
-        let views: Vec<_> = (0..fleet.seats.len())
-            .map(|seat| fleet.load_view(seat).and_then(|view| model.viewed(&view, 0)))
+        let views: Vec<_> = (0..fleet.instances.len())
+            .map(|seat| fleet.load_view(seat).and_then(|view| model.viewed_requests(&view, 0)))
             .collect();
         for (known, is_near) in known.iter_mut().zip([true, false]) {
             if known.is_none() && is_known(fleet, model, &views, is_near) {
@@ -67,7 +68,8 @@
 }
 
 fn load_bytes(fleet: &VirtualFleet) -> [u64; 2] {
-    [&fleet.kinds, &fleet.far_kinds].map(|kinds| kinds.get("load").copied().unwrap_or(0))
+    [&fleet.bytes_by_kind, &fleet.remote_bytes_by_kind]
+        .map(|kinds| kinds.get("load").copied().unwrap_or(0))
 }
 
 // Guards against a burst that is over before its data centre and the others know of it.
@@ -93,7 +95,7 @@
     let [before, far_before] = load_bytes(&fleet);
     model.run(&mut fleet, 10_000);
     let [after, far_after] = load_bytes(&fleet);
-    let rate = (after - before) / 10 / fleet.seats.len() as u64;
+    let rate = (after - before) / 10 / fleet.instances.len() as u64;
     println!("{rate} bytes a second and instance");
     assert!(rate <= 1_000, "{rate} bytes a second and instance");
     assert_eq!(far_after, far_before, "bytes between data centres");
@@ -103,11 +105,11 @@
 #[test]
 fn busy_budget() {
     let (mut fleet, mut model) = calm_day(&SITE, 1);
-    model.centres.iter_mut().for_each(|centre| centre.factor = 3.5);
+    model.centres.iter_mut().for_each(|centre| centre.demand_factor = 3.5);
     model.run(&mut fleet, 500);
-    let before: Vec<_> = fleet.seats.iter().map(|seat| seat.sent_bytes).collect();
+    let before: Vec<_> = fleet.instances.iter().map(|seat| seat.sent_bytes).collect();
     model.run(&mut fleet, 5_000);
-    let sent = fleet.seats.iter().zip(before).map(|(seat, before)| seat.sent_bytes - before);
+    let sent = fleet.instances.iter().zip(before).map(|(seat, before)| seat.sent_bytes - before);
     let busiest = sent.max().unwrap_or_default() / 5;
     println!("the busiest sends {busiest} bytes a second");
     assert!(busiest <= 12_000, "the busiest sends {busiest} bytes a second");
@@ -117,15 +119,15 @@
 #[test]
 fn calm_again() {
     let (mut fleet, mut model) = calm_day(&SITE, 1);
-    model.centres.iter_mut().for_each(|centre| centre.factor = 3.5);
+    model.centres.iter_mut().for_each(|centre| centre.demand_factor = 3.5);
     model.run(&mut fleet, 2_000);
-    model.centres.iter_mut().for_each(|centre| centre.factor = 1.0);
+    model.centres.iter_mut().for_each(|centre| centre.demand_factor = 1.0);
     // Queues drain, then 4 s pass in which what was said of pressed data centres holds.
     model.run(&mut fleet, 7_000);
     let [before, far_before] = load_bytes(&fleet);
     model.run(&mut fleet, 5_000);
     let [after, far_after] = load_bytes(&fleet);
-    let rate = (after - before) / 5 / fleet.seats.len() as u64;
+    let rate = (after - before) / 5 / fleet.instances.len() as u64;
     assert!(rate <= 1_000, "{rate} bytes a second and instance");
     assert_eq!(far_after, far_before, "bytes between data centres");
 }
@@ -137,12 +139,13 @@
     for seed in 1..=3 {
         let (mut fleet, mut model) = calm_day(&SITE, seed);
         fleet.jitter_us = 8_000;
-        model.centres.iter_mut().for_each(|centre| centre.factor = 3.5);
+        model.centres.iter_mut().for_each(|centre| centre.demand_factor = 3.5);
         model.run(&mut fleet, 3_000);
-        model.centres.iter_mut().for_each(|centre| centre.factor = 1.0);
-        let before: Vec<_> = fleet.seats.iter().map(|seat| seat.sent_bytes).collect();
+        model.centres.iter_mut().for_each(|centre| centre.demand_factor = 1.0);
+        let before: Vec<_> = fleet.instances.iter().map(|seat| seat.sent_bytes).collect();
         model.run(&mut fleet, 10_000);
-        let sent = fleet.seats.iter().zip(before).map(|(seat, before)| seat.sent_bytes - before);
+        let sent =
+            fleet.instances.iter().zip(before).map(|(seat, before)| seat.sent_bytes - before);
         let busiest = sent.max().unwrap_or_default() / 10;
         println!("seed {seed}: the busiest sends {busiest} bytes a second");
         assert!(busiest <= 12_000, "seed {seed}: the busiest sends {busiest} bytes a second");
@@ -154,20 +157,20 @@
 #[test]
 fn views_true() {
     let (mut fleet, mut model) = calm_day(&SITE, 1);
-    model.centres[0].factor = 2.2;
+    model.centres[0].demand_factor = 2.2;
     model.run(&mut fleet, 2_000);
     let (mut viewed, mut true_sum, mut ages) = ([0.0; 2], [0.0; 2], [vec![], vec![]]);
     for _ in 0..40 {
         model.run(&mut fleet, 50);
-        for seat in 0..fleet.seats.len() {
+        for seat in 0..fleet.instances.len() {
             let view = fleet.load_view(seat).expect("reports load");
             let centre = model.centre_of(seat);
             let own = &view.centres[&model.centres[centre].name];
             assert_eq!(own.instances as usize, SITE[centre], "instance {seat}");
             let place = usize::from(centre != 0);
-            let Some(known) = model.viewed(&view, 0) else { continue };
+            let Some(known) = model.viewed_requests(&view, 0) else { continue };
             viewed[place] += known;
-            true_sum[place] += model.running(0);
+            true_sum[place] += model.running_requests(0);
             let told_at = view.centres[&model.centres[0].name].reported_at;
             let age_ms = fleet.now().since(told_at).as_millis();
             ages[place].push(age_ms);
--- a/crates/foxledge-gossip/tests/mass_deaths.rs
+++ b/crates/foxledge-gossip/tests/mass_deaths.rs
@@ -44,7 +44,7 @@
     fn new(fleet: &VirtualFleet) -> Beliefs {
         Beliefs {
             states: HashMap::new(),
-            taken: vec![0; fleet.seats.len()],
+            taken: vec![0; fleet.instances.len()],
             known_at: HashMap::new(),
             signs: HashMap::new(),
             learned: HashMap::new(),
@@ -77,9 +77,9 @@
 
     /// Takes what instances have heard since the last call.
     fn hear(&mut self, fleet: &VirtualFleet) {
-        for (index, seat) in fleet.seats.iter().enumerate() {
-            let taken = std::mem::replace(&mut self.taken[index], seat.notes.len());
-            for note in &seat.notes[taken..] {
+        for (index, seat) in fleet.instances.iter().enumerate() {
+            let taken = std::mem::replace(&mut self.taken[index], seat.observations.len());
+            for note in &seat.observations[taken..] {
                 self.take(fleet.now(), index, note);
             }
         }
@@ -133,7 +133,7 @@
         while let Some((_, seat, mut note)) = plan.next_if(|(at, ..)| *at <= millis) {
             note.observed_at = fleet.now();
             beliefs.observe(note.observed_at, seat, &note);
-            fleet.share(seat, note);
+            fleet.share_observation(seat, note);
         }
         fleet.run(1);
         beliefs.hear(fleet);
@@ -154,17 +154,17 @@
 /// Plays a plan with the bytes of the busiest instance bounded in each second.
 fn play_bounded(fleet: &mut VirtualFleet, plan: Plan) -> Beliefs {
     fleet.run(6_000);
-    let quiet = fleet.far_bytes;
+    let quiet = fleet.remote_bytes;
     fleet.run(3_000);
-    println!("quiet: {} far in 3 s", fleet.far_bytes - quiet);
-    let before: Vec<_> = fleet.seats.iter().map(|seat| seat.sent_bytes).collect();
-    let far = fleet.far_bytes;
+    println!("quiet: {} far in 3 s", fleet.remote_bytes - quiet);
+    let before: Vec<_> = fleet.instances.iter().map(|seat| seat.sent_bytes).collect();
+    let far = fleet.remote_bytes;
     let mut beliefs = Beliefs::new(fleet);
     play(fleet, &mut beliefs, plan, 3_000);
-    let sent = fleet.seats.iter().zip(before).map(|(seat, before)| seat.sent_bytes - before);
+    let sent = fleet.instances.iter().zip(before).map(|(seat, before)| seat.sent_bytes - before);
     let (sum, most) = sent.fold((0, 0), |(sum, most), bytes| (sum + bytes, bytes.max(most)));
-    let count = fleet.seats.len() as u64;
-    let far = fleet.far_bytes - far;
+    let count = fleet.instances.len() as u64;
+    let far = fleet.remote_bytes - far;
     println!("bytes of 3 s: {} an instance, {most} the busiest, {far} far", sum / count);
     assert!(most <= 3 * MOST_BYTES, "{most} bytes");
     beliefs
@@ -204,7 +204,7 @@
 #[test]
 fn lossy_links_tell() {
     let mut fleet = settled_fleet(&[50; 6], 5);
-    fleet.loss = 0.03;
+    fleet.loss_rate = 0.03;
     let beliefs = play_bounded(&mut fleet, deaths(FIRST..FIRST + 120, 0..50, 5));
     check(&beliefs, 0..50, &NEAR, "near");
     check(&beliefs, 50..300, &FAR, "far");
@@ -216,8 +216,8 @@
     let mut fleet = settled_fleet(&[50; 6], 6);
     for one in 0..50 {
         for other in 50..100 {
-            fleet.cut.insert((one, other));
-            fleet.cut.insert((other, one));
+            fleet.cut_links.insert((one, other));
+            fleet.cut_links.insert((other, one));
         }
     }
     let beliefs = play_bounded(&mut fleet, deaths(FIRST..FIRST + 120, 0..50, 6));
--- a/crates/foxledge-gossip/tests/newest_list.rs
+++ b/crates/foxledge-gossip/tests/newest_list.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{StoreState, VirtualFleet, settle, settled_fleet};
-use foxledge_gossip::LARGEST_MESSAGE;
+use foxledge_gossip::MAX_MESSAGE_BYTES;
 
 /// A new list must be in force within this time of its acknowledgement, in milliseconds.
 const BOUND_MS: u64 = 3_000;
@@ -12,7 +12,7 @@
 
 fn publish(fleet: &mut VirtualFleet, version: u64) -> u64 {
     fleet.store.publish(version, 10);
-    fleet.store_changed();
+    fleet.answer_watches();
     fleet.store.head
 }
 
@@ -22,7 +22,7 @@
         for seed in 0..5 {
             let mut fleet = settled_fleet(counts, seed);
             let head = publish(&mut fleet, 2);
-            let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_know(head));
+            let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_have_list(head));
             assert!(took.is_some_and(|took| took < 1_500), "{counts:?} seed {seed}: {took:?} ms");
         }
     }
@@ -36,13 +36,14 @@
     for counts in SIZES {
         for seed in 0..5 {
             let mut fleet = settled_fleet(counts, seed);
-            for index in 0..fleet.seats.len() {
-                if fleet.seats[index].member.as_ref().is_some_and(|one| one.is_reading()) {
+            for index in 0..fleet.instances.len() {
+                if fleet.instances[index].member.as_ref().is_some_and(|one| one.is_reading_store())
+                {
                     fleet.kill(index);
                 }
             }
             let head = publish(&mut fleet, 2);
-            let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_know(head));
+            let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_have_list(head));
             assert!(took.is_some(), "{counts:?} seed {seed}: not within {BOUND_MS} ms");
         }
     }
@@ -58,12 +59,12 @@
         for from in 0..9 {
             for to in 0..9 {
                 if from / 3 != to / 3 {
-                    fleet.cut.insert((from, to));
+                    fleet.cut_links.insert((from, to));
                 }
             }
         }
         let head = publish(&mut fleet, 2);
-        let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_know(head));
+        let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_have_list(head));
         assert!(took.is_some(), "seed {seed}: not within {BOUND_MS} ms");
     }
 }
@@ -73,9 +74,9 @@
 fn lone_instance_reads() {
     for seed in 0..5 {
         let mut fleet = settled_fleet(&[3, 3], seed);
-        fleet.cut_off(4);
+        fleet.isolate(4);
         let head = publish(&mut fleet, 2);
-        let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_know(head));
+        let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_have_list(head));
         assert!(took.is_some(), "seed {seed}: not within {BOUND_MS} ms");
     }
 }
@@ -86,18 +87,20 @@
 //   leaves them without an answer.
 #[test]
 fn some_turned_away() {
-    for state in [StoreState::Refusing, StoreState::Silent] {
+    for state in [StoreState::Refusing, StoreState::Unresponsive] {
         for seed in 0..5 {
             let mut fleet = settled_fleet(&[3, 3, 3], seed);
             let readers: Vec<_> = (0..9)
-                .filter(|i| fleet.seats[*i].member.as_ref().is_some_and(|one| one.is_reading()))
+                .filter(|i| {
+                    fleet.instances[*i].member.as_ref().is_some_and(|one| one.is_reading_store())
+                })
                 .collect();
             for index in readers.iter().copied().chain([0]) {
                 fleet.store_state.insert(index, state);
             }
             fleet.run(2_500);
             let head = publish(&mut fleet, 2);
-            let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_know(head));
+            let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_have_list(head));
             assert!(took.is_some(), "{state:?} seed {seed}: not within {BOUND_MS} ms");
         }
     }
@@ -112,7 +115,7 @@
     fleet.store.remove(7);
     fleet.store.compact();
     let head = fleet.store.head;
-    let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_know(head));
+    let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_have_list(head));
     assert!(took.is_some());
     for member in fleet.members() {
         let row = member.list().rows().find(|row| row.key == "backend/i-7").expect("is kept");
@@ -124,9 +127,9 @@
 fn lossy_links() {
     for seed in 0..5 {
         let mut fleet = settled_fleet(&[5, 5, 5], seed);
-        fleet.loss = 0.2;
+        fleet.loss_rate = 0.2;
         let head = publish(&mut fleet, 2);
-        let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_know(head));
+        let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_have_list(head));
         assert!(took.is_some(), "seed {seed}: not within {BOUND_MS} ms");
     }
 }
@@ -139,7 +142,7 @@
         fleet.run(330);
     }
     let head = fleet.store.head;
-    assert!(fleet.run_until(1_000, |fleet| fleet.all_know(head)).is_some());
+    assert!(fleet.run_until(1_000, |fleet| fleet.all_have_list(head)).is_some());
     assert!(fleet.members().all(|member| member.list().version() == 13));
 }
 
@@ -147,22 +150,22 @@
 fn large_list() {
     let mut fleet = settled_fleet(&[4, 4], 1);
     fleet.store.publish(2, 1_400);
-    fleet.store_changed();
+    fleet.answer_watches();
     let head = fleet.store.head;
-    let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_know(head));
+    let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_have_list(head));
     assert!(took.is_some_and(|took| took < 1_500), "{took:?} ms");
-    assert!(fleet.largest <= LARGEST_MESSAGE, "{} bytes", fleet.largest);
+    assert!(fleet.max_datagram_bytes <= MAX_MESSAGE_BYTES, "{} bytes", fleet.max_datagram_bytes);
 }
 
 // Symptom: an instance that wakes from a long pause brings its old list back.
 #[test]
 fn woken_never_back() {
     let mut fleet = settled_fleet(&[2, 2], 1);
-    fleet.seats[1].paused_until = fleet.now_us + 10_000_000;
+    fleet.instances[1].paused_until_us = fleet.now_us + 10_000_000;
     fleet.run(1_000);
     let head = publish(&mut fleet, 2);
     fleet.run(9_500);
-    let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_know(head));
+    let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_have_list(head));
     assert!(took.is_some());
     assert!(fleet.members().all(|member| member.list().version() == 2));
 }
@@ -176,17 +179,17 @@
 fn removal_before_start() {
     for seed in 0..10 {
         let mut fleet = settled_fleet(&[2, 2], seed);
-        fleet.seats[0].paused_until = fleet.now_us + 4_000_000;
+        fleet.instances[0].paused_until_us = fleet.now_us + 4_000_000;
         fleet.store.remove(7);
         fleet.store.publish(2, 8);
-        fleet.store_changed();
+        fleet.answer_watches();
         fleet.run(500);
         for index in 1..4 {
             fleet.kill(index);
             fleet.start(index);
         }
         fleet.run(8_000);
-        assert!(fleet.all_know(fleet.store.head));
+        assert!(fleet.all_have_list(fleet.store.head));
         for member in fleet.members() {
             let is_left = |row: &&foxledge_flows::rows::ListRow| {
                 matches!(row.key.as_str(), "backend/i-7" | "route/route-9")
@@ -207,16 +210,16 @@
     for seed in 0..5 {
         let mut fleet = VirtualFleet::new(&[20, 20], seed);
         // Its narrow link makes it the last in rank.
-        fleet.seats[39].link_mbps = 1;
+        fleet.instances[39].link_mbps = 1;
         let mut fleet = settle(fleet);
         // What it sends is lost, so nobody answers it; what others tell arrives.
         for other in 0..40 {
-            fleet.cut.insert((39, other));
+            fleet.cut_links.insert((39, other));
         }
         let head = publish(&mut fleet, 2);
         fleet.store.publish(3, 700);
-        fleet.store_changed();
-        let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_know(head + 1));
+        fleet.answer_watches();
+        let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_have_list(head + 1));
         assert!(took.is_some(), "seed {seed}: not within {BOUND_MS} ms");
     }
 }
@@ -225,12 +228,12 @@
 fn wide_links_read() {
     let mut fleet = VirtualFleet::new(&[4, 4], 1);
     for index in [2, 6] {
-        fleet.seats[index].link_mbps = 1_000;
+        fleet.instances[index].link_mbps = 1_000;
     }
     let mut fleet = settle(fleet);
     fleet.run(10_000);
     let reads = |index: &usize| {
-        fleet.seats[*index].member.as_ref().is_some_and(|member| member.is_reading())
+        fleet.instances[*index].member.as_ref().is_some_and(|member| member.is_reading_store())
     };
     let readers: Vec<_> = (0..8).filter(reads).collect();
     assert!(!readers.is_empty() && readers.iter().all(|one| [2, 6].contains(one)), "{readers:?}");
--- a/crates/foxledge-gossip/tests/packed_rows.rs
+++ b/crates/foxledge-gossip/tests/packed_rows.rs
@@ -66,7 +66,7 @@
 
     #[test]
     fn same_unpacked(rows in prop::collection::vec(any_row(), 0..40)) {
-        prop_assert_eq!(PackedRows::of(&rows).unpack(), rows);
+        prop_assert_eq!(PackedRows::pack(&rows).unpack(), rows);
     }
 
     // Symptom: a page is longer than a datagram may be.
@@ -107,7 +107,7 @@
         })
         .collect();
     let plain: usize = rows.iter().map(|row| row.encoded_len() + 2).sum();
-    let packed = PackedRows::of(&rows).encoded_len();
+    let packed = PackedRows::pack(&rows).encoded_len();
     println!("{} and {} bytes a row", plain / 20, packed / 20);
     assert!(packed * 2 <= plain, "{packed} of {plain} bytes");
 }
--- a/crates/foxledge-gossip/tests/packet_relays.rs
+++ b/crates/foxledge-gossip/tests/packet_relays.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::settled_fleet;
-use foxledge_gossip::LARGEST_MESSAGE;
+use foxledge_gossip::MAX_MESSAGE_BYTES;
 
 /// The largest packet of a caller, in bytes.
 const LARGEST_PACKET: usize = 1_232;
@@ -14,19 +14,24 @@
     let mut fleet = settled_fleet(&[3, 3], 1);
     let packet: Vec<_> = (0..LARGEST_PACKET).map(|index| index as u8).collect();
     for _ in 0..20 {
-        assert!(fleet.relay(0, &packet));
+        assert!(fleet.relay_packet(0, &packet));
     }
     fleet.run(50);
-    let got = fleet.seats.iter().map(|seat| seat.packets.len());
+    let got = fleet.instances.iter().map(|seat| seat.relayed_packets.len());
     assert_eq!(got.sum::<usize>(), 20);
-    assert!(fleet.seats[0].packets.is_empty());
-    assert!(fleet.seats[1..3].iter().all(|seat| !seat.packets.is_empty()), "those nearby");
-    assert!(fleet.seats.iter().flat_map(|seat| &seat.packets).all(|got| *got == packet));
-    assert!(fleet.largest <= LARGEST_MESSAGE);
+    assert!(fleet.instances[0].relayed_packets.is_empty());
+    assert!(
+        fleet.instances[1..3].iter().all(|seat| !seat.relayed_packets.is_empty()),
+        "those nearby"
+    );
+    assert!(
+        fleet.instances.iter().flat_map(|seat| &seat.relayed_packets).all(|got| *got == packet)
+    );
+    assert!(fleet.max_datagram_bytes <= MAX_MESSAGE_BYTES);
 }
 
 #[test]
 fn nobody_known() {
     let mut fleet = settled_fleet(&[1], 1);
-    assert!(!fleet.relay(0, &[1, 2, 3]));
+    assert!(!fleet.relay_packet(0, &[1, 2, 3]));
 }
--- a/crates/foxledge-gossip/tests/quiet_fleet.rs
+++ b/crates/foxledge-gossip/tests/quiet_fleet.rs
@@ -14,7 +14,7 @@
         fleet.run(30_000);
         let calls = fleet.store.calls - before;
         assert!(calls <= 75, "{counts:?}: {calls} calls in 30 s");
-        assert!((1..=4).contains(&fleet.readers()), "{} readers", fleet.readers());
+        assert!((1..=4).contains(&fleet.reader_count()), "{} readers", fleet.reader_count());
     }
 }
 
@@ -23,17 +23,17 @@
     // Messages of one instance don't grow with the fleet.
     for counts in [&[2, 2, 2, 1][..], &[21, 24, 19, 23], &[75, 75, 75, 75]] {
         let mut fleet = settled_fleet(counts, 1);
-        let before: Vec<_> = fleet.seats.iter().map(|seat| seat.sent_bytes).collect();
-        let messages = fleet.messages();
-        let far = fleet.far_bytes;
+        let before: Vec<_> = fleet.instances.iter().map(|seat| seat.sent_bytes).collect();
+        let messages = fleet.sent_messages();
+        let far = fleet.remote_bytes;
         fleet.run(10_000);
-        let far = (fleet.far_bytes - far) / 10 / fleet.seats.len() as u64;
-        let rate = (fleet.messages() - messages) as f64 / 10.0 / fleet.seats.len() as f64;
+        let far = (fleet.remote_bytes - far) / 10 / fleet.instances.len() as u64;
+        let rate = (fleet.sent_messages() - messages) as f64 / 10.0 / fleet.instances.len() as f64;
         assert!(rate <= 14.0, "{counts:?}: {rate} messages a second and instance");
-        let all: u64 = fleet.seats.iter().map(|seat| seat.sent_bytes).sum();
-        let sent = (all - before.iter().sum::<u64>()) / 10 / fleet.seats.len() as u64;
+        let all: u64 = fleet.instances.iter().map(|seat| seat.sent_bytes).sum();
+        let sent = (all - before.iter().sum::<u64>()) / 10 / fleet.instances.len() as u64;
         println!("{counts:?}: {rate:.1} messages, {sent} bytes, {far} of them to others");
-        for (seat, before) in fleet.seats.iter().zip(before) {
+        for (seat, before) in fleet.instances.iter().zip(before) {
             let rate = (seat.sent_bytes - before) / 10;
             assert!(rate <= 12_000, "{counts:?}: {rate} bytes a second");
         }
@@ -47,16 +47,16 @@
     for counts in [&[2, 2, 2, 1][..], &[21, 24, 19, 23], &[75, 75, 75, 75]] {
         let mut fleet = settled_fleet(counts, 1);
         let sent =
-            |fleet: &VirtualFleet| fleet.seats.iter().map(|seat| seat.sent_bytes).sum::<u64>();
+            |fleet: &VirtualFleet| fleet.instances.iter().map(|seat| seat.sent_bytes).sum::<u64>();
         let before = sent(&fleet);
         for number in 0..300 {
             fleet.store.register(1_000 + number, false);
-            fleet.store_changed();
+            fleet.answer_watches();
             fleet.run(10);
         }
         let head = fleet.store.head;
-        assert!(fleet.run_until(1_000, |fleet| fleet.all_know(head)).is_some());
-        let bytes = (sent(&fleet) - before) / 300 / fleet.seats.len() as u64;
+        assert!(fleet.run_until(1_000, |fleet| fleet.all_have_list(head)).is_some());
+        let bytes = (sent(&fleet) - before) / 300 / fleet.instances.len() as u64;
         println!("{counts:?}: {bytes} bytes a change and instance");
         assert!(bytes <= 400, "{counts:?}: {bytes} bytes a change and instance");
     }
@@ -73,10 +73,10 @@
         let mut slowest = 0;
         for number in 0..100 {
             fleet.store.register(1_000 + number, false);
-            fleet.store_changed();
+            fleet.answer_watches();
             let head = fleet.store.head;
             if number % 10 == 0 {
-                let took = fleet.run_until(3_000, |fleet| fleet.all_know(head));
+                let took = fleet.run_until(3_000, |fleet| fleet.all_have_list(head));
                 slowest = slowest.max(took.expect("is known"));
             }
             fleet.run(100);
@@ -96,7 +96,7 @@
         let mut worst = 0;
         for _ in 0..100 {
             fleet.run(97);
-            worst = worst.max(fleet.oldest_confirmation().expect("all are confirmed"));
+            worst = worst.max(fleet.max_confirmation_age_ms().expect("all are confirmed"));
         }
         assert!(worst <= 2_200, "{counts:?}: {worst} ms");
     }
@@ -110,22 +110,22 @@
 #[test]
 fn news_dies_out() {
     let mut fleet = settled_fleet(&[3, 3, 3], 1);
-    fleet.seats[4].lag_us = 120_000;
-    fleet.seats[7].lag_us = 80_000;
+    fleet.instances[4].receive_delay_us = 120_000;
+    fleet.instances[7].receive_delay_us = 80_000;
     let note = HealthObservation {
         number: 3,
         incarnation: 0,
         kind: ObservationKind::Suspect,
         observed_at: fleet.now(),
     };
-    fleet.share(0, note);
+    fleet.share_observation(0, note);
     fleet.run(3_000);
-    for (index, seat) in fleet.seats.iter().enumerate().skip(1) {
-        assert_eq!(seat.notes.len(), 1, "instance {index}");
+    for (index, seat) in fleet.instances.iter().enumerate().skip(1) {
+        assert_eq!(seat.observations.len(), 1, "instance {index}");
     }
-    let before = fleet.messages();
+    let before = fleet.sent_messages();
     fleet.run(5_000);
-    let rate = (fleet.messages() - before) / 5 / 9;
+    let rate = (fleet.sent_messages() - before) / 5 / 9;
     assert!(rate <= 14, "{rate} messages a second and instance");
 }
 
@@ -135,16 +135,16 @@
 #[test]
 fn dead_reader_fades() {
     let mut fleet = settled_fleet(&[3, 3, 3], 1);
-    fleet.seats[5].lag_us = 200_000;
+    fleet.instances[5].receive_delay_us = 200_000;
     for index in 0..9 {
         fleet.store_state.insert(index, StoreState::Refusing);
     }
     // Watches that wait end at once.
-    fleet.store_changed();
+    fleet.answer_watches();
     fleet.run(200);
     let start = fleet.now_us;
     fleet.run(5_000);
-    let age = fleet.oldest_confirmation().expect("was confirmed");
+    let age = fleet.max_confirmation_age_ms().expect("was confirmed");
     let real = (fleet.now_us - start) / 1_000;
     assert!(age + 1_500 >= real, "{age} ms told, {real} ms gone by");
 }
@@ -152,12 +152,12 @@
 #[test]
 fn leaving_told() {
     let mut fleet = settled_fleet(&[3, 3], 1);
-    let peers = fleet.seats[0].member.as_ref().map(|one| one.peer_count());
+    let peers = fleet.instances[0].member.as_ref().map(|one| one.peer_count());
     assert_eq!(peers, Some(5));
     fleet.leave(5);
     fleet.kill(5);
     fleet.run(1_500);
-    for seat in fleet.seats.iter().take(5) {
+    for seat in fleet.instances.iter().take(5) {
         assert_eq!(seat.member.as_ref().map(|one| one.peer_count()), Some(4));
     }
 }
@@ -173,9 +173,9 @@
     for counts in [&[2, 2, 2, 1][..], &[21, 24, 19, 23], &[50; 6]] {
         let mut fleet = settled_fleet(counts, 1);
         fleet.run(10_000);
-        let total = fleet.seats.len();
+        let total = fleet.instances.len();
         fleet.store_state = (0..total).map(|index| (index, StoreState::Refusing)).collect();
-        fleet.store_changed();
+        fleet.answer_watches();
         let before = fleet.store.calls;
         fleet.run(5_000);
         let calls = fleet.store.calls - before;
@@ -184,9 +184,9 @@
         assert!(calls <= 8 * 8 + 2 * 28, "{counts:?}: {calls} calls");
         fleet.store_state.clear();
         fleet.store.publish(2, 10);
-        fleet.store_changed();
+        fleet.answer_watches();
         let head = fleet.store.head;
-        let took = fleet.run_until(3_000, |fleet| fleet.all_know(head));
+        let took = fleet.run_until(3_000, |fleet| fleet.all_have_list(head));
         assert!(took.is_some_and(|took| took <= 2_000), "{counts:?}: {took:?} ms");
     }
 }
@@ -196,14 +196,14 @@
     let mut fleet = settled_fleet(&[10, 10], 1);
     for near in 0..10 {
         for far in 10..20 {
-            fleet.cut.insert((near, far));
-            fleet.cut.insert((far, near));
+            fleet.cut_links.insert((near, far));
+            fleet.cut_links.insert((far, near));
         }
     }
     fleet.run(4_000);
-    fleet.cut.clear();
+    fleet.cut_links.clear();
     fleet.run(3_000);
-    assert_eq!(fleet.readers(), 2);
+    assert_eq!(fleet.reader_count(), 2);
     fleet
 }
 
@@ -214,7 +214,7 @@
     let before = fleet.store.calls;
     for number in 0..300 {
         fleet.store.register(1_000 + number, false);
-        fleet.store_changed();
+        fleet.answer_watches();
         fleet.run(20);
     }
     let calls = fleet.store.calls - before;
@@ -229,19 +229,19 @@
     for first in 0..20 {
         let mut fleet = two_readers();
         let reads = |fleet: &VirtualFleet, index: usize| {
-            fleet.seats[index].member.as_ref().is_some_and(|one| one.is_reading())
+            fleet.instances[index].member.as_ref().is_some_and(|one| one.is_reading_store())
         };
         if !reads(&fleet, first) {
             continue;
         }
         fleet.store.register(1_000, false);
-        fleet.store_changed();
+        fleet.answer_watches();
         fleet.run(30);
         fleet.kill(first);
         fleet.store.register(1_001, false);
-        fleet.store_changed();
+        fleet.answer_watches();
         let head = fleet.store.head;
-        let took = fleet.run_until(3_000, |fleet| fleet.all_know(head));
+        let took = fleet.run_until(3_000, |fleet| fleet.all_have_list(head));
         println!("reader {first} killed: {took:?} ms");
         assert!(took.is_some_and(|took| took <= 1_500), "reader {first} killed: {took:?} ms");
     }
--- a/crates/foxledge-gossip/tests/random_lists.rs
+++ b/crates/foxledge-gossip/tests/random_lists.rs
@@ -102,7 +102,7 @@
             fleet.store.register(number, false);
         }
         let mut fleet = settle(fleet);
-        fleet.message_us = MESSAGE_US;
+        fleet.message_cost_us = MESSAGE_US;
         Run {
             fleet,
             version: 1,
@@ -116,48 +116,48 @@
         match step {
             Step::Publish { routes, first } => self.publish(routes, first),
             Step::Register { backend, draining, start } => {
-                self.fleet.store.register_start(backend, draining, start);
-                self.fleet.store_changed();
+                self.fleet.store.register_incarnation(backend, draining, start);
+                self.fleet.answer_watches();
             }
             Step::Spoil { backend } => {
-                self.fleet.store.spoil(backend);
-                self.fleet.store_changed();
+                self.fleet.store.corrupt_entry(backend);
+                self.fleet.answer_watches();
             }
             Step::Remove { backend } => {
                 self.fleet.store.remove(backend);
-                self.fleet.store_changed();
+                self.fleet.answer_watches();
             }
             Step::Evacuate { centre } => {
                 self.fleet.store.evacuate(CENTRES[centre]);
-                self.fleet.store_changed();
+                self.fleet.answer_watches();
             }
             Step::TakeBack { centre } => {
-                self.fleet.store.take_back(CENTRES[centre]);
-                self.fleet.store_changed();
+                self.fleet.store.end_evacuation(CENTRES[centre]);
+                self.fleet.answer_watches();
             }
             Step::DropHistory => self.fleet.store.compact(),
             Step::Restore { revisions } => {
                 self.fleet.store.restore(revisions);
-                self.fleet.store_changed();
+                self.fleet.answer_watches();
             }
-            Step::AgeReadings { revisions } => self.fleet.store.lag = revisions,
-            Step::TearReading { revisions } => self.fleet.store.tear = revisions,
+            Step::AgeReadings { revisions } => self.fleet.store.stale_revisions = revisions,
+            Step::TearReading { revisions } => self.fleet.store.torn_revisions = revisions,
             Step::Kill { member } => self.kill(member),
             Step::Start { member } => {
                 self.kill(member);
                 self.fleet.start(member);
             }
             Step::Pause { member, millis } => {
-                self.fleet.seats[member].paused_until = self.fleet.now_us + millis * 1_000;
+                self.fleet.instances[member].paused_until_us = self.fleet.now_us + millis * 1_000;
             }
             Step::Cut { from, to } => {
-                self.fleet.cut.insert((from, to));
+                self.fleet.cut_links.insert((from, to));
             }
             Step::StoreFails { member, is_silent } => {
-                let state = if is_silent { StoreState::Silent } else { StoreState::Refusing };
+                let state = if is_silent { StoreState::Unresponsive } else { StoreState::Refusing };
                 self.fleet.store_state.insert(member, state);
             }
-            Step::Lose { percent } => self.fleet.loss = f64::from(percent) / 100.0,
+            Step::Lose { percent } => self.fleet.loss_rate = f64::from(percent) / 100.0,
             Step::Heal => self.heal(),
             Step::Run { millis } => self.run(millis),
         }
@@ -178,7 +178,7 @@
             cold_flows_per_ks: self.version,
         });
         self.fleet.store.publish_config(self.version, routes.collect(), services.collect());
-        self.fleet.store_changed();
+        self.fleet.answer_watches();
     }
 
     fn kill(&mut self, member: usize) {
@@ -187,9 +187,9 @@
     }
 
     fn heal(&mut self) {
-        self.fleet.cut.clear();
+        self.fleet.cut_links.clear();
         self.fleet.store_state.clear();
-        self.fleet.loss = 0.0;
+        self.fleet.loss_rate = 0.0;
     }
 
     fn run(&mut self, millis: u64) {
@@ -204,14 +204,14 @@
 
     /// Compares what members newly know with what the store held at that revision.
     fn look(&mut self) {
-        for (index, seat) in self.fleet.seats.iter().enumerate() {
+        for (index, seat) in self.fleet.instances.iter().enumerate() {
             let Some(member) = &seat.member else { continue };
-            let (head, version) = (member.list().head(), member.version_in_force());
+            let (head, version) = (member.list().head(), member.effective_version());
             let former = std::mem::replace(&mut self.versions[index], version);
             assert!(version >= former, "member {index}: version {version} after {former}");
             assert!(head >= self.heads[index], "member {index} went back to {head}");
-            let is_known = (self.heads[index], self.changes[index]) == (head, seat.changes);
-            (self.heads[index], self.changes[index]) = (head, seat.changes);
+            let is_known = (self.heads[index], self.changes[index]) == (head, seat.row_changes);
+            (self.heads[index], self.changes[index]) = (head, seat.row_changes);
             // Of an uneven list nothing is promised but what comes after it.
             if head == 0 || is_known || member.list().has_rows_past_head() {
                 continue;
@@ -230,14 +230,14 @@
     fn finish(&mut self) {
         self.heal();
         for member in 0..MEMBERS {
-            self.fleet.seats[member].paused_until = 0;
-            if self.fleet.seats[member].member.is_none() {
+            self.fleet.instances[member].paused_until_us = 0;
+            if self.fleet.instances[member].member.is_none() {
                 self.fleet.start(member);
             }
         }
         self.run(HEALED_MS);
         assert!(
-            self.fleet.all_know(self.fleet.store.revision()),
+            self.fleet.all_have_list(self.fleet.store.revision()),
             "some don't know the newest list"
         );
         self.publish(0b1010_1010, 1);
@@ -245,7 +245,7 @@
         let newest = self.fleet.store.history.values().next_back().expect("was published");
         let newest = of_config(&published(newest));
         for (index, member) in self.fleet.members().enumerate() {
-            let rows = member.all_in_force();
+            let rows = member.effective_rows();
             let rows = rows.iter().filter_map(|row| Some((row.key.clone(), row.value.clone()?)));
             let rows: BTreeMap<_, _> =
                 rows.filter(|(_, value)| !matches!(value, RowValue::Removed(_))).collect();
--- a/crates/foxledge-gossip/tests/restored_store.rs
+++ b/crates/foxledge-gossip/tests/restored_store.rs
@@ -18,12 +18,12 @@
     let mut fleet = settled_fleet(counts, seed);
     for version in 2..=4 {
         fleet.store.publish(version, 10 + version as usize);
-        fleet.store_changed();
+        fleet.answer_watches();
         fleet.run(2_000);
     }
-    let members = 0..fleet.seats.len();
+    let members = 0..fleet.instances.len();
     fleet.store_state = members.map(|member| (member, StoreState::Refusing)).collect();
-    fleet.store_changed();
+    fleet.answer_watches();
     fleet.run(AWAY_MS);
     fleet.store.restore(3);
     fleet.store_state.clear();
@@ -48,7 +48,7 @@
         let mut fleet = restored_fleet(&counts, seed);
         fleet.run(500);
         fleet.store.publish(5, 12);
-        fleet.store_changed();
+        fleet.answer_watches();
         let all_have = |fleet: &VirtualFleet| fleet.members().all(|one| has_version(one, 5));
         let took = fleet.run_until(IN_FORCE_MS, all_have);
         assert!(took.is_some(), "{counts:?}: not in force after {IN_FORCE_MS} ms");
@@ -61,7 +61,7 @@
     let mut fleet = restored_fleet(&[3, 2, 2], 4);
     fleet.run(500);
     fleet.store.register(7, true);
-    fleet.store_changed();
+    fleet.answer_watches();
     let key = backend_key("i-7");
     let is_leaving = |member: &FleetMember| matches!(known(member).get(&key), Some(RowValue::Backend(backend)) if backend.draining);
     let all_know = |fleet: &VirtualFleet| fleet.members().all(is_leaving);
@@ -78,7 +78,7 @@
     fleet.store.register(7, true);
     fleet.store.remove(8);
     fleet.store.publish(5, 4);
-    fleet.store_changed();
+    fleet.answer_watches();
     fleet.run(IN_FORCE_MS);
     let mut lists: Vec<_> = fleet.members().map(known).collect();
     let first = lists.pop().expect("there are members");
@@ -99,13 +99,13 @@
     }
     let mut fleet = settle(fleet);
     // A slow instance's work for a message, and the store's link.
-    (fleet.message_us, fleet.item_ns) = (450, 2_000);
+    (fleet.message_cost_us, fleet.store_item_ns) = (450, 2_000);
     fleet.store.publish(2, 12);
-    fleet.store_changed();
+    fleet.answer_watches();
     fleet.run(2_000);
     fleet.store.restore(1);
     fleet.store.publish(3, 12);
-    fleet.store_changed();
+    fleet.answer_watches();
     let all_have = |fleet: &VirtualFleet| fleet.members().all(|one| has_version(one, 3));
     let took = fleet.run_until(IN_FORCE_MS, all_have);
     assert!(took.is_some(), "not in force after {IN_FORCE_MS} ms");
--- a/crates/foxledge-gossip/tests/sign_algebra.rs
+++ b/crates/foxledge-gossip/tests/sign_algebra.rs
@@ -4,7 +4,9 @@
 
 use foxledge_core::time::ClockTime;
 use foxledge_flows::ObservationKind;
-use foxledge_gossip::backend_evidence::{BackendEvidence, HealthBelief, HealthSign, SignOrigin};
+use foxledge_gossip::backend_evidence::{
+    BackendEvidence, InferredHealth, ObservationOrigin, ObservationRecord,
+};
 use proptest::prelude::*;
 
 /// Time in which all signs of a sequence are seen, in milliseconds: less than they are told.
@@ -25,36 +27,39 @@
     ]
 }
 
-fn any_signs() -> impl Strategy<Value = Vec<HealthSign>> {
+fn any_signs() -> impl Strategy<Value = Vec<ObservationRecord>> {
     prop::collection::vec((any_kind(), 0..SPAN_MS), 1..12).prop_map(|seen| {
-        let sign = |(index, (kind, millis)): (usize, (ObservationKind, u64))| HealthSign {
+        let sign = |(index, (kind, millis)): (usize, (ObservationKind, u64))| ObservationRecord {
             id: index as u16,
             kind,
-            at: at(millis),
+            observed_at: at(millis),
         };
         seen.into_iter().enumerate().map(sign).collect()
     })
 }
 
-fn evidence_of<'a>(signs: impl IntoIterator<Item = &'a HealthSign>) -> BackendEvidence {
-    let mut evidence = BackendEvidence::new(SignOrigin::Near);
+fn evidence_of<'a>(signs: impl IntoIterator<Item = &'a ObservationRecord>) -> BackendEvidence {
+    let mut evidence = BackendEvidence::new(ObservationOrigin::SameCentre);
     for sign in signs {
-        evidence.take(at(SPAN_MS), *sign);
+        evidence.record(at(SPAN_MS), *sign);
     }
     evidence
 }
 
 /// What a set of signs means, told in the plainest way.
-fn meaning(signs: &[HealthSign]) -> HealthBelief {
-    let life =
-        signs.iter().filter(|sign| sign.kind == ObservationKind::Alive).map(|sign| sign.at).max();
-    let standing = signs.iter().filter(|sign| life.is_none_or(|life| sign.at > life));
+fn meaning(signs: &[ObservationRecord]) -> InferredHealth {
+    let life = signs
+        .iter()
+        .filter(|sign| sign.kind == ObservationKind::Alive)
+        .map(|sign| sign.observed_at)
+        .max();
+    let standing = signs.iter().filter(|sign| life.is_none_or(|life| sign.observed_at > life));
     let standing: Vec<_> = standing.collect();
     let count = |kind| standing.iter().filter(|sign| sign.kind == kind).count();
     let mut suspicions: Vec<_> = standing
         .iter()
         .filter(|sign| sign.kind == ObservationKind::Suspect)
-        .map(|sign| sign.at.as_micros())
+        .map(|sign| sign.observed_at.as_micros())
         .collect();
     suspicions.sort_unstable();
     let are_close = match suspicions[..] {
@@ -65,11 +70,11 @@
         count(ObservationKind::OpeningUnanswered) + count(ObservationKind::DataUnanswered),
         count(ObservationKind::DataUnanswered),
     ) {
-        (2.., 1..) => HealthBelief::Dead,
-        (1.., _) => HealthBelief::Silent,
-        _ if are_close || count(ObservationKind::Ejected) > 0 => HealthBelief::Ejected,
-        _ if !suspicions.is_empty() => HealthBelief::Suspected,
-        _ => HealthBelief::Unharmed,
+        (2.., 1..) => InferredHealth::Dead,
+        (1.., _) => InferredHealth::Unresponsive,
+        _ if are_close || count(ObservationKind::Ejected) > 0 => InferredHealth::Ejected,
+        _ if !suspicions.is_empty() => InferredHealth::Suspected,
+        _ => InferredHealth::Healthy,
     }
 }
 
@@ -83,21 +88,21 @@
     fn order_is_nothing((signs, shuffled) in any_signs().prop_flat_map(|signs| {
         (Just(signs.clone()), Just(signs).prop_shuffle())
     })) {
-        let belief = evidence_of(&signs).belief();
+        let belief = evidence_of(&signs).inferred_health();
         prop_assert_eq!(belief, meaning(&signs));
-        prop_assert_eq!(evidence_of(&shuffled).belief(), belief);
-        prop_assert_eq!(evidence_of(shuffled.iter().chain(&signs)).belief(), belief);
+        prop_assert_eq!(evidence_of(&shuffled).inferred_health(), belief);
+        prop_assert_eq!(evidence_of(shuffled.iter().chain(&signs)).inferred_health(), belief);
     }
 
     // What an instance tells suffices for another to believe as much, whatever it knew.
     #[test]
     fn told_is_enough(known in any_signs(), signs in any_signs()) {
         let teller = evidence_of(&signs);
-        let told: Vec<_> = teller.told_signs(at(SPAN_MS)).collect();
-        prop_assert_eq!(evidence_of(&told).belief(), teller.belief());
-        let rename = |sign: &HealthSign| HealthSign { id: sign.id + 100, ..*sign };
+        let told: Vec<_> = teller.disseminated_records(at(SPAN_MS)).collect();
+        prop_assert_eq!(evidence_of(&told).inferred_health(), teller.inferred_health());
+        let rename = |sign: &ObservationRecord| ObservationRecord { id: sign.id + 100, ..*sign };
         let known: Vec<_> = known.iter().map(rename).collect();
-        let merged = evidence_of(known.iter().chain(&told)).belief();
+        let merged = evidence_of(known.iter().chain(&told)).inferred_health();
         let union: Vec<_> = known.iter().chain(&signs).copied().collect();
         // Signs that weren't told may make it worse, never better.
         prop_assert!(merged <= meaning(&union), "{:?} of {:?}", merged, meaning(&union));
@@ -112,28 +117,28 @@
         signs in any_signs(),
         hops in prop::collection::vec((0..INSTANCES, 0..INSTANCES, 0..60_u64), 1..60),
     ) {
-        let mut all = vec![BackendEvidence::new(SignOrigin::Near); INSTANCES];
+        let mut all = vec![BackendEvidence::new(ObservationOrigin::SameCentre); INSTANCES];
         let mut news = BTreeMap::new();
         let mut signs = signs;
-        signs.sort_by_key(|sign| sign.at);
+        signs.sort_by_key(|sign| sign.observed_at);
         let steps = signs.len().max(hops.len());
         for step in 0..steps {
             let now = at(SPAN_MS * step as u64 / steps as u64);
             let seen = signs.iter().enumerate().filter(|(_, sign)| {
-                sign.at <= now && !news.contains_key(&(sign.id, usize::MAX))
+                sign.observed_at <= now && !news.contains_key(&(sign.id, usize::MAX))
             });
             let seen: Vec<_> = seen.map(|(index, sign)| (index, *sign)).collect();
             for (index, sign) in seen {
                 news.insert((sign.id, usize::MAX), 1);
-                if all[index % INSTANCES].take(now, sign).is_some() {
+                if all[index % INSTANCES].record(now, sign).is_some() {
                     *news.entry((sign.id, index % INSTANCES)).or_insert(0) += 1;
                 }
             }
             let Some((from, to, late_ms)) = hops.get(step).copied() else { continue };
-            let told: Vec<_> = all[from].told_signs(now).collect();
+            let told: Vec<_> = all[from].disseminated_records(now).collect();
             for sign in told {
-                let late = HealthSign { at: sign.at.after_millis(late_ms), ..sign };
-                if all[to].take(now, late).is_some() {
+                let late = ObservationRecord { observed_at: sign.observed_at.after_millis(late_ms), ..sign };
+                if all[to].record(now, late).is_some() {
                     *news.entry((sign.id, to)).or_insert(0) += 1;
                 }
             }
@@ -156,10 +161,10 @@
     let signs: Vec<_> = kinds
         .iter()
         .enumerate()
-        .map(|(index, (kind, millis))| HealthSign {
+        .map(|(index, (kind, millis))| ObservationRecord {
             id: index as u16,
             kind: *kind,
-            at: at(*millis),
+            observed_at: at(*millis),
         })
         .collect();
     let mut orders = vec![Vec::new()];
@@ -173,9 +178,9 @@
     assert_eq!(orders.len(), 720);
     for order in orders {
         let one = evidence_of(order.iter().map(|index| &signs[*index]));
-        assert_eq!(one.belief(), HealthBelief::Dead, "{order:?}");
-        let told: Vec<_> = one.told_signs(at(SPAN_MS)).collect();
+        assert_eq!(one.inferred_health(), InferredHealth::Dead, "{order:?}");
+        let told: Vec<_> = one.disseminated_records(at(SPAN_MS)).collect();
         let other = evidence_of(order.iter().take(3).map(|index| &signs[*index]).chain(&told));
-        assert_eq!(other.belief(), HealthBelief::Dead, "{order:?}");
+        assert_eq!(other.inferred_health(), InferredHealth::Dead, "{order:?}");
     }
 }
--- a/crates/foxledge-gossip/tests/start_together.rs
+++ b/crates/foxledge-gossip/tests/start_together.rs
@@ -19,8 +19,8 @@
 /// store's link take: 25 us of work at a twentieth of a core, 250 bytes an item at 1 Gbit/s.
 fn large_fleet() -> VirtualFleet {
     let mut fleet = published(&[75, 75, 75, 75], 3_000, 20);
-    fleet.message_us = 450;
-    fleet.item_ns = 2_000;
+    fleet.message_cost_us = 450;
+    fleet.store_item_ns = 2_000;
     fleet
 }
 
@@ -33,12 +33,12 @@
         let mut fleet = published(counts, 18, 40);
         fleet.start_all();
         let head = fleet.store.head;
-        let took = fleet.run_until(1_000, |fleet| fleet.all_know(head));
+        let took = fleet.run_until(1_000, |fleet| fleet.all_have_list(head));
         assert!(took.is_some_and(|took| took <= 400), "{counts:?}: {took:?} ms");
         fleet.run(2_000);
         let total: usize = counts.iter().sum();
         // A cheap reading is a tenth of a call.
-        let calls = fleet.store.calls + fleet.store.cheap_calls / 10;
+        let calls = fleet.store.calls + fleet.store.stale_read_calls / 10;
         assert!(calls <= 10 + total as u64 / 5, "{counts:?}: {calls} calls");
     }
 }
@@ -50,7 +50,7 @@
         fleet.start(index);
     }
     let head = fleet.store.head;
-    assert!(fleet.run_until(500, |fleet| fleet.all_know(head)).is_some());
+    assert!(fleet.run_until(500, |fleet| fleet.all_have_list(head)).is_some());
 }
 
 #[test]
@@ -58,12 +58,12 @@
     // A restarted instance gets the list from its peers.
     let mut fleet = common::settled_fleet(&[2, 2, 2], 1);
     for index in 0..6 {
-        fleet.store_state.insert(index, StoreState::Silent);
+        fleet.store_state.insert(index, StoreState::Unresponsive);
     }
     fleet.kill(3);
     fleet.start(3);
     let head = fleet.store.head;
-    let took = fleet.run_until(1_000, |fleet| fleet.all_know(head));
+    let took = fleet.run_until(1_000, |fleet| fleet.all_have_list(head));
     assert!(took.is_some_and(|took| took <= 100), "{took:?} ms");
 }
 
@@ -77,9 +77,9 @@
     assert!(calls <= 60, "{calls} calls in 5 s");
     fleet.store.register(1, false);
     fleet.store.publish(1, 10);
-    fleet.store_changed();
+    fleet.answer_watches();
     let head = fleet.store.head;
-    assert!(fleet.run_until(1_500, |fleet| fleet.all_know(head)).is_some());
+    assert!(fleet.run_until(1_500, |fleet| fleet.all_have_list(head)).is_some());
 }
 
 // Symptom: 300 instances before 3,000 backend servers serve only seconds after a loss
@@ -92,9 +92,9 @@
     let mut fleet = large_fleet();
     fleet.start_all();
     let head = fleet.store.head;
-    let took = fleet.run_until(5_000, |fleet| fleet.all_know(head));
-    let far = fleet.far_bytes / 1_000_000;
-    println!("{took:?} ms, {far} MB, {} cheap calls", fleet.store.cheap_calls);
+    let took = fleet.run_until(5_000, |fleet| fleet.all_have_list(head));
+    let far = fleet.remote_bytes / 1_000_000;
+    println!("{took:?} ms, {far} MB, {} cheap calls", fleet.store.stale_read_calls);
     assert!(took.is_some_and(|took| took <= 800), "{took:?} ms");
     assert!(far <= 6, "{far} MB between data centres");
 }
@@ -109,10 +109,10 @@
     fleet.start(0);
     fleet.run(2_000);
     fleet.jitter_us = 300;
-    fleet.store_state.insert(1, StoreState::Silent);
+    fleet.store_state.insert(1, StoreState::Unresponsive);
     fleet.start(1);
     let head = fleet.store.head;
-    let took = fleet.run_until(3_000, |fleet| fleet.all_know(head));
+    let took = fleet.run_until(3_000, |fleet| fleet.all_have_list(head));
     assert!(took.is_some_and(|took| took <= 100), "{took:?} ms");
 }
 
@@ -125,14 +125,14 @@
     let mut fleet = large_fleet();
     fleet.start_all();
     let took = fleet.run_until(2_000, |fleet| fleet.members().all(|one| one.can_serve()));
-    let calls = fleet.store.cheap_calls;
+    let calls = fleet.store.stale_read_calls;
     let head = fleet.store.head;
-    let whole = fleet.run_until(5_000, |fleet| fleet.all_know(head));
+    let whole = fleet.run_until(5_000, |fleet| fleet.all_have_list(head));
     println!("serve after {took:?} ms, {calls} calls; all known {whole:?} ms later");
     assert!(took.is_some_and(|took| took <= 500), "{took:?} ms");
     assert!(whole.is_some_and(|whole| whole <= 2_000), "{whole:?} ms");
     fleet.run(3_000);
-    let calls = fleet.store.cheap_calls - calls;
+    let calls = fleet.store.stale_read_calls - calls;
     assert!(calls <= 60, "{calls} instances read the rest");
 }
 
@@ -146,17 +146,17 @@
     let mut fleet = published(&[2], 600, 3);
     fleet.start(1);
     assert!(fleet.run_until(200, |fleet| fleet.members().all(|one| one.can_serve())).is_some());
-    assert!(!fleet.all_know(1));
+    assert!(!fleet.all_have_list(1));
     fleet.store.remove(5);
     let head = fleet.store.head;
-    assert!(fleet.run_until(3_000, |fleet| fleet.all_know(head)).is_some());
+    assert!(fleet.run_until(3_000, |fleet| fleet.all_have_list(head)).is_some());
     let is_gone = |row: &ListRow| match &row.value {
         Some(RowValue::Removed(removed)) => {
             row.key == "backend/i-5" && removed.backend.as_ref().is_some_and(|one| one.draining)
         }
         _ => false,
     };
-    assert!(fleet.seats[1].rows.iter().any(is_gone));
+    assert!(fleet.instances[1].applied_rows.iter().any(is_gone));
 }
 
 // Symptom: an instance obeys an older list than the one it served by.
@@ -170,16 +170,20 @@
     let former = fleet.store.head;
     fleet.store.publish(2, 5);
     // One starts that hears nothing of the other at first, and then nothing of the store.
-    fleet.store_state.insert(0, StoreState::Silent);
-    fleet.cut_off(0);
+    fleet.store_state.insert(0, StoreState::Unresponsive);
+    fleet.isolate(0);
     fleet.start(1);
     let can_serve = |fleet: &VirtualFleet| fleet.members().all(|one| one.can_serve());
     assert!(fleet.run_until(200, can_serve).is_some());
-    fleet.store_state.insert(1, StoreState::Silent);
-    fleet.cut.clear();
+    fleet.store_state.insert(1, StoreState::Unresponsive);
+    fleet.cut_links.clear();
     fleet.run(4_000);
-    assert!(!fleet.seats[1].heads.contains(&former), "{:?}", fleet.seats[1].heads);
+    assert!(
+        !fleet.instances[1].applied_heads.contains(&former),
+        "{:?}",
+        fleet.instances[1].applied_heads
+    );
     fleet.store_state.clear();
     let head = fleet.store.head;
-    assert!(fleet.run_until(5_000, |fleet| fleet.all_know(head)).is_some());
+    assert!(fleet.run_until(5_000, |fleet| fleet.all_have_list(head)).is_some());
 }
--- a/crates/foxledge-gossip/tests/store_epoch.rs
+++ b/crates/foxledge-gossip/tests/store_epoch.rs
@@ -6,15 +6,15 @@
 use foxledge_core::{names::CentreName, time::ClockTime};
 use foxledge_flows::{ListReading, SourceError, source::ReadMode};
 use foxledge_gossip::{
-    FleetEffect, FleetEvent, FleetMember, MemberOptions, ReadCall, ReadOrder, ReadReason,
+    FleetEffect, FleetEvent, FleetMember, MemberOptions, ReadReason, StoreCall, StoreQuery,
 };
 
 fn events(member: &mut FleetMember) -> Vec<FleetEvent> {
     let event = |effect| match effect {
-        FleetEffect::Event(event) => Some(event),
+        FleetEffect::LogEvent(event) => Some(event),
         _ => None,
     };
-    member.take_effects().into_iter().filter_map(event).collect()
+    member.drain_effects().into_iter().filter_map(event).collect()
 }
 
 // Guards against answers of the store that change nothing and leave no line.
@@ -23,11 +23,11 @@
     let address = "10.1.0.1:7000".parse().expect("is an address");
     let options = MemberOptions::new(address, CentreName::new("toledo"));
     let mut member = FleetMember::new(options, ClockTime::ZERO);
-    let all = ReadOrder::All(ReadMode::Linearizable);
+    let all = StoreQuery::All(ReadMode::Linearizable);
     let now = ClockTime::from_micros(1_000_000);
-    member.on_reading(now, all, Ok(ListReading::complete(Vec::new(), 9)));
+    member.handle_store_response(now, all, Ok(ListReading::complete(Vec::new(), 9)));
     events(&mut member);
-    member.on_reading(now, all, Ok(ListReading::complete(Vec::new(), 7)));
+    member.handle_store_response(now, all, Ok(ListReading::complete(Vec::new(), 7)));
     let told = events(&mut member);
     let passed_over = FleetEvent::ReadingPassedOver {
         order: "all",
@@ -46,10 +46,11 @@
     let mut fleet = settled_fleet(&[3, 2], 1);
     let revision = fleet.store.head;
     fleet.store.restore(0);
-    fleet.store_changed();
+    fleet.answer_watches();
     fleet.run(2_000);
     let is_told = |event: &FleetEvent| matches!(event, FleetEvent::StoreEpochChanged { epoch: 1, former_epoch: Some(0), revision: at, .. } if *at == revision);
-    let told = fleet.seats.iter().flat_map(|seat| &seat.events).filter(|(_, event)| is_told(event));
+    let told =
+        fleet.instances.iter().flat_map(|seat| &seat.events).filter(|(_, event)| is_told(event));
     assert!(told.count() > 0, "nobody tells");
 }
 
@@ -60,23 +61,23 @@
     let options = MemberOptions::new(address, CentreName::new("toledo"));
     let mut member = FleetMember::new(options, ClockTime::ZERO);
     let at = |second: u64| ClockTime::from_micros(second * 1_000_000);
-    let all = ReadOrder::All(ReadMode::Linearizable);
+    let all = StoreQuery::All(ReadMode::Linearizable);
     let calls = |member: &mut FleetMember, second: u64| {
-        member.on_time(at(second));
-        let effects = member.take_effects().into_iter();
+        member.handle_timers(at(second));
+        let effects = member.drain_effects().into_iter();
         let call = |effect: FleetEffect| match effect {
-            FleetEffect::Read(call) => Some(call),
+            FleetEffect::CallStore(call) => Some(call),
             _ => None,
         };
         effects.filter_map(call).collect::<Vec<_>>()
     };
-    member.on_reading(at(1), all, Ok(ListReading::complete(Vec::new(), 9)));
+    member.handle_store_response(at(1), all, Ok(ListReading::complete(Vec::new(), 9)));
     let asked = calls(&mut member, 3);
-    let watch = asked.last().expect("asks").order;
-    assert!(matches!(watch, ReadOrder::Watch { after: 9, .. }), "{asked:?}");
+    let watch = asked.last().expect("asks").query;
+    assert!(matches!(watch, StoreQuery::Watch { after: 9, .. }), "{asked:?}");
     let error = SourceError::Malformed("more than 8 bytes".to_owned());
-    member.on_reading(at(4), watch, Err(error));
+    member.handle_store_response(at(4), watch, Err(error));
     let asked = calls(&mut member, 5);
-    let whole = ReadCall { order: all, reason: ReadReason::Unanswered };
+    let whole = StoreCall { query: all, reason: ReadReason::Unanswered };
     assert!(asked.contains(&whole), "{asked:?}");
 }
--- a/crates/foxledge-gossip/tests/vanished_asked.rs
+++ b/crates/foxledge-gossip/tests/vanished_asked.rs
@@ -30,7 +30,7 @@
     for number in NUMBERS {
         fleet.store.register(number, false);
     }
-    fleet.store_changed();
+    fleet.answer_watches();
     fleet.run(2_000);
     for member in 0..4 {
         fleet.kill(member);
@@ -38,31 +38,35 @@
     for number in NUMBERS {
         fleet.store.remove(number);
     }
-    fleet.store_changed();
+    fleet.answer_watches();
     fleet.run(1_000);
     let far = |one: usize, other: usize| (one < 4) != (other < 4);
     let pairs = (0..8).flat_map(|from| (0..8).map(move |to| (from, to)));
-    fleet.cut = pairs.filter(|(from, to)| far(*from, *to)).collect();
+    fleet.cut_links = pairs.filter(|(from, to)| far(*from, *to)).collect();
     for member in 0..4 {
         fleet.start(member);
     }
     fleet.run(1_000);
-    fleet.cut.clear();
+    fleet.cut_links.clear();
     fleet.run(3_000);
     for member in 0..4 {
-        fleet.seats[member].rows.clear();
-        fleet.ask_tokens(member, NUMBERS.map(token_of).collect());
+        fleet.instances[member].applied_rows.clear();
+        fleet.query_removed_backends(member, NUMBERS.map(token_of).collect());
     }
     fleet.run(100);
     for member in 0..4 {
-        assert_eq!(vanished_at(&fleet.seats[member].rows), NUMBERS.count(), "instance {member}");
+        assert_eq!(
+            vanished_at(&fleet.instances[member].applied_rows),
+            NUMBERS.count(),
+            "instance {member}"
+        );
     }
     // What is listed stays as it is, and a second answer is no news.
     for member in 0..4 {
-        fleet.seats[member].rows.clear();
-        fleet.ask_tokens(member, NUMBERS.map(token_of).collect());
+        fleet.instances[member].applied_rows.clear();
+        fleet.query_removed_backends(member, NUMBERS.map(token_of).collect());
     }
     fleet.run(100);
-    assert!((0..4).all(|member| fleet.seats[member].rows.is_empty()));
-    assert!(fleet.all_know(fleet.store.head));
+    assert!((0..4).all(|member| fleet.instances[member].applied_rows.is_empty()));
+    assert!(fleet.all_have_list(fleet.store.head));
 }
