--- a/crates/foxledge-admission/examples/goodput_curve.rs
+++ b/crates/foxledge-admission/examples/goodput_curve.rs
@@ -1,5 +1,5 @@
-//! Writes the goodput of a service at one to five times the capacity of its slots, as CSV and
-//! plot: with nothing refused, with plain limits at each instance, and with shares of the room.
+//! Writes the goodput of a service at one to five times the capacity of its slots as CSV and plot:
+//! without refusals, with fixed limits at each instance, and with shares of the capacity.
 //!
 //! Usage: `goodput_curve FOLDER [SEED]`.
 
@@ -21,36 +21,36 @@
 
 const SIZE: (u32, u32) = (960, 420);
 const INSTANCES: usize = 79;
-/// Limits in requests a slot, by priority, that served pattern B best of the plain ones tried.
+/// Limits in requests per slot by priority: the best of the tried fixed limits for pattern B.
 const LIMITS: [(u32, f64); 2] = [(1, 4.5), (2, 2.4)];
 
-/// `CurvePoint` is the outcome of one play.
+/// The results of one simulation.
 struct CurvePoint {
     gate: &'static str,
     times: f64,
-    /// Answers in aim a second.
+    /// Answers within the latency target per second.
     goodput: f64,
-    /// Slots that were busy with these.
+    /// Slots occupied by these answers.
     slots: f64,
-    /// Part of the requests in aim, of priority 1, 2 and all.
-    parts: [f64; 3],
+    /// Fractions of the requests answered in time: priority 1, priority 2 and all.
+    fractions: [f64; 3],
 }
 
 fn main() -> Result<()> {
     let mut arguments = env::args().skip(1);
-    let folder = arguments.next().ok_or_else(|| anyhow!("no folder is given"))?;
+    let folder = arguments.next().ok_or_else(|| anyhow!("missing argument: output folder"))?;
     let seed = arguments.next().map_or(Ok(1), |seed| seed.parse())?;
     let gates = ["refuse nothing", "limits by instance", "shares"];
     let times = (0..=8).map(|step| 1.0 + 0.5 * f64::from(step));
     let points: Vec<_> =
-        gates.iter().flat_map(|gate| times.clone().map(|times| play(gate, times, seed))).collect();
+        gates.iter().flat_map(|gate| times.clone().map(|times| run(gate, times, seed))).collect();
     let folder = Path::new(&folder);
     fs::write(folder.join("goodput-curve.csv"), table(&points)?)?;
     draw(&folder.join("goodput-curve.svg"), &gates, &points)
 }
 
-/// Plays a burst that needs `times` the slots, both priorities in their usual proportion.
-fn play(gate: &'static str, times: f64, seed: u64) -> CurvePoint {
+/// Simulates a burst that needs `times` the slots, with both priorities in their usual proportion.
+fn run(gate: &'static str, times: f64, seed: u64) -> CurvePoint {
     let usual: f64 = USUAL.iter().map(|(_, per_s, work_us)| per_s * work_us / 1e6).sum();
     let factor = times * SLOTS / usual;
     let plan = ModelPlan {
@@ -63,20 +63,20 @@
         "limits by instance" => ModelGate::Limits(LIMITS.into()),
         _ => share_gate(INSTANCES),
     };
-    let tally = QueueModel::play(plan, policy);
-    let in_aim: f64 = tally.kinds.values().map(|kind| kind.in_aim).sum();
+    let tally = QueueModel::run(plan, policy);
+    let in_time: f64 = tally.kinds.values().map(|kind| kind.in_time).sum();
     let work_s =
-        |(priority, _, work_us): (u32, f64, f64)| tally.kinds[&priority].in_aim * work_us / 1e6;
+        |(priority, _, work_us): (u32, f64, f64)| tally.kinds[&priority].in_time * work_us / 1e6;
     let slots = USUAL.map(work_s).iter().sum::<f64>() / (end - begin);
-    let parts = [tally.in_aim(1), tally.in_aim(2), tally.all_in_aim()];
-    CurvePoint { gate, times, goodput: in_aim / (end - begin), slots, parts }
+    let fractions = [tally.in_time(1), tally.in_time(2), tally.all_in_time()];
+    CurvePoint { gate, times, goodput: in_time / (end - begin), slots, fractions }
 }
 
 fn table(points: &[CurvePoint]) -> Result<String> {
     let mut table =
         "policy,times_slots,goodput_per_s,slots_in_aim,priority_1,priority_2,all\n".to_owned();
     for point in points {
-        let [first, second, all] = point.parts;
+        let [first, second, all] = point.fractions;
         let CurvePoint { gate, times, goodput, slots, .. } = point;
         writeln!(
             table,
@@ -101,7 +101,7 @@
     chart
         .configure_mesh()
         .x_desc("demand in multiples of the slots")
-        .y_desc("answers in aim a second")
+        .y_desc("answers in time per second")
         .light_line_style(WHITE)
         .draw()
         .map_err(|error| failed(&error))?;
--- a/crates/foxledge-admission/src/accounts.rs
+++ b/crates/foxledge-admission/src/accounts.rs
@@ -1,4 +1,4 @@
-//! Client accounts that take more than a fair rate, known from samples.
+//! Detection of client accounts that exceed their fair rate, from samples.
 
 use std::{collections::BTreeMap, net::Ipv4Addr, num::NonZeroUsize};
 
@@ -9,102 +9,105 @@
 
 use crate::shares::fair_level;
 
-/// Accounts that a table remembers; the one that was sampled longest ago is evicted.
-const MOST_ACCOUNTS: NonZeroUsize = NonZeroUsize::new(4096).unwrap();
-/// Length of one of the two windows in which samples are counted.
+/// The maximum number of tracked accounts; the least recently sampled one is evicted.
+const MAX_ACCOUNTS: NonZeroUsize = NonZeroUsize::new(4096).unwrap();
+/// The length of each of the two windows in which samples are counted, in milliseconds.
 const WINDOW_MS: u64 = 1000;
-/// Samples from which an account can be heavy; fewer may be chance.
-const LEAST_SAMPLES: u32 = 8;
-/// Multiple of the other accounts' mean rate from which an account is heavy.
+/// The minimum number of samples of a heavy account; fewer may be chance.
+const MIN_SAMPLES: u32 = 8;
+/// The multiple of the other accounts' mean rate from which an account is heavy.
 const HEAVY_FACTOR: f64 = 3.0;
-/// Shortest time in seconds that a rate is taken over.
-const LEAST_SPAN_S: f64 = 0.2;
+/// The minimum time that a rate is computed over, in seconds.
+const MIN_SPAN_S: f64 = 0.2;
 
-/// `AccountKey` is a client account as it travels: the low half of its address's hash.
+/// A client account in messages: the low 32 bits of the hash of its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct AccountKey(pub u32);
 
 impl AccountKey {
-    /// The account of a caller's address.
+    /// Returns the key of the account with this caller's address.
     pub fn of(caller: Ipv4Addr) -> AccountKey {
         AccountKey(xxh3_64(&caller.octets()) as u32)
     }
 }
 
-/// `HeavyAccount` is a client account that takes more than a fair rate.
+/// A client account that exceeds its fair rate.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct HeavyAccount {
-    /// Openings a second, refused ones included.
+    /// Openings per second, including refused ones.
     #[serde(rename = "rate")]
     pub openings_per_s: f64,
-    /// Openings a second that are admitted, but for the share of their priority.
+    /// Openings per second that are admitted, before the admitted share of their priority is
+    /// applied.
     #[serde(rename = "allowed")]
     pub admitted_per_s: f64,
 }
 
 impl HeavyAccount {
-    /// Share of its openings that is admitted.
+    /// Returns the fraction of the account's openings that is admitted.
     pub fn admitted_share(&self) -> f64 {
         (self.admitted_per_s / self.openings_per_s).clamp(0.0, 1.0)
     }
 
-    /// True when an opening of it at `now` is admitted, of whose priority `share` is.
+    /// Returns `true` if an opening of this account at `now` is admitted, given the admitted share
+    /// of its priority.
     ///
-    /// Answers a load that one account causes. The hash of the time spreads what is admitted
-    /// evenly; an account in the window of readmission would take its share at once.
+    /// Limits the load that a single account causes. The decision depends on a hash of the time,
+    /// which spreads the admitted openings evenly; an account that was admitted by the readmission
+    /// window would use its whole share at once.
     pub fn admits(&self, now: ClockTime, caller: Ipv4Addr, share: f64) -> bool {
         let draw = xxh3_64_with_seed(&caller.octets(), now.as_micros());
         (draw as f64) < share * self.admitted_share() * u64::MAX as f64
     }
 }
 
-/// `AccountTable` counts samples of client accounts over the last two seconds.
+/// Sample counts of client accounts over the last two seconds.
 #[derive(Debug)]
 pub struct AccountTable {
     counts: LruCache<AccountKey, AccountCount>,
     current: Option<SampleWindow>,
-    before: Option<SampleWindow>,
+    previous: Option<SampleWindow>,
 }
 
-/// `AccountCount` is one account's samples.
+/// The sample counts of one account.
 #[derive(Clone, Copy, Debug, Default)]
 struct AccountCount {
     current: SampleCount,
-    before: SampleCount,
+    previous: SampleCount,
 }
 
-/// `SampleCount` is a number of samples, and of the openings that they stand for.
+/// A number of samples, and of the openings that they stand for.
 #[derive(Clone, Copy, Debug, Default)]
 struct SampleCount {
     samples: u32,
     openings: f64,
 }
 
-/// `SampleWindow` is a time in which samples are counted.
+/// A period in which samples are counted.
 #[derive(Clone, Copy, Debug)]
 struct SampleWindow {
-    begins_at: ClockTime,
+    started_at: ClockTime,
     ends_at: ClockTime,
-    lapses_at: ClockTime,
+    expires_at: ClockTime,
 }
 
 impl Default for AccountTable {
     fn default() -> AccountTable {
-        AccountTable { counts: LruCache::new(MOST_ACCOUNTS), current: None, before: None }
+        AccountTable { counts: LruCache::new(MAX_ACCOUNTS), current: None, previous: None }
     }
 }
 
 impl AccountTable {
-    /// Counts samples: the account's hash, and the openings that each stands for.
-    pub fn take(&mut self, now: ClockTime, samples: &[(u32, u32)]) {
-        self.turn_windows(now);
+    /// Records samples: the account's hash, and the openings that each sample stands for.
+    pub fn record_samples(&mut self, now: ClockTime, samples: &[(u32, u32)]) {
+        self.rotate_windows(now);
         if samples.is_empty() {
             return;
         }
         self.current.get_or_insert(SampleWindow {
-            begins_at: now,
+            started_at: now,
             ends_at: now.after_millis(WINDOW_MS),
-            lapses_at: now.after_millis(2 * WINDOW_MS),
+            expires_at: now.after_millis(2 * WINDOW_MS),
         });
         for (hash, openings) in samples {
             let count = self.counts.get_or_insert_mut(AccountKey(*hash), AccountCount::default);
@@ -113,40 +116,43 @@
         }
     }
 
-    /// The accounts that take more than a fair rate when the part `served` of all openings can be
-    /// admitted, and an account may take `multiple` of the fair rate.
+    /// Returns the accounts that exceed their fair rate if the fraction `served` of all openings
+    /// can be admitted and an account may use `share_multiple` times the fair rate.
     ///
-    /// `sampled_per_s` are the openings of which samples were told; not all of these are heard.
+    /// `sampled_per_s` is the rate of the openings that samples were taken from; not all of these
+    /// samples are received. If it is 0, the received samples stand for all openings.
     ///
-    /// Answers a load of which one account asks for much more than the others: its excess is
-    /// refused before theirs.
-    pub fn heavy(
+    /// When one account demands far more than the others, its excess is refused before theirs.
+    pub fn heavy_accounts(
         &self,
         now: ClockTime,
         sampled_per_s: f64,
         served: f64,
-        multiple: f64,
+        share_multiple: f64,
     ) -> BTreeMap<AccountKey, HeavyAccount> {
         let Some(span_s) = self.span_s(now) else { return BTreeMap::new() };
-        let all: f64 = self.counts.iter().map(|(_, count)| count.openings()).sum();
+        let total: f64 = self.counts.iter().map(|(_, count)| count.openings()).sum();
         let others = self.counts.len().saturating_sub(1) as f64;
         let is_heavy = |count: &AccountCount| {
-            let mean = (all - count.openings()) / others;
-            count.samples() >= LEAST_SAMPLES && count.openings() >= HEAVY_FACTOR * mean
+            let mean = (total - count.openings()) / others;
+            count.samples() >= MIN_SAMPLES && count.openings() >= HEAVY_FACTOR * mean
         };
         let heavy: Vec<_> = self.counts.iter().filter(|(_, count)| is_heavy(count)).collect();
         if others < 1.0 || heavy.is_empty() {
             return BTreeMap::new();
         }
-        let all_per_s = if sampled_per_s > 0.0 { sampled_per_s } else { all / span_s };
-        let rate = |count: &AccountCount| count.openings() / all * all_per_s;
+        let total_per_s = if sampled_per_s > 0.0 { sampled_per_s } else { total / span_s };
+        let rate = |count: &AccountCount| count.openings() / total * total_per_s;
         let rates = self.counts.iter().map(|(_, count)| rate(count)).collect();
-        let fair = fair_level(rates, all_per_s * served.clamp(0.0, 1.0));
+        let fair_rate = fair_level(rates, total_per_s * served.clamp(0.0, 1.0));
         let account = |(key, count): &(&AccountKey, &AccountCount)| {
-            let rate = rate(count);
+            let openings_per_s = rate(count);
             (
                 **key,
-                HeavyAccount { openings_per_s: rate, admitted_per_s: rate.min(fair * multiple) },
+                HeavyAccount {
+                    openings_per_s,
+                    admitted_per_s: openings_per_s.min(fair_rate * share_multiple),
+                },
             )
         };
         heavy
@@ -156,23 +162,23 @@
             .collect()
     }
 
-    /// Accounts that are remembered.
+    /// Returns the number of tracked accounts.
     pub fn len(&self) -> usize {
         self.counts.len()
     }
 
-    /// Ends the current window when its end has passed, and drops samples that have lapsed.
-    fn turn_windows(&mut self, now: ClockTime) {
+    /// Closes the current window once it has ended, and drops samples that have expired.
+    fn rotate_windows(&mut self, now: ClockTime) {
         if self.current.is_some_and(|window| window.ends_at.is_past(now)) {
-            self.before = self.current.take();
+            self.previous = self.current.take();
             for (_, count) in self.counts.iter_mut() {
-                count.before = std::mem::take(&mut count.current);
+                count.previous = std::mem::take(&mut count.current);
             }
         }
-        if self.before.is_some_and(|window| window.lapses_at.is_past(now)) {
-            self.before = None;
+        if self.previous.is_some_and(|window| window.expires_at.is_past(now)) {
+            self.previous = None;
             for (_, count) in self.counts.iter_mut() {
-                count.before = SampleCount::default();
+                count.previous = SampleCount::default();
             }
         }
         while self.counts.peek_lru().is_some_and(|(_, count)| count.samples() == 0) {
@@ -180,19 +186,19 @@
         }
     }
 
-    /// Seconds in which the samples were counted.
+    /// Returns the time over which the samples were counted, in seconds.
     fn span_s(&self, now: ClockTime) -> Option<f64> {
-        let first = self.before.or(self.current)?;
-        Some(now.since(first.begins_at).as_secs_f64().max(LEAST_SPAN_S))
+        let first = self.previous.or(self.current)?;
+        Some(now.since(first.started_at).as_secs_f64().max(MIN_SPAN_S))
     }
 }
 
 impl AccountCount {
     fn samples(&self) -> u32 {
-        self.current.samples + self.before.samples
+        self.current.samples + self.previous.samples
     }
 
     fn openings(&self) -> f64 {
-        self.current.openings + self.before.openings
+        self.current.openings + self.previous.openings
     }
 }
--- a/crates/foxledge-admission/src/lib.rs
+++ b/crates/foxledge-admission/src/lib.rs
@@ -1,18 +1,18 @@
-//! Admission of new flows while a service is short of room.
+//! Admission of new flows while a service lacks capacity.
 //!
-//! Who goes first, who is refused at once and who comes back when: shares of the room by
-//! priority, by client account, and an order of return that all instances agree on without
-//! messages for single callers. Everything here is decision logic: the load and the time go in,
-//! verdicts come out.
+//! Divides the capacity into shares by priority and by client account, decides which flows are
+//! refused immediately, and readmits refused callers in an order that all instances compute without
+//! exchanging messages about single callers. The crate does no input or output: the load and the
+//! time are passed in, decisions are returned.
 
 mod accounts;
+mod capacity;
 mod interface;
 mod options;
 mod policy;
+mod readmission;
+mod retries;
 mod shares;
-mod shortage;
-mod tries;
-mod turns;
 
 pub use accounts::{AccountKey, HeavyAccount};
 pub use interface::{AdmissionDecision, AdmissionPolicy, FlowOpening, ServiceSnapshot};
--- a/crates/foxledge-admission/src/options.rs
+++ b/crates/foxledge-admission/src/options.rs
@@ -1,11 +1,11 @@
 //! Settings of admission.
 
-/// Largest floor, in percent of the room.
-const FLOOR_LIMIT: f64 = 50.0;
-/// Range of an account's share, in multiples of the fair rate.
-const ACCOUNT_SHARES: (f64, f64) = (1.0, 100.0);
+/// The maximum floor, in percent of the capacity.
+const MAX_FLOOR_PERCENT: f64 = 50.0;
+/// The range of the share of an account, in multiples of the fair rate.
+const ACCOUNT_SHARE_RANGE: (f64, f64) = (1.0, 100.0);
 
-/// `AdmissionOptions` are the settings of admission of one service.
+/// The admission settings of one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionOptions {
     pub(crate) floor_percent: f64,
@@ -19,23 +19,24 @@
 }
 
 impl AdmissionOptions {
-    /// Share of the room that less urgent priorities keep, in percent; limited to 0 to 50.
+    /// Sets the share of the capacity that is reserved for lower priorities, in percent; limited to
+    /// 0 to 50.
     #[must_use]
     pub fn floor_percent(mut self, percent: f64) -> Self {
-        self.floor_percent = percent.clamp(0.0, FLOOR_LIMIT);
+        self.floor_percent = percent.clamp(0.0, MAX_FLOOR_PERCENT);
         self
     }
 
-    /// Multiple of the fair rate that one client account may take; limited to 1 to 100, and 0
-    /// admits accounts without a share.
+    /// Sets the multiple of the fair rate that one client account may use; limited to 1 to 100. 0
+    /// disables the limit by account.
     #[must_use]
     pub fn account_share(mut self, share: f64) -> Self {
-        let (least, most) = ACCOUNT_SHARES;
-        self.account_share = if share > 0.0 { share.clamp(least, most) } else { 0.0 };
+        let (lowest, highest) = ACCOUNT_SHARE_RANGE;
+        self.account_share = if share > 0.0 { share.clamp(lowest, highest) } else { 0.0 };
         self
     }
 
-    /// True when client accounts have shares.
+    /// Returns `true` if client accounts are limited to their shares.
     pub fn has_account_share(&self) -> bool {
         self.account_share > 0.0
     }
--- a/crates/foxledge-admission/src/policy.rs
+++ b/crates/foxledge-admission/src/policy.rs
@@ -1,4 +1,4 @@
-//! Admission by shares of the room.
+//! Admission by shares of the capacity.
 
 use std::collections::BTreeMap;
 
@@ -6,152 +6,164 @@
 
 use crate::{
     accounts::{AccountKey, AccountTable, HeavyAccount},
+    capacity::{CapacityEstimate, arrivals_per_s},
     interface::{AdmissionDecision, AdmissionPolicy, FlowOpening, ServiceSnapshot},
     options::AdmissionOptions,
+    readmission::ReadmissionWindow,
+    retries::{PlannedShares, RetryEstimate},
     shares::priority_shares,
-    shortage::{ServiceShortage, arrivals_per_s},
-    tries::{PlannedShares, TryEstimate},
-    turns::ReturnTurn,
 };
 
-/// Age of a view from which nothing is refused because of it, in milliseconds.
-const VIEW_LIFE_MS: u64 = 400;
-/// How long after its begin a shortage refuses nothing while a data centre has reported no load,
-/// in milliseconds.
-const PARTIAL_WAIT_MS: u64 = 600;
-/// How long a shortage is shown after its end, in milliseconds; without it, logs would flap.
-const SHOWN_MS: u64 = 200;
-
-/// `ShareAdmission` is the admission policy of one service: shares of its room by priority and
-/// by client account, and a fixed order of readmission.
+/// The age of a view from which it no longer justifies refusals, in milliseconds.
+const VIEW_TTL_MS: u64 = 400;
+/// How long after its start a shortage refuses nothing while a data centre has not reported its
+/// load, in milliseconds.
+const UNREPORTED_CENTRE_WAIT_MS: u64 = 600;
+/// How long a shortage is still logged after its end, in milliseconds; prevents flapping log
+/// entries.
+const SHORTAGE_LOG_HOLD_MS: u64 = 200;
+
+/// The admission policy of one service: shares of its capacity by priority and by client account,
+/// and a fixed order of readmission.
 #[derive(Debug)]
 pub struct ShareAdmission {
     options: AdmissionOptions,
     accounts: AccountTable,
-    tries: TryEstimate,
-    shown: Option<ShownShortage>,
+    retries: RetryEstimate,
+    logged: Option<LoggedShortage>,
     plan: RefusalPlan,
 }
 
-/// `ShownShortage` is a shortage as it is logged.
+/// A shortage as it is logged.
 #[derive(Clone, Copy, Debug)]
-struct ShownShortage {
-    since: ClockTime,
-    /// When openings may be refused although a data centre has reported no load.
-    partial_until: ClockTime,
-    /// When it is over, unless it is renewed.
-    until: ClockTime,
+struct LoggedShortage {
+    started_at: ClockTime,
+    /// The time from which openings may be refused even if a data centre has not reported its load.
+    refuses_from: ClockTime,
+    /// The end of the logged shortage, unless it is extended.
+    ends_at: ClockTime,
 }
 
-/// `RefusalPlan` is what is refused until the next plan; nothing when it has no shares.
+/// The refusals until the next plan; none if it has no shares.
 #[derive(Clone, Debug, Default)]
 struct RefusalPlan {
     planned: PlannedShares,
     heavy: BTreeMap<AccountKey, HeavyAccount>,
-    turn: ReturnTurn,
-    /// When the view that it rests on is too old to refuse anything.
+    window: ReadmissionWindow,
+    /// When the underlying view is too old to justify refusals.
     expires_at: ClockTime,
 }
 
 impl ShareAdmission {
-    /// Admits everything until the first plan.
+    /// Creates a policy that admits everything until its first update.
     pub fn new(options: AdmissionOptions) -> ShareAdmission {
         ShareAdmission {
             options,
             accounts: AccountTable::default(),
-            tries: TryEstimate::default(),
-            shown: None,
+            retries: RetryEstimate::default(),
+            logged: None,
             plan: RefusalPlan::default(),
         }
     }
 
-    /// Client accounts of which less is admitted than their priority's share; empty without
-    /// shortage.
+    /// Returns the client accounts that are limited below the share of their priority; empty
+    /// without a shortage.
     pub fn heavy_accounts(&self) -> &BTreeMap<AccountKey, HeavyAccount> {
         &self.plan.heavy
     }
 
-    /// Client accounts whose samples are remembered; bounded.
+    /// Returns the number of client accounts with tracked samples, which is bounded.
     pub fn tracked_accounts(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Notes whether the service is short, and drops a shown shortage that has ended.
-    fn note_shortage(&mut self, now: ClockTime, is_short: bool) {
-        let shown = self.shown.filter(|shown| !shown.until.is_past(now));
-        let until = now.after_millis(SHOWN_MS);
-        let begun = || ShownShortage {
-            since: now,
-            partial_until: now.after_millis(PARTIAL_WAIT_MS),
-            until,
+    /// Starts or extends the logged shortage, and drops one that has ended.
+    fn update_logged_shortage(&mut self, now: ClockTime, is_short: bool) {
+        let logged = self.logged.filter(|logged| !logged.ends_at.is_past(now));
+        let ends_at = now.after_millis(SHORTAGE_LOG_HOLD_MS);
+        let started = || LoggedShortage {
+            started_at: now,
+            refuses_from: now.after_millis(UNREPORTED_CENTRE_WAIT_MS),
+            ends_at,
         };
-        self.shown = match is_short {
-            true => Some(ShownShortage { until, ..shown.unwrap_or_else(begun) }),
-            false => shown,
+        self.logged = match is_short {
+            true => Some(LoggedShortage { ends_at, ..logged.unwrap_or_else(started) }),
+            false => logged,
         };
     }
 
-    /// What is refused in a shortage.
-    fn refusals(
+    /// Plans the refusals for a shortage.
+    fn plan_refusals(
         &self,
         now: ClockTime,
-        room: &ServiceSnapshot,
-        shortage: &ServiceShortage,
+        snapshot: &ServiceSnapshot,
+        estimate: &CapacityEstimate,
     ) -> RefusalPlan {
-        let heavy = self.heavy(now, room, shortage);
+        let heavy = self.find_heavy_accounts(now, snapshot, estimate);
         let excess_per_s: f64 =
             heavy.values().map(|account| account.openings_per_s - account.admitted_per_s).sum();
-        let kept = 1.0 - (excess_per_s / openings_per_s(room)).clamp(0.0, 1.0);
-        let demands = shortage.demands.iter().map(|(priority, demand)| (*priority, demand * kept));
-        let floor_part = self.options.floor_percent / 100.0;
-        let shares = priority_shares(shortage.room, &demands.collect(), floor_part);
+        let demand_fraction = 1.0 - (excess_per_s / openings_per_s(snapshot)).clamp(0.0, 1.0);
+        let demands =
+            estimate.demands.iter().map(|(priority, demand)| (*priority, demand * demand_fraction));
+        let floor_fraction = self.options.floor_percent / 100.0;
+        let shares = priority_shares(estimate.capacity, &demands.collect(), floor_fraction);
         RefusalPlan {
-            planned: PlannedShares { shares, kept },
+            planned: PlannedShares { shares, demand_fraction },
             heavy,
-            turn: ReturnTurn::new(now, room.fleet_clock_ms, room.latency_target_ms),
-            expires_at: room.reported_at.after_millis(VIEW_LIFE_MS),
+            window: ReadmissionWindow::new(
+                now,
+                snapshot.fleet_clock_ms,
+                snapshot.latency_target_ms,
+            ),
+            expires_at: snapshot.reported_at.after_millis(VIEW_TTL_MS),
         }
     }
 
-    fn heavy(
+    fn find_heavy_accounts(
         &self,
         now: ClockTime,
-        room: &ServiceSnapshot,
-        shortage: &ServiceShortage,
+        snapshot: &ServiceSnapshot,
+        estimate: &CapacityEstimate,
     ) -> BTreeMap<AccountKey, HeavyAccount> {
         if !self.options.has_account_share() {
             return BTreeMap::new();
         }
-        // Account rates are those of openings, of which a refused request makes several.
-        let requests = shortage.requests_per_s / openings_per_s(room);
-        let served = shortage.room / shortage.demand() * requests;
-        self.accounts.heavy(now, room.sampled_arrivals_per_s, served, self.options.account_share)
+        // Account rates count openings, and a refused request makes several of them.
+        let requests = estimate.requests_per_s / openings_per_s(snapshot);
+        let served = estimate.capacity / estimate.demand() * requests;
+        self.accounts.heavy_accounts(
+            now,
+            snapshot.sampled_arrivals_per_s,
+            served,
+            self.options.account_share,
+        )
     }
 }
 
 impl AdmissionPolicy for ShareAdmission {
-    fn update(&mut self, now: ClockTime, room: &ServiceSnapshot) {
-        self.accounts.take(now, &room.account_samples);
-        let is_known =
-            room.is_reliable && !room.reported_at.after_millis(VIEW_LIFE_MS).is_past(now);
-        let requests_per_s = self.tries.requests_per_s(room.reported_at, &room.priorities);
-        let shortage = ServiceShortage::of(room, &requests_per_s)
-            .map(|shortage| {
-                let (age_s, admitted_s) = self.tries.admitted_until(now, &shortage.demands);
-                shortage.expected_after(age_s, admitted_s)
+    fn update(&mut self, now: ClockTime, snapshot: &ServiceSnapshot) {
+        self.accounts.record_samples(now, &snapshot.account_samples);
+        let is_usable =
+            snapshot.is_reliable && !snapshot.reported_at.after_millis(VIEW_TTL_MS).is_past(now);
+        let requests_per_s =
+            self.retries.requests_per_s(snapshot.reported_at, &snapshot.priorities);
+        let shortage = CapacityEstimate::of(snapshot, &requests_per_s)
+            .map(|estimate| {
+                let (age_s, admitted_s) = self.retries.admitted_work_until(now, &estimate.demands);
+                estimate.projected(age_s, admitted_s)
             })
-            .filter(|shortage| is_known && shortage.is_short());
-        self.note_shortage(now, shortage.is_some());
-        let may_refuse = !room.has_unreported_centre
-            || self.shown.is_some_and(|shown| shown.partial_until.is_past(now));
+            .filter(|estimate| is_usable && estimate.is_short());
+        self.update_logged_shortage(now, shortage.is_some());
+        let may_refuse = !snapshot.has_unreported_centre
+            || self.logged.is_some_and(|logged| logged.refuses_from.is_past(now));
         self.plan = match shortage.filter(|_| may_refuse) {
             Some(shortage) => {
-                self.tries.learn(now, shortage.expected - shortage.target);
-                self.refusals(now, room, &shortage)
+                self.retries.adjust(now, shortage.expected_load - shortage.target);
+                self.plan_refusals(now, snapshot, &shortage)
             }
             None => RefusalPlan::default(),
         };
-        self.tries.note_plan(now, self.plan.planned.clone());
+        self.retries.record_plan(now, self.plan.planned.clone());
     }
 
     fn admit(&self, now: ClockTime, opening: &FlowOpening) -> AdmissionDecision {
@@ -166,7 +178,7 @@
                 false => AdmissionDecision::AccountShare,
             };
         }
-        match plan.turn.covers(now, opening.caller, share) {
+        match plan.window.covers(now, opening.caller, share) {
             true => AdmissionDecision::Admitted,
             false => AdmissionDecision::Shortage,
         }
@@ -177,11 +189,11 @@
     }
 
     fn shortage_since(&self) -> Option<ClockTime> {
-        self.shown.map(|shown| shown.since)
+        self.logged.map(|logged| logged.started_at)
     }
 }
 
-/// Openings of all priorities that arrive a second.
-fn openings_per_s(room: &ServiceSnapshot) -> f64 {
-    room.priorities.values().map(arrivals_per_s).sum()
+/// Returns the openings per second of all priorities.
+fn openings_per_s(snapshot: &ServiceSnapshot) -> f64 {
+    snapshot.priorities.values().map(arrivals_per_s).sum()
 }
--- a/crates/foxledge-admission/tests/common/mod.rs
+++ b/crates/foxledge-admission/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A service in virtual time, and rooms for tests of single plans.
-// Each test file uses a part of this.
+//! A simulated service in virtual time, and snapshots for tests of single plans.
+// Each test file uses only some of these items.
 #![allow(dead_code, unused_imports)]
 
 mod model;
@@ -14,60 +14,63 @@
 use foxledge_load::PriorityLoad;
 use rand::{Rng, rngs::StdRng};
 
-/// Slots of the service: 120 backend servers of 2.
+/// Slots of the service: 120 backend servers with 2 slots each.
 pub const SLOTS: f64 = 240.0;
-/// Usual load: priority, requests a second, work in microseconds.
+/// The usual load: priority, requests per second and work time in microseconds.
 pub const USUAL: [(u32, f64, f64); 2] = [(1, 488.0, 72_000.0), (2, 985.0, 55_000.0)];
-pub const AIM_MS: u64 = 400;
-/// Account samples that an instance tells at each step.
-const SAMPLES: usize = 12;
+pub const LATENCY_TARGET_MS: u64 = 400;
+/// The maximum number of account samples that an instance reports in each step.
+const MAX_SAMPLES: usize = 12;
 
 pub use model::QueueModel;
 
-/// `ModelGate` is what refuses openings at the instances.
+/// How the instances decide on openings.
 pub enum ModelGate {
-    /// Nothing.
+    /// Admit all.
     Open,
-    /// An instance's own requests times the number of instances, in requests a slot, by priority.
+    /// Limit the local requests of an instance, multiplied by the number of instances, in requests
+    /// per slot by priority.
     Limits(BTreeMap<u32, f64>),
-    /// A policy for each instance.
+    /// Use a policy on each instance.
     Policies(Vec<ShareAdmission>),
 }
 
 impl ModelGate {
-    /// True when an instance that counts `own` requests a slot admits the opening.
-    fn admits(&self, now_us: u64, instance: usize, own: f64, opening: &FlowOpening) -> bool {
+    /// Returns `true` if an instance with `local_load` requests per slot admits the opening.
+    fn admits(&self, now_us: u64, instance: usize, local_load: f64, opening: &FlowOpening) -> bool {
         match self {
             ModelGate::Open => true,
-            ModelGate::Limits(limits) => own < limits[&opening.priority],
+            ModelGate::Limits(limits) => local_load < limits[&opening.priority],
             ModelGate::Policies(policies) => {
-                let verdict = policies[instance].admit(ClockTime::from_micros(now_us), opening);
-                verdict == AdmissionDecision::Admitted
+                let decision = policies[instance].admit(ClockTime::from_micros(now_us), opening);
+                decision == AdmissionDecision::Admitted
             }
         }
     }
 }
 
-/// `ModelPlan` is one play.
+/// The parameters of one simulation.
 pub struct ModelPlan {
     pub seed: u64,
     pub instances: usize,
-    /// Multiple of the usual arrivals, by priority, in the burst.
+    /// Multiple of the usual arrivals during the burst, by priority.
     pub burst: BTreeMap<u32, f64>,
-    /// Begin and end of the burst, and end of the play, in seconds.
+    /// Start and end of the burst, and end of the simulation, in seconds.
     pub times: (f64, f64, f64),
-    /// Openings that a caller makes for one request at most, and microseconds between them.
+    /// The maximum number of openings of a caller for one request, and the microseconds between
+    /// them.
     pub tries: u32,
-    pub return_us: u64,
-    /// Age of views in steps of 50 ms.
+    pub retry_delay_us: u64,
+    /// Age of the views, in steps of 50 ms.
     pub view_steps: usize,
-    /// Instances that never have a sure view; none of those beyond its end.
-    pub unsure: Vec<bool>,
-    /// Client accounts that ask alike, and the multiple of that which one more asks for.
+    /// `true` for instances whose view is never reliable; `false` for those beyond the end.
+    pub unreliable: Vec<bool>,
+    /// The number of client accounts with equal demand, and the multiple of it that one more
+    /// account demands.
     pub accounts: u32,
     pub heavy: f64,
-    /// Part of the other instances' samples that an instance hears of.
-    pub heard: f64,
+    /// The fraction of the other instances' samples that an instance receives.
+    pub received_fraction: f64,
 }
 
 impl ModelPlan {
@@ -79,66 +82,66 @@
             burst,
             times: (2.0, 11.0, 12.0),
             tries: 3,
-            return_us: 2_000,
+            retry_delay_us: 2_000,
             view_steps: 3,
-            unsure: Vec::new(),
+            unreliable: Vec::new(),
             accounts: 20_000,
             heavy: 0.0,
-            heard: 0.0,
+            received_fraction: 0.0,
         }
     }
 }
 
-/// `KindTally` is what became of the requests of one priority that were asked in the burst.
+/// The requests of one priority that were made during the burst.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct KindTally {
-    pub asked: f64,
-    pub in_aim: f64,
+    pub demanded: f64,
+    pub in_time: f64,
 }
 
-/// `ModelTally` is the outcome of a play.
+/// The results of a simulation.
 #[derive(Debug, Default)]
 pub struct ModelTally {
     pub kinds: BTreeMap<u32, KindTally>,
-    /// The heavy account's requests, which aren't counted in `kinds`.
+    /// The heavy account's requests, which are not counted in `kinds`.
     pub heavy: KindTally,
     pub refused: u64,
-    /// Second of the first refusal.
+    /// The second of the first refusal.
     pub first_refusal: Option<f64>,
-    /// Refusals while less than one request a slot was in progress: when, and since when that
-    /// was so, in seconds.
+    /// Refusals while less than one request per slot was in progress: the time, and how long the
+    /// load had been below that, in seconds.
     pub refused_below_one: Vec<(f64, f64)>,
-    /// Requests a slot at each step.
+    /// Requests per slot at each step.
     pub loads: Vec<f64>,
 }
 
 impl ModelTally {
-    /// Part of the requests of a priority that were answered in aim.
-    pub fn in_aim(&self, priority: u32) -> f64 {
-        self.kinds[&priority].in_aim / self.kinds[&priority].asked
+    /// The fraction of the requests of a priority that were answered within the latency target.
+    pub fn in_time(&self, priority: u32) -> f64 {
+        self.kinds[&priority].in_time / self.kinds[&priority].demanded
     }
 
-    /// Part of all requests that were answered in aim.
-    pub fn all_in_aim(&self) -> f64 {
-        let asked: f64 = self.kinds.values().map(|kind| kind.asked).sum();
-        self.kinds.values().map(|kind| kind.in_aim).sum::<f64>() / asked
+    /// The fraction of all requests that were answered within the latency target.
+    pub fn all_in_time(&self) -> f64 {
+        let demanded: f64 = self.kinds.values().map(|kind| kind.demanded).sum();
+        self.kinds.values().map(|kind| kind.in_time).sum::<f64>() / demanded
     }
 }
 
-/// A gate of the policy at each of `instances`.
+/// Creates one policy for each of `instances`.
 pub fn share_gate(instances: usize) -> ModelGate {
     let policy = |_| ShareAdmission::new(AdmissionOptions::default());
     ModelGate::Policies((0..instances).map(policy).collect())
 }
 
-/// The point `millis` milliseconds after the clock's start.
-pub fn at(millis: u64) -> ClockTime {
+/// The time `millis` milliseconds after the clock's start.
+pub fn at_ms(millis: u64) -> ClockTime {
     ClockTime::from_micros(millis * 1000)
 }
 
-/// A sure view of 240 slots, told at `millis`, at `load` requests a slot, with demands in
-/// requests a second of 60 ms by priority.
-pub fn room(millis: u64, load: f64, per_s: &[(u32, f64)]) -> ServiceSnapshot {
+/// A reliable snapshot of 240 slots, reported at `millis`, at `load` requests per slot, with
+/// demands in requests per second by priority and 60 ms of work per request.
+pub fn snapshot(millis: u64, load: f64, per_s: &[(u32, f64)]) -> ServiceSnapshot {
     let priority = |(priority, per_s): &(u32, f64)| {
         (*priority, PriorityLoad { arrivals_per_s: *per_s, work_us: 60_000.0 })
     };
@@ -146,51 +149,55 @@
         slots: SLOTS,
         running: load * SLOTS,
         priorities: per_s.iter().map(priority).collect(),
-        latency_target_ms: AIM_MS,
-        reported_at: at(millis),
+        latency_target_ms: LATENCY_TARGET_MS,
+        reported_at: at_ms(millis),
         is_reliable: true,
         fleet_clock_ms: millis as u32,
         ..ServiceSnapshot::default()
     }
 }
 
-/// A policy that has seen one view.
-pub fn planned(room: &ServiceSnapshot) -> ShareAdmission {
+/// A policy that was updated once.
+pub fn updated_policy(snapshot: &ServiceSnapshot) -> ShareAdmission {
     let mut policy = ShareAdmission::new(AdmissionOptions::default());
-    policy.update(room.reported_at, room);
+    policy.update(snapshot.reported_at, snapshot);
     policy
 }
 
-/// The caller with that number.
+/// The caller with this number.
 pub fn caller(number: u32) -> Ipv4Addr {
     Ipv4Addr::from(0x0a00_0000 + number)
 }
 
-/// What becomes of a caller's opening.
-pub fn verdict(
+/// The decision for an opening of a caller.
+pub fn decision(
     policy: &ShareAdmission,
     millis: u64,
     priority: u32,
     number: u32,
 ) -> AdmissionDecision {
-    policy.admit(at(millis), &FlowOpening { priority, caller: caller(number) })
+    policy.admit(at_ms(millis), &FlowOpening { priority, caller: caller(number) })
 }
 
-/// Part of 4,000 callers whose opening is admitted.
-pub fn admitted_part(policy: &ShareAdmission, millis: u64, priority: u32) -> f64 {
+/// The fraction of 4,000 callers whose opening is admitted.
+pub fn admitted_fraction(policy: &ShareAdmission, millis: u64, priority: u32) -> f64 {
     let is_admitted =
-        |number: &u32| verdict(policy, millis, priority, *number) == AdmissionDecision::Admitted;
+        |number: &u32| decision(policy, millis, priority, *number) == AdmissionDecision::Admitted;
     (0..4000).filter(is_admitted).count() as f64 / 4000.0
 }
 
-/// A sample of accounts, each with the openings that it stands for.
+/// A sample of accounts, each with the number of openings that it stands for.
 fn sample_of(openings: &mut Vec<u32>) -> Vec<(u32, u32)> {
-    let one_in = openings.len().div_ceil(SAMPLES).max(1);
-    openings.drain(..).step_by(one_in).map(|account| (account, one_in as u32)).collect()
+    let openings_per_sample = openings.len().div_ceil(MAX_SAMPLES).max(1);
+    openings
+        .drain(..)
+        .step_by(openings_per_sample)
+        .map(|account| (account, openings_per_sample as u32))
+        .collect()
 }
 
-/// A draw from the standard normal distribution.
-fn normal(random: &mut StdRng) -> f64 {
+/// A random number from the standard normal distribution.
+fn standard_normal(random: &mut StdRng) -> f64 {
     let (first, second): (f64, f64) = (random.random(), random.random());
     (-2.0 * (1.0 - first).ln()).sqrt() * (std::f64::consts::TAU * second).cos()
 }
--- a/crates/foxledge-admission/tests/common/model.rs
+++ b/crates/foxledge-admission/tests/common/model.rs
@@ -1,4 +1,5 @@
-//! Callers with few tries, instances with late views, backend servers with short queues.
+//! A simulation of callers with few tries, instances with delayed views and backend servers with
+//! short queues.
 
 use std::{
     cmp::Reverse,
@@ -11,16 +12,17 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 use super::{
-    AIM_MS, KindTally, ModelGate, ModelPlan, ModelTally, SLOTS, USUAL, caller, normal, sample_of,
+    KindTally, LATENCY_TARGET_MS, ModelGate, ModelPlan, ModelTally, SLOTS, USUAL, caller,
+    sample_of, standard_normal,
 };
 
 const SERVERS: usize = 120;
 const SERVER_SLOTS: usize = 2;
 const QUEUE: usize = 8;
 const STEP_US: u64 = 50_000;
-/// Deviation of a view's figures.
+/// The standard deviation of a view's values, as a fraction of them.
 const NOISE: f64 = 0.07;
-/// Time over which reported arrivals decay.
+/// The time constant with which reported arrivals decay.
 const DECAY_US: f64 = 250_000.0;
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -35,13 +37,13 @@
 struct ModelRequest {
     kind: usize,
     caller: u32,
-    asked_at: u64,
+    demanded_at: u64,
     tries: u32,
     work_us: u64,
     instance: usize,
 }
 
-/// `QueueModel` is a play in progress.
+/// A simulation in progress.
 pub struct QueueModel {
     plan: ModelPlan,
     gate: ModelGate,
@@ -50,27 +52,27 @@
     serial: u64,
     events: BinaryHeap<Reverse<(u64, u64, ModelEvent)>>,
     requests: Vec<ModelRequest>,
-    /// Requests at each backend server, and those that wait there.
+    /// Requests in the slots of each backend server, and those in its queue.
     busy: [usize; SERVERS],
     queues: Vec<VecDeque<usize>>,
-    /// Requests sent on and unanswered, by instance and in all.
-    own: Vec<f64>,
+    /// Forwarded requests without a response, by instance and in total.
+    local_running: Vec<f64>,
     running: f64,
-    /// When it last fell below the slots.
+    /// When the running requests last fell below the slots.
     below_at: u64,
     /// Accounts of the openings since the last step, by instance.
     openings: Vec<Vec<u32>>,
-    /// Arrivals a second by kind, up to the last step.
+    /// Arrivals per second by kind, up to the last step.
     rates: [f64; USUAL.len()],
     views: VecDeque<ServiceSnapshot>,
     tally: ModelTally,
 }
 
 impl QueueModel {
-    pub fn play(plan: ModelPlan, gate: ModelGate) -> ModelTally {
+    pub fn run(plan: ModelPlan, gate: ModelGate) -> ModelTally {
         let mut model = QueueModel {
             random: StdRng::seed_from_u64(plan.seed),
-            own: vec![0.0; plan.instances],
+            local_running: vec![0.0; plan.instances],
             now: 0,
             serial: 0,
             events: BinaryHeap::new(),
@@ -92,14 +94,14 @@
         while let Some(Reverse((at, _, event))) = model.events.pop() {
             model.now = at;
             match event {
-                ModelEvent::Step if at < end => model.step(),
-                ModelEvent::Arrival(kind) if at < end => model.arrive(kind),
+                ModelEvent::Step if at < end => model.on_step(),
+                ModelEvent::Arrival(kind) if at < end => model.on_arrival(kind),
                 ModelEvent::Step | ModelEvent::Arrival(_) => {}
-                ModelEvent::Try(request) => model.open(request),
-                ModelEvent::Served(server, request) => model.served(server, request),
+                ModelEvent::Try(request) => model.open_flow(request),
+                ModelEvent::Served(server, request) => model.on_served(server, request),
                 ModelEvent::NotRun(request) => {
-                    model.leave(request);
-                    model.try_again(request, 0);
+                    model.finish_request(request);
+                    model.retry_later(request, 0);
                 }
             }
         }
@@ -116,8 +118,8 @@
         (begin..end).contains(&(at as f64 / 1e6))
     }
 
-    /// Reports the load, and lets each instance plan by an older report.
-    fn step(&mut self) {
+    /// Reports the load, and updates the policy of each instance with an older report.
+    fn on_step(&mut self) {
         self.push(STEP_US, ModelEvent::Step);
         let now = ClockTime::from_micros(self.now);
         let load = |(kind, rate): (usize, &f64)| {
@@ -128,7 +130,7 @@
             slots: SLOTS,
             running: self.running,
             priorities: self.rates.iter().enumerate().map(load).collect(),
-            latency_target_ms: AIM_MS,
+            latency_target_ms: LATENCY_TARGET_MS,
             reported_at: now,
             is_reliable: true,
             ..ServiceSnapshot::default()
@@ -136,7 +138,7 @@
         let decay = (-(STEP_US as f64) / DECAY_US).exp();
         self.rates.iter_mut().for_each(|rate| *rate *= decay);
         self.tally.loads.push(self.running / SLOTS);
-        let parts: Vec<Vec<_>> = self.openings.iter_mut().map(sample_of).collect();
+        let samples: Vec<Vec<_>> = self.openings.iter_mut().map(sample_of).collect();
         if self.views.len() <= self.plan.view_steps {
             return;
         }
@@ -144,43 +146,44 @@
         let ModelGate::Policies(policies) = &mut self.gate else { return };
         for (number, policy) in policies.iter_mut().enumerate() {
             let mut seen = view.clone();
-            let mut noise = || 1.0 + NOISE * normal(&mut self.random);
+            let mut noise = || 1.0 + NOISE * standard_normal(&mut self.random);
             seen.running *= noise();
             seen.priorities.values_mut().for_each(|load| load.arrivals_per_s *= noise());
             seen.sampled_arrivals_per_s =
                 seen.priorities.values().map(|load| load.arrivals_per_s).sum();
-            let heard = |_: &&Vec<_>| self.random.random_bool(self.plan.heard);
-            seen.account_samples = parts.iter().filter(heard).flatten().copied().collect();
-            seen.is_reliable = !self.plan.unsure.get(number).is_some_and(|is_unsure| *is_unsure);
+            let is_received = |_: &&Vec<_>| self.random.random_bool(self.plan.received_fraction);
+            seen.account_samples = samples.iter().filter(is_received).flatten().copied().collect();
+            seen.is_reliable =
+                !self.plan.unreliable.get(number).is_some_and(|is_unreliable| *is_unreliable);
             seen.fleet_clock_ms = (self.now / 1000) as u32;
             policy.update(now, &seen);
         }
     }
 
-    fn arrive(&mut self, kind: usize) {
+    fn on_arrival(&mut self, kind: usize) {
         let (priority, per_s, work_us) = USUAL[kind];
         let is_burst = self.is_burst(self.now);
         let factor = self.plan.burst.get(&priority).filter(|_| is_burst).unwrap_or(&1.0);
         let gap_s = -(1.0 - self.random.random::<f64>()).ln() / (per_s * factor);
         self.push((gap_s * 1e6) as u64, ModelEvent::Arrival(kind));
-        // Lognormal with the spread that the bench gives run times.
-        let spread = (normal(&mut self.random) * 0.47 - 0.11).exp();
+        // Lognormal, with the spread of the run times in the benchmark.
+        let spread = (standard_normal(&mut self.random) * 0.47 - 0.11).exp();
         let draw = self.random.random_range(0.0..f64::from(self.plan.accounts) + self.plan.heavy);
         self.requests.push(ModelRequest {
             kind,
             caller: (draw as u32).min(self.plan.accounts),
-            asked_at: self.now,
+            demanded_at: self.now,
             tries: 0,
             work_us: (work_us * spread) as u64,
             instance: 0,
         });
         if is_burst {
-            self.tally_of(self.requests.len() - 1).asked += 1.0;
+            self.tally_of(self.requests.len() - 1).demanded += 1.0;
         }
-        self.open(self.requests.len() - 1);
+        self.open_flow(self.requests.len() - 1);
     }
 
-    fn open(&mut self, request: usize) {
+    fn open_flow(&mut self, request: usize) {
         let instance = self.random.random_range(0..self.plan.instances);
         let one = &mut self.requests[request];
         one.tries += 1;
@@ -188,7 +191,7 @@
         let opening = FlowOpening { priority: USUAL[one.kind].0, caller: caller(one.caller) };
         self.rates[one.kind] += 1e6 / DECAY_US;
         self.openings[instance].push(AccountKey::of(opening.caller).0);
-        let load = self.own[instance] * self.plan.instances as f64 / SLOTS;
+        let load = self.local_running[instance] * self.plan.instances as f64 / SLOTS;
         if !self.gate.admits(self.now, instance, load, &opening) {
             self.tally.refused += 1;
             self.tally.first_refusal.get_or_insert(self.now as f64 / 1e6);
@@ -196,11 +199,11 @@
                 let below_s = (self.now - self.below_at) as f64 / 1e6;
                 self.tally.refused_below_one.push((self.now as f64 / 1e6, below_s));
             }
-            return self.try_again(request, self.plan.return_us);
+            return self.retry_later(request, self.plan.retry_delay_us);
         }
         self.running += 1.0;
-        self.own[instance] += 1.0;
-        // The less loaded of two backend servers, which stands for deterministic subsets.
+        self.local_running[instance] += 1.0;
+        // The less loaded of two backend servers, in place of deterministic subsets.
         let [first, second] = [(); 2].map(|()| self.random.random_range(0..SERVERS));
         let count = |server: usize| self.busy[server] + self.queues[server].len();
         let server = if count(first) <= count(second) { first } else { second };
@@ -223,24 +226,24 @@
         }
     }
 
-    fn try_again(&mut self, request: usize, delay: u64) {
+    fn retry_later(&mut self, request: usize, delay: u64) {
         if self.requests[request].tries < self.plan.tries {
             self.push(delay, ModelEvent::Try(request));
         }
     }
 
-    fn leave(&mut self, request: usize) {
+    fn finish_request(&mut self, request: usize) {
         let was_full = self.running >= SLOTS;
         self.running -= 1.0;
         self.below_at = if was_full { self.now } else { self.below_at };
-        self.own[self.requests[request].instance] -= 1.0;
+        self.local_running[self.requests[request].instance] -= 1.0;
     }
 
-    fn served(&mut self, server: usize, request: usize) {
-        self.leave(request);
-        let asked_at = self.requests[request].asked_at;
-        if self.is_burst(asked_at) && self.now - asked_at <= AIM_MS * 1000 {
-            self.tally_of(request).in_aim += 1.0;
+    fn on_served(&mut self, server: usize, request: usize) {
+        self.finish_request(request);
+        let demanded_at = self.requests[request].demanded_at;
+        if self.is_burst(demanded_at) && self.now - demanded_at <= LATENCY_TARGET_MS * 1000 {
+            self.tally_of(request).in_time += 1.0;
         }
         match self.queues[server].pop_front() {
             Some(next) => self.push(self.requests[next].work_us, ModelEvent::Served(server, next)),
--- a/crates/foxledge-admission/tests/shortage_rules.rs
+++ b/crates/foxledge-admission/tests/shortage_rules.rs
@@ -1,149 +1,162 @@
-//! When a shortage holds, and when nothing is refused although it does.
+//! Conditions of a shortage, and cases in which nothing is refused in spite of one.
 
 mod common;
 
-use common::{admitted_part, at, planned, room};
+use common::{admitted_fraction, at_ms, snapshot, updated_policy};
 use foxledge_admission::{AdmissionOptions, AdmissionPolicy, ServiceSnapshot, ShareAdmission};
 
-/// A view of 240 slots that need 600 for what is asked.
-fn short_room(millis: u64) -> ServiceSnapshot {
-    room(millis, 2.0, &[(0, 2_000.0), (1, 8_000.0)])
+/// A snapshot of 240 slots with a demand of 600.
+fn short_snapshot(millis: u64) -> ServiceSnapshot {
+    snapshot(millis, 2.0, &[(0, 2_000.0), (1, 8_000.0)])
 }
 
 fn refuses(policy: &ShareAdmission, millis: u64) -> bool {
-    admitted_part(policy, millis, 1) < 1.0
+    admitted_fraction(policy, millis, 1) < 1.0
 }
 
-// A service that asks for more than its room isn't relieved.
+// Guards against admitting all requests of a service whose demand exceeds its capacity.
 #[test]
-fn plain_shortage() {
-    let policy = planned(&short_room(1000));
+fn refuses_when_demand_exceeds_capacity() {
+    let policy = updated_policy(&short_snapshot(1000));
     assert!(refuses(&policy, 1000));
-    assert_eq!(policy.shortage_since(), Some(at(1000)));
+    assert_eq!(policy.shortage_since(), Some(at_ms(1000)));
 }
 
-// Openings are refused while slots are free, however much is asked for.
+// Guards against refusals while slots are free, however high the demand is.
 #[test]
-fn free_slots() {
+fn refuses_nothing_while_slots_are_free() {
     for load in [0.0, 0.5, 0.99] {
-        let policy = planned(&ServiceSnapshot { running: load * 240.0, ..short_room(1000) });
-        assert!(!refuses(&policy, 1000), "at {load} requests a slot");
+        let policy =
+            updated_policy(&ServiceSnapshot { running: load * 240.0, ..short_snapshot(1000) });
+        assert!(!refuses(&policy, 1000), "at {load} requests per slot");
         assert_eq!(policy.shortage_since(), None);
     }
 }
 
-// Openings are refused for a queue that drains by itself.
+// Guards against refusals because of a queue that drains by itself.
 #[test]
-fn enough_room() {
-    assert!(!refuses(&planned(&room(1000, 1.5, &[(0, 1_000.0), (1, 2_000.0)])), 1000));
+fn refuses_nothing_for_a_draining_queue() {
+    assert!(!refuses(&updated_policy(&snapshot(1000, 1.5, &[(0, 1_000.0), (1, 2_000.0)])), 1000));
 }
 
-// An instance that has heard of few others refuses by its own count.
+// Guards against refusals by an instance that received reports of few others.
 #[test]
-fn unsure_view() {
-    assert!(!refuses(&planned(&ServiceSnapshot { is_reliable: false, ..short_room(1000) }), 1000));
+fn refuses_nothing_with_unreliable_view() {
+    assert!(!refuses(
+        &updated_policy(&ServiceSnapshot { is_reliable: false, ..short_snapshot(1000) }),
+        1000
+    ));
 }
 
-// A view that isn't renewed goes on refusing after the shortage.
+// Guards against an old view that causes refusals after the end of the shortage.
 #[test]
-fn old_view() {
-    let mut policy = planned(&short_room(1000));
+fn refuses_nothing_with_expired_view() {
+    let mut policy = updated_policy(&short_snapshot(1000));
     assert!(refuses(&policy, 1399));
     assert!(!refuses(&policy, 1400));
-    policy.update(at(1450), &short_room(1000));
+    policy.update(at_ms(1450), &short_snapshot(1000));
     assert!(!refuses(&policy, 1450));
 }
 
-// A data centre with free slots isn't heard of yet, and openings are refused meanwhile.
+// Guards against refusals while a data centre with free slots has not reported yet.
 #[test]
-fn partial_view() {
-    let partial = |millis| ServiceSnapshot { has_unreported_centre: true, ..short_room(millis) };
-    let mut policy = planned(&partial(1000));
+fn waits_for_unreported_centres() {
+    let incomplete =
+        |millis| ServiceSnapshot { has_unreported_centre: true, ..short_snapshot(millis) };
+    let mut policy = updated_policy(&incomplete(1000));
     for millis in (1050..1600).step_by(50) {
-        policy.update(at(millis), &partial(millis));
+        policy.update(at_ms(millis), &incomplete(millis));
         assert!(!refuses(&policy, millis), "at {millis} ms");
     }
-    policy.update(at(1600), &partial(1600));
+    policy.update(at_ms(1600), &incomplete(1600));
     assert!(refuses(&policy, 1600));
 }
 
-// Demand that can't be known is taken for a shortage.
+// Guards against taking unknown demand for a shortage.
 #[test]
-fn unknown_work() {
+fn refuses_late_if_work_times_are_unknown() {
     let unknown = |load| {
-        let mut room = room(1000, load, &[(0, 2_000.0), (1, 8_000.0)]);
-        room.priorities.values_mut().for_each(|priority| priority.work_us = 0.0);
-        room
+        let mut snapshot = snapshot(1000, load, &[(0, 2_000.0), (1, 8_000.0)]);
+        snapshot.priorities.values_mut().for_each(|priority| priority.work_us = 0.0);
+        snapshot
     };
-    assert!(!refuses(&planned(&unknown(2.9)), 1000));
-    assert!(refuses(&planned(&unknown(3.5)), 1000));
+    assert!(!refuses(&updated_policy(&unknown(2.9)), 1000));
+    assert!(refuses(&updated_policy(&unknown(3.5)), 1000));
 }
 
-// One kind without a known work time hides what the others ask for.
+// Guards against one priority with an unknown work time hiding the demand of the others.
 #[test]
-fn partly_unknown_work() {
-    let mut room = short_room(1000);
-    room.priorities.get_mut(&1).unwrap().work_us = 0.0;
-    assert!(refuses(&planned(&room), 1000));
+fn refuses_if_one_work_time_is_unknown() {
+    let mut snapshot = short_snapshot(1000);
+    snapshot.priorities.get_mut(&1).unwrap().work_us = 0.0;
+    assert!(refuses(&updated_policy(&snapshot), 1000));
 }
 
-// Slow backend servers count as full ones, and more is admitted than they serve.
+// Guards against counting slow backend servers as full ones and admitting more than they serve.
 #[test]
-fn slow_servers() {
+fn counts_slow_servers_in_proportion() {
     let priorities = [(0, 1_000.0), (1, 2_500.0)];
-    let whole = ServiceSnapshot { running: 300.0, ..room(1000, 0.0, &priorities) };
+    let whole = ServiceSnapshot { running: 300.0, ..snapshot(1000, 0.0, &priorities) };
     // 72 of 240 slots are five times slower.
     let slow = ServiceSnapshot { slots: 168.0 + 72.0 / 5.0, ..whole.clone() };
-    assert!(!refuses(&planned(&whole), 1000));
-    assert!(refuses(&planned(&slow), 1000));
+    assert!(!refuses(&updated_policy(&whole), 1000));
+    assert!(refuses(&updated_policy(&slow), 1000));
 }
 
-// A service without usable slots has a division by zero for its load.
+// Guards against a division by zero for a service without usable slots.
 #[test]
-fn no_slots() {
-    assert!(!refuses(&planned(&ServiceSnapshot { slots: 0.0, ..short_room(1000) }), 1000));
+fn refuses_nothing_without_slots() {
+    assert!(!refuses(
+        &updated_policy(&ServiceSnapshot { slots: 0.0, ..short_snapshot(1000) }),
+        1000
+    ));
 }
 
-// A report that is no number makes a plan of which nothing follows.
+// Guards against invalid numbers in a report producing an invalid plan.
 #[test]
-fn absurd_reports() {
-    for absurd in [f64::NAN, f64::INFINITY, -1.0] {
-        let mut one = short_room(1000);
-        one.priorities.get_mut(&1).unwrap().arrivals_per_s = absurd;
-        let policy = planned(&one);
+fn tolerates_invalid_reports() {
+    for invalid in [f64::NAN, f64::INFINITY, -1.0] {
+        let mut one = short_snapshot(1000);
+        one.priorities.get_mut(&1).unwrap().arrivals_per_s = invalid;
+        let policy = updated_policy(&one);
         assert!(policy.admitted_shares().values().all(|share| (0.0..=1.0).contains(share)));
-        assert!(!refuses(&planned(&ServiceSnapshot { running: absurd, ..short_room(1000) }), 1000));
+        assert!(!refuses(
+            &updated_policy(&ServiceSnapshot { running: invalid, ..short_snapshot(1000) }),
+            1000
+        ));
     }
 }
 
-// The log shows a shortage that begins and ends many times a second.
+// Guards against a logged shortage that starts and ends many times per second.
 #[test]
-fn shown_end() {
-    let mut policy = planned(&short_room(1000));
-    let calm = |millis| room(millis, 0.9, &[(0, 1_000.0)]);
-    policy.update(at(1050), &calm(1050));
+fn delays_the_logged_end_of_a_shortage() {
+    let mut policy = updated_policy(&short_snapshot(1000));
+    let usual = |millis| snapshot(millis, 0.9, &[(0, 1_000.0)]);
+    policy.update(at_ms(1050), &usual(1050));
     assert!(!refuses(&policy, 1050));
-    assert_eq!(policy.shortage_since(), Some(at(1000)));
-    policy.update(at(1100), &short_room(1100));
-    policy.update(at(1250), &calm(1250));
-    assert_eq!(policy.shortage_since(), Some(at(1000)));
-    policy.update(at(1300), &calm(1300));
+    assert_eq!(policy.shortage_since(), Some(at_ms(1000)));
+    policy.update(at_ms(1100), &short_snapshot(1100));
+    policy.update(at_ms(1250), &usual(1250));
+    assert_eq!(policy.shortage_since(), Some(at_ms(1000)));
+    policy.update(at_ms(1300), &usual(1300));
     assert_eq!(policy.shortage_since(), None);
 }
 
-// A route with a long aim refuses as early as one with a short aim.
+// Guards against refusing as early on routes with a long latency target as on routes with a short
+// one.
 #[test]
-fn longer_aim() {
-    let asked = [(0, 1_000.0), (1, 3_200.0)];
-    let with_aim =
-        |aim_ms| ServiceSnapshot { latency_target_ms: aim_ms, ..room(1000, 1.5, &asked) };
-    assert!(refuses(&planned(&with_aim(150)), 1000));
-    assert!(!refuses(&planned(&with_aim(600)), 1000));
+fn refuses_later_with_longer_latency_target() {
+    let demanded = [(0, 1_000.0), (1, 3_200.0)];
+    let with_target =
+        |latency_target_ms| ServiceSnapshot { latency_target_ms, ..snapshot(1000, 1.5, &demanded) };
+    assert!(refuses(&updated_policy(&with_target(150)), 1000));
+    assert!(!refuses(&updated_policy(&with_target(600)), 1000));
 }
 
-// Settings out of range keep less urgent kinds out, or give an account less than its share.
+// Guards against settings out of range that exclude lower priorities, or give an account less than
+// its share.
 #[test]
-fn option_ranges() {
+fn limits_options_to_their_ranges() {
     let options = AdmissionOptions::default();
     assert_eq!(options.clone().floor_percent(80.0), options.clone().floor_percent(50.0));
     assert_eq!(options.clone().account_share(0.2), options.clone().account_share(1.0));
--- a/crates/foxledge-core/src/audit.rs
+++ b/crates/foxledge-core/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail: what changed, why, and on whose word.
+//! The audit trail: changes with their causes and sources.
 
 use std::collections::VecDeque;
 
@@ -6,74 +6,74 @@
 
 use crate::time::ClockTime;
 
-/// `AuditKind` is the kind of change that an entry records.
+/// The kind of change that an audit entry records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AuditKind {
     /// A rule list came into force.
     ListAccepted,
-    /// A rule list was refused, with its findings.
+    /// A rule list was refused because of its findings.
     ListRefused,
     /// A rule list was older than the one in force, or contradicted it.
     ListIgnored,
-    /// An instance joined, left, was suspected, refuted or died.
+    /// An instance joined, left, was suspected, refuted a suspicion or died.
     MemberChanged,
-    /// A backend server was seen draining.
+    /// A backend server was observed draining.
     TargetDraining,
-    /// A backend server was ejected or taken back.
+    /// A backend server was ejected or readmitted.
     TargetEjected,
     /// Token keys changed.
     KeysRotated,
     /// This process started, became ready, drained or stopped.
     ProcessChanged,
-    /// A part failed and was started anew by its supervisor.
+    /// A component failed and was restarted by its supervisor.
     PartRestarted,
-    /// What one flow was decided, when it is followed.
+    /// The decision for one traced flow.
     FlowDecided,
 }
 
-/// `AuditEntry` is one change.
+/// One recorded change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct AuditEntry {
-    /// Counts entries of this process from 1; gaps show that older ones were dropped.
+    /// Sequence number in this process, from 1; a gap means that older entries were dropped.
     pub number: u64,
-    /// Microseconds on the process's own monotonic clock.
+    /// Time of the change in microseconds on the process's monotonic clock.
     pub at_us: u64,
-    /// What kind of change.
+    /// The kind of change.
     pub kind: AuditKind,
     /// What changed: an instance, backend server, list or flow.
     pub subject: String,
-    /// Value before.
+    /// The value before the change.
     pub old: String,
-    /// Value after.
+    /// The value after the change.
     pub new: String,
-    /// Why.
+    /// The reason for the change.
     pub cause: String,
-    /// Who said so: the platform, a peer, an observation, an operator.
+    /// The source of the information: the platform, a peer, an observation or an operator.
     pub source: String,
-    /// Revision of the rule list in force.
+    /// The revision of the rule list in force.
     pub revision: u64,
 }
 
-/// `AuditChange` is an entry before it is numbered.
+/// A change that has no sequence number yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AuditChange {
-    /// What kind of change.
+    /// The kind of change.
     pub kind: AuditKind,
     /// What changed.
     pub subject: String,
-    /// Value before.
+    /// The value before the change.
     pub old: String,
-    /// Value after.
+    /// The value after the change.
     pub new: String,
-    /// Why.
+    /// The reason for the change.
     pub cause: String,
-    /// Who said so.
+    /// The source of the information.
     pub source: String,
 }
 
 impl AuditChange {
-    /// Makes a change of `subject`; the other texts start empty.
+    /// Creates a change of `subject`; the other texts are empty.
     pub fn new(kind: AuditKind, subject: impl Into<String>) -> AuditChange {
         AuditChange {
             kind,
@@ -85,14 +85,14 @@
         }
     }
 
-    /// Sets the values before and after.
+    /// Sets the values before and after the change.
     pub fn with_values(mut self, old: impl Into<String>, new: impl Into<String>) -> AuditChange {
         self.old = old.into();
         self.new = new.into();
         self
     }
 
-    /// Sets why, and on whose word.
+    /// Sets the reason for the change and the source of the information.
     pub fn with_cause(
         mut self,
         cause: impl Into<String>,
@@ -104,7 +104,7 @@
     }
 }
 
-/// `AuditTrail` is the bounded record of changes; the oldest entry makes room.
+/// A bounded record of changes; the oldest entry is evicted first.
 #[derive(Debug)]
 pub struct AuditTrail {
     entries: VecDeque<AuditEntry>,
@@ -113,12 +113,12 @@
 }
 
 impl AuditTrail {
-    /// Makes an empty trail of at most `limit` entries.
+    /// Creates an empty trail of at most `limit` entries, and at least one.
     pub fn new(limit: usize) -> AuditTrail {
         AuditTrail { entries: VecDeque::new(), limit: limit.max(1), last_number: 0 }
     }
 
-    /// Records a change and returns the entry.
+    /// Records a change and returns its entry.
     pub fn record(&mut self, now: ClockTime, revision: u64, change: AuditChange) -> &AuditEntry {
         if self.entries.len() == self.limit {
             self.entries.pop_front();
@@ -138,7 +138,7 @@
         &self.entries[self.entries.len() - 1]
     }
 
-    /// Entries numbered above `after`, the oldest first, at most `limit`.
+    /// Returns at most `limit` entries with a number above `after`, the oldest first.
     pub fn read(&self, after: u64, limit: usize) -> Vec<AuditEntry> {
         self.entries.iter().filter(|entry| entry.number > after).take(limit).cloned().collect()
     }
--- a/crates/foxledge-core/src/errors.rs
+++ b/crates/foxledge-core/src/errors.rs
@@ -5,20 +5,20 @@
 /// `Result` is the crate's result type.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is what can go wrong with the plain types.
+/// An error in the conversion of a basic type.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Error {
-    /// A word that names no known value.
+    /// The text is not the name of any known value.
     #[error("unknown {what} \"{word}\"")]
     UnknownWord {
-        /// What the word should have named.
+        /// What the text should have named.
         what: &'static str,
-        /// The word.
+        /// The text.
         word: String,
     },
 }
 
-/// Makes an [`Error::UnknownWord`].
+/// Creates an [`Error::UnknownWord`].
 pub fn unknown_word(what: &'static str, word: &str) -> Error {
     Error::UnknownWord { what, word: word.to_owned() }
 }
--- a/crates/foxledge-core/src/findings.rs
+++ b/crates/foxledge-core/src/findings.rs
@@ -1,19 +1,19 @@
-//! Findings: what a check found wrong, with its place, reported together.
+//! Problems found by a check, with their locations, reported together.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// `Finding` is one thing that a check found wrong, and where.
+/// One problem found by a check, with its location.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    /// The file or list part.
+    /// The file, or the part of a list.
     pub source: String,
-    /// Line from 1; 0 when the finding has no line.
+    /// Line number from 1; 0 if the finding has no line.
     pub line: usize,
     /// The key, such as `listen.data` or `rule[3].when.member`.
     pub key: String,
-    /// What is wrong, as a short sentence.
+    /// A short sentence that describes the problem.
     pub text: String,
 }
 
@@ -30,14 +30,14 @@
     }
 }
 
-/// `FindingList` is every finding of one check, in the order found.
+/// All findings of one check, in the order in which they were found.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct FindingList {
     findings: Vec<Finding>,
 }
 
 impl FindingList {
-    /// Makes an empty list.
+    /// Creates an empty list.
     pub fn new() -> FindingList {
         FindingList::default()
     }
@@ -49,22 +49,22 @@
         self.findings.push(finding);
     }
 
-    /// Adds all of another list.
+    /// Appends all findings of another list.
     pub fn append(&mut self, other: FindingList) {
         self.findings.extend(other.findings);
     }
 
-    /// True when nothing was found wrong.
+    /// Returns `true` if there are no findings.
     pub fn is_empty(&self) -> bool {
         self.findings.is_empty()
     }
 
-    /// Number of findings.
+    /// Returns the number of findings.
     pub fn len(&self) -> usize {
         self.findings.len()
     }
 
-    /// The findings in order.
+    /// Iterates over the findings in order.
     pub fn iter(&self) -> impl Iterator<Item = &Finding> {
         self.findings.iter()
     }
--- a/crates/foxledge-core/src/lib.rs
+++ b/crates/foxledge-core/src/lib.rs
@@ -1,7 +1,7 @@
-//! Plain types and traits that every part of foxledge shares.
+//! Basic types and traits shared by all crates of foxledge.
 //!
-//! Nothing here reads a clock, opens a socket or draws a random number: time
-//! and seeds come in from outside.
+//! Nothing in this crate reads a clock, opens a socket or draws a random number: time and seeds are
+//! passed in.
 
 pub mod audit;
 pub mod errors;
--- a/crates/foxledge-core/src/lists.rs
+++ b/crates/foxledge-core/src/lists.rs
@@ -1,4 +1,4 @@
-//! An accepted list: rules, services, members and keys under one revision.
+//! An accepted rule list: rules, services, members and keys under one revision.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -13,35 +13,35 @@
     traffic::TrafficKind,
 };
 
-/// `ListVersion` is which list: the platform's revision and a digest of the contents.
+/// Identifies a list by the platform's revision and a digest of its contents.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct ListVersion {
-    /// The platform's revision; 0 is before every list.
+    /// The revision assigned by the platform; 0 before the first list.
     pub revision: u64,
-    /// Digest over the manifest's parts.
+    /// Digest over the parts of the manifest.
     pub digest: u64,
 }
 
-/// `PaidPriority` is what a member pays for: 0 is the lowest.
+/// The priority that a member pays for; 0 is the lowest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct PaidPriority(pub u8);
 
 impl PaidPriority {
-    /// Highest priority that a rule can give.
+    /// The highest priority that a rule can assign.
     pub const HIGHEST: PaidPriority = PaidPriority(7);
 }
 
-/// `FullAction` is what to do with a request when the service is full.
+/// What happens to a request while the service is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum FullAction {
-    /// Wait in the bounded queue.
+    /// The request waits in the bounded queue.
     Queue,
-    /// Refuse at once with when to come back.
+    /// The request is refused immediately, with a time for the next try.
     Refuse,
 }
 
-/// `FlowTreatment` is what a rule decides for the flows it matches.
+/// What a rule decides for the flows that it matches.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FlowTreatment {
@@ -51,59 +51,60 @@
     Serve(ServeTreatment),
 }
 
-/// `ServeTreatment` is how a matched flow is served.
+/// How a matched flow is served.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ServeTreatment {
-    /// The service whose backend servers take the flow.
+    /// The service whose backend servers handle the flow.
     pub service: ServiceName,
-    /// Paid priority.
+    /// The paid priority.
     pub priority: PaidPriority,
-    /// Share among members of one priority, from 1.
+    /// Relative share among members of the same priority, from 1.
     pub weight: u32,
-    /// Most requests of one member in slots and queue at the home; 0 means no limit.
+    /// The maximum number of one member's requests in slots and in the queue at the home instance;
+    /// 0 means no limit.
     pub member_limit: u32,
-    /// What to do when full.
+    /// What happens while the service is full.
     pub when_full: FullAction,
 }
 
-/// `FlowMatch` is the when of a rule; an empty list matches everything.
+/// The conditions of a rule; an empty list matches everything.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct FlowMatch {
     /// Service addresses.
     pub addresses: Vec<ServiceAddress>,
     /// Members.
     pub members: Vec<MemberName>,
-    /// Data centres, of the instance that decides.
+    /// Data centres in which the deciding instance may be located.
     pub data_centres: Vec<CentreName>,
     /// Kinds of traffic.
     pub kinds: Vec<TrafficKind>,
 }
 
-/// `FlowTraits` is what a rule can ask of a flow.
+/// The properties of a flow that a rule can match.
 #[derive(Clone, Copy, Debug)]
 pub struct FlowTraits<'a> {
-    /// The service address that the caller wants.
+    /// The service address that the caller requests.
     pub address: &'a str,
     /// The member that the flow belongs to.
     pub member: &'a str,
-    /// Data centre of the deciding instance.
+    /// The data centre of the deciding instance.
     pub data_centre: &'a str,
-    /// Kind of traffic.
+    /// The kind of traffic.
     pub kind: TrafficKind,
 }
 
 impl FlowMatch {
-    /// True when every condition holds for the flow.
+    /// Returns `true` if the flow meets all conditions.
     pub fn matches(&self, flow: &FlowTraits<'_>) -> bool {
-        has_or_any(&self.addresses, flow.address)
-            && has_or_any(&self.members, flow.member)
-            && has_or_any(&self.data_centres, flow.data_centre)
+        is_empty_or_contains(&self.addresses, flow.address)
+            && is_empty_or_contains(&self.members, flow.member)
+            && is_empty_or_contains(&self.data_centres, flow.data_centre)
             && (self.kinds.is_empty() || self.kinds.contains(&flow.kind))
     }
 }
 
-fn has_or_any<N: AsStrName>(names: &[N], wanted: &str) -> bool {
-    names.is_empty() || names.iter().any(|name| name.text() == wanted)
+fn is_empty_or_contains<N: AsStrName>(names: &[N], expected: &str) -> bool {
+    names.is_empty() || names.iter().any(|name| name.text() == expected)
 }
 
 trait AsStrName {
@@ -122,93 +123,93 @@
 
 as_str_name!(ServiceAddress, MemberName, CentreName);
 
-/// `FlowRule` is one when-then rule.
+/// One rule: conditions and the decision for flows that meet them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FlowRule {
-    /// Its name, unique in the list.
+    /// The name, unique in the list.
     pub name: RuleName,
-    /// Which flows it matches.
+    /// The flows that the rule matches.
     pub when: FlowMatch,
-    /// What it decides.
+    /// The decision for these flows.
     pub then: FlowTreatment,
 }
 
-/// `TargetSpec` is one backend server as published.
+/// One published backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct TargetSpec {
-    /// Its name, unique in the service.
+    /// The name, unique in the service.
     pub name: TargetName,
-    /// Where it takes datagrams.
+    /// The address at which it receives datagrams.
     pub address: SocketAddr,
-    /// Changes when another process takes the address over.
+    /// Changes when another process takes over the address.
     pub incarnation: u64,
-    /// Its data centre.
+    /// The data centre.
     pub data_centre: CentreName,
-    /// Requests it runs at once.
+    /// The maximum number of concurrent requests.
     pub slots: u32,
-    /// Open connections it can hold.
+    /// The maximum number of open connections.
     pub connections: u32,
-    /// Published as leaving: no new work.
+    /// `true` if it is published as draining and receives no new work.
     pub draining: bool,
 }
 
-/// `ServiceSpec` is one service as published.
+/// One published service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// The name.
     pub name: ServiceName,
-    /// Addresses that may lead to it.
+    /// Addresses that may resolve to the service.
     pub addresses: Vec<ServiceAddress>,
-    /// Most requests that wait at one home.
+    /// The maximum number of requests waiting at one home instance.
     pub queue_limit: u32,
-    /// Equal shards that its targets are split into, each with a home of its own; from 1.
+    /// The number of equal shards of its targets, each with its own home instance; from 1.
     pub shards: u32,
-    /// Its backend servers.
+    /// The backend servers of the service.
     pub targets: Vec<TargetSpec>,
 }
 
-/// `MemberSpec` is one member as published.
+/// One published member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct MemberSpec {
-    /// Its name.
+    /// The name.
     pub name: MemberName,
-    /// Secret its callers prove membership with; empty when none is asked.
+    /// The secret with which callers prove their membership; empty if no proof is required.
     #[serde(skip)]
     pub secret: Vec<u8>,
 }
 
-/// `KeySpec` is one key that tickets and flow tokens are sealed with.
+/// A key that seals tickets and flow tokens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct KeySpec {
-    /// Number carried in what the key sealed; the highest seals, all open.
+    /// The key id, which is carried in sealed values; the highest one seals, all of them open.
     pub id: u32,
     /// The secret.
     #[serde(skip)]
     pub secret: Vec<u8>,
 }
 
-/// `RuleList` is an accepted list: all that operators publish, under one revision.
+/// An accepted list: everything that operators publish under one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RuleList {
-    /// Which list this is.
+    /// The version of the list.
     pub version: ListVersion,
-    /// The rules in order; the first that matches decides.
+    /// The rules in order; the first match decides.
     pub rules: Vec<FlowRule>,
-    /// Services by name; lists that follow each other share those that stay the same.
+    /// Services by name; consecutive lists share the unchanged ones.
     pub services: BTreeMap<ServiceName, Arc<ServiceSpec>>,
-    /// Members by name; a flow of a member that isn't listed is refused.
+    /// Members by name; flows of an unlisted member are refused.
     pub members: HashMap<MemberName, MemberSpec>,
     /// Keys, the newest last.
     pub keys: Vec<KeySpec>,
 }
 
 impl RuleList {
-    /// The first rule that matches, or none.
+    /// Returns the first rule that matches the flow, if any.
     pub fn first_match(&self, flow: &FlowTraits<'_>) -> Option<&FlowRule> {
         self.rules.iter().find(|rule| rule.when.matches(flow))
     }
 
-    /// The published target that has this address now, with its service.
+    /// Returns the published target with this address and its service, if any.
     pub fn target_at(&self, address: SocketAddr) -> Option<(&ServiceSpec, &TargetSpec)> {
         self.services.values().find_map(|service| {
             let target = service.targets.iter().find(|target| target.address == address)?;
--- a/crates/foxledge-core/src/names.rs
+++ b/crates/foxledge-core/src/names.rs
@@ -1,4 +1,4 @@
-//! Shared immutable names.
+//! Names as shared immutable strings.
 
 use std::{borrow::Borrow, fmt, ops::Deref, sync::Arc};
 
@@ -11,12 +11,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Makes the name; a clone of it shares the text.
+            /// Creates the name; clones share the text.
             pub fn new(text: &str) -> $name {
                 $name(Arc::from(text))
             }
 
-            /// The text.
+            /// Returns the text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -64,34 +64,34 @@
 }
 
 shared_name! {
-    /// `ServiceName` is the name of a service, such as `auction-desk`.
+    /// The name of a service, such as `auction-desk`.
     ServiceName
 }
 shared_name! {
-    /// `ServiceAddress` is what callers address, such as `auction.lakeshore`.
+    /// The address that callers use for a service, such as `auction.lakeshore`.
     ServiceAddress
 }
 shared_name! {
-    /// `MemberName` is the name of a paying member of the marketplace.
+    /// The name of a paying member of the marketplace.
     MemberName
 }
 shared_name! {
-    /// `CentreName` is the name of a data centre.
+    /// The name of a data centre.
     CentreName
 }
 shared_name! {
-    /// `RegionName` is the name of a region, which holds data centres.
+    /// The name of a region, which contains data centres.
     RegionName
 }
 shared_name! {
-    /// `InstanceName` is the name of one foxledge instance.
+    /// The name of a foxledge instance.
     InstanceName
 }
 shared_name! {
-    /// `TargetName` is the name of one backend server of a service.
+    /// The name of a backend server of a service.
     TargetName
 }
 shared_name! {
-    /// `RuleName` is the name of a rule in a list.
+    /// The name of a rule in a list.
     RuleName
 }
--- a/crates/foxledge-core/src/peers.rs
+++ b/crates/foxledge-core/src/peers.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of the fleet's instances.
+//! One instance's knowledge of the other instances of the fleet.
 
 use std::net::SocketAddr;
 
@@ -9,29 +9,29 @@
     names::{CentreName, InstanceName},
 };
 
-/// `PeerState` is the state of an instance as others see it.
+/// The state of an instance as seen by others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PeerState {
-    /// Started, not warm yet: takes no homes.
+    /// Started but not warmed up; it becomes the home of no service.
     Joining,
-    /// Serves and takes homes.
+    /// Serving; it can be the home of services.
     Alive,
-    /// An observer has not heard from it; it still holds its homes.
+    /// An observer has not heard from the instance; it is still the home of its services.
     Suspect,
-    /// Planned stop: takes no new homes, finishes what it has.
+    /// Stopping as planned: it becomes the home of no further service and finishes its work.
     Leaving,
-    /// Gone.
+    /// Failed or stopped.
     Dead,
 }
 
 impl PeerState {
-    /// True when the instance can be the home of a service.
+    /// Returns `true` if the instance can be the home of a service.
     pub fn can_be_home(self) -> bool {
         matches!(self, PeerState::Alive | PeerState::Suspect)
     }
 
-    /// The state's word in audit trails and reports.
+    /// Returns the name of the state in audit trails and reports.
     pub fn as_str(self) -> &'static str {
         match self {
             PeerState::Joining => "joining",
@@ -43,82 +43,82 @@
     }
 }
 
-/// `PeerInfo` is what one instance is and where it listens.
+/// The identity, state and addresses of one instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct PeerInfo {
-    /// Its name from its settings.
+    /// The name from its settings.
     pub name: InstanceName,
-    /// Of the process; a restart has a higher one.
+    /// The incarnation of the process; increases with every restart.
     pub incarnation: u64,
-    /// Raised by the instance itself to refute a suspicion.
+    /// Increased by the instance itself to refute a suspicion.
     pub refutation: u32,
-    /// Its state.
+    /// The state.
     pub state: PeerState,
-    /// Its data centre.
+    /// The data centre.
     pub data_centre: CentreName,
-    /// Where callers' and backend servers' datagrams arrive.
+    /// The address that receives datagrams of callers and backend servers.
     pub data_address: SocketAddr,
-    /// Where datagrams of other instances arrive.
+    /// The address that receives datagrams of other instances.
     pub peer_address: SocketAddr,
-    /// Where control calls arrive.
+    /// The address that accepts control calls.
     pub control_address: SocketAddr,
 }
 
-/// `CentreContact` is an instance of another data centre that takes forwarded packets.
+/// An instance of another data centre that accepts forwarded packets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct CentreContact {
-    /// Its name.
+    /// The name.
     pub name: InstanceName,
-    /// Its data centre.
+    /// The data centre.
     pub data_centre: CentreName,
-    /// Where datagrams of other instances arrive.
+    /// The address that receives datagrams of other instances.
     pub peer_address: SocketAddr,
 }
 
-/// `PeerView` is one instance's present view of its data centre and of which
-/// other data centres can be reached.
+/// One instance's current view of its data centre and of the reachable other data centres.
 ///
-/// Two instances may hold different views at the same time; nothing that must
-/// always hold depends on their being equal.
+/// Two instances may hold different views at the same time; no guarantee of the system depends on
+/// their being equal.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct PeerView {
-    /// The instances of the own data centre, self included, sorted by name.
+    /// The instances of the local data centre, including this one, sorted by name.
     pub peers: Vec<PeerInfo>,
-    /// Data centres that answered lately, the own one included.
+    /// Data centres that responded recently, including the local one.
     pub reachable_centres: Vec<CentreName>,
-    /// A few instances of each other data centre in reach, by name.
+    /// A few instances of each other reachable data centre, by name.
     pub contacts: Vec<CentreContact>,
 }
 
 impl PeerView {
-    /// The instance of that name.
+    /// Returns the instance with this name.
     pub fn find(&self, name: &str) -> Option<&PeerInfo> {
         self.peers.iter().find(|peer| peer.name.as_str() == name)
     }
 
-    /// True when `name` is among the best `ranks` homes for `key`.
+    /// Returns `true` if `name` is among the best `ranks` homes for `key`.
     ///
-    /// Stops at the first `ranks` that are better, about `ranks * ln(n)` of `n`
-    /// instances on average, where a whole ranking weighs and sorts all.
+    /// Stops at the first `ranks` instances with a higher weight, after about `ranks * ln(n)` of
+    /// `n` instances on average. A complete ranking weighs and sorts all of them.
     pub fn is_among_best_homes(&self, key: &str, name: &str, ranks: usize) -> bool {
-        let Some(me) = self.find(name).filter(|peer| peer.state.can_be_home()) else {
+        let Some(candidate) = self.find(name).filter(|peer| peer.state.can_be_home()) else {
             return false;
         };
-        let mine = rendezvous_weight(key, &me.name);
+        let candidate_weight = rendezvous_weight(key, &candidate.name);
         let better = self
             .peers
             .iter()
             .filter(|peer| peer.state.can_be_home())
             .filter(|peer| {
                 let weight = rendezvous_weight(key, &peer.name);
-                weight > mine || (weight == mine && peer.name < me.name)
+                weight > candidate_weight
+                    || (weight == candidate_weight && peer.name < candidate.name)
             })
             .take(ranks)
             .count();
         better < ranks
     }
 
-    /// Instances that can be the home for `key`, the best first.
+    /// Returns the instances that can be the home for `key`, from the highest weight to the lowest.
     pub fn ranked_homes(&self, key: &str) -> Vec<&PeerInfo> {
         let mut ranked: Vec<_> = self
             .peers
--- a/crates/foxledge-core/src/traffic.rs
+++ b/crates/foxledge-core/src/traffic.rs
@@ -1,4 +1,4 @@
-//! What kind of traffic a flow carries.
+//! Kinds of traffic of a flow.
 
 use std::{fmt, str::FromStr};
 
@@ -6,23 +6,23 @@
 
 use crate::errors::{Error, unknown_word};
 
-/// `TrafficKind` is the kind of traffic that a rule can match.
+/// The kind of traffic that a rule can match.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TrafficKind {
-    /// A long-lived connection: price feed or shift board.
+    /// A long-lived connection: a price feed or a shift board.
     Feed,
     /// A short request: a bid or a claim.
     Bid,
-    /// A large request of many parts.
+    /// A large request that consists of many parts.
     Upload,
 }
 
 impl TrafficKind {
-    /// Every kind.
+    /// All kinds of traffic.
     pub const ALL: [TrafficKind; 3] = [TrafficKind::Feed, TrafficKind::Bid, TrafficKind::Upload];
 
-    /// The word used in rules, logs and metrics.
+    /// Returns the name used in rules, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             TrafficKind::Feed => "feed",
--- a/crates/foxledge-load/src/lib.rs
+++ b/crates/foxledge-load/src/lib.rs
@@ -1,23 +1,23 @@
-//! Load of services, known across instances.
+//! Load of services across all instances of the fleet.
 //!
-//! Each instance sees a part of a service's requests only. It tells its part to others as a
-//! [`InstanceReport`]; a [`LoadTable`] holds the parts that were heard and sums them up to a
-//! [`LoadView`], from which overflow and admission are decided. Everything here is decision
-//! logic: parts and the time go in, views and plans come out.
+//! Each instance sees only its own share of a service's requests and sends it to others as an
+//! [`InstanceReport`]. A [`LoadTable`] stores the received reports and aggregates them into a
+//! [`LoadView`], which overflow and admission decisions are based on. The crate does no input or
+//! output: reports and the time are passed in, views and plans are returned.
 
 mod bounds;
 mod overflow;
-mod own;
 mod rates;
+mod reports;
 mod schedule;
 mod table;
 mod view;
 
 pub use overflow::{CentreCapacity, OverflowPlan};
-pub use own::{
+pub use rates::RateGauge;
+pub use reports::{
     CentreAggregate, InstanceReport, LocalLoad, PriorityLoad, ReporterId, ServiceKey, ServiceLoad,
 };
-pub use rates::RateGauge;
 pub use schedule::{ReportPace, ReportSchedule};
 pub use table::{LoadTable, REPORT_FRESHNESS_MS, SUFFICIENT_PEER_REPORTS};
 pub use view::{CentreView, LoadView, ServiceView};
--- a/crates/foxledge-load/src/overflow.rs
+++ b/crates/foxledge-load/src/overflow.rs
@@ -1,124 +1,135 @@
-//! Which share of new flows leaves a data centre, and where to.
+//! Share of new flows that is sent to other data centres, and how it is divided among them.
 
 use std::collections::BTreeMap;
 
 use foxledge_core::{names::CentreName, time::ClockTime};
 
-/// Requests a slot up to which all flows stay near.
-const LEAST_LEVEL: f64 = 0.8;
-/// Time between steps of the shares, in milliseconds.
-const STEP_MS: u64 = 50;
-/// Part of the difference to the new plan by which a share moves in a step.
-const STEP_PART: f64 = 0.5;
-/// Share below which a share that falls to zero is zero.
-const LEAST_SHARE: f64 = 0.001;
+/// The load, in requests per slot, up to which no flow leaves its data centre.
+const MIN_LEVEL: f64 = 0.8;
+/// The interval between two steps of the shares, in milliseconds.
+const STEP_INTERVAL_MS: u64 = 50;
+/// The fraction of the difference to the target share that one step closes.
+const STEP_FRACTION: f64 = 0.5;
+/// A share that decays towards zero is removed below this value.
+const MIN_SHARE: f64 = 0.001;
 
-/// `CentreCapacity` is the slots of one data centre for a service, and what its callers ask for.
+/// The slots and the demand of one data centre for one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CentreCapacity {
     /// The data centre.
     pub data_centre: CentreName,
-    /// Usable slots: healthy, allowed, not evacuated; slower ones count in proportion.
+    /// Usable slots: those of healthy, allowed backend servers in a data centre that is not
+    /// evacuated. Slower backend servers count in proportion.
     pub slots: f64,
-    /// Slots that the requests of its callers need, wherever these are served.
+    /// Slots needed by the requests of the data centre's callers, wherever they are served.
     pub demand: f64,
 }
 
-/// `OverflowPlan` is the share of a service's new flows that goes to each other data centre.
+/// The share of a service's new flows that is sent to each other data centre.
 ///
-/// It answers a burst in one data centre while others have idle slots, and a shortage of all,
-/// which it spreads evenly. It is computed from demand, which doesn't change when flows are sent
-/// elsewhere, so it has no feedback and can't oscillate.
+/// Relieves a burst in one data centre while others have idle slots, and spreads a shortage of the
+/// whole fleet evenly. The shares are computed from demand, which does not change when flows are
+/// sent elsewhere, so there is no feedback that could oscillate.
 #[derive(Clone, Debug)]
 pub struct OverflowPlan {
-    own: CentreName,
+    local_centre: CentreName,
     shares: BTreeMap<CentreName, f64>,
-    step_at: ClockTime,
+    next_step_at: ClockTime,
 }
 
 impl OverflowPlan {
-    /// A plan of a data centre's instances by which all flows stay near.
-    pub fn new(own: CentreName) -> OverflowPlan {
-        OverflowPlan { own, shares: BTreeMap::new(), step_at: ClockTime::ZERO }
+    /// Creates the plan for the instances of `local_centre`, with all flows kept local.
+    pub fn new(local_centre: CentreName) -> OverflowPlan {
+        OverflowPlan { local_centre, shares: BTreeMap::new(), next_step_at: ClockTime::ZERO }
     }
 
-    /// Moves the shares a step towards the plan for `rooms`, when a step is due.
+    /// Moves the shares one step towards the target for `capacities`, if the next step is due.
     ///
-    /// Data centres that are absent from `rooms` or have no slots get nothing at once. Without
-    /// the own one nothing is known, and all flows stay near.
-    pub fn update(&mut self, now: ClockTime, rooms: &[CentreCapacity]) {
-        if !rooms.iter().any(|room| room.data_centre == self.own) {
+    /// Data centres without an entry or without slots lose their share immediately. Without an
+    /// entry for the local data centre the load is unknown, and all flows stay local.
+    pub fn update(&mut self, now: ClockTime, capacities: &[CentreCapacity]) {
+        if !capacities.iter().any(|capacity| capacity.data_centre == self.local_centre) {
             self.shares.clear();
             return;
         }
         self.shares.retain(|centre, _| {
-            rooms.iter().any(|room| room.data_centre == *centre && sane(room.slots) > 0.0)
+            capacities
+                .iter()
+                .any(|capacity| capacity.data_centre == *centre && sanitized(capacity.slots) > 0.0)
         });
-        if !self.step_at.is_past(now) {
+        if !self.next_step_at.is_past(now) {
             return;
         }
-        self.step_at = now.after_millis(STEP_MS);
-        self.step(&wanted_shares(&self.own, rooms));
+        self.next_step_at = now.after_millis(STEP_INTERVAL_MS);
+        self.step(&target_shares(&self.local_centre, capacities));
     }
 
-    /// The data centre of a new flow with this hash; none when it stays near.
+    /// Returns the data centre that a new flow with this hash is sent to, or `None` if it stays
+    /// local.
     ///
-    /// Each data centre gets its share of the hashes, and a small change of the shares moves few
-    /// hashes.
-    pub fn centre_for(&self, draw: u64) -> Option<&CentreName> {
-        let mut place = (draw >> 11) as f64 / (1u64 << 53) as f64;
+    /// Each data centre receives its share of the hashes, and a small change of the shares moves
+    /// few hashes.
+    pub fn centre_for(&self, hash: u64) -> Option<&CentreName> {
+        let mut position = (hash >> 11) as f64 / (1u64 << 53) as f64;
         for (centre, share) in &self.shares {
-            if place < *share {
+            if position < *share {
                 return Some(centre);
             }
-            place -= share;
+            position -= share;
         }
         None
     }
 
-    /// Shares of new flows by data centre; what is missing to 1 stays near.
+    /// Returns the shares of new flows by data centre; the remainder to 1 stays local.
     pub fn shares(&self) -> &BTreeMap<CentreName, f64> {
         &self.shares
     }
 
-    fn step(&mut self, wanted: &BTreeMap<CentreName, f64>) {
-        for centre in wanted.keys() {
+    fn step(&mut self, targets: &BTreeMap<CentreName, f64>) {
+        for centre in targets.keys() {
             self.shares.entry(centre.clone()).or_default();
         }
         self.shares.retain(|centre, share| {
-            let target = wanted.get(centre).copied().unwrap_or_default();
-            *share += STEP_PART * (target - *share);
-            target > 0.0 || *share >= LEAST_SHARE
+            let target = targets.get(centre).copied().unwrap_or_default();
+            *share += STEP_FRACTION * (target - *share);
+            target > 0.0 || *share >= MIN_SHARE
         });
     }
 }
 
-/// The undamped shares: the own data centre sends away its excess over the level, in proportion
-/// to the others' room below it.
-fn wanted_shares(own: &CentreName, rooms: &[CentreCapacity]) -> BTreeMap<CentreName, f64> {
-    let slots: f64 = rooms.iter().map(|room| sane(room.slots)).sum();
-    let demand: f64 = rooms.iter().map(|room| sane(room.demand)).sum();
+/// Computes the undamped shares. The local data centre sends away its excess over the level, which
+/// is the mean load of all data centres and at least `MIN_LEVEL`. The excess is divided in
+/// proportion to the spare slots of the others below that level.
+fn target_shares(
+    local_centre: &CentreName,
+    capacities: &[CentreCapacity],
+) -> BTreeMap<CentreName, f64> {
+    let slots: f64 = capacities.iter().map(|capacity| sanitized(capacity.slots)).sum();
+    let demand: f64 = capacities.iter().map(|capacity| sanitized(capacity.demand)).sum();
     if slots <= 0.0 {
         return BTreeMap::new();
     }
-    let level = (demand / slots).max(LEAST_LEVEL);
-    let spare = |room: &CentreCapacity| level * sane(room.slots) - sane(room.demand);
-    let Some(near) = rooms.iter().find(|room| room.data_centre == *own) else {
+    let level = (demand / slots).max(MIN_LEVEL);
+    let spare =
+        |capacity: &CentreCapacity| level * sanitized(capacity.slots) - sanitized(capacity.demand);
+    let Some(local) = capacities.iter().find(|capacity| capacity.data_centre == *local_centre)
+    else {
         return BTreeMap::new();
     };
-    let excess = -spare(near);
+    let excess = -spare(local);
     if excess <= 0.0 {
         return BTreeMap::new();
     }
-    let takers: Vec<&CentreCapacity> = rooms.iter().filter(|room| spare(room) > 0.0).collect();
-    let room_of_all: f64 = takers.iter().map(|room| spare(room)).sum();
-    let share = excess / sane(near.demand);
-    takers
+    let receivers: Vec<&CentreCapacity> =
+        capacities.iter().filter(|capacity| spare(capacity) > 0.0).collect();
+    let total_spare: f64 = receivers.iter().map(|capacity| spare(capacity)).sum();
+    let share = excess / sanitized(local.demand);
+    receivers
         .iter()
-        .map(|room| (room.data_centre.clone(), share * spare(room) / room_of_all))
+        .map(|capacity| (capacity.data_centre.clone(), share * spare(capacity) / total_spare))
         .collect()
 }
 
-fn sane(value: f64) -> f64 {
+fn sanitized(value: f64) -> f64 {
     if value.is_finite() { value.max(0.0) } else { 0.0 }
 }
--- a/crates/foxledge-load/src/rates.rs
+++ b/crates/foxledge-load/src/rates.rs
@@ -1,34 +1,34 @@
-//! Rates of events.
+//! Measurement of event rates.
 
 use foxledge_core::time::ClockTime;
 
-/// Time over which an event's weight decays by the factor e, in seconds.
+/// The time constant of the exponential decay, in seconds.
 const DECAY_S: f64 = 0.25;
 
-/// `RateGauge` is the present rate of events: a mean that decays over 250 ms.
+/// An exponentially decaying mean rate of events, with a time constant of 250 ms.
 ///
-/// It answers bursts: 200 ms after a step in the load, 55% of the step is shown.
+/// It follows bursts quickly: 200 ms after a step in the load, 55% of the step is visible.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RateGauge {
-    /// Events a second, as of `as_of`.
-    rate: f64,
+    /// Events per second at `as_of`.
+    rate_per_s: f64,
     as_of: ClockTime,
 }
 
 impl RateGauge {
-    /// A gauge that has counted nothing.
+    /// Creates a gauge without events.
     pub fn new() -> RateGauge {
         RateGauge::default()
     }
 
-    /// Counts an event.
+    /// Records one event.
     pub fn record_event(&mut self, now: ClockTime) {
-        self.rate = self.events_per_s(now) + 1.0 / DECAY_S;
+        self.rate_per_s = self.events_per_s(now) + 1.0 / DECAY_S;
         self.as_of = self.as_of.max(now);
     }
 
-    /// Events a second.
+    /// Returns the rate at `now`, in events per second.
     pub fn events_per_s(&self, now: ClockTime) -> f64 {
-        self.rate * (-now.since(self.as_of).as_secs_f64() / DECAY_S).exp()
+        self.rate_per_s * (-now.since(self.as_of).as_secs_f64() / DECAY_S).exp()
     }
 }
--- a/crates/foxledge-load/src/own.rs
+++ b/crates/foxledge-load/src/reports.rs
@@ -1,4 +1,4 @@
-//! What one instance, or one data centre, tells of its load.
+//! Load as reported by one instance and aggregated for one data centre.
 
 use std::{collections::BTreeMap, net::SocketAddrV4};
 
@@ -6,43 +6,43 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// `ServiceKey` is a service's name as it travels: the low half of its hash.
+/// The low 32 bits of the hash of a service's name, which replaces the name in messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct ServiceKey(pub u32);
 
 impl ServiceKey {
-    /// The key of a service's name.
+    /// Returns the key for the name of a service.
     pub fn of(service: &str) -> ServiceKey {
         ServiceKey(xxh3_64(service.as_bytes()) as u32)
     }
 }
 
-/// `PriorityLoad` is the load of a service's requests of one priority.
+/// The load of one service by requests of one priority.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct PriorityLoad {
-    /// Requests begun, and openings refused for want of room, a second.
+    /// Requests started per second, including openings refused for lack of capacity.
     pub arrivals_per_s: f64,
-    /// Mean time from a request to its answer without waiting, in microseconds; 0 when unknown.
+    /// Mean time from a request to its response without queueing, in microseconds; 0 if unknown.
     pub work_us: f64,
 }
 
-/// `ServiceLoad` is the load of one service.
+/// The load of one service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ServiceLoad {
-    /// By priority, 0 is the highest.
+    /// Load by priority; 0 is the highest.
     pub priorities: BTreeMap<u32, PriorityLoad>,
-    /// Requests sent on and unanswered, openings under way included, by the data centre that
-    /// serves them.
+    /// Forwarded requests without a response, including openings in progress, by the data centre
+    /// that serves them.
     pub running: BTreeMap<CentreName, f64>,
 }
 
 impl ServiceLoad {
-    /// Requests begun, and openings refused for want of room, a second.
+    /// Returns the requests started per second, including openings refused for lack of capacity.
     pub fn arrivals_per_s(&self) -> f64 {
         self.priorities.values().map(|load| load.arrivals_per_s).sum()
     }
 
-    /// Mean work time weighted by arrivals, in microseconds; 0 when unknown.
+    /// Returns the mean work time weighted by arrivals, in microseconds; 0 if unknown.
     pub fn work_us(&self) -> f64 {
         let known = || self.priorities.values().filter(|load| load.work_us > 0.0);
         let arrivals: f64 = known().map(|load| load.arrivals_per_s).sum();
@@ -52,8 +52,8 @@
         known().map(|load| load.work_us).sum::<f64>() / known().count().max(1) as f64
     }
 
-    /// Slots that the requests need: arrivals times work time. A priority whose work time is
-    /// unknown counts with the mean of the others.
+    /// Returns the slots that the requests need: arrivals multiplied by work time. A priority with
+    /// an unknown work time is counted with the mean of the others.
     pub fn demand(&self) -> f64 {
         let mean_us = self.work_us();
         let slots = |load: &PriorityLoad| {
@@ -64,46 +64,47 @@
     }
 }
 
-/// `LocalLoad` is what an instance sees of each service's load.
+/// The load of all services as measured by one instance.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LocalLoad {
-    /// Services with anything running or arriving.
+    /// Services with running or arriving requests.
     pub services: BTreeMap<ServiceKey, ServiceLoad>,
-    /// Hashes of the client accounts of a sample of its openings.
+    /// Hashes of the client accounts of sampled openings.
     pub sampled_accounts: Vec<u32>,
-    /// Openings of which one is in the sample; 0 when there is none.
+    /// The number of openings that each sample stands for; 0 if there are no samples.
     pub openings_per_sample: u32,
 }
 
-/// `ReporterId` is one start of an instance.
+/// One process start of a reporting instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReporterId {
-    /// Where it takes messages.
+    /// The address on which the instance receives messages of other instances.
     pub address: SocketAddrV4,
-    /// Low half of the number of its start.
+    /// The low 32 bits of the process's incarnation.
     pub incarnation: u32,
 }
 
-/// `InstanceReport` is the load that one instance told.
+/// The load report of one instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InstanceReport {
-    /// Who told it.
+    /// The instance that reports.
     pub reporter: ReporterId,
-    /// Counts the teller's parts.
+    /// Sequence number of the report at this reporter.
     pub serial: u32,
-    /// What it sees.
+    /// The measured load.
     pub load: LocalLoad,
 }
 
-/// `CentreAggregate` is the load of all callers of one data centre, as an instance of it reckons it.
+/// The load of all callers of one data centre, as aggregated by one of its instances.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CentreAggregate {
     /// The data centre.
     pub data_centre: CentreName,
-    /// Rises with time at each teller, so that an older sum replaces no newer one.
+    /// Increases with time at every instance of the data centre, so that an older aggregate never
+    /// replaces a newer one.
     pub serial: u32,
-    /// Instances in it.
+    /// The number of instances in the data centre.
     pub instances: u32,
-    /// By service.
+    /// Load by service.
     pub services: BTreeMap<ServiceKey, ServiceLoad>,
 }
--- a/crates/foxledge-load/src/schedule.rs
+++ b/crates/foxledge-load/src/schedule.rs
@@ -1,113 +1,115 @@
-//! When an instance tells its load.
+//! Timing of the load reports of one instance.
 
 use foxledge_core::time::ClockTime;
 
-/// Requests a slot from which a data centre is pressed.
-const PRESSED: f64 = 0.6;
-/// Time for which an instance stays busy after the last reason, in milliseconds.
-const BUSY_MS: u64 = 2000;
-/// Time for which a data centre that said so counts as pressed, in milliseconds.
-const PRESSED_MS: u64 = 2000;
-/// Time between reports of a calm instance, in milliseconds.
-const CALM_ROUND_MS: u64 = 1000;
-/// Time between reports of a busy instance, in milliseconds.
-const BUSY_ROUND_MS: u64 = 100;
-/// Running requests by which the own load must differ from the reported one to make the
-/// instance busy.
-const CHANGE_REQUESTS: f64 = 3.0;
-/// Share of the reported running requests by which the own load must differ from them.
-const CHANGE_SHARE: f64 = 0.5;
+/// The load, in requests per slot, from which a data centre counts as loaded.
+const LOADED_THRESHOLD: f64 = 0.6;
+/// How long an instance keeps the fast pace after the last trigger, in milliseconds.
+const FAST_PACE_HOLD_MS: u64 = 2000;
+/// How long another data centre counts as loaded after its announcement, in milliseconds.
+const LOADED_HOLD_MS: u64 = 2000;
+/// The interval between reports at the slow pace, in milliseconds.
+const SLOW_INTERVAL_MS: u64 = 1000;
+/// The interval between reports at the fast pace, in milliseconds.
+const FAST_INTERVAL_MS: u64 = 100;
+/// The change of the local running requests since the last report above which the pace becomes
+/// fast.
+const MIN_CHANGE_REQUESTS: f64 = 3.0;
+/// The same as a fraction of the running requests in the last report; both must be exceeded.
+const MIN_CHANGE_FRACTION: f64 = 0.5;
 
-/// `ReportPace` is how often an instance tells its load.
+/// How often an instance reports its load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportPace {
-    /// Once a second, near instances only.
+    /// Once per second, to instances of the same data centre only.
     Slow,
-    /// Every 100 ms, other data centres included.
+    /// Every 100 ms, also to other data centres.
     Fast,
 }
 
 impl ReportPace {
-    /// True when the pace is [`ReportPace::Busy`].
+    /// Returns `true` if the pace is [`ReportPace::Fast`].
     pub fn is_fast(self) -> bool {
         self == ReportPace::Fast
     }
 }
 
-/// `ReportSchedule` is when the next report of the own load is due.
+/// Decides when the next report of the local load is sent.
 ///
-/// It answers the start of a burst with a report at once, and calm days with few messages.
+/// The start of a burst is reported immediately, while an idle fleet exchanges few messages.
 #[derive(Clone, Debug)]
 pub struct ReportSchedule {
     next_report_at: ClockTime,
-    /// When a report of a busy instance may follow the last one.
-    busy_due_at: ClockTime,
-    busy_until: ClockTime,
+    /// The earliest time of the next report at the fast pace.
+    next_fast_report_at: ClockTime,
+    fast_until: ClockTime,
     running: f64,
-    told_running: f64,
-    pressure: f64,
+    reported_running: f64,
+    load_ratio: f64,
 }
 
 impl ReportSchedule {
-    /// A calm schedule whose first report is due.
+    /// Creates a schedule at the slow pace whose first report is sent immediately.
     pub fn new(now: ClockTime) -> ReportSchedule {
         ReportSchedule {
             next_report_at: now,
-            busy_due_at: now,
-            busy_until: ClockTime::ZERO,
+            next_fast_report_at: now,
+            fast_until: ClockTime::ZERO,
             running: 0.0,
-            told_running: 0.0,
-            pressure: 0.0,
+            reported_running: 0.0,
+            load_ratio: 0.0,
         }
     }
 
-    /// Takes the own running requests, and the largest load of a service in the own data centre
-    /// in requests a slot. It may make the instance busy and a report due.
-    pub fn update_local_load(&mut self, now: ClockTime, running: f64, pressure: f64) {
+    /// Updates the running requests of this instance and the highest load ratio of any service in
+    /// the local data centre, in requests per slot. A high or changed load switches to the fast
+    /// pace and moves the next report forward.
+    pub fn update_local_load(&mut self, now: ClockTime, running: f64, load_ratio: f64) {
         self.running = running;
-        self.pressure = pressure;
+        self.load_ratio = load_ratio;
         if self.is_loaded() || self.has_changed() {
-            self.stay_busy(now, now.after_millis(BUSY_MS));
+            self.use_fast_pace(now, now.after_millis(FAST_PACE_HOLD_MS));
         }
     }
 
-    /// Takes that another data centre said that it is pressed.
+    /// Records that another data centre announced that it is loaded.
     pub fn record_loaded_centre(&mut self, now: ClockTime) {
-        self.stay_busy(now, now.after_millis(PRESSED_MS + BUSY_MS));
+        self.use_fast_pace(now, now.after_millis(LOADED_HOLD_MS + FAST_PACE_HOLD_MS));
     }
 
-    /// True when the own data centre is pressed, as of the last [`ReportSchedule::note_own`].
+    /// Returns `true` if the local data centre was loaded at the last
+    /// [`ReportSchedule::update_local_load`].
     pub fn is_loaded(&self) -> bool {
-        self.pressure >= PRESSED
+        self.load_ratio >= LOADED_THRESHOLD
     }
 
-    /// How often the instance tells its load.
+    /// Returns the pace at `now`.
     pub fn pace(&self, now: ClockTime) -> ReportPace {
-        if self.busy_until.is_past(now) { ReportPace::Slow } else { ReportPace::Fast }
+        if self.fast_until.is_past(now) { ReportPace::Slow } else { ReportPace::Fast }
     }
 
-    /// When the next report is due.
+    /// Returns the time of the next report.
     pub fn next_report_at(&self) -> ClockTime {
         self.next_report_at
     }
 
-    /// Takes that the own load was told.
+    /// Records that the local load was sent, and schedules the next report.
     pub fn record_report_sent(&mut self, now: ClockTime) {
-        self.told_running = self.running;
-        self.busy_due_at = now.after_millis(BUSY_ROUND_MS);
+        self.reported_running = self.running;
+        self.next_fast_report_at = now.after_millis(FAST_INTERVAL_MS);
         self.next_report_at = match self.pace(now) {
-            ReportPace::Slow => now.after_millis(CALM_ROUND_MS),
-            ReportPace::Fast => self.busy_due_at,
+            ReportPace::Slow => now.after_millis(SLOW_INTERVAL_MS),
+            ReportPace::Fast => self.next_fast_report_at,
         };
     }
 
     fn has_changed(&self) -> bool {
-        let change = (self.running - self.told_running).abs();
-        change > CHANGE_REQUESTS && change > CHANGE_SHARE * self.told_running
+        let change = (self.running - self.reported_running).abs();
+        change > MIN_CHANGE_REQUESTS && change > MIN_CHANGE_FRACTION * self.reported_running
     }
 
-    fn stay_busy(&mut self, now: ClockTime, until: ClockTime) {
-        self.busy_until = self.busy_until.max(until);
-        self.next_report_at = self.next_report_at.min(self.busy_due_at.max(now));
+    fn use_fast_pace(&mut self, now: ClockTime, until: ClockTime) {
+        self.fast_until = self.fast_until.max(until);
+        self.next_report_at = self.next_report_at.min(self.next_fast_report_at.max(now));
     }
 }
--- a/crates/foxledge-load/src/table.rs
+++ b/crates/foxledge-load/src/table.rs
@@ -1,4 +1,4 @@
-//! What an instance holds of the load of others.
+//! Load reports received from other instances.
 
 use std::{
     cmp::Reverse,
@@ -11,8 +11,8 @@
 use foxledge_core::{names::CentreName, time::ClockTime};
 
 use crate::{
-    bounds::{bound_load, bound_sum},
-    own::{
+    bounds::{bound_aggregate, bound_load},
+    reports::{
         CentreAggregate, InstanceReport, LocalLoad, PriorityLoad, ReporterId, ServiceKey,
         ServiceLoad,
     },
@@ -20,340 +20,367 @@
     view::{CentreView, LoadView},
 };
 
-/// Time after which a calm teller's part expires, in milliseconds.
-const CALM_PART_MS: u64 = 3000;
-/// Time after which a busy teller's part expires, in milliseconds.
-const BUSY_PART_MS: u64 = 1000;
-/// Time for which a part is fresh, in milliseconds.
+/// How long a report sent at the slow pace is valid, in milliseconds.
+const SLOW_REPORT_TTL_MS: u64 = 3000;
+/// How long a report sent at the fast pace is valid, in milliseconds.
+const FAST_REPORT_TTL_MS: u64 = 1000;
+/// The age up to which a report counts as fresh, in milliseconds.
 pub const REPORT_FRESHNESS_MS: u64 = 200;
-/// Time after which another data centre's sum expires, in milliseconds.
-const SUM_MS: u64 = 2000;
-/// Parts of other instances that are enough for a sum, whatever the number of instances.
+/// How long the aggregate of another data centre is valid, in milliseconds.
+const AGGREGATE_TTL_MS: u64 = 2000;
+/// The number of reports of other instances that suffices for an aggregate of any number of
+/// instances.
 pub const SUFFICIENT_PEER_REPORTS: usize = 6;
-/// One in so many of the instances is enough for a sum.
-const ENOUGH_ONE_IN: usize = 3;
-/// Parts held, several times the instances of the largest data centre.
-const MOST_PARTS: usize = 4096;
-/// Sums held, several times the data centres of the largest fleet.
-const MOST_SUMS: usize = 64;
-/// Account samples held until the next view; a busy instance hears some 400 in 100 ms.
-const MOST_SAMPLES: usize = 4096;
-
-/// `LoadTable` is the parts and sums that an instance holds.
+/// One report per this many instances suffices for an aggregate.
+const INSTANCES_PER_SUFFICIENT_REPORT: usize = 3;
+/// The maximum number of stored reports: several times the instances of the largest data centre.
+const MAX_REPORTS: usize = 4096;
+/// The maximum number of stored aggregates: several times the data centres of the largest fleet.
+const MAX_AGGREGATES: usize = 64;
+/// The maximum number of account samples kept for the next view; an instance at the fast pace
+/// receives about 400 in 100 ms.
+const MAX_ACCOUNT_SAMPLES: usize = 4096;
+
+/// The reports and aggregates known to one instance.
 ///
-/// It answers the load of a whole data centre, of which the instance itself sees a small part:
-/// the mean of the parts that were heard stands for those that weren't.
+/// An instance sees only a small share of the load of its data centre. The table estimates the
+/// whole from the mean of the received reports, which also stands for the missing ones.
 #[derive(Clone, Debug)]
 pub struct LoadTable {
     data_centre: CentreName,
-    own: Option<HeardPart>,
-    /// Instances of the own data centre; 0 until it is known.
+    local_report: Option<StoredReport>,
+    /// The number of instances in the local data centre; 0 until it is known.
     instances: u32,
-    alive: Vec<CentreName>,
-    reports: BTreeMap<SocketAddrV4, HeardPart>,
-    aggregates: BTreeMap<CentreName, HeardSum>,
-    samples: Vec<(u32, u32)>,
-    turn: TurnClock,
+    alive_centres: Vec<CentreName>,
+    reports: BTreeMap<SocketAddrV4, StoredReport>,
+    aggregates: BTreeMap<CentreName, StoredAggregate>,
+    account_samples: Vec<(u32, u32)>,
+    fleet_clock: FleetClock,
 }
 
 impl LoadTable {
-    /// An empty table of an instance in this data centre.
+    /// Creates an empty table for an instance in `data_centre`.
     pub fn new(data_centre: CentreName) -> LoadTable {
         LoadTable {
             data_centre,
-            own: None,
+            local_report: None,
             instances: 0,
-            alive: Vec::new(),
+            alive_centres: Vec::new(),
             reports: BTreeMap::new(),
             aggregates: BTreeMap::new(),
-            samples: Vec::new(),
-            turn: TurnClock::default(),
+            account_samples: Vec::new(),
+            fleet_clock: FleetClock::default(),
         }
     }
 
-    /// Sets the own load, as the next part of this teller.
-    pub fn set_local_load(&mut self, now: ClockTime, teller: ReporterId, mut load: LocalLoad) {
+    /// Sets the load measured by this instance, as the next report of `reporter`.
+    pub fn set_local_load(&mut self, now: ClockTime, reporter: ReporterId, mut load: LocalLoad) {
         bound_load(&mut load);
-        self.reports.remove(&teller.address);
-        self.collect_samples(&load);
-        let serial = self.own.as_ref().map_or(1, |own| own.part.serial.wrapping_add(1));
-        let part = InstanceReport { reporter: teller, serial, load };
-        self.own = Some(HeardPart::new(part, now, ReportPace::Fast));
+        self.reports.remove(&reporter.address);
+        self.record_samples(&load);
+        let serial =
+            self.local_report.as_ref().map_or(1, |stored| stored.report.serial.wrapping_add(1));
+        let report = InstanceReport { reporter, serial, load };
+        self.local_report = Some(StoredReport::new(report, now, ReportPace::Fast));
     }
 
-    /// Sets the number of instances of the own data centre, the own one included.
+    /// Sets the number of instances in the local data centre, including this one.
     pub fn set_instances(&mut self, count: u32) {
         self.instances = count;
     }
 
-    /// Sets the other data centres that are alive by membership.
+    /// Sets the other data centres that membership reports as alive.
     pub fn set_alive_centres(&mut self, others: Vec<CentreName>) {
-        self.alive = others;
+        self.alive_centres = others;
     }
 
-    /// Takes a part told at `told_at` by an instance of the own data centre; true when it is
-    /// news. A relayed part is taken at the pace [`ReportPace::Busy`].
+    /// Applies a report sent at `reported_at` by an instance of the local data centre, and returns
+    /// `true` if it is newer than the stored one. Relayed reports are applied with
+    /// [`ReportPace::Fast`].
     pub fn apply_report(
         &mut self,
         now: ClockTime,
-        mut part: InstanceReport,
-        told_at: ClockTime,
+        mut report: InstanceReport,
+        reported_at: ClockTime,
         pace: ReportPace,
     ) -> bool {
-        bound_load(&mut part.load);
-        let heard = HeardPart::new(part, told_at.min(now), pace);
-        let address = heard.part.reporter.address;
-        if heard.expires_at.is_past(now) || self.is_own(&address) {
+        bound_load(&mut report.load);
+        let received = StoredReport::new(report, reported_at.min(now), pace);
+        let address = received.report.reporter.address;
+        if received.expires_at.is_past(now) || self.is_local(&address) {
             return false;
         }
-        let held = self.reports.get(&address).filter(|held| !held.expires_at.is_past(now));
-        if held.is_some_and(|held| !heard.follows(held)) {
+        let stored = self.reports.get(&address).filter(|stored| !stored.expires_at.is_past(now));
+        if stored.is_some_and(|stored| !received.is_newer_than(stored)) {
             return false;
         }
-        if !self.reports.contains_key(&address) && self.reports.len() >= MOST_PARTS {
+        if !self.reports.contains_key(&address) && self.reports.len() >= MAX_REPORTS {
             return false;
         }
-        self.collect_samples(&heard.part.load);
-        self.reports.insert(address, heard);
+        self.record_samples(&received.report.load);
+        self.reports.insert(address, received);
         true
     }
 
-    /// Takes the sum of another data centre told at `told_at`; true when it is news.
+    /// Applies the aggregate that another data centre sent at `reported_at`, and returns `true` if
+    /// it is newer than the stored one.
     pub fn apply_aggregate(
         &mut self,
         now: ClockTime,
-        mut sum: CentreAggregate,
-        told_at: ClockTime,
+        mut aggregate: CentreAggregate,
+        reported_at: ClockTime,
     ) -> bool {
-        bound_sum(&mut sum);
-        let heard = HeardSum::new(sum, told_at.min(now));
-        let centre = heard.sum.data_centre.clone();
-        if heard.expires_at.is_past(now) || centre == self.data_centre {
+        bound_aggregate(&mut aggregate);
+        let received = StoredAggregate::new(aggregate, reported_at.min(now));
+        let centre = received.aggregate.data_centre.clone();
+        if received.expires_at.is_past(now) || centre == self.data_centre {
             return false;
         }
-        let held = self.aggregates.get(&centre).filter(|held| !held.expires_at.is_past(now));
-        if held.is_some_and(|held| !heard.follows(held)) {
+        let stored = self.aggregates.get(&centre).filter(|stored| !stored.expires_at.is_past(now));
+        if stored.is_some_and(|stored| !received.is_newer_than(stored)) {
             return false;
         }
-        if !self.aggregates.contains_key(&centre) && self.aggregates.len() >= MOST_SUMS {
+        if !self.aggregates.contains_key(&centre) && self.aggregates.len() >= MAX_AGGREGATES {
             return false;
         }
-        self.aggregates.insert(centre, heard);
+        self.aggregates.insert(centre, received);
         true
     }
 
-    /// Removes the part of an instance that left or restarted.
+    /// Removes the report of an instance that left or restarted.
     pub fn remove_instance(&mut self, address: &SocketAddrV4) {
         self.reports.remove(address);
     }
 
-    /// Removes what has expired.
+    /// Removes all expired reports and aggregates.
     pub fn remove_expired(&mut self, now: ClockTime) {
-        self.reports.retain(|_, heard| !heard.expires_at.is_past(now));
-        self.aggregates.retain(|_, heard| !heard.expires_at.is_past(now));
+        self.reports.retain(|_, stored| !stored.expires_at.is_past(now));
+        self.aggregates.retain(|_, stored| !stored.expires_at.is_past(now));
     }
 
-    /// Parts of the own data centre with the times when they were told: the own one first, then
-    /// the newest. Those that expired since [`LoadTable::forget`] are included.
+    /// Returns the reports of the local data centre with the times at which they were sent: the
+    /// report of this instance first, then the others from newest to oldest. Includes reports that
+    /// expired since the last [`LoadTable::remove_expired`].
     pub fn reports(&self) -> impl Iterator<Item = (&InstanceReport, ClockTime)> {
-        let mut others: Vec<&HeardPart> = self.reports.values().collect();
-        others.sort_by_key(|heard| Reverse(heard.told_at));
-        self.own.iter().chain(others).map(|heard| (&heard.part, heard.told_at))
+        let mut others: Vec<&StoredReport> = self.reports.values().collect();
+        others.sort_by_key(|stored| Reverse(stored.reported_at));
+        self.local_report.iter().chain(others).map(|stored| (&stored.report, stored.reported_at))
     }
 
-    /// Sums of other data centres with the times when they were told.
+    /// Returns the aggregates of other data centres with the times at which they were sent.
     pub fn aggregates(&self) -> impl Iterator<Item = (&CentreAggregate, ClockTime)> {
-        self.aggregates.values().map(|heard| (&heard.sum, heard.told_at))
+        self.aggregates.values().map(|stored| (&stored.aggregate, stored.reported_at))
     }
 
-    /// The sum of the own data centre: the mean of its parts times its instances.
+    /// Returns the aggregate of the local data centre: the mean of its reports multiplied by its
+    /// number of instances.
     ///
-    /// Its serial is the shared turn clock, so that sums of different tellers compare.
+    /// Its serial is the fleet clock, so that aggregates of different instances can be compared.
     pub fn local_aggregate(&self, now: ClockTime) -> CentreAggregate {
         CentreAggregate {
             data_centre: self.data_centre.clone(),
             serial: self.fleet_clock_ms(now),
             instances: self.instances.max(1),
-            services: mean_times(&self.basis(now), f64::from(self.instances.max(1))),
+            services: scaled_mean(&self.selected_reports(now), f64::from(self.instances.max(1))),
         }
     }
 
-    /// True when enough other instances of the own data centre were heard of for its sum to be
-    /// relied on, or when there is no other.
+    /// Returns `true` if enough other instances of the local data centre have reported to rely on
+    /// its aggregate, or if there are none.
     pub fn is_reliable(&self, now: ClockTime) -> bool {
         match self.instances {
             0 => false,
-            1 => self.own.is_some(),
-            _ => self.own.is_some() && self.is_enough(self.unexpired(now).count()),
+            1 => self.local_report.is_some(),
+            _ => {
+                self.local_report.is_some()
+                    && self.is_sufficient(self.unexpired_reports(now).count())
+            }
         }
     }
 
-    /// The load of all data centres. Account samples are handed out once.
+    /// Builds the view of the load of all data centres. Each account sample is returned by one view
+    /// only.
     pub fn build_view(&mut self, now: ClockTime) -> Arc<LoadView> {
         self.remove_expired(now);
-        let mut centres: BTreeMap<CentreName, CentreView> =
-            self.aggregates.iter().map(|(centre, heard)| (centre.clone(), heard.view())).collect();
-        centres.insert(self.data_centre.clone(), self.own_view(now));
-        let unheard =
-            self.alive.iter().filter(|centre| !centres.contains_key(*centre)).cloned().collect();
+        let mut centres: BTreeMap<CentreName, CentreView> = self
+            .aggregates
+            .iter()
+            .map(|(centre, stored)| (centre.clone(), stored.view()))
+            .collect();
+        centres.insert(self.data_centre.clone(), self.local_view(now));
+        let unreported_centres = self
+            .alive_centres
+            .iter()
+            .filter(|centre| !centres.contains_key(*centre))
+            .cloned()
+            .collect();
         Arc::new(LoadView {
             created_at: now,
             is_reliable: self.is_reliable(now),
             centres,
-            unreported_centres: unheard,
-            account_samples: mem::take(&mut self.samples),
+            unreported_centres,
+            account_samples: mem::take(&mut self.account_samples),
             fleet_clock_ms: self.fleet_clock_ms(now),
         })
     }
 
-    /// Takes the shared turn clock as another instance told it; a later one is adopted.
-    pub fn adopt_fleet_clock(&mut self, now: ClockTime, turn_ms: u32) {
-        self.turn.take(now, turn_ms);
+    /// Synchronizes the fleet clock with the reading of another instance, if that is ahead.
+    pub fn adopt_fleet_clock(&mut self, now: ClockTime, clock_ms: u32) {
+        self.fleet_clock.synchronize(now, clock_ms);
     }
 
-    /// The shared turn clock, in milliseconds; it wraps.
+    /// Returns the fleet clock in milliseconds; it wraps around.
     pub fn fleet_clock_ms(&self, now: ClockTime) -> u32 {
-        self.turn.at(now)
+        self.fleet_clock.reading_at(now)
     }
 
-    fn own_view(&self, now: ClockTime) -> CentreView {
-        let basis = self.basis(now);
-        let others = basis.iter().filter(|heard| !self.is_own(&heard.part.reporter.address));
-        let newest = others.map(|heard| heard.told_at).max();
+    fn local_view(&self, now: ClockTime) -> CentreView {
+        let selected_reports = self.selected_reports(now);
+        let others = selected_reports
+            .iter()
+            .filter(|stored| !self.is_local(&stored.report.reporter.address));
+        let newest = others.map(|stored| stored.reported_at).max();
         CentreView {
             reported_at: newest
-                .or_else(|| self.own.as_ref().map(|own| own.told_at))
+                .or_else(|| self.local_report.as_ref().map(|stored| stored.reported_at))
                 .unwrap_or_default(),
             instances: self.instances.max(1),
-            report_count: basis.len() as u32,
-            services: mean_times(&basis, f64::from(self.instances.max(1))),
+            report_count: selected_reports.len() as u32,
+            services: scaled_mean(&selected_reports, f64::from(self.instances.max(1))),
         }
     }
 
-    /// The parts that the own sum rests on: the fresh ones, or the newest ones when the fresh
-    /// aren't enough. Older parts would hide the start of a burst.
-    fn basis(&self, now: ClockTime) -> Vec<&HeardPart> {
-        let mut others: Vec<&HeardPart> = self.unexpired(now).collect();
-        others.sort_by_key(|heard| Reverse(heard.told_at));
-        let fresh = others.iter().filter(|heard| !heard.fresh_until.is_past(now)).count();
-        others.truncate(fresh.max(self.enough()));
-        self.own.iter().chain(others).collect()
+    /// Returns the reports that the local aggregate is based on: the fresh ones, or the newest ones
+    /// if too few are fresh. Older reports would hide the start of a burst.
+    fn selected_reports(&self, now: ClockTime) -> Vec<&StoredReport> {
+        let mut others: Vec<&StoredReport> = self.unexpired_reports(now).collect();
+        others.sort_by_key(|stored| Reverse(stored.reported_at));
+        let fresh = others.iter().filter(|stored| !stored.fresh_until.is_past(now)).count();
+        others.truncate(fresh.max(self.sufficient_count()));
+        self.local_report.iter().chain(others).collect()
     }
 
-    fn unexpired(&self, now: ClockTime) -> impl Iterator<Item = &HeardPart> {
-        self.reports.values().filter(move |heard| !heard.expires_at.is_past(now))
+    fn unexpired_reports(&self, now: ClockTime) -> impl Iterator<Item = &StoredReport> {
+        self.reports.values().filter(move |stored| !stored.expires_at.is_past(now))
     }
 
-    fn is_enough(&self, others: usize) -> bool {
-        others >= self.enough()
+    fn is_sufficient(&self, others: usize) -> bool {
+        others >= self.sufficient_count()
     }
 
-    fn enough(&self) -> usize {
-        (self.instances as usize).div_ceil(ENOUGH_ONE_IN).min(SUFFICIENT_PEER_REPORTS)
+    fn sufficient_count(&self) -> usize {
+        (self.instances as usize)
+            .div_ceil(INSTANCES_PER_SUFFICIENT_REPORT)
+            .min(SUFFICIENT_PEER_REPORTS)
     }
 
-    fn is_own(&self, address: &SocketAddrV4) -> bool {
-        self.own.as_ref().is_some_and(|own| own.part.reporter.address == *address)
+    fn is_local(&self, address: &SocketAddrV4) -> bool {
+        self.local_report.as_ref().is_some_and(|stored| stored.report.reporter.address == *address)
     }
 
-    fn collect_samples(&mut self, load: &LocalLoad) {
+    fn record_samples(&mut self, load: &LocalLoad) {
         if load.openings_per_sample == 0 {
             return;
         }
-        let room = MOST_SAMPLES.saturating_sub(self.samples.len());
-        self.samples.extend(
+        let free = MAX_ACCOUNT_SAMPLES.saturating_sub(self.account_samples.len());
+        self.account_samples.extend(
             load.sampled_accounts
                 .iter()
-                .take(room)
+                .take(free)
                 .map(|account| (*account, load.openings_per_sample)),
         );
     }
 }
 
-/// `HeardPart` is a part with its deadlines.
+/// A report with its deadlines.
 #[derive(Clone, Debug)]
-struct HeardPart {
-    part: InstanceReport,
-    told_at: ClockTime,
+struct StoredReport {
+    report: InstanceReport,
+    reported_at: ClockTime,
     fresh_until: ClockTime,
     expires_at: ClockTime,
 }
 
-impl HeardPart {
-    fn new(part: InstanceReport, told_at: ClockTime, pace: ReportPace) -> HeardPart {
-        let expiry_ms = match pace {
-            ReportPace::Slow => CALM_PART_MS,
-            ReportPace::Fast => BUSY_PART_MS,
+impl StoredReport {
+    fn new(report: InstanceReport, reported_at: ClockTime, pace: ReportPace) -> StoredReport {
+        let ttl_ms = match pace {
+            ReportPace::Slow => SLOW_REPORT_TTL_MS,
+            ReportPace::Fast => FAST_REPORT_TTL_MS,
         };
-        HeardPart {
-            part,
-            told_at,
-            fresh_until: told_at.after_millis(REPORT_FRESHNESS_MS),
-            expires_at: told_at.after_millis(expiry_ms),
+        StoredReport {
+            report,
+            reported_at,
+            fresh_until: reported_at.after_millis(REPORT_FRESHNESS_MS),
+            expires_at: reported_at.after_millis(ttl_ms),
         }
     }
 
-    /// True when it is newer than `held`. Numbers of starts don't compare by their low halves,
-    /// so parts of different starts compare by the time when they were told.
-    fn follows(&self, held: &HeardPart) -> bool {
-        if self.part.reporter.incarnation == held.part.reporter.incarnation {
-            return self.part.serial > held.part.serial;
+    /// Returns `true` if this report is newer than `stored`. The low bits of two incarnations have
+    /// no order, so reports of different process starts are compared by the times at which they
+    /// were sent.
+    fn is_newer_than(&self, stored: &StoredReport) -> bool {
+        if self.report.reporter.incarnation == stored.report.reporter.incarnation {
+            return self.report.serial > stored.report.serial;
         }
-        self.told_at > held.told_at
+        self.reported_at > stored.reported_at
     }
 }
 
-/// `HeardSum` is a sum with its deadline.
+/// An aggregate with its deadline.
 #[derive(Clone, Debug)]
-struct HeardSum {
-    sum: CentreAggregate,
-    told_at: ClockTime,
+struct StoredAggregate {
+    aggregate: CentreAggregate,
+    reported_at: ClockTime,
     expires_at: ClockTime,
 }
 
-impl HeardSum {
-    fn new(sum: CentreAggregate, told_at: ClockTime) -> HeardSum {
-        HeardSum { sum, told_at, expires_at: told_at.after_millis(SUM_MS) }
+impl StoredAggregate {
+    fn new(aggregate: CentreAggregate, reported_at: ClockTime) -> StoredAggregate {
+        StoredAggregate {
+            aggregate,
+            reported_at,
+            expires_at: reported_at.after_millis(AGGREGATE_TTL_MS),
+        }
     }
 
-    /// True when it is newer than `held`.
+    /// Returns `true` if this aggregate is newer than `stored`.
     ///
-    /// A serial that is behind by no more than the life of a sum is a late copy. One that is
-    /// further behind comes from a teller whose clock was reset, and a serial far ahead mustn't
-    /// shut out all later sums.
-    fn follows(&self, held: &HeardSum) -> bool {
-        let behind = held.sum.serial.wrapping_sub(self.sum.serial);
-        u64::from(behind) > SUM_MS && self.told_at >= held.told_at
+    /// A serial that is behind by no more than the validity of an aggregate belongs to a delayed
+    /// copy. A serial that is further behind comes from an instance whose clock was reset, and a
+    /// stored serial that is far ahead must not block all later aggregates.
+    fn is_newer_than(&self, stored: &StoredAggregate) -> bool {
+        let behind = stored.aggregate.serial.wrapping_sub(self.aggregate.serial);
+        u64::from(behind) > AGGREGATE_TTL_MS && self.reported_at >= stored.reported_at
     }
 
     fn view(&self) -> CentreView {
         CentreView {
-            reported_at: self.told_at,
-            instances: self.sum.instances,
+            reported_at: self.reported_at,
+            instances: self.aggregate.instances,
             report_count: 0,
-            services: self.sum.services.clone(),
+            services: self.aggregate.services.clone(),
         }
     }
 }
 
-/// `TurnClock` is the clock that instances share: each adopts the latest one that it hears.
+/// A clock shared by all instances: each one adopts the latest reading that it receives.
 #[derive(Clone, Copy, Debug, Default)]
-struct TurnClock {
-    /// The shared clock at the start of the own one, in milliseconds.
+struct FleetClock {
+    /// The fleet clock at the zero of this process's clock, in milliseconds.
     base_ms: u32,
-    /// True when a clock of another instance was adopted or compared.
+    /// `true` once a reading of another instance was received.
     is_shared: bool,
 }
 
-impl TurnClock {
-    fn at(&self, now: ClockTime) -> u32 {
+impl FleetClock {
+    fn reading_at(&self, now: ClockTime) -> u32 {
         self.base_ms.wrapping_add((now.as_micros() / 1000) as u32)
     }
 
-    /// A new start adopts the first one that it hears: with a clock that wraps, its own zero
-    /// counts as later than the others' clocks after 24 days.
-    fn take(&mut self, now: ClockTime, turn_ms: u32) {
-        let ahead = turn_ms.wrapping_sub(self.at(now));
+    /// A new process adopts the first reading unconditionally: because the clock wraps around, its
+    /// own zero would count as later than a fleet clock of more than 24 days.
+    fn synchronize(&mut self, now: ClockTime, clock_ms: u32) {
+        let ahead = clock_ms.wrapping_sub(self.reading_at(now));
         if !self.is_shared || ahead <= u32::MAX / 2 {
             self.base_ms = self.base_ms.wrapping_add(ahead);
         }
@@ -361,15 +388,15 @@
     }
 }
 
-/// The mean of the parts times the instances. A service that a part doesn't name has no load
-/// there.
-fn mean_times(basis: &[&HeardPart], instances: f64) -> BTreeMap<ServiceKey, ServiceLoad> {
+/// Returns the mean of the reports multiplied by `instances`. A service missing from a report
+/// counts as zero load there.
+fn scaled_mean(reports: &[&StoredReport], instances: f64) -> BTreeMap<ServiceKey, ServiceLoad> {
     let keys: BTreeSet<ServiceKey> =
-        basis.iter().flat_map(|heard| heard.part.load.services.keys().copied()).collect();
-    let factor = instances / basis.len().max(1) as f64;
+        reports.iter().flat_map(|stored| stored.report.load.services.keys().copied()).collect();
+    let factor = instances / reports.len().max(1) as f64;
     keys.into_iter()
         .map(|key| {
-            let loads = basis.iter().filter_map(|heard| heard.part.load.services.get(&key));
+            let loads = reports.iter().filter_map(|stored| stored.report.load.services.get(&key));
             (key, scaled_sum(loads, factor))
         })
         .collect()
@@ -390,13 +417,13 @@
     ServiceLoad { priorities, running }
 }
 
-/// `PrioritySum` adds up the loads of one priority.
+/// Accumulates the loads of one priority.
 #[derive(Clone, Copy, Debug, Default)]
 struct PrioritySum {
     arrivals_per_s: f64,
-    /// Arrivals of the loads whose work time is known.
+    /// Arrivals per second of the loads with a known work time.
     known_per_s: f64,
-    /// Work times weighted by arrivals.
+    /// Sum of the work times weighted by arrivals.
     weighted_us: f64,
     work_us: f64,
     known: u32,
--- a/crates/foxledge-load/src/view.rs
+++ b/crates/foxledge-load/src/view.rs
@@ -1,4 +1,4 @@
-//! The load of all data centres, as it is known at one moment.
+//! The known load of all data centres at one moment.
 
 use std::collections::BTreeMap;
 
@@ -6,45 +6,48 @@
 
 use crate::{
     overflow::CentreCapacity,
-    own::{ServiceKey, ServiceLoad},
+    reports::{ServiceKey, ServiceLoad},
 };
 
-/// `ServiceView` is the load of one service by the callers of one data centre.
+/// The load of one service by the callers of one data centre.
 pub type ServiceView = ServiceLoad;
 
-/// `CentreView` is the load of one data centre's callers.
+/// The load of one data centre's callers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CentreView {
-    /// When the newest of what it rests on was told.
+    /// When the newest underlying report was sent.
     pub reported_at: ClockTime,
-    /// Instances in it.
+    /// The number of instances in the data centre.
     pub instances: u32,
-    /// Parts that the sum rests on; 0 for a sum that was told by another data centre.
+    /// The number of reports that the load is based on; 0 for an aggregate received from another
+    /// data centre.
     pub report_count: u32,
-    /// By service.
+    /// Load by service.
     pub services: BTreeMap<ServiceKey, ServiceView>,
 }
 
-/// `LoadView` is the load of all data centres that were heard of, at one moment.
+/// The load of all data centres with known load at one moment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadView {
-    /// When it was made.
+    /// When the view was built.
     pub created_at: ClockTime,
-    /// True when enough parts of the own data centre were heard of lately to go by.
+    /// `true` if enough instances of the local data centre reported recently to rely on the view.
     pub is_reliable: bool,
-    /// By data centre, the own one included; those whose sum has lapsed are left out.
+    /// Load by data centre, including the local one; data centres with an expired aggregate are
+    /// omitted.
     pub centres: BTreeMap<CentreName, CentreView>,
-    /// Other data centres that are alive by membership and whose sum isn't known.
+    /// Other data centres that are alive by membership but have no valid aggregate.
     pub unreported_centres: Vec<CentreName>,
-    /// Samples of client accounts told since the view before: hash and the openings that each
-    /// stands for.
+    /// Client account samples received since the previous view: the hash, and the openings that the
+    /// sample stands for.
     pub account_samples: Vec<(u32, u32)>,
-    /// Shared clock of the order of return, in milliseconds.
+    /// The fleet clock that orders readmission, in milliseconds.
     pub fleet_clock_ms: u32,
 }
 
 impl LoadView {
-    /// Requests of a service that run in a data centre, by callers of all that were heard of.
+    /// Returns the requests of a service that run in `data_centre`, by callers of all data centres
+    /// with known load.
     pub fn running_requests_in(&self, service: ServiceKey, data_centre: &CentreName) -> f64 {
         self.centres
             .values()
@@ -52,13 +55,14 @@
             .sum()
     }
 
-    /// Slots that the requests of a service's callers in a data centre need.
+    /// Returns the slots needed by the requests of a service's callers in `data_centre`.
     pub fn demand_of(&self, service: ServiceKey, data_centre: &CentreName) -> f64 {
         let centre = self.centres.get(data_centre);
         centre.and_then(|centre| centre.services.get(&service)).map_or(0.0, ServiceLoad::demand)
     }
 
-    /// The rooms of the data centres that were heard of; one that `slots` doesn't name has none.
+    /// Returns slots and demand of the data centres with known load; one missing from `slots` has
+    /// none.
     pub fn centre_capacities(
         &self,
         service: ServiceKey,
--- a/crates/foxledge-load/tests/turn_clock.rs
+++ b/crates/foxledge-load/tests/fleet_clock.rs
@@ -1,4 +1,4 @@
-//! The clock of the order of readmission that instances share.
+//! The fleet clock that orders readmission.
 
 mod common;
 
@@ -9,9 +9,9 @@
     LoadTable::new(north())
 }
 
-// Guards against instances that turn the ring at different places.
+// Guards against instances that place the readmission window at different positions.
 #[test]
-fn later_clock_is_adopted() {
+fn adopts_later_clock() {
     let mut table = table();
     table.adopt_fleet_clock(at_ms(100), 5_000);
     assert_eq!(table.fleet_clock_ms(at_ms(300)), 5_200);
@@ -21,9 +21,9 @@
     assert_eq!(table.build_view(at_ms(301)).fleet_clock_ms, 9_001);
 }
 
-// Guards against the clock standing still or jumping back where it wraps.
+// Guards against a clock that stands still or jumps back where it wraps around.
 #[test]
-fn clock_wraps() {
+fn continues_after_wrap_around() {
     let mut table = table();
     table.adopt_fleet_clock(at_ms(0), u32::MAX - 9);
     table.adopt_fleet_clock(at_ms(0), u32::MAX - 9);
@@ -32,26 +32,26 @@
     assert_eq!(table.fleet_clock_ms(at_ms(20)), 15);
 }
 
-// Guards against a new start resetting a fleet that has run for more than 24 days.
+// Guards against a new process resetting the clock of a fleet that has run for more than 24 days.
 #[test]
-fn new_start_adopts_old_clock() {
+fn adopts_first_clock_after_start() {
     let mut table = table();
     table.adopt_fleet_clock(at_ms(1000), 3_000_000_000);
     assert_eq!(table.fleet_clock_ms(at_ms(1000)), 3_000_000_000);
 }
 
-// Guards against instances that hear each other staying apart.
+// Guards against the clocks of instances that exchange messages staying apart.
 #[test]
-fn clocks_meet() {
+fn converges_on_the_latest_clock() {
     let mut tables = [table(), table(), table()];
     tables[0].adopt_fleet_clock(at_ms(0), 70_000);
     for round in 0..2 {
-        for teller in 0..3 {
+        for reporter in 0..3 {
             let now = at_ms(round * 100);
-            let turn_ms = tables[teller].fleet_clock_ms(now);
+            let turn_ms = tables[reporter].fleet_clock_ms(now);
             tables.iter_mut().for_each(|table| table.adopt_fleet_clock(now, turn_ms));
         }
     }
-    let turns = tables.map(|table| table.fleet_clock_ms(at_ms(500)));
-    assert_eq!(turns, [70_500; 3]);
+    let clocks = tables.map(|table| table.fleet_clock_ms(at_ms(500)));
+    assert_eq!(clocks, [70_500; 3]);
 }
--- a/crates/foxledge-load/tests/overflow_damping.rs
+++ b/crates/foxledge-load/tests/overflow_damping.rs
@@ -1,4 +1,4 @@
-//! How shares move from one plan to the next.
+//! How shares change from one plan to the next.
 
 mod common;
 
@@ -6,15 +6,15 @@
 use foxledge_core::names::CentreName;
 use foxledge_load::{CentreCapacity, OverflowPlan};
 
-/// A plan of the north, where half of the demand in a burst is excess.
-struct PlanRun {
+/// A plan of the north, where half of the demand during a burst is excess.
+struct PlanDriver {
     plan: OverflowPlan,
     millis: u64,
 }
 
-impl PlanRun {
-    fn new() -> PlanRun {
-        PlanRun { plan: OverflowPlan::new(CentreName::new("north")), millis: 0 }
+impl PlanDriver {
+    fn new() -> PlanDriver {
+        PlanDriver { plan: OverflowPlan::new(CentreName::new("north")), millis: 0 }
     }
 
     fn steps(&mut self, count: u32, demand: f64) -> f64 {
@@ -34,26 +34,27 @@
 
 const BURST: f64 = 96.0;
 
-// Guards against all instances moving half of their flows in one step.
+// Guards against all instances sending away half of their flows in one step.
 #[test]
-fn share_moves_by_half() {
-    let mut run = PlanRun::new();
-    for wanted in [0.25, 0.375, 0.4375] {
-        common::assert_near(run.steps(1, BURST), wanted);
+fn moves_half_of_the_difference_per_step() {
+    let mut run = PlanDriver::new();
+    for expected in [0.25, 0.375, 0.4375] {
+        common::assert_near(run.steps(1, BURST), expected);
     }
 }
 
-// Guards against overflow that takes effect too late for a burst of seconds.
+// Guards against overflow that takes effect too late for a burst of a few seconds.
 #[test]
-fn share_settles_in_time() {
-    let mut run = PlanRun::new();
+fn settles_within_five_steps() {
+    let mut run = PlanDriver::new();
     assert!(run.steps(5, BURST) > 0.48);
 }
 
-// Guards against routers that ask more often than each 50 ms moving faster.
+// Guards against routers that update the plan more often than every 50 ms changing the shares
+// faster.
 #[test]
-fn frequent_updates_move_once() {
-    let mut run = PlanRun::new();
+fn moves_once_per_interval() {
+    let mut run = PlanDriver::new();
     run.steps(1, BURST);
     let rooms = [("north", BURST), ("south", 0.0)].map(|(centre, demand)| CentreCapacity {
         data_centre: CentreName::new(centre),
@@ -67,10 +68,10 @@
     assert_eq!(run.plan.shares()["south"], before);
 }
 
-// Guards against flows that keep leaving after the burst, or return in one step.
+// Guards against flows that are still sent away after the burst, or that all return in one step.
 #[test]
-fn flows_return_home() {
-    let mut run = PlanRun::new();
+fn returns_flows_in_steps_after_a_burst() {
+    let mut run = PlanDriver::new();
     run.steps(40, BURST);
     common::assert_near(run.steps(1, 20.0), 0.25);
     common::assert_near(run.steps(1, 20.0), 0.125);
@@ -79,10 +80,10 @@
     assert_eq!(run.plan.centre_for(0), None);
 }
 
-// Guards against a second burst starting from the state that the first one left.
+// Guards against state of the first burst that changes the response to a second one.
 #[test]
-fn second_burst_equals_first() {
-    let mut run = PlanRun::new();
+fn repeats_the_same_shares_in_a_second_burst() {
+    let mut run = PlanDriver::new();
     let mut rise = || (0..20).map(|_| run.steps(1, BURST)).collect::<Vec<_>>();
     let first = rise();
     run.steps(40, 20.0);
@@ -90,10 +91,10 @@
     assert_eq!(rise(), first);
 }
 
-// Guards against a second burst before the shares of the first have returned overshooting.
+// Guards against overshooting if a second burst begins before the shares of the first have decayed.
 #[test]
-fn quick_bursts_stay_bounded() {
-    let mut run = PlanRun::new();
+fn does_not_overshoot_in_repeated_bursts() {
+    let mut run = PlanDriver::new();
     for _ in 0..20 {
         let high = run.steps(3, BURST);
         assert!((0.4..=0.5).contains(&high), "{high}");
@@ -102,10 +103,11 @@
     }
 }
 
-// Guards against oscillation: with constant demand each step comes nearer and none goes back.
+// Guards against oscillation: with constant demand, every step approaches the target and none moves
+// back.
 #[test]
-fn constant_demand_settles() {
-    let mut run = PlanRun::new();
+fn approaches_target_monotonically() {
+    let mut run = PlanDriver::new();
     let mut before = 0.0;
     for _ in 0..400 {
         let share = run.steps(1, BURST);
--- a/crates/foxledge-load/tests/rate_gauge.rs
+++ b/crates/foxledge-load/tests/rate_gauge.rs
@@ -1,13 +1,13 @@
-//! Rates of events.
+//! Measurement of event rates.
 
 mod common;
 
 use common::at_ms;
 use foxledge_load::RateGauge;
 
-// Guards against a rate that is off when the load is steady.
+// Guards against a wrong rate at steady load.
 #[test]
-fn steady_rate_is_shown() {
+fn measures_steady_rate() {
     let mut gauge = RateGauge::new();
     for event in 0..400 {
         gauge.record_event(at_ms(event * 10));
@@ -16,9 +16,9 @@
     assert!((rate - 100.0).abs() < 1.0, "{rate}");
 }
 
-// Guards against the start or end of a burst being seen too late.
+// Guards against the start or end of a burst becoming visible too late.
 #[test]
-fn rate_follows_bursts() {
+fn follows_start_and_end_of_a_burst() {
     let mut gauge = RateGauge::new();
     for event in 0..40 {
         gauge.record_event(at_ms(event * 5));
@@ -30,9 +30,9 @@
     assert!(gauge.events_per_s(at_ms(10_000)) < 1e-9);
 }
 
-// Guards against a late event turning the gauge's time back.
+// Guards against a late event moving the gauge's time back.
 #[test]
-fn late_event_counts_once() {
+fn counts_late_event_at_latest_time() {
     let mut gauge = RateGauge::new();
     gauge.record_event(at_ms(1000));
     gauge.record_event(at_ms(900));
--- a/crates/foxledge-load/tests/telling_schedule.rs
+++ b/crates/foxledge-load/tests/report_schedule.rs
@@ -1,12 +1,12 @@
-//! When an instance tells its load.
+//! Timing of load reports.
 
 mod common;
 
 use common::at_ms;
 use foxledge_load::{ReportPace, ReportSchedule};
 
-/// A calm schedule that told 4 running requests at 0 ms.
-fn calm_schedule() -> ReportSchedule {
+/// A schedule at the slow pace that reported 4 running requests at 0 ms.
+fn slow_schedule() -> ReportSchedule {
     let mut schedule = ReportSchedule::new(at_ms(0));
     schedule.update_local_load(at_ms(0), 3.0, 0.1);
     schedule.record_report_sent(at_ms(0));
@@ -15,10 +15,10 @@
     schedule
 }
 
-// Guards against messages on calm days beyond one round a second.
+// Guards against more than one report per second from an idle instance.
 #[test]
-fn calm_tells_each_second() {
-    let mut schedule = calm_schedule();
+fn reports_once_per_second_at_slow_pace() {
+    let mut schedule = slow_schedule();
     assert_eq!(schedule.pace(at_ms(0)), ReportPace::Slow);
     assert_eq!(schedule.next_report_at(), at_ms(1000));
     schedule.update_local_load(at_ms(500), 7.0, 0.59);
@@ -26,10 +26,10 @@
     assert!(!schedule.pace(at_ms(500)).is_fast() && !schedule.is_loaded());
 }
 
-// Guards against a burst that is told only with the next calm round.
+// Guards against a burst that is reported only with the next report of the slow pace.
 #[test]
-fn change_is_told_at_once() {
-    let mut schedule = calm_schedule();
+fn reports_changed_load_immediately() {
+    let mut schedule = slow_schedule();
     schedule.update_local_load(at_ms(300), 7.1, 0.1);
     assert_eq!(schedule.next_report_at(), at_ms(300));
     assert_eq!(schedule.pace(at_ms(300)), ReportPace::Fast);
@@ -37,10 +37,11 @@
     assert_eq!(schedule.next_report_at(), at_ms(400));
 }
 
-// Guards against a large instance turning busy by noise: the change must also be half.
+// Guards against noise switching a large instance to the fast pace: the change must also be half of
+// the reported requests.
 #[test]
-fn small_changes_stay_calm() {
-    let mut schedule = calm_schedule();
+fn keeps_slow_pace_for_small_changes() {
+    let mut schedule = slow_schedule();
     schedule.update_local_load(at_ms(0), 6.5, 0.1);
     schedule.record_report_sent(at_ms(0));
     schedule.update_local_load(at_ms(200), 9.6, 0.1);
@@ -51,10 +52,10 @@
     assert!(schedule.pace(at_ms(400)).is_fast());
 }
 
-// Guards against reports that stop while the data centre is pressed, or never stop.
+// Guards against reports that stop while the data centre is loaded, or never stop.
 #[test]
-fn pressed_stays_busy() {
-    let mut schedule = calm_schedule();
+fn keeps_fast_pace_after_local_load() {
+    let mut schedule = slow_schedule();
     schedule.update_local_load(at_ms(500), 4.0, 0.6);
     assert!(schedule.is_loaded());
     schedule.update_local_load(at_ms(600), 4.0, 0.2);
@@ -65,10 +66,10 @@
     assert_eq!(schedule.next_report_at(), at_ms(3500));
 }
 
-// Guards against a data centre that hides its room from one that is pressed.
+// Guards against a data centre that does not report its spare slots to one that is loaded.
 #[test]
-fn pressed_centre_makes_busy() {
-    let mut schedule = calm_schedule();
+fn switches_to_fast_pace_for_loaded_centre() {
+    let mut schedule = slow_schedule();
     schedule.record_loaded_centre(at_ms(500));
     assert_eq!(schedule.next_report_at(), at_ms(500));
     assert!(!schedule.is_loaded());
@@ -77,18 +78,18 @@
     assert!(!schedule.pace(at_ms(4500)).is_fast());
 }
 
-// Guards against a flood of reports when the load jumps up and down.
+// Guards against a flood of reports from an instance whose load oscillates.
 #[test]
-fn rounds_keep_their_distance() {
-    let mut schedule = calm_schedule();
-    let mut told = 0;
+fn limits_reports_of_oscillating_load() {
+    let mut schedule = slow_schedule();
+    let mut report_count = 0;
     for millis in 0..1000 {
         let running = if millis % 2 == 0 { 40.0 } else { 0.0 };
         schedule.update_local_load(at_ms(millis), running, 0.9);
         if schedule.next_report_at().is_past(at_ms(millis)) {
             schedule.record_report_sent(at_ms(millis));
-            told += 1;
+            report_count += 1;
         }
     }
-    assert_eq!(told, 9);
+    assert_eq!(report_count, 9);
 }
--- a/crates/foxledge-load/tests/stale_view.rs
+++ b/crates/foxledge-load/tests/stale_view.rs
@@ -1,42 +1,43 @@
-//! Views while nothing is heard any more.
+//! Views while no reports are received.
 
 mod common;
 
-use common::{at_ms, auction, north, own_load, south, sum, table_of, take_all, teller};
+use common::{aggregate, apply_all, at_ms, auction, local_load, north, reporter, south, table_of};
 use foxledge_load::OverflowPlan;
 
-// Guards against refusals by a view that is 2 s old, as after a stall.
+// Guards against refusals based on a view that is 2 s old, as after a stall.
 #[test]
-fn old_view_is_unsure() {
+fn marks_old_view_as_unreliable() {
     let mut table = table_of(19, at_ms(0));
-    take_all(&mut table, at_ms(0), 18, 1, 10.0);
-    table.apply_aggregate(at_ms(0), sum(south(), 1, 300.0), at_ms(0));
+    apply_all(&mut table, at_ms(0), 18, 1, 10.0);
+    table.apply_aggregate(at_ms(0), aggregate(south(), 1, 300.0), at_ms(0));
     assert!(table.build_view(at_ms(400)).is_reliable);
-    table.set_local_load(at_ms(2000), teller(0, 1), own_load(10.0, 1.0));
+    table.set_local_load(at_ms(2000), reporter(0, 1), local_load(10.0, 1.0));
     let view = table.build_view(at_ms(2000));
     assert!(!view.is_reliable);
     assert_eq!(view.centres.keys().collect::<Vec<_>>(), [&north()]);
 }
 
-// Guards against the own part, which is always new, hiding that others went silent.
+// Guards against the report of this instance, which is always new, hiding that the others stopped
+// reporting.
 #[test]
-fn age_is_that_of_others() {
+fn takes_age_of_view_from_other_instances() {
     let mut table = table_of(19, at_ms(0));
-    take_all(&mut table, at_ms(0), 18, 1, 10.0);
+    apply_all(&mut table, at_ms(0), 18, 1, 10.0);
     for step in 1..10 {
         let now = at_ms(step * 100);
-        table.set_local_load(now, teller(0, 1), own_load(10.0, 1.0));
+        table.set_local_load(now, reporter(0, 1), local_load(10.0, 1.0));
         assert_eq!(table.build_view(now).centres[&north()].reported_at, at_ms(0));
     }
 }
 
-// Guards against flows leaving by a view that is 2 s old.
+// Guards against flows sent away because of a view that is 2 s old.
 #[test]
-fn old_view_keeps_flows_near() {
+fn keeps_flows_local_with_old_view() {
     let slots = [(north(), 10.0), (south(), 100.0)].into();
     let mut table = table_of(1, at_ms(0));
-    table.set_local_load(at_ms(0), teller(0, 1), own_load(300.0, 1.0));
-    table.apply_aggregate(at_ms(0), sum(south(), 1, 300.0), at_ms(0));
+    table.set_local_load(at_ms(0), reporter(0, 1), local_load(300.0, 1.0));
+    table.apply_aggregate(at_ms(0), aggregate(south(), 1, 300.0), at_ms(0));
     let mut plan = OverflowPlan::new(north());
     plan.update(at_ms(0), &table.build_view(at_ms(0)).centre_capacities(auction(), &slots));
     assert!(plan.shares()[&south()] > 0.1);
--- a/crates/foxledge-seal/src/errors.rs
+++ b/crates/foxledge-seal/src/errors.rs
@@ -5,19 +5,19 @@
 /// `Result` is the crate's result type.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is why a sealed value isn't believed.
+/// The reason why a sealed value is rejected or cannot be created.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Error {
     /// No key is published, so nothing can be sealed.
     #[error("no key to seal with")]
     NoKey,
-    /// Sealed under a key that isn't published (any more).
+    /// The value was sealed with a key that is not published, or no longer published.
     #[error("unknown key {0}")]
     UnknownKey(u32),
-    /// The code doesn't fit the contents.
+    /// The message authentication code does not match the contents.
     #[error("wrong message authentication code")]
     InvalidMac,
-    /// Not a sealed value at all.
+    /// The bytes do not encode a sealed value.
     #[error("malformed sealed value")]
     Malformed,
 }
--- a/crates/foxledge-seal/src/keys.rs
+++ b/crates/foxledge-seal/src/keys.rs
@@ -1,4 +1,4 @@
-//! The ring of published keys.
+//! The set of published keys.
 
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
@@ -7,20 +7,21 @@
 
 use crate::errors::{Error, Result};
 
-/// Bytes kept of a code; 128 bits are beyond guessing within a key's life.
+/// The length of a truncated message authentication code, in bytes; 128 bits cannot be guessed
+/// within a key's lifetime.
 pub const MAC_LENGTH: usize = 16;
 
-/// `KeyRing` is the published keys, ready for use.
+/// The published keys, prepared for use.
 #[derive(Clone, Debug, Default)]
 pub struct KeyRing {
-    /// Sorted by id; the last one seals.
+    /// Sorted by id; the last key seals.
     keys: Vec<RingKey>,
 }
 
 #[derive(Clone)]
 struct RingKey {
     id: u32,
-    // Keyed once: cloning this state costs less than hashing the secret anew.
+    // The keyed state: cloning it costs less than hashing the secret again.
     state: Hmac<Sha256>,
 }
 
@@ -31,7 +32,7 @@
 }
 
 impl KeyRing {
-    /// Makes the ring of the given keys.
+    /// Creates the key ring from the published keys.
     pub fn from_keys(specs: &[KeySpec]) -> KeyRing {
         let mut keys: Vec<_> = specs
             .iter()
@@ -41,30 +42,38 @@
         KeyRing { keys }
     }
 
-    /// Ids of the keys, the one that seals last.
+    /// Returns the ids of the keys in ascending order; the last key seals.
     pub fn ids(&self) -> Vec<u32> {
         self.keys.iter().map(|key| key.id).collect()
     }
 
-    /// Code of `body` under the newest key, with that key's id.
+    /// Returns the id of the newest key and the code of `body` under that key.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Error::NoKey`] if the ring is empty.
     pub fn sign(&self, purpose: Purpose, body: &[u8]) -> Result<(u32, [u8; MAC_LENGTH])> {
         let key = self.keys.last().ok_or(Error::NoKey)?;
-        Ok((key.id, code_of(key, purpose, body)))
+        Ok((key.id, compute_code(key, purpose, body)))
     }
 
-    /// Checks a code in constant time.
+    /// Verifies a code in constant time.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Error::UnknownKey`] or [`Error::InvalidMac`].
     pub fn verify(&self, key_id: u32, purpose: Purpose, body: &[u8], code: &[u8]) -> Result<()> {
         let key = self.keys.iter().find(|key| key.id == key_id).ok_or(Error::UnknownKey(key_id))?;
-        let expected = code_of(key, purpose, body);
-        let equal: bool = subtle::ConstantTimeEq::ct_eq(&expected[..], code).into();
-        if equal { Ok(()) } else { Err(Error::InvalidMac) }
+        let expected = compute_code(key, purpose, body);
+        let is_equal: bool = subtle::ConstantTimeEq::ct_eq(&expected[..], code).into();
+        if is_equal { Ok(()) } else { Err(Error::InvalidMac) }
     }
 }
 
-/// `Purpose` is what a sealed value is for.
+/// What a sealed value is used for.
 ///
-/// It goes into the code: a ticket presented as a flow token would otherwise
-/// open if their fields happened to parse as each other's.
+/// The purpose is part of the code. Otherwise a ticket presented as a flow token would open if its
+/// fields happened to parse as those of a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     /// A ticket.
@@ -73,7 +82,7 @@
     Token,
     /// A datagram between instances.
     Datagram,
-    /// Where an answer goes.
+    /// The return path of a response.
     ReturnPath,
 }
 
@@ -88,22 +97,22 @@
     }
 }
 
-/// A keyed HMAC state; HMAC takes secrets of every length.
+/// Returns an HMAC state keyed with `secret`; HMAC accepts secrets of any length.
 pub(crate) fn keyed_state(secret: &[u8]) -> Hmac<Sha256> {
     <Hmac<Sha256> as Mac>::new_from_slice(secret).expect("HMAC takes keys of every length")
 }
 
-fn code_of(key: &RingKey, purpose: Purpose, body: &[u8]) -> [u8; MAC_LENGTH] {
+fn compute_code(key: &RingKey, purpose: Purpose, body: &[u8]) -> [u8; MAC_LENGTH] {
     let mut state = key.state.clone();
     state.update(purpose.label());
     state.update(&key.id.to_be_bytes());
     state.update(body);
-    truncated(state)
+    finalize_truncated(state)
 }
 
-pub(crate) fn truncated(state: Hmac<Sha256>) -> [u8; MAC_LENGTH] {
-    let whole = state.finalize().into_bytes();
+pub(crate) fn finalize_truncated(state: Hmac<Sha256>) -> [u8; MAC_LENGTH] {
+    let full_code = state.finalize().into_bytes();
     let mut code = [0; MAC_LENGTH];
-    code.copy_from_slice(&whole[..MAC_LENGTH]);
+    code.copy_from_slice(&full_code[..MAC_LENGTH]);
     code
 }
--- a/crates/foxledge-seal/src/lib.rs
+++ b/crates/foxledge-seal/src/lib.rs
@@ -1,8 +1,8 @@
 //! Sealed tickets, flow tokens and credentials.
 //!
-//! Everything that an instance hands out and later believes is sealed under a
-//! key that operators publish. The highest key id seals; every published key
-//! opens, so that what is on its way survives a rotation.
+//! Everything that an instance hands out and later accepts as its own is sealed with a key that
+//! operators publish. The key with the highest id seals, and every published key opens, so that
+//! values in use remain valid during a key rotation.
 
 pub mod credentials;
 pub mod errors;
--- a/crates/foxledge-seal/src/seals.rs
+++ b/crates/foxledge-seal/src/seals.rs
@@ -1,4 +1,4 @@
-//! Sealing and opening of tickets, flow tokens and datagrams.
+//! Sealing and opening of tickets, flow tokens, datagrams and return paths.
 
 use prost::Message;
 
@@ -14,7 +14,7 @@
     seal(ring, Purpose::Ticket, ticket)
 }
 
-/// Opens a ticket, if a published key sealed it.
+/// Opens a ticket that was sealed with a published key.
 pub fn open_ticket(ring: &KeyRing, bytes: &[u8]) -> Result<Ticket> {
     open(ring, Purpose::Ticket, bytes).map(|(ticket, _)| ticket)
 }
@@ -24,7 +24,7 @@
     seal(ring, Purpose::Token, token)
 }
 
-/// Opens a flow token, if a published key sealed it.
+/// Opens a flow token that was sealed with a published key.
 pub fn open_token(ring: &KeyRing, bytes: &[u8]) -> Result<FlowToken> {
     open(ring, Purpose::Token, bytes).map(|(token, _)| token)
 }
@@ -34,7 +34,7 @@
     seal(ring, Purpose::Datagram, datagram)
 }
 
-/// Opens a datagram between instances.
+/// Opens a datagram that was sealed with a published key.
 pub fn open_datagram(ring: &KeyRing, bytes: &[u8]) -> Result<PeerDatagram> {
     open(ring, Purpose::Datagram, bytes).map(|(datagram, _)| datagram)
 }
@@ -44,16 +44,15 @@
     seal(ring, Purpose::ReturnPath, path)
 }
 
-/// Opens a return path.
+/// Opens a return path that was sealed with a published key.
 pub fn open_path(ring: &KeyRing, bytes: &[u8]) -> Result<ReturnPath> {
     open(ring, Purpose::ReturnPath, bytes).map(|(path, _)| path)
 }
 
-/// The same flow token under the newest key, or none when it is sealed under it already.
+/// Reseals a flow token with the newest key; returns `None` if it is sealed with that key already.
 ///
-/// A feed outlives keys. Without resealing, its token would stop opening once
-/// its key is no longer published, and the feed would break at the second
-/// rotation after it was opened.
+/// A feed outlives keys. Without resealing, its token could no longer be opened once its key is
+/// withdrawn, and the feed would break at the second rotation after it was opened.
 pub fn reseal_token(ring: &KeyRing, bytes: &[u8]) -> Result<Option<Vec<u8>>> {
     let (token, key_id) = open::<FlowToken>(ring, Purpose::Token, bytes)?;
     if ring.ids().last() == Some(&key_id) {
--- a/crates/foxledge-seal/tests/sealed_values.rs
+++ b/crates/foxledge-seal/tests/sealed_values.rs
@@ -1,4 +1,5 @@
-//! What is forged, altered, mixed up or sealed under a withdrawn key isn't believed.
+//! Rejection of values that are forged, altered, used for another purpose or sealed with a
+//! withdrawn key.
 
 use foxledge_core::lists::KeySpec;
 use foxledge_seal::{
@@ -19,7 +20,7 @@
 }
 
 #[test]
-fn opens_own() {
+fn opens_sealed_ticket() {
     let ring = ring(&[1]);
     let ticket = Ticket { serial: 5, ..Ticket::default() };
     let sealed = seal_ticket(&ring, &ticket).unwrap();
@@ -27,17 +28,16 @@
 }
 
 #[test]
-fn purposes_differ() {
+fn rejects_value_of_another_purpose() {
     let ring = ring(&[1]);
     let sealed = seal_ticket(&ring, &Ticket::default()).unwrap();
     assert_eq!(open_token(&ring, &sealed), Err(Error::InvalidMac));
 }
 
 #[test]
-fn withdrawn_key() {
-    // Symptom: a long feed is refused after the second rotation of keys.
-    // Sequence: token sealed under key 1; keys 1 and 2 published; keys 2 and 3 published.
-    // Cause: the token was never resealed while key 1 still opened it.
+fn opens_resealed_token_after_key_withdrawal() {
+    // Guards against a long feed being refused after the second key rotation: its token was sealed
+    // with key 1, is resealed while keys 1 and 2 are published, and must open with keys 2 and 3.
     let sealed = seal_token(&ring(&[1]), &token()).unwrap();
     let resealed = reseal_token(&ring(&[1, 2]), &sealed).unwrap().unwrap();
     assert_eq!(open_token(&ring(&[2, 3]), &sealed), Err(Error::UnknownKey(1)));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn credential_binds() {
+fn binds_credential_to_secret_member_and_caller() {
     let proof = credential(b"secret of sixteen", "bricks", 4);
     assert!(verify_credential(b"secret of sixteen", "bricks", 4, &proof));
     assert!(!verify_credential(b"secret of sixteen", "bricks", 5, &proof));
@@ -57,20 +57,20 @@
 
 proptest! {
     #[test]
-    fn altered_never_opens(at in 0usize..200, bit in 0u8..8) {
+    fn rejects_altered_tokens(at in 0usize..200, bit in 0u8..8) {
         let ring = ring(&[1, 2]);
         let sealed = seal_token(&ring, &token()).unwrap();
         let mut altered = sealed.clone();
         let at = at % altered.len();
         altered[at] ^= 1 << bit;
-        // A changed byte either fails to open or leaves the contents as they were.
+        // An altered byte either prevents opening or leaves the contents unchanged.
         if let Ok(opened) = open_token(&ring, &altered) {
             prop_assert_eq!(opened, token());
         }
     }
 
     #[test]
-    fn junk_never_opens(junk in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn rejects_random_bytes(junk in proptest::collection::vec(any::<u8>(), 0..400)) {
         prop_assert!(open_token(&ring(&[1]), &junk).is_err());
         prop_assert!(open_ticket(&ring(&[1]), &junk).is_err());
     }
