--- a/crates/foxledge-admission/src/retries.rs
+++ b/crates/foxledge-admission/src/retries.rs
@@ -18,8 +18,8 @@
 /// The maximum excess that the estimate is adjusted by, in requests per slot. The backlog that a
 /// burst builds up before it is visible says nothing about retries.
 const MAX_EXCESS: f64 = 0.5;
-/// The maximum number of plans kept until a view arrives that was reported after them: those of 400
-/// ms, the maximum age of a usable view, at one per 25 ms.
+/// The maximum number of plans kept until a view arrives that was reported after them: one per
+/// 25 ms for 400 ms, the maximum age of a usable view.
 const MAX_PLANS: usize = 16;
 
 /// What a plan admits.
--- a/crates/foxledge-admission/tests/overload_simulation.rs
+++ b/crates/foxledge-admission/tests/overload_simulation.rs
@@ -74,7 +74,10 @@
             .iter()
             .map(|(priority, _, work_us)| tally.kinds[priority].in_time * work_us / 1e6 / 9.0);
         let busy = kinds.sum::<f64>() / SLOTS;
-        assert!(busy >= 0.85, "{busy} of the slots answer in time at {times} times the demand");
+        assert!(
+            busy >= 0.85,
+            "{busy} of the slots answer in time at a demand of {times} times the slots"
+        );
     }
 }
 
--- a/crates/foxledge-load/src/view.rs
+++ b/crates/foxledge-load/src/view.rs
@@ -15,7 +15,8 @@
 /// The load of one data centre's callers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CentreView {
-    /// When the newest underlying report was sent.
+    /// When the newest underlying report was sent. For the local data centre this is the newest
+    /// report of another instance, if there is one.
     pub reported_at: ClockTime,
     /// The number of instances in the data centre.
     pub instances: u32,
--- a/crates/foxledge-load/tests/overflow_damping.rs
+++ b/crates/foxledge-load/tests/overflow_damping.rs
@@ -6,7 +6,7 @@
 use foxledge_core::names::CentreName;
 use foxledge_load::{CentreCapacity, OverflowPlan};
 
-/// A plan of the north, where half of the demand during a burst is excess.
+/// Drives a plan of the north, where half of the demand during a burst is excess.
 struct PlanDriver {
     plan: OverflowPlan,
     millis: u64,
@@ -18,14 +18,15 @@
     }
 
     fn steps(&mut self, count: u32, demand: f64) -> f64 {
-        let room = |centre, demand| CentreCapacity {
+        let capacity = |centre, demand| CentreCapacity {
             data_centre: CentreName::new(centre),
             slots: 60.0,
             demand,
         };
         for _ in 0..count {
-            let rooms = [room("north", demand), room("south", 0.0), room("west", 0.0)];
-            self.plan.update(at_ms(self.millis), &rooms);
+            let capacities =
+                [capacity("north", demand), capacity("south", 0.0), capacity("west", 0.0)];
+            self.plan.update(at_ms(self.millis), &capacities);
             self.millis += 50;
         }
         self.plan.shares().values().sum()
@@ -56,14 +57,14 @@
 fn moves_once_per_interval() {
     let mut run = PlanDriver::new();
     run.steps(1, BURST);
-    let rooms = [("north", BURST), ("south", 0.0)].map(|(centre, demand)| CentreCapacity {
+    let capacities = [("north", BURST), ("south", 0.0)].map(|(centre, demand)| CentreCapacity {
         data_centre: CentreName::new(centre),
         slots: 60.0,
         demand,
     });
     let before = run.plan.shares()["south"];
     for millis in 1..50 {
-        run.plan.update(at_ms(millis), &rooms);
+        run.plan.update(at_ms(millis), &capacities);
     }
     assert_eq!(run.plan.shares()["south"], before);
 }
