--- a/crates/foxledge-flows/benches/openings.rs
+++ b/crates/foxledge-flows/benches/openings.rs
@@ -1,4 +1,4 @@
-//! Time of an opening packet, without and with load control, by the number of backend servers.
+//! Time of an opening packet by the number of backend servers, with load control and without.
 //!
 //! `cargo bench -p foxledge-flows --bench openings`
 
@@ -13,14 +13,14 @@
 use foxledge_core::names::CentreName;
 use foxledge_flows::{FlowKey, FlowRouter, PacketKind, RouterOptions, rows::ListRow};
 
-/// Instances of the data centre beside the measured one.
+/// Other instances of the data centre.
 const OTHERS: u8 = 18;
 
 #[derive(Clone, Copy)]
 struct LoadMode {
     name: &'static str,
     is_on: bool,
-    /// Requests a slot in the view.
+    /// Requests per slot in the view.
     load: f64,
 }
 
@@ -68,10 +68,11 @@
     router.apply_load_view(clock_at(now), Arc::new(load_view(clock_at(now), &loads)));
 }
 
-/// Flows that are open at a time.
+/// Flows that are open at the same time.
 const OPEN_FLOWS: usize = 20;
 
-/// An opening every millisecond and the end of an earlier flow, with all that goes on beside it.
+/// Opens a flow every millisecond and finishes an earlier one, together with the router's periodic
+/// work.
 struct OpeningRun {
     router: FlowRouter,
     mode: LoadMode,
--- a/crates/foxledge-flows/src/cold.rs
+++ b/crates/foxledge-flows/src/cold.rs
@@ -1,17 +1,17 @@
-//! How many new flows a backend server gets while it is cold.
+//! Limits on new flows to cold backend servers.
 //!
-//! A service may limit the new flows that a cold backend server gets in any one second, over the
-//! whole fleet. No instance sees what the others send there, and nothing of the system writes
-//! shared state, so the limit is divided beforehand: [`SENDERS`] instances of the backend
-//! server's own data centre, chosen by rendezvous among those that are known, may each send a
-//! share of it; all others send none. Half of the limit is kept back for views that differ.
+//! A service may limit the new flows that a cold backend server gets in any second, over the whole
+//! fleet. No instance sees what the others send, and instances write no shared state, so the limit
+//! is divided in advance: [`SENDER_COUNT`] instances of the backend server's data centre, chosen by
+//! rendezvous hashing among the known ones, may each send a share of it; all others send none. Half
+//! of the limit is reserved for differences between the views of instances.
 //!
-//! The bound: an instance counts itself among the chosen when it knows fewer than [`SENDERS`]
-//! that rank before it. Where each view of a data centre misses at most `m` of its instances, at
-//! most `SENDERS + m` do, so that the limit holds as long as `m` is at most [`SENDERS`]. To keep
-//! views from falling short, instances that fell silent stay in them for a minute, nobody sends
-//! in the first second after its start, nor in the second after one left the view, and an
-//! instance that knows no other at all sends none.
+//! The bound: an instance counts itself as a sender when it knows fewer than [`SENDER_COUNT`]
+//! instances that rank before it. If each view of a data centre misses at most `m` of its
+//! instances, at most `SENDER_COUNT + m` of them send, so the limit holds as long as `m` is at most
+//! [`SENDER_COUNT`]. To keep views from missing instances, unresponsive instances stay in them for
+//! a minute. No instance sends in the first second after its start, nor in the second after another
+//! one left its view, and an instance that knows no other sends none.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -23,65 +23,65 @@
 
 use crate::rows::{ExtensionValue, ListRow, RowValue, ServiceRow, service_key};
 
-/// Instances that send to a cold backend server, as long as all know the same others.
-const SENDERS: usize = 2;
-/// Part of the limit that those have together: the rest is for others who take themselves for
-/// chosen.
-const SPARE: u64 = 2;
-/// The span in which flows count, in milliseconds: any second, wherever it begins, and a quarter
-/// more, as packets are sent on some time after that at which their batch counts.
-const SPAN_MS: u64 = 1_250;
+/// Instances that send to a cold backend server, as long as all views agree.
+const SENDER_COUNT: usize = 2;
+/// Divisor of the limit for these instances together. The rest is for instances whose view makes
+/// them senders as well.
+const LIMIT_DIVISOR: u64 = 2;
+/// Window in which flows count, in milliseconds: any second, plus a quarter because packets are
+/// sent somewhat later than the time of their batch.
+const WINDOW_MS: u64 = 1_250;
 
-/// `ColdRules` is by how much a cold backend server's limit may be passed.
+/// By how much the limits of cold backend servers may be exceeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ColdRules {
-    /// Hundredths of the published limit.
+    /// Allowed flows in percent of the published limit.
     pub overrun_percent: u32,
-    /// Flows a second beside it.
+    /// Additional flows per second.
     pub slack: u32,
 }
 
 impl Default for ColdRules {
-    /// The published limit and no more.
+    /// Allows the published limit and no more.
     fn default() -> ColdRules {
         ColdRules { overrun_percent: 100, slack: 0 }
     }
 }
 
-/// `ColdQuota` is what one instance may send to one cold backend server.
+/// New flows that instances may send to one cold backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ColdQuota {
-    /// Instances that send, as long as all know the same others.
+    /// Instances that send, as long as all views agree.
     pub senders: usize,
-    /// New flows that each sends in any second.
+    /// New flows that each of them may send in any second.
     pub flows: usize,
 }
 
 impl ColdRules {
-    /// What each instance may send where a service bears so much; none without a limit.
+    /// Returns the quota for the cold backend servers of a service, or `None` without a limit.
     pub fn quota(&self, service: &ServiceRow) -> Option<ColdQuota> {
         if service.cold_flows_per_ks == 0 {
             return None;
         }
         let published = service.cold_flows_per_ks * u64::from(self.overrun_percent) / 100_000;
         let limit = published + u64::from(self.slack);
-        let flows = (limit / (SENDERS as u64 * SPARE)) as usize;
-        Some(match (flows, limit >= SPARE) {
+        let flows = (limit / (SENDER_COUNT as u64 * LIMIT_DIVISOR)) as usize;
+        Some(match (flows, limit >= LIMIT_DIVISOR) {
             (0, true) => ColdQuota { senders: 1, flows: 1 },
             (0, false) => ColdQuota { senders: 0, flows: 0 },
-            _ => ColdQuota { senders: SENDERS, flows },
+            _ => ColdQuota { senders: SENDER_COUNT, flows },
         })
     }
 }
 
-/// `ServiceTable` is the limits of services.
+/// Limits of all services.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceTable {
     services: HashMap<ServiceName, ServiceRow>,
 }
 
 impl ServiceTable {
-    /// Takes a row; rows of other kinds change nothing.
+    /// Applies a row. Rows of other kinds change nothing.
     pub fn apply_row(&mut self, row: &ListRow) {
         match &row.value {
             Some(RowValue::Extension(extension)) => {
@@ -98,72 +98,72 @@
         }
     }
 
-    /// The limits of a service.
+    /// Returns the limits of a service.
     pub fn get(&self, service: &str) -> Option<&ServiceRow> {
         self.services.get(service)
     }
 }
 
-/// `CentrePeers` is the instances of the own data centre, for the choice of who sends.
+/// The known instances of the local data centre, which decide who sends to cold backend servers.
 #[derive(Clone, Debug)]
 pub struct CentrePeers {
-    own: SocketAddrV4,
-    others: Vec<SocketAddrV4>,
-    /// Rises with every change of the others.
+    own_address: SocketAddrV4,
+    peers: Vec<SocketAddrV4>,
+    /// Incremented whenever the peers change.
     version: u64,
-    /// Before then this instance sends nothing to cold backend servers.
-    settled_at: ClockTime,
+    /// Time before which this instance sends nothing to cold backend servers.
+    sends_from: ClockTime,
 }
 
 impl CentrePeers {
-    /// The view of an instance at `own` that has just started and knows nobody.
+    /// Creates the view of an instance at `own` that has just started and knows no peers.
     pub fn new(own: SocketAddrV4) -> CentrePeers {
-        CentrePeers { own, others: Vec::new(), version: 0, settled_at: ClockTime::MAX }
+        CentrePeers { own_address: own, peers: Vec::new(), version: 0, sends_from: ClockTime::MAX }
     }
 
-    /// Takes the other instances that are known, those that fell silent lately included.
+    /// Sets the other known instances, including those that became unresponsive recently.
     pub fn set_peers(&mut self, now: ClockTime, others: Vec<SocketAddrV4>) {
-        let is_first = self.settled_at == ClockTime::MAX;
-        if is_first || self.others.iter().any(|known| !others.contains(known)) {
-            // One that isn't known any more may have sent its share just now.
-            self.settled_at = now.after_millis(SPAN_MS);
+        let is_first = self.sends_from == ClockTime::MAX;
+        if is_first || self.peers.iter().any(|known| !others.contains(known)) {
+            // An instance that left the view may just have sent its share.
+            self.sends_from = now.after_millis(WINDOW_MS);
         }
-        if self.others != others {
+        if self.peers != others {
             self.version += 1;
         }
-        self.others = others;
+        self.peers = others;
     }
 
-    /// The instance itself.
-    pub(crate) fn own(&self) -> &SocketAddrV4 {
-        &self.own
+    /// Returns the address of this instance.
+    pub(crate) fn own_address(&self) -> &SocketAddrV4 {
+        &self.own_address
     }
 
-    /// The others.
-    pub(crate) fn others(&self) -> &[SocketAddrV4] {
-        &self.others
+    /// Returns the addresses of the other instances.
+    pub(crate) fn peers(&self) -> &[SocketAddrV4] {
+        &self.peers
     }
 
-    /// Rises with every change of the others.
+    /// Returns a version that is incremented whenever the peers change.
     pub(crate) fn version(&self) -> u64 {
         self.version
     }
 
-    /// True when this instance is among the `senders` that send to a backend server.
+    /// Returns true when this instance is among the `senders` that may send to a backend server.
     pub fn is_sender(&self, now: ClockTime, number: u64, senders: usize) -> bool {
-        if self.others.is_empty() || !self.settled_at.is_past(now) {
+        if self.peers.is_empty() || !self.sends_from.is_past(now) {
             return false;
         }
-        let own = instance_rank(&self.own, number);
-        let before = self.others.iter().filter(|other| instance_rank(other, number) < own).count();
+        let own = instance_rank(&self.own_address, number);
+        let before = self.peers.iter().filter(|other| instance_rank(other, number) < own).count();
         before < senders
     }
 }
 
-/// `InstanceRank` is an instance's place in the order of one backend server.
+/// Sort key of an instance for one backend server.
 pub(crate) type InstanceRank = (u64, SocketAddrV4);
 
-/// Orders instances for one backend server, the same everywhere.
+/// Returns the sort key of an instance for one backend server, which all instances compute alike.
 pub(crate) fn instance_rank(instance: &SocketAddrV4, number: u64) -> InstanceRank {
     let mut bytes = [0; 6];
     bytes[..4].copy_from_slice(&instance.ip().octets());
@@ -171,24 +171,24 @@
     (xxh3_64_with_seed(&bytes, number), *instance)
 }
 
-/// `FlowWindow` is the new flows that were sent to one backend server lately.
+/// Times of the new flows recently sent to one backend server.
 #[derive(Clone, Debug, Default)]
 pub struct FlowWindow {
-    sent: VecDeque<ClockTime>,
+    send_times: VecDeque<ClockTime>,
 }
 
 impl FlowWindow {
-    /// True when one more in any second that ends now stays within `flows`.
+    /// Returns true when one more flow now keeps the window within `flows`.
     pub fn has_capacity(&self, now: ClockTime, flows: usize) -> bool {
-        let is_recent = |at: &&ClockTime| !at.after_millis(SPAN_MS).is_past(now);
-        self.sent.iter().rev().take_while(is_recent).count() < flows
+        let is_recent = |at: &&ClockTime| !at.after_millis(WINDOW_MS).is_past(now);
+        self.send_times.iter().rev().take_while(is_recent).count() < flows
     }
 
-    /// Counts one that is sent now.
+    /// Records a flow that is sent now.
     pub fn record_flow(&mut self, now: ClockTime) {
-        while self.sent.front().is_some_and(|at| at.after_millis(SPAN_MS).is_past(now)) {
-            self.sent.pop_front();
+        while self.send_times.front().is_some_and(|at| at.after_millis(WINDOW_MS).is_past(now)) {
+            self.send_times.pop_front();
         }
-        self.sent.push_back(now);
+        self.send_times.push_back(now);
     }
 }
--- a/crates/foxledge-flows/src/decisions.rs
+++ b/crates/foxledge-flows/src/decisions.rs
@@ -1,4 +1,4 @@
-//! What a router decides, and why.
+//! Decisions of a router and the reasons for them.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use crate::{
-    candidates::FlowBarrier,
+    candidates::PlacementBarrier,
     health::HealthClass,
     load_control::LoadExplanation,
     packet::FlowKey,
@@ -15,107 +15,107 @@
     routes::FlowRoute,
 };
 
-/// `FlowDecision` is what to do with a packet.
+/// What to do with a packet.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FlowDecision {
-    /// Send it on to a backend server.
+    /// Forward it to a backend server.
     Forward {
         /// Index of the backend server.
         backend: usize,
-        /// Set when the caller sent its data again.
+        /// Set when the caller retransmitted its data.
         stall: Option<FlowStall>,
     },
-    /// Send the opening packet of a flow on, with a token.
+    /// Forward the opening packet of a flow, with a token.
     Open {
         /// Index of the backend server.
         backend: usize,
-        /// Why this one.
+        /// Why this backend server was chosen.
         reason: OpenReason,
     },
-    /// Tell the caller at once that the flow can't be served.
+    /// Answer the caller at once that the flow can't be served.
     Refuse(RefuseReason),
-    /// Tell the caller that its open flow is lost.
+    /// Reset the open flow at its caller.
     Reset {
-        /// Index of the backend server that held it.
+        /// Index of the backend server that served it.
         backend: usize,
-        /// Why.
+        /// Why the flow is reset.
         reason: ResetReason,
     },
-    /// Hand it to another instance, which knows the whole list: this one knows a part, and not the
-    /// backend server of the open flow.
+    /// Hand it to another instance, which has the whole list. This instance has only a part,
+    /// without the backend server of the open flow.
     Relay,
-    /// Do nothing.
+    /// Drop it without an answer.
     Drop(DropReason),
 }
 
-/// `FlowStall` is a caller's wait on an open flow: it sent data again.
+/// A retransmission of data on an open flow, which shows that its caller waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct FlowStall {
-    /// Time since the data was sent on first, in milliseconds.
+    /// Time since the data was first forwarded, in milliseconds.
     pub waited_ms: u64,
-    /// How often it was sent again.
+    /// Number of retransmissions of the data.
     #[serde(rename = "copies")]
     pub retransmissions: u32,
-    /// What is believed of the flow's backend server now.
+    /// Current health of the flow's backend server.
     #[serde(rename = "class")]
     pub health: HealthClass,
-    /// The data has waited for so long that nothing gets there.
+    /// True when the data has waited for so long that it can't be reaching the backend server.
     pub is_lost: bool,
 }
 
-/// `OpenReason` is by what an opening packet was placed.
+/// Why an opening packet goes to its backend server.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct OpenReason {
     /// The route that decided.
     pub route: Arc<str>,
-    /// Its revision.
+    /// Revision of the route.
     #[serde(serialize_with = "serialize_number")]
     pub route_revision: u64,
-    /// Which copy of the opening packet, from 0.
+    /// Number of the opening packet: 0 for the first, higher for retransmissions.
     #[serde(rename = "copy")]
     pub attempt: u32,
-    /// The rank that won; none when a copy follows the first packet.
+    /// Rank of the chosen candidate; `None` when a retransmission follows the first packet.
     pub rank: Option<PlacementRank>,
-    /// How many backend servers could be chosen from.
+    /// Number of candidates.
     pub candidates: usize,
-    /// The other data centre that overflow named; none when the flow stays near.
+    /// The other data centre that overflow selected; `None` when the flow stays in its own.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub overflow_to: Option<CentreName>,
 }
 
-/// `RefuseReason` is why a caller is told that a flow can't be served.
+/// Why a flow is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefuseReason {
-    /// No route leads from the address.
+    /// No route matches the address.
     NoRoute,
     /// The service has no backend server that takes flows.
     NoBackend,
-    /// All backend servers that take flows are of data centres that are evacuated.
+    /// All backend servers that take flows are in evacuated data centres.
     Evacuated,
-    /// Those that could serve it are cold and have had their share of new flows.
+    /// The remaining backend servers are cold, and their quotas of new flows are used up.
     ColdLimit,
-    /// None is of a region that the route allows.
+    /// No backend server is in a region that the route allows.
     NoRegion,
-    /// The open flow's backend server is gone, and was so when this instance started.
+    /// The open flow's backend server is gone, and was already when this instance started.
     BackendVanished,
-    /// The service is short of slots, and others go first.
+    /// The service is short of slots, and flows of higher priority go first.
     Shortage,
-    /// The service is short of slots, and the client account has had its share.
+    /// The service is short of slots, and the client account has used up its share.
     AccountShare,
 }
 
 impl RefuseReason {
-    /// The reason of a refusal where a barrier kept the flow from the last candidates.
-    pub(crate) fn of_barrier(barrier: FlowBarrier) -> RefuseReason {
+    /// Returns the reason for a refusal after a barrier excluded the last candidates.
+    pub(crate) fn from_barrier(barrier: PlacementBarrier) -> RefuseReason {
         match barrier {
-            FlowBarrier::Region => RefuseReason::NoRegion,
-            FlowBarrier::Cold => RefuseReason::ColdLimit,
-            FlowBarrier::Evacuation => RefuseReason::Evacuated,
+            PlacementBarrier::Region => RefuseReason::NoRegion,
+            PlacementBarrier::Cold => RefuseReason::ColdLimit,
+            PlacementBarrier::Evacuation => RefuseReason::Evacuated,
         }
     }
 
-    /// The reason's word in metrics.
+    /// Returns the reason's name in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             RefuseReason::NoRoute => "no_route",
@@ -130,76 +130,76 @@
     }
 }
 
-/// `ResetReason` is why an open flow is ended.
+/// Why an open flow is reset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "reason", rename_all = "snake_case")]
 pub enum ResetReason {
-    /// Its backend server answers neither it nor others.
+    /// Its backend server answers neither this flow nor others.
     BackendSilent {
-        /// Time since the unanswered data was sent on first, in milliseconds.
+        /// Time since the unanswered data was first forwarded, in milliseconds.
         waited_ms: u64,
-        /// Time since another flow there was found unanswered, in milliseconds.
+        /// Time since another flow of the backend server was found unanswered, in milliseconds.
         silent_ms: u64,
     },
-    /// Its backend server is surely dead, and its caller waits for an answer from there.
+    /// Its backend server is certainly dead, and its caller waits for an answer from there.
     WaitingAtDead {
-        /// Time since the unanswered data was sent on first, in milliseconds.
+        /// Time since the unanswered data was first forwarded, in milliseconds.
         waited_ms: u64,
-        /// Time since something there was found unanswered, in milliseconds.
+        /// Time since a packet to the backend server was found unanswered, in milliseconds.
         silent_ms: u64,
     },
-    /// Its backend server is surely dead, and nothing is under way on it.
+    /// Its backend server is certainly dead, and no request is in progress on the flow.
     IdleAtDead {
         /// Time since its last packet, in milliseconds.
         idle_ms: u64,
-        /// Time since something there was found unanswered, in milliseconds.
+        /// Time since a packet to the backend server was found unanswered, in milliseconds.
         silent_ms: u64,
     },
     /// Its backend server is gone, and another one has its address.
     AddressTaken {
-        /// Time since its entry was seen to be gone, in milliseconds.
+        /// Time since the removal of its entry was noticed, in milliseconds.
         gone_ms: u64,
     },
-    /// Its backend server doesn't answer it, and its whole data centre answers nobody.
+    /// Its backend server doesn't answer, and neither does any other in the data centre.
     CentreSilent {
-        /// Time since the unanswered data was sent on first, in milliseconds.
+        /// Time since the unanswered data was first forwarded, in milliseconds.
         waited_ms: u64,
-        /// Backend servers of the data centre that were found silent lately.
+        /// Backend servers of the data centre that recently left packets unanswered.
         silent_backends: usize,
     },
 }
 
-/// `FlowReset` is an open flow of a dead backend server that is ended without a packet of it.
+/// The reset of a dead backend server's open flow, sent without a packet of that flow.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FlowReset {
-    /// The flow.
+    /// Addresses of the flow.
     pub key: FlowKey,
-    /// What its caller has received: callers take a reset only near it.
+    /// Next byte that its caller expects: callers accept a reset only near it.
     pub received: u32,
-    /// Index of the backend server that held it.
+    /// Index of the backend server that served it.
     pub backend: usize,
-    /// Why.
+    /// Why the flow is reset.
     pub reason: ResetReason,
 }
 
-/// `DropReason` is why a packet is dropped without an answer.
+/// Why a packet is dropped without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DropReason {
-    /// Nothing serves the flow by a list that may be old.
+    /// Nothing serves the flow according to a list that may be out of date.
     MaybeStale,
-    /// The token names no backend server that is known here.
+    /// The token names no backend server in the list of this instance.
     UnknownToken,
-    /// The route of the open flow is gone.
+    /// The route of the open flow was removed.
     RouteRemoved,
-    /// No list is known yet.
+    /// No list has been received yet.
     NoList,
-    /// A copy of an opening packet to a cold backend server that has had its share of them.
+    /// A retransmitted opening packet to a cold backend server whose quota of them is used up.
     ColdLimit,
 }
 
 impl DropReason {
-    /// The reason's word in metrics and logs.
+    /// Returns the reason's name in metrics and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             DropReason::MaybeStale => "maybe_stale",
@@ -211,30 +211,30 @@
     }
 }
 
-/// `FlowExplanation` is where a flow would go and why.
+/// Where a flow would go, and why.
 #[derive(Clone, Debug)]
 pub struct FlowExplanation {
-    /// The route that decides.
+    /// The route that matches the flow.
     pub route: Option<Arc<FlowRoute>>,
-    /// The service of this flow.
+    /// The service of the flow.
     pub service: Option<ServiceName>,
-    /// What could be chosen from.
+    /// The candidates that were examined.
     pub candidates: Vec<PlacementCandidate>,
-    /// The choice among them, with its rank.
+    /// Index and rank of the chosen candidate.
     pub choice: Option<(usize, PlacementRank)>,
-    /// The backend server that the token names.
+    /// Index of the backend server that the token names.
     pub token_backend: Option<usize>,
-    /// What load control does with it; none while it is off or no route decides.
+    /// What load control does with the flow; `None` while it is off or no route matches.
     pub load: Option<LoadExplanation>,
 }
 
-/// `RouterCounters` is what a router counted since its start.
+/// Counters of a router since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RouterCounters {
-    /// Openings that stayed unanswered for too long.
+    /// Openings that weren't answered in time.
     pub overdue_openings: u64,
-    /// Copies of opening packets.
+    /// Retransmitted opening packets.
     pub retransmitted_openings: u64,
-    /// Data that callers sent again.
+    /// Retransmitted data packets.
     pub retransmitted_data: u64,
 }
--- a/crates/foxledge-flows/src/groups.rs
+++ b/crates/foxledge-flows/src/groups.rs
@@ -1,11 +1,11 @@
-//! Backend servers by service and data centre.
+//! Backend servers grouped by service and data centre.
 
 use std::collections::HashMap;
 
 use foxledge_core::names::{CentreName, ServiceName};
 use foxledge_load::ServiceKey;
 
-/// `BackendGroup` is the backend servers of one service in one data centre.
+/// The backend servers of one service in one data centre.
 #[derive(Clone, Debug)]
 pub(crate) struct BackendGroup {
     /// Index of the service.
@@ -14,22 +14,22 @@
     pub data_centre: CentreName,
     /// Indexes of the backend servers.
     pub backends: Vec<usize>,
-    /// Rises with every change of these.
+    /// Incremented whenever the backend servers change.
     pub version: u64,
 }
 
-/// `GroupedService` is one service with its groups.
+/// A service with its groups.
 #[derive(Clone, Debug)]
 pub(crate) struct GroupedService {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Its name in load messages.
+    /// Key of the service in load messages.
     pub key: ServiceKey,
     /// Indexes of its groups.
     pub groups: Vec<usize>,
 }
 
-/// `GroupTable` is every group that was ever known; indexes of groups and services stay valid.
+/// All groups seen so far. Indexes of groups and services stay valid.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct GroupTable {
     services: Vec<GroupedService>,
@@ -38,9 +38,9 @@
 }
 
 impl GroupTable {
-    /// Adds a backend server to its group; returns the group's index.
+    /// Adds a backend server to its group and returns the group's index.
     pub fn add(&mut self, service: &ServiceName, centre: &CentreName, member: usize) -> usize {
-        let group = self.place(service, centre);
+        let group = self.find_or_add(service, centre);
         self.groups[group].backends.push(member);
         self.groups[group].version += 1;
         group
@@ -54,28 +54,28 @@
         }
     }
 
-    /// Every service, by index.
+    /// Returns all services, by index.
     pub fn services(&self) -> &[GroupedService] {
         &self.services
     }
 
-    /// Every group, by index.
+    /// Returns all groups, by index.
     pub fn groups(&self) -> &[BackendGroup] {
         &self.groups
     }
 
-    /// The index of a service; none when it never had a backend server.
+    /// Returns the index of a service, or `None` if it never had a backend server.
     pub fn service_index(&self, service: &str) -> Option<usize> {
         self.by_name.get(service).copied()
     }
 
-    /// The group of a service in a data centre.
+    /// Returns the group of a service in a data centre.
     pub fn group_in(&self, service: usize, centre: &str) -> Option<usize> {
         let groups = &self.services.get(service)?.groups;
         groups.iter().copied().find(|group| self.groups[*group].data_centre.as_str() == centre)
     }
 
-    fn place(&mut self, service: &ServiceName, centre: &CentreName) -> usize {
+    fn find_or_add(&mut self, service: &ServiceName, centre: &CentreName) -> usize {
         let service = match self.by_name.get(service) {
             Some(index) => *index,
             None => {
@@ -96,7 +96,7 @@
     }
 }
 
-/// `GroupCounts` counts something by group.
+/// A counter for each group.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct GroupCounts {
     counts: Vec<u32>,
@@ -104,7 +104,7 @@
 }
 
 impl GroupCounts {
-    /// Counts one in a group.
+    /// Adds one to the count of a group.
     pub fn add(&mut self, group: usize) {
         if group >= self.counts.len() {
             self.counts.resize(group + 1, 0);
@@ -113,7 +113,7 @@
         self.total += 1;
     }
 
-    /// Takes one that was counted out of a group.
+    /// Subtracts one from the count of a group.
     pub fn remove(&mut self, group: usize) {
         if let Some(count) = self.counts.get_mut(group).filter(|count| **count > 0) {
             *count -= 1;
@@ -121,12 +121,12 @@
         }
     }
 
-    /// Those of a group.
-    pub fn of(&self, group: usize) -> u32 {
+    /// Returns the count of a group.
+    pub fn count_in(&self, group: usize) -> u32 {
         self.counts.get(group).copied().unwrap_or(0)
     }
 
-    /// Those of all groups.
+    /// Returns the sum over all groups.
     pub fn total(&self) -> u32 {
         self.total
     }
--- a/crates/foxledge-flows/src/latency.rs
+++ b/crates/foxledge-flows/src/latency.rs
@@ -1,61 +1,61 @@
-//! How long a backend server takes for an answer.
+//! Answer times of backend servers.
 
 use std::time::Duration;
 
 use foxledge_core::time::ClockTime;
 
-/// Weight of one answer in the mean: of ten answers a second and instance, the
-/// last half second decides.
+/// Weight of one answer in the mean. At ten answers a second per instance, the last half second
+/// dominates.
 const WEIGHT: f64 = 0.2;
-/// Answers before the mean says anything.
-const FEWEST: u32 = 4;
-/// Time after which a mean without new answers counts half, in milliseconds, so
-/// that a backend server that was slow is tried again.
+/// Answers needed before the mean is used.
+const MIN_ANSWERS: u32 = 4;
+/// Time, in milliseconds, after which the excess of a mean without new answers counts half, so that
+/// a backend server that was slow is tried again.
 const HALF_LIFE_MS: u64 = 2_000;
 
-/// `LatencyGauge` is a moving mean of answer times.
+/// Moving mean of answer times.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LatencyGauge {
     mean_us: f64,
     count: u32,
-    at: ClockTime,
+    updated_at: ClockTime,
 }
 
 impl LatencyGauge {
-    /// Takes the time of one answer.
+    /// Records the time of one answer.
     pub fn record_answer(&mut self, now: ClockTime, latency: Duration) {
         let sample = latency.as_micros() as f64;
-        // What was learned long ago counts less against a new answer.
-        let weight = 1.0 - (1.0 - WEIGHT) * self.remains(now);
+        // The older the mean is, the more a new answer weighs.
+        let weight = 1.0 - (1.0 - WEIGHT) * self.remaining_weight(now);
         self.mean_us = match self.count {
             0 => sample,
             _ => self.mean_us + weight * (sample - self.mean_us),
         };
         self.count = self.count.saturating_add(1);
-        self.at = now;
+        self.updated_at = now;
     }
 
-    /// The mean in microseconds; none while too little is known.
+    /// Returns the mean in microseconds, or `None` with too few answers.
     pub fn mean_us(&self) -> Option<f64> {
-        (self.count >= FEWEST).then_some(self.mean_us)
+        (self.count >= MIN_ANSWERS).then_some(self.mean_us)
     }
 
-    /// How many times as long as `usual_us` an answer takes, from 1 up.
+    /// Returns the answer time as a multiple of `usual_us`, at least 1.
     pub fn slowness(&self, now: ClockTime, usual_us: f64) -> f64 {
         let Some(mean) = self.mean_us() else { return 1.0 };
         let excess = (mean / usual_us.max(1.0) - 1.0).max(0.0);
-        1.0 + excess * self.remains(now)
+        1.0 + excess * self.remaining_weight(now)
     }
 
-    /// The part of what is known that still counts at `now`.
-    fn remains(&self, now: ClockTime) -> f64 {
-        let silent_ms = now.since(self.at).as_millis() as f64;
+    /// Returns the weight that the mean still has at `now`, from 0 to 1.
+    fn remaining_weight(&self, now: ClockTime) -> f64 {
+        let silent_ms = now.since(self.updated_at).as_millis() as f64;
         0.5_f64.powf(silent_ms / HALF_LIFE_MS as f64)
     }
 }
 
-/// The usual answer time among backend servers of a service: the median of their means.
-pub fn usual_us(means: impl Iterator<Item = f64>) -> f64 {
+/// Returns the median of the mean answer times of a service's backend servers, in microseconds.
+pub fn median_latency_us(means: impl Iterator<Item = f64>) -> f64 {
     let mut means: Vec<f64> = means.collect();
     if means.is_empty() {
         return 0.0;
--- a/crates/foxledge-flows/src/lib.rs
+++ b/crates/foxledge-flows/src/lib.rs
@@ -1,14 +1,13 @@
-//! Routing of packets between callers and backend servers.
+//! Packet routing between callers and backend servers.
 //!
-//! An instance sees the packets of callers only; backend servers answer callers
-//! directly. [`FlowRouter`] decides on each packet: a new flow is placed on a
-//! backend server, a packet of an open flow follows the 32-bit token that both
-//! ends carry, so that any instance can continue any flow without a table.
+//! An instance sees only the packets that callers send; backend servers reply to callers directly.
+//! [`FlowRouter`] decides on every packet: it places a new flow on a backend server, and forwards a
+//! packet of an open flow by the 32-bit token that both ends carry. Any instance can therefore
+//! continue any flow without a flow table.
 //!
-//! What operators and backend servers publish is a set of [`rows::ListRow`]s,
-//! kept by [`list::FleetList`] in the order of the platform's revisions.
-//! Everything here is decision logic: packets, rows and the time go in,
-//! decisions come out.
+//! Operators and backend servers publish a set of [`rows::ListRow`]s, which [`list::FleetList`]
+//! keeps in the order of the platform's revisions. This crate contains decision logic only:
+//! packets, rows and the current time go in, decisions come out.
 
 mod backend_table;
 mod backends;
--- a/crates/foxledge-flows/src/load_control/account_samples.rs
+++ b/crates/foxledge-flows/src/load_control/account_samples.rs
@@ -4,17 +4,18 @@
 
 use foxledge_admission::AccountKey;
 
-/// Most hashes of one half; a part has room for those of two.
-const HALF_LIMIT: usize = 6;
+/// Maximum number of account hashes per interval. A load report has room for those of two
+/// intervals.
+const MAX_HALF_ACCOUNTS: usize = 6;
 
-/// `AccountSamples` is a sample of the client accounts of the openings since the part before.
+/// Samples the client accounts of openings since the previous load report.
 ///
-/// Own loads are taken every 50 ms and told every 100 ms, so each holds the openings since the
-/// last but one.
+/// Local loads are collected every 50 ms and sent every 100 ms, so each of them covers the openings
+/// since the last but one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AccountSamples {
-    present: SampleHalf,
-    former: SampleHalf,
+    current: SampleHalf,
+    previous: SampleHalf,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -24,12 +25,12 @@
 }
 
 impl AccountSamples {
-    /// Takes an opening; `draw` decides whether a full sample holds it.
-    pub fn add(&mut self, caller: Ipv4Addr, draw: u64) {
-        let half = &mut self.present;
+    /// Records an opening; `draw` decides whether it replaces an entry of a full sample.
+    pub fn record_opening(&mut self, caller: Ipv4Addr, draw: u64) {
+        let half = &mut self.current;
         half.openings += 1;
         let account = AccountKey::of(caller).0;
-        if half.accounts.len() < HALF_LIMIT {
+        if half.accounts.len() < MAX_HALF_ACCOUNTS {
             return half.accounts.push(account);
         }
         let place = (draw % u64::from(half.openings)) as usize;
@@ -38,19 +39,20 @@
         }
     }
 
-    /// The sample, and the openings that each hash stands for; begins another.
-    pub fn take(&mut self) -> (Vec<u32>, u32) {
-        let mut accounts = self.former.accounts.clone();
-        accounts.extend(&self.present.accounts);
-        let openings = self.former.openings + self.present.openings;
-        self.former = std::mem::take(&mut self.present);
+    /// Returns the sample and the number of openings that each hash stands for, and starts a new
+    /// interval.
+    pub fn drain_sample(&mut self) -> (Vec<u32>, u32) {
+        let mut accounts = self.previous.accounts.clone();
+        accounts.extend(&self.current.accounts);
+        let openings = self.previous.openings + self.current.openings;
+        self.previous = std::mem::take(&mut self.current);
         match accounts.len() as u32 {
             0 => (accounts, 0),
             held => (accounts, openings.div_ceil(held)),
         }
     }
 
-    /// Forgets all openings.
+    /// Discards all openings.
     pub fn clear(&mut self) {
         *self = AccountSamples::default();
     }
--- a/crates/foxledge-flows/src/load_control/demand.rs
+++ b/crates/foxledge-flows/src/load_control/demand.rs
@@ -1,22 +1,22 @@
-//! How many slots the requests of a service need.
+//! Slots that the requests of a service need.
 
 use std::collections::BTreeMap;
 
 use foxledge_core::names::CentreName;
 use foxledge_load::{CentreView, LoadView, PriorityLoad, ServiceKey, ServiceLoad};
 
-/// `ServiceDemand` is the load of one service in a view, by the data centre of its callers.
+/// Load of one service in a view, by the data centre of its callers.
 pub(crate) struct ServiceDemand<'a> {
     centres: BTreeMap<&'a CentreName, &'a ServiceLoad>,
     /// Arrivals and mean work time by priority, over all data centres.
     pub priorities: BTreeMap<u32, PriorityLoad>,
-    /// Work time of a priority whose own is unknown, in seconds.
-    usual_s: f64,
+    /// Work time, in seconds, for a priority without a known one.
+    fallback_work_s: f64,
 }
 
 impl<'a> ServiceDemand<'a> {
-    /// The load of a service in a view.
-    pub fn of(view: &'a LoadView, key: ServiceKey) -> ServiceDemand<'a> {
+    /// Computes the demand of a service from a view.
+    pub fn from_view(view: &'a LoadView, key: ServiceKey) -> ServiceDemand<'a> {
         let load_of = |centre: &'a CentreView| centre.services.get(&key);
         let centres = view.centres.iter().filter_map(|(name, one)| Some((name, load_of(one)?)));
         let centres: BTreeMap<_, _> = centres.collect();
@@ -26,37 +26,41 @@
                 sums.entry(*priority).or_default().add(load);
             }
         }
-        let usual_s = usual_s(&sums, &centres);
+        let usual_s = fallback_work_s(&sums, &centres);
         let priorities = sums.into_iter().map(|(priority, sum)| (priority, sum.load())).collect();
-        ServiceDemand { centres, priorities, usual_s }
+        ServiceDemand { centres, priorities, fallback_work_s: usual_s }
     }
 
-    /// Slots that the requests of a data centre's callers need, wherever they are served.
-    pub fn of_centre(&self, centre: &CentreName) -> f64 {
+    /// Returns the slots that the requests of a data centre's callers need, wherever they are
+    /// served.
+    pub fn slots_needed_by(&self, centre: &CentreName) -> f64 {
         let Some(load) = self.centres.get(centre) else { return 0.0 };
         let demand = |(priority, one): (&u32, &PriorityLoad)| {
             let mean_us = self.priorities.get(priority).map_or(0.0, |all| all.work_us);
             let known_us = [one.work_us, mean_us].into_iter().find(|work_us| *work_us > 0.0);
-            one.arrivals_per_s * known_us.map_or(self.usual_s, |work_us| work_us / 1e6)
+            one.arrivals_per_s * known_us.map_or(self.fallback_work_s, |work_us| work_us / 1e6)
         };
         load.priorities.iter().map(demand).sum()
     }
 
-    /// Requests a second of a data centre's callers.
-    pub fn arrivals_in(&self, centre: &CentreName) -> f64 {
+    /// Returns the requests per second of a data centre's callers.
+    pub fn arrivals_per_s(&self, centre: &CentreName) -> f64 {
         let load = self.centres.get(centre);
         load.map_or(0.0, |load| load.priorities.values().map(|one| one.arrivals_per_s).sum())
     }
 
-    /// Requests that run or wait in a data centre, whoever sends them.
-    pub fn running_in(&self, centre: &CentreName) -> f64 {
+    /// Returns the requests that run or wait in a data centre, from callers of all data centres.
+    pub fn requests_in(&self, centre: &CentreName) -> f64 {
         self.centres.values().filter_map(|load| load.running.get(centre)).sum()
     }
 }
 
-/// Without any known work time, requests take as long as the present ones do: the demands of data
-/// centres are right in proportion, though waiting counts as work.
-fn usual_s(sums: &BTreeMap<u32, WorkSum>, centres: &BTreeMap<&CentreName, &ServiceLoad>) -> f64 {
+/// Returns the mean work time in seconds. If none is known, current requests stand in for it: the
+/// demands of data centres are then right in proportion, though waiting counts as work.
+fn fallback_work_s(
+    sums: &BTreeMap<u32, WorkSum>,
+    centres: &BTreeMap<&CentreName, &ServiceLoad>,
+) -> f64 {
     let known_per_s: f64 = sums.values().map(|sum| sum.known_per_s).sum();
     if known_per_s > 0.0 {
         return sums.values().map(|sum| sum.work_us).sum::<f64>() / known_per_s / 1e6;
@@ -66,13 +70,13 @@
     if arrivals_per_s > 0.0 { running / arrivals_per_s } else { 0.0 }
 }
 
-/// `WorkSum` adds up the loads of one priority.
+/// Sum of the loads of one priority.
 #[derive(Clone, Copy, Debug, Default)]
 struct WorkSum {
     arrivals_per_s: f64,
     /// Arrivals whose work time is known.
     known_per_s: f64,
-    /// Their work times, weighted by arrivals.
+    /// Work times of these arrivals, weighted by their rate.
     work_us: f64,
 }
 
--- a/crates/foxledge-flows/src/load_control/reports.rs
+++ b/crates/foxledge-flows/src/load_control/reports.rs
@@ -1,4 +1,4 @@
-//! What load control tells of itself.
+//! Reports, events and explanations of load control.
 
 use std::collections::BTreeMap;
 
@@ -6,79 +6,79 @@
 use foxledge_core::names::{CentreName, ServiceName};
 use serde::Serialize;
 
-/// `CentreLoad` is the load of one service in one data centre.
+/// Load of one service in one data centre.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct CentreLoad {
     /// The data centre.
     pub data_centre: CentreName,
-    /// Usable slots there, slow backend servers in proportion; 0 while it is evacuated.
+    /// Usable slots there, those of slow backend servers in proportion; 0 while it is evacuated.
     pub slots: f64,
-    /// Requests that run or wait there, whoever sends them.
+    /// Requests that run or wait there, from callers of all data centres.
     pub running: f64,
     /// Slots that the requests of its own callers need, wherever they are served.
     pub demand: f64,
     /// Share of this instance's new flows that overflow sends there, from 0 to 1.
     #[serde(rename = "share")]
     pub overflow_share: f64,
-    /// True when the view has a load of it.
+    /// True when the view contains a load report from the data centre.
     #[serde(rename = "is_heard")]
     pub has_report: bool,
 }
 
 impl CentreLoad {
-    /// Requests a slot; 0 without slots.
+    /// Returns the requests per slot, or 0 without slots.
     pub fn load_ratio(&self) -> f64 {
         if self.slots > 0.0 { self.running / self.slots } else { 0.0 }
     }
 }
 
-/// `LoadReport` is the load of one service and what is done about it.
+/// Load of one service and what is done about it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LoadReport {
     /// The service.
     pub service: ServiceName,
-    /// Requests a slot over the data centres that may serve it and were heard of.
+    /// Requests per slot over the data centres that may serve it and whose load is known.
     #[serde(rename = "load")]
     pub load_ratio: f64,
     /// Slots that the requests of all callers need.
     pub demand: f64,
-    /// Usable slots of the data centres that may serve it and were heard of.
+    /// Usable slots of the data centres that may serve it and whose load is known.
     pub slots: f64,
-    /// Its data centres, the own one included.
+    /// Its data centres, including the local one.
     pub centres: Vec<CentreLoad>,
-    /// True while it is short of slots, as it is logged.
+    /// True while it is short of slots; logged when it changes.
     pub is_short: bool,
-    /// Share of each priority's new flows that is admitted; empty without shortage.
+    /// Share of each priority's new flows that is admitted; empty without a shortage.
     #[serde(rename = "admitted")]
     pub admitted_shares: BTreeMap<u32, f64>,
-    /// New flows of each priority that were refused for shortage or account share since the
-    /// start.
+    /// New flows of each priority refused since the start because of a shortage or of an account's
+    /// share.
     #[serde(rename = "refused")]
     pub refused_flows: BTreeMap<u32, u64>,
-    /// Instances whose load the view of the own data centre rests on.
+    /// Instances whose reports the view of the local data centre contains.
     #[serde(rename = "parts")]
     pub reporting_instances: u32,
-    /// Age of the view in milliseconds, that of its newest part; none without a view.
+    /// Age of the newest report in the view, in milliseconds; `None` without a view.
     #[serde(rename = "age_ms")]
     pub view_age_ms: Option<u64>,
 }
 
-/// `LoadChange` is what began or ended for a service.
+/// What began or ended for a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadChange {
-    /// It is short of slots.
+    /// The service became short of slots.
     ShortageBegun,
-    /// It has been short of slots.
+    /// The service is no longer short of slots.
     ShortageEnded,
     /// New flows go to other data centres.
     OverflowBegun,
-    /// New flows stay near again.
+    /// New flows stay in the local data centre again.
     OverflowEnded,
 }
 
 impl LoadChange {
-    /// The change's word in logs.
+    /// Returns the change's name in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             LoadChange::ShortageBegun => "shortage_begun",
@@ -89,46 +89,46 @@
     }
 }
 
-/// `LoadEvent` is a change with the load that it rests on.
+/// A change, with the load that caused it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LoadEvent {
     /// What changed.
     pub change: LoadChange,
-    /// The load then.
+    /// The load at that time.
     pub report: LoadReport,
 }
 
-/// `AdmissionBasis` is why new flows are admitted or refused.
+/// Why new flows are admitted or refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AdmissionBasis {
-    /// Admission doesn't act for the service: settings or list don't call for it.
+    /// Settings and routes don't enable admission for the service.
     Off,
-    /// No load of other instances is known.
+    /// The load of other instances is unknown.
     NoView,
-    /// Too few instances were heard of.
+    /// Too few instances have reported their load.
     UnsureView,
-    /// The newest part of another instance is too old.
+    /// The newest report of another instance is too old.
     OldView,
-    /// This instance doubts its list, or stood still.
+    /// The list of this instance isn't confirmed, or the process stood still.
     ListDoubt,
-    /// The service isn't short of slots, or not for long enough.
+    /// The service isn't short of slots, or hasn't been for long enough.
     Room,
     /// The service is short of slots.
     Shortage,
 }
 
-/// `LoadExplanation` is what load control would do with a new flow, and why.
+/// What load control would do with a new flow, and why.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LoadExplanation {
-    /// The load of its service.
+    /// Load of its service.
     pub report: LoadReport,
     /// Priority of its route.
     pub priority: u32,
-    /// The other data centre that overflow names for it; none when it stays near.
+    /// The other data centre that overflow selects; `None` when the flow stays in its own.
     pub overflow_to: Option<CentreName>,
-    /// What becomes of its first opening packet.
+    /// Whether its first opening packet would be admitted.
     pub verdict: AdmissionDecision,
-    /// Why.
+    /// Reason of the verdict.
     pub basis: AdmissionBasis,
 }
--- a/crates/foxledge-flows/src/load_control/subsets.rs
+++ b/crates/foxledge-flows/src/load_control/subsets.rs
@@ -1,4 +1,4 @@
-//! The backend servers that this instance prefers while slots are scarce.
+//! Backend servers that this instance prefers while slots are scarce.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -7,86 +7,90 @@
 
 use crate::cold::{InstanceRank, instance_rank};
 
-/// Instances that prefer a backend server, as long as all know the same others: each of them sees
-/// half of what runs there, and so how many requests wait and how long answers take.
-const SHARERS: usize = 2;
+/// Number of instances that prefer a backend server, as long as all views agree. Each of them sees
+/// half of its requests, and so how many of them wait and how long answers take.
+const INSTANCES_PER_BACKEND: usize = 2;
 
-/// `GroupSubset` is the backend servers of one group for which this instance is among the first
-/// by rendezvous hashing.
+/// The backend servers of one group for which this instance is among the first by rendezvous
+/// hashing.
 ///
-/// It answers loads at which an instance's own count of a backend server's requests would be noise
-/// if all instances used all of them. Changes of members and of instances are applied one by
-/// one: hashing 4,750 backend servers with 436 instances anew takes 10 ms.
+/// At high load, if every instance used all backend servers, its own count of a backend server's
+/// requests would be noise. Changes of backend servers and of instances are applied incrementally:
+/// hashing 4,750 backend servers with 436 instances anew takes 10 ms.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct GroupSubset {
-    members: HashMap<u64, MemberRank>,
-    others: HashSet<SocketAddrV4>,
-    chosen: Vec<usize>,
-    chosen_set: HashSet<usize>,
+    ranks: HashMap<u64, BackendRank>,
+    peers: HashSet<SocketAddrV4>,
+    preferred: Vec<usize>,
+    preferred_set: HashSet<usize>,
     versions: Option<(u64, u64)>,
 }
 
-/// `MemberRank` is this instance's place in the order of one backend server.
+/// Rank of this instance for one backend server.
 #[derive(Clone, Copy, Debug)]
-struct MemberRank {
+struct BackendRank {
     own: InstanceRank,
-    /// Instances before it.
-    before: usize,
+    /// Number of instances that rank before it.
+    preceding_instances: usize,
 }
 
 impl GroupSubset {
-    /// True when it was made of these versions of members and instances.
-    pub fn is_of(&self, versions: (u64, u64)) -> bool {
+    /// Returns true when the subset was computed from these versions of backend servers and
+    /// instances.
+    pub fn has_versions(&self, versions: (u64, u64)) -> bool {
         self.versions == Some(versions)
     }
 
-    /// Takes the group's members, by index and number, and the instances of the data centre.
-    pub fn renew(
+    /// Updates the subset to the group's backend servers, by index and number, and to the instances
+    /// of the data centre.
+    pub fn update(
         &mut self,
         versions: (u64, u64),
         members: &[(usize, u64)],
         own: &SocketAddrV4,
         others: &[SocketAddrV4],
     ) {
-        self.take_others(others);
-        let ranks = members.iter().map(|(_, number)| (*number, self.rank_of(*number, own)));
-        let ranks: HashMap<u64, MemberRank> = ranks.collect();
-        let is_chosen = |number: &u64| ranks.get(number).is_some_and(|one| one.before < SHARERS);
+        self.apply_peers(others);
+        let ranks = members.iter().map(|(_, number)| (*number, self.backend_rank(*number, own)));
+        let ranks: HashMap<u64, BackendRank> = ranks.collect();
+        let is_chosen = |number: &u64| {
+            ranks.get(number).is_some_and(|one| one.preceding_instances < INSTANCES_PER_BACKEND)
+        };
         let chosen = members.iter().filter(|(_, number)| is_chosen(number));
-        self.chosen = chosen.map(|(index, _)| *index).collect();
-        self.chosen_set = self.chosen.iter().copied().collect();
-        self.members = ranks;
+        self.preferred = chosen.map(|(index, _)| *index).collect();
+        self.preferred_set = self.preferred.iter().copied().collect();
+        self.ranks = ranks;
         self.versions = Some(versions);
     }
 
-    /// Indexes of the backend servers.
-    pub fn chosen(&self) -> &[usize] {
-        &self.chosen
+    /// Returns the indexes of the preferred backend servers.
+    pub fn preferred(&self) -> &[usize] {
+        &self.preferred
     }
 
-    /// True when it holds a backend server.
-    pub fn holds(&self, index: usize) -> bool {
-        self.chosen_set.contains(&index)
+    /// Returns true when the subset contains a backend server.
+    pub fn contains(&self, index: usize) -> bool {
+        self.preferred_set.contains(&index)
     }
 
-    fn take_others(&mut self, others: &[SocketAddrV4]) {
+    fn apply_peers(&mut self, others: &[SocketAddrV4]) {
         let newer: HashSet<SocketAddrV4> = others.iter().copied().collect();
-        let come: Vec<_> = newer.difference(&self.others).copied().collect();
-        let gone: Vec<_> = self.others.difference(&newer).copied().collect();
-        for (number, rank) in &mut self.members {
+        let come: Vec<_> = newer.difference(&self.peers).copied().collect();
+        let gone: Vec<_> = self.peers.difference(&newer).copied().collect();
+        for (number, rank) in &mut self.ranks {
             let is_before = |other: &&SocketAddrV4| instance_rank(other, *number) < rank.own;
-            rank.before += come.iter().filter(is_before).count();
-            rank.before -= gone.iter().filter(is_before).count();
+            rank.preceding_instances += come.iter().filter(is_before).count();
+            rank.preceding_instances -= gone.iter().filter(is_before).count();
         }
-        self.others = newer;
+        self.peers = newer;
     }
 
-    fn rank_of(&self, number: u64, own: &SocketAddrV4) -> MemberRank {
-        if let Some(known) = self.members.get(&number) {
+    fn backend_rank(&self, number: u64, own: &SocketAddrV4) -> BackendRank {
+        if let Some(known) = self.ranks.get(&number) {
             return *known;
         }
         let own = instance_rank(own, number);
-        let before = self.others.iter().filter(|other| instance_rank(other, number) < own).count();
-        MemberRank { own, before }
+        let before = self.peers.iter().filter(|other| instance_rank(other, number) < own).count();
+        BackendRank { own, preceding_instances: before }
     }
 }
--- a/crates/foxledge-flows/src/load_exchange.rs
+++ b/crates/foxledge-flows/src/load_exchange.rs
@@ -1,4 +1,5 @@
-//! Load control at the router's border: the own load goes out, the load of all comes in.
+//! The router's interface to load control: the local load goes out, the load of all data centres
+//! comes in.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -17,73 +18,75 @@
     backends::Backend,
     decisions::RefuseReason,
     groups::BackendGroup,
-    latency::usual_us,
+    latency::median_latency_us,
     load_control::{AdmissionBasis, LoadEvent, LoadExplanation, LoadReport, ServiceRoutes},
     packet::{FlowKey, FlowPacket, PacketKind},
-    placement::{SLOW, SLOWEST},
+    placement::{MAX_SLOWNESS_PERCENT, MIN_SLOWNESS_PERCENT},
     router::FlowRouter,
     routes::{FlowRoute, flow_hash},
 };
 
-/// Multiple of its route's aim for which a request counts as running at most.
-const AIMS_COUNTED: u64 = 2;
-/// Time in milliseconds for which a request counts at least, unless it is answered.
-const LEAST_COUNTED_MS: u64 = 1_000;
+/// Multiple of its route's `aim_ms` after which an unanswered request no longer counts as running.
+const EXPIRY_TARGET_MULTIPLE: u64 = 2;
+/// Minimum time, in milliseconds, for which an unanswered request counts as running.
+const MIN_REQUEST_EXPIRY_MS: u64 = 1_000;
 
 impl FlowRouter {
-    /// True when the own load should be told and the load of all be set; asked after each batch
-    /// of packets. Never while load control is off.
+    /// Returns true when the local load should be reported and a new load view applied. Called
+    /// after each batch of packets; always false while load control is off.
     pub fn is_load_report_due(&self, now: ClockTime) -> bool {
         let running =
             self.tracks.running_requests().total() + self.openings.pending_by_group().total();
-        self.load.is_due(now, running)
+        self.load.is_report_due(now, running)
     }
 
-    /// What this instance sees of each service's load; sets when it is due again.
+    /// Returns the load of each service as this instance sees it, and schedules the next report.
     pub fn collect_local_load(&mut self, now: ClockTime) -> LocalLoad {
         self.tracks.expire_requests(now, self.request_expiry_ms);
         let (running, under_way) =
             (self.tracks.running_requests(), self.openings.pending_by_group());
-        self.load.own_load(now, self.backends.groups(), running, under_way)
+        self.load.collect_local_load(now, self.backends.groups(), running, under_way)
     }
 
-    /// The largest load of a service in the own data centre by the last view, in requests a slot.
+    /// Returns the largest load of a service in the local data centre by the last view, in requests
+    /// per slot.
     pub fn load_ratio(&self) -> f64 {
-        self.load.pressure()
+        self.load.load_ratio()
     }
 
-    /// Takes the load of all data centres as it is now.
+    /// Applies the current load of all data centres.
     pub fn apply_load_view(&mut self, now: ClockTime, view: Arc<LoadView>) {
         if !self.load.is_on() {
             return;
         }
-        self.renew_slots(now);
-        self.load.set_view(now, view);
+        self.refresh_slots(now);
+        self.load.apply_view(now, view);
         let backends = &self.backends;
         let number = |index: usize| backends.get(index).map(|backend| backend.number);
         let members_of = |group: usize| {
             let members = backends.groups().groups()[group].backends.iter().copied();
             members.filter_map(|index| Some((index, number(index)?))).collect()
         };
-        self.load.renew_subsets(backends.groups(), &self.centre_peers, members_of);
+        self.load.update_subsets(backends.groups(), &self.centre_peers, members_of);
     }
 
-    /// Shortages and overflows that began or ended since the last call.
+    /// Returns the shortages and overflows that began or ended since the last call.
     pub fn drain_load_events(&mut self) -> Vec<LoadEvent> {
-        self.load.take_news()
+        self.load.drain_events()
     }
 
-    /// The load of each service and what is done about it; empty while load control is off.
+    /// Returns the load of each service and what is done about it; empty while load control is off.
     pub fn load_reports(&self, now: ClockTime) -> Vec<LoadReport> {
         self.load.reports(now)
     }
 
-    /// Why a new flow is refused for load; none when it may be placed.
+    /// Returns why load control refuses a new flow, or `None` when it may be placed.
     ///
-    /// Answers a service that is asked for more than its slots can serve in time. The flow of a
-    /// copy may be open elsewhere, and an instance that doubts its list or stood still knows
-    /// neither the slots nor when the packet was sent: these refuse nothing. Nor is a flow refused
-    /// that has been seen open here, as a network may deliver its opening packet twice.
+    /// This limits services that are asked for more than their slots can serve in time. Nothing is
+    /// refused for a retransmission, whose flow may be open elsewhere, nor while the list isn't
+    /// confirmed or after this process stood still, when neither the slots nor the time of the
+    /// packet are known. A flow that this instance has seen open isn't refused either, because a
+    /// network may deliver its opening packet twice.
     pub(crate) fn load_refusal(
         &mut self,
         now: ClockTime,
@@ -97,7 +100,7 @@
         }
         let service = self.backends.groups().service_index(service)?;
         let opening = opening_of(route, &packet.key);
-        self.load.sample(service, opening.caller, flow_hash(&packet.key));
+        self.load.sample_account(service, opening.caller, flow_hash(&packet.key));
         if self.list_doubt(now).is_some() {
             return None;
         }
@@ -106,11 +109,11 @@
             AdmissionDecision::Shortage => RefuseReason::Shortage,
             AdmissionDecision::AccountShare => RefuseReason::AccountShare,
         };
-        self.load.refused(now, service, route.priority);
+        self.load.record_refusal(now, service, route.priority);
         Some(reason)
     }
 
-    /// What load control would do with a new flow.
+    /// Returns what load control would do with a new flow.
     pub(crate) fn explain_load(
         &self,
         now: ClockTime,
@@ -124,21 +127,21 @@
             Some(_) => (AdmissionDecision::Admitted, AdmissionBasis::ListDoubt),
             None => (
                 self.load.admit(now, service, &opening_of(route, key)),
-                self.load.basis(now, service),
+                self.load.admission_basis(now, service),
             ),
         };
         Some(LoadExplanation {
             report,
             priority: route.priority,
-            overflow_to: self.load.centre_for(now, service, flow_hash(key)).cloned(),
+            overflow_to: self.load.overflow_centre(now, service, flow_hash(key)).cloned(),
             verdict,
             basis,
         })
     }
 
-    /// Looks at which slots are usable, when that is due or the list changed.
-    fn renew_slots(&mut self, now: ClockTime) {
-        if !self.load.take_slots_due(now) {
+    /// Recomputes the usable slots, if the interval has passed or the list changed.
+    fn refresh_slots(&mut self, now: ClockTime) {
+        if !self.load.start_slots_refresh(now) {
             return;
         }
         let (routes, counted_ms) = self.routes_by_service();
@@ -150,45 +153,45 @@
                 || service.groups.iter().map(|group| &self.backends.groups().groups()[*group]);
             let members = groups().flat_map(|group| &group.backends);
             let known = members.filter_map(|index| self.backends.get(*index));
-            let usual = usual_us(known.filter_map(|backend| backend.latency.mean_us()));
+            let usual = median_latency_us(known.filter_map(|backend| backend.latency.mean_us()));
             let slots_of = |group: &BackendGroup| self.usable_slots(now, group, &routes, usual);
             let slots: BTreeMap<CentreName, f64> =
                 groups().map(|group| (group.data_centre.clone(), slots_of(group))).collect();
             (routes, usual, slots)
         });
         let found: Vec<_> = found.collect();
-        let plans = self.load.plans_of(self.backends.groups());
+        let plans = self.load.plans_for(self.backends.groups());
         for (plan, (routes, usual, slots)) in plans.iter_mut().zip(found) {
-            (plan.routes, plan.usual_us, plan.slots) = (routes, usual, slots);
+            (plan.routes, plan.median_latency_us, plan.slots) = (routes, usual, slots);
         }
     }
 
-    /// What routes ask for by service, and the time in milliseconds for which a request counts as
-    /// running at most.
+    /// Returns what routes ask of each service, and the time in milliseconds after which an
+    /// unanswered request no longer counts as running.
     ///
-    /// Twice the longest aim: when flows move to other instances, their answers pass there, and
-    /// the requests would count here until their deadline. A request that takes longer is counted
-    /// too short, which refuses less.
+    /// That is twice the longest `aim_ms`. When flows move to other instances, their answers pass
+    /// there, and the requests would otherwise count here until their deadline. A request that
+    /// takes longer is counted for too short a time, which makes load control refuse less.
     fn routes_by_service(&self) -> (HashMap<ServiceName, ServiceRoutes>, u64) {
         let mut by_service: HashMap<ServiceName, ServiceRoutes> = HashMap::new();
         let mut longest_ms = 0;
         for route in self.routes.iter() {
-            let time_ms = match (route.aim_ms, route.timeout_ms) {
+            let time_ms = match (route.latency_target_ms, route.timeout_ms) {
                 (0, 0) => self.idle_timeout_ms,
                 (0, timeout_ms) => timeout_ms,
-                (aim_ms, _) => (AIMS_COUNTED * aim_ms).max(LEAST_COUNTED_MS),
+                (aim_ms, _) => (EXPIRY_TARGET_MULTIPLE * aim_ms).max(MIN_REQUEST_EXPIRY_MS),
             };
             longest_ms = longest_ms.max(time_ms);
             for (service, _) in &route.shares {
-                by_service.entry(service.clone()).or_default().add(route);
+                by_service.entry(service.clone()).or_default().add_route(route);
             }
         }
         (by_service, if longest_ms > 0 { longest_ms } else { self.idle_timeout_ms })
     }
 
-    /// Slots of a group's backend servers that new flows can use.
+    /// Returns the slots of a group's backend servers that new flows can use.
     ///
-    /// One that is slow counts in proportion.
+    /// The slots of slow backend servers count in proportion to their speed.
     fn usable_slots(
         &self,
         now: ClockTime,
@@ -197,24 +200,26 @@
         usual: f64,
     ) -> f64 {
         let centre = &group.data_centre;
-        if self.evacuations.contains(centre) || !routes.allow(self.options.regions.get(centre)) {
+        if self.evacuations.contains(centre)
+            || !routes.allows_region(self.options.regions.get(centre))
+        {
             return 0.0;
         }
         let members = group.backends.iter().filter_map(|index| self.backends.get(*index));
         let slots = members.filter(|backend| self.is_usable(now, backend)).map(|backend| {
-            f64::from(backend.slots) / counted_slowness(backend.latency.slowness(now, usual))
+            f64::from(backend.slots) / effective_slowness(backend.latency.slowness(now, usual))
         });
         slots.sum()
     }
 
-    /// True unless it takes no flows or is surely dead. One that is only ejected counts: false
-    /// alarms come in numbers when a network holds packets up, and slots that seem lost would
-    /// make it look like a shortage.
+    /// Returns false for a backend server that takes no flows or is certainly dead. One that is
+    /// merely ejected counts: when a network delays packets, many are ejected falsely, and leaving
+    /// out their slots would look like a shortage.
     fn is_usable(&self, now: ClockTime, backend: &Backend) -> bool {
         backend.accepts_new_flows(now, self.confirmed_at) && !backend.health.is_dead(now)
     }
 
-    /// Takes the time of an answer into the work time of its service.
+    /// Records the time of an answer as work time of its service.
     pub(crate) fn record_work_time(
         &mut self,
         now: ClockTime,
@@ -226,29 +231,30 @@
         let Some(priority) = priority.filter(|_| self.load.is_on()) else { return };
         let groups = self.backends.groups();
         let service = groups.groups()[backend.group].service;
-        let usual = self.load.plan(service).map_or(0.0, |plan| plan.usual_us);
+        let usual = self.load.plan(service).map_or(0.0, |plan| plan.median_latency_us);
         let slowness = match usual > 0.0 {
-            true => counted_slowness(backend.latency.slowness(now, usual)),
+            true => effective_slowness(backend.latency.slowness(now, usual)),
             false => 1.0,
         };
-        self.load.answered(groups, backend.group, priority, (latency, slowness));
+        self.load.record_answer(groups, backend.group, priority, (latency, slowness));
     }
 
     /// Counts a request that began.
     pub(crate) fn record_arrival(&mut self, now: ClockTime, index: usize, priority: Option<u32>) {
         let Some(backend) = self.backends.get(index) else { return };
         let Some(priority) = priority.filter(|_| self.load.is_on()) else { return };
-        self.load.arrived(now, self.backends.groups(), backend.group, priority);
+        self.load.record_arrival(now, self.backends.groups(), backend.group, priority);
     }
 
-    /// The other data centre to which overflow sends a new flow; none when it stays near.
+    /// Returns the other data centre to which overflow sends a new flow, or `None` when it stays in
+    /// its own.
     pub(crate) fn overflow_centre(
         &self,
         now: ClockTime,
         service: usize,
         key: &FlowKey,
     ) -> Option<CentreName> {
-        self.load.centre_for(now, service, flow_hash(key)).cloned()
+        self.load.overflow_centre(now, service, flow_hash(key)).cloned()
     }
 }
 
@@ -256,8 +262,10 @@
     FlowOpening { priority: route.priority, caller: *key.caller.ip() }
 }
 
-/// Slowness as placement counts it: answer times of one service differ by half of their mean.
-fn counted_slowness(slowness: f64) -> f64 {
-    let (slow, slowest) = (f64::from(SLOW) / 100.0, f64::from(SLOWEST) / 100.0);
+/// Returns the slowness as placement counts it: answer times of one service differ by half of their
+/// mean.
+fn effective_slowness(slowness: f64) -> f64 {
+    let (slow, slowest) =
+        (f64::from(MIN_SLOWNESS_PERCENT) / 100.0, f64::from(MAX_SLOWNESS_PERCENT) / 100.0);
     if slowness < slow { 1.0 } else { slowness.min(slowest) }
 }
--- a/crates/foxledge-flows/src/loss_gauge.rs
+++ b/crates/foxledge-flows/src/loss_gauge.rs
@@ -1,32 +1,35 @@
-//! How lossy the ways of an instance are, as far as answered requests tell.
+//! Packet loss on an instance's network paths, estimated from answered requests.
 
-/// Weight of one answered request: the last ten decide. An instance sees some 30 answers a
-/// second, so that losses show before the 0.6 s are over that a silence takes to be sure.
+/// Weight of one answered request in the moving average, about the last ten. An instance sees some
+/// 30 answers a second, so losses show before the 0.6 s are over after which an unanswered backend
+/// server counts as dead.
 const WEIGHT: f64 = 0.1;
-/// Share of answered requests sent again from which ways count as lossy: two of the last ten.
-/// A packet that is lost now and then doesn't reach it.
-const LOSSY: f64 = 0.15;
+/// Share of answered requests with retransmissions above which paths count as lossy: two of the
+/// last ten. A single lost packet doesn't exceed it.
+const LOSSY_SHARE: f64 = 0.15;
 
-/// `LossGauge` is the share of answered requests whose data had to be sent again.
+/// Moving average of the share of answered requests whose data was retransmitted.
 ///
-/// Where three packets in ten are lost, two flows to a backend server that lives stay
-/// unanswered through two copies within some seconds, and look like its death. Requests that
-/// are answered in the end tell the two apart: beside a death, others are answered at once.
-/// Without this, 41 flows that lived were ended in a run of the measuring tool.
+/// Where three packets in ten are lost, two flows to a healthy backend server stay unanswered
+/// through two retransmissions within some seconds, which looks like its death. Answered requests
+/// tell the two cases apart: when only one backend server is dead, the others answer without
+/// retransmissions. Without this gauge, 41 flows of healthy backend servers were reset in a run of
+/// the measuring tool.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LossGauge {
-    share: f64,
+    retransmitted_share: f64,
 }
 
 impl LossGauge {
-    /// Takes an answered request, whose data was sent again so often.
+    /// Records an answered request with the number of its data's retransmissions.
     pub fn record_request(&mut self, copies: u32) {
         let sample = if copies > 0 { 1.0 } else { 0.0 };
-        self.share += WEIGHT * (sample - self.share);
+        self.retransmitted_share += WEIGHT * (sample - self.retransmitted_share);
     }
 
-    /// True when silence tells little, as packets are lost on all ways.
+    /// Returns true when packets are lost on all paths, so that a missing answer says little about
+    /// a backend server.
     pub fn is_lossy(&self) -> bool {
-        self.share > LOSSY
+        self.retransmitted_share > LOSSY_SHARE
     }
 }
--- a/crates/foxledge-flows/src/mechanisms.rs
+++ b/crates/foxledge-flows/src/mechanisms.rs
@@ -1,42 +1,44 @@
-//! Mechanisms that a router can do without, so that what each is worth can be measured.
+//! Mechanisms that can be disabled in a router, to measure the effect of each.
 
-/// `RouterMechanism` is one thing that a router does for callers beside the least it must.
+/// A mechanism beyond the minimum that routing needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouterMechanism {
-    /// An opening that stays unanswered for 40 ms speaks against its backend server.
+    /// An opening that isn't answered within 40 ms counts against its backend server.
     Suspicion,
-    /// A second sign of silence keeps new flows away for a second and more.
+    /// A second unanswered packet keeps new flows away for at least a second.
     Ejection,
-    /// After that, one flow at a time tries it.
+    /// After an ejection, one flow at a time is sent as a trial.
     Probation,
-    /// What other instances observe counts.
+    /// Health observations of other instances count.
     PeerObservations,
-    /// Instances try ejected backend servers in turn.
+    /// Instances delay their trials at ejected backend servers by different times.
     TrialDelays,
-    /// Flows that wait at a dead backend server are ended.
+    /// Flows that wait for an answer of a dead backend server are reset.
     StalledResets,
-    /// Flows at rest at a dead backend server are ended.
+    /// Idle flows of a dead backend server are reset.
     IdleResets,
-    /// Requests that wait there and may be repeated are ended before they are sent again.
+    /// Flows with a repeatable request at a dead backend server are reset before the caller
+    /// retransmits.
     WaitingResets,
-    /// Flows that wait in a data centre that answers nobody are ended.
+    /// Flows that wait for a data centre that answers nobody are reset.
     CentreResets,
-    /// Packets of open flows that an instance can't place yet are handed to another.
+    /// Packets of open flows whose backend server isn't in the list yet are relayed to another
+    /// instance.
     Relays,
-    /// Silence on lossy ways counts less.
+    /// Missing answers count less on lossy paths.
     LossDoubt,
-    /// Copies of an opening within 150 ms go where the first went.
+    /// Retransmissions of an opening within 150 ms go to the same backend server as the first.
     RetransmissionWindow,
-    /// Backend servers that take long for answers get less.
+    /// Backend servers with long answer times get fewer flows.
     Slowness,
-    /// Those that have just started get less.
+    /// Backend servers that started recently get fewer flows.
     Cold,
-    /// Those of other data centres get less.
+    /// Backend servers of other data centres get fewer flows.
     Distance,
 }
 
 impl RouterMechanism {
-    /// Every one.
+    /// All mechanisms.
     pub const ALL: [RouterMechanism; 15] = [
         RouterMechanism::Suspicion,
         RouterMechanism::Ejection,
@@ -55,7 +57,7 @@
         RouterMechanism::Distance,
     ];
 
-    /// Its name in plans and reports.
+    /// Returns the mechanism's name in plans and reports.
     pub fn as_str(self) -> &'static str {
         match self {
             RouterMechanism::Suspicion => "suspicion",
@@ -76,26 +78,26 @@
         }
     }
 
-    /// The mechanism of that name.
+    /// Returns the mechanism with a name.
     pub fn from_name(name: &str) -> Option<RouterMechanism> {
         RouterMechanism::ALL.into_iter().find(|mechanism| mechanism.as_str() == name)
     }
 }
 
-/// `MechanismSet` is the mechanisms that a router does without; none in the product.
+/// The disabled mechanisms of a router; empty in production.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MechanismSet {
     bits: u32,
 }
 
 impl MechanismSet {
-    /// Adds one.
-    pub fn add(&mut self, mechanism: RouterMechanism) {
+    /// Adds a mechanism.
+    pub fn insert(&mut self, mechanism: RouterMechanism) {
         self.bits |= 1 << mechanism as u32;
     }
 
-    /// True when it holds the mechanism.
-    pub fn holds(self, mechanism: RouterMechanism) -> bool {
+    /// Returns true when the set contains the mechanism.
+    pub fn contains(self, mechanism: RouterMechanism) -> bool {
         self.bits & (1 << mechanism as u32) != 0
     }
 }
--- a/crates/foxledge-flows/src/new_flows.rs
+++ b/crates/foxledge-flows/src/new_flows.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     backends::REMOVAL_GRACE_MS,
-    candidates::{FlowBarrier, FlowPlacement, NewFlow},
+    candidates::{FlowPlacement, NewFlow, PlacementBarrier},
     decisions::{DropReason, FlowDecision, OpenReason, RefuseReason},
     health::UnansweredPacket,
     mechanisms::RouterMechanism,
@@ -14,19 +14,24 @@
     router::FlowRouter,
 };
 
-/// A copy of an opening packet that comes sooner than this after the first, in
-/// milliseconds, goes to the same backend server.
+/// Age of a first opening packet, in milliseconds, up to which a retransmission goes to the same
+/// backend server.
 ///
-/// Callers send copies after 200 ms. After a freeze the first packet and its
-/// copies wait in the socket together and are read at once: sent to several
-/// backend servers they would open the flow twice, and the caller would mix the
-/// token of one with the sequence numbers of the other.
-const COPY_MS: u64 = 150;
+/// Callers retransmit after 200 ms. After a freeze of this process, the first packet and its
+/// retransmissions wait in the socket and are read together. Sent to several backend servers, they
+/// would open the flow twice, and the caller would mix the token of one with the sequence numbers
+/// of another.
+const EARLY_RETRANSMISSION_MS: u64 = 150;
 
 impl FlowRouter {
-    pub(crate) fn open(&mut self, now: ClockTime, packet: &FlowPacket, copy: u32) -> FlowDecision {
+    pub(crate) fn handle_opening(
+        &mut self,
+        now: ClockTime,
+        packet: &FlowPacket,
+        copy: u32,
+    ) -> FlowDecision {
         let Some(route) = self.routes.find(&packet.key.service).cloned() else {
-            return self.refuse(now, RefuseReason::NoRoute);
+            return self.refuse_or_drop(now, RefuseReason::NoRoute);
         };
         if copy > 0 {
             self.counters.retransmitted_openings += 1;
@@ -41,15 +46,15 @@
         };
         let former = self.openings.get(&packet.key).copied();
         if let Some(opening) = former {
-            let is_same = !opening.sent_at.after_millis(COPY_MS).is_past(now);
+            let is_same = !opening.sent_at.after_millis(EARLY_RETRANSMISSION_MS).is_past(now);
             if is_same && self.has_mechanism(RouterMechanism::RetransmissionWindow) {
-                if !self.count_cold(now, opening.backend) {
+                if !self.count_cold_flow(now, opening.backend) {
                     return FlowDecision::Drop(DropReason::ColdLimit);
                 }
                 return FlowDecision::Open { backend: opening.backend, reason: reason(None, 1) };
             }
             self.openings.remove(&packet.key);
-            self.note_far_silence(opening.backend);
+            self.count_remote_timeout(opening.backend);
             self.observe_health(now, opening.backend, |health, turn_ms| {
                 health.on_unanswered(now, opening.sent_at, UnansweredPacket::Opening, turn_ms)
             });
@@ -61,12 +66,18 @@
         {
             return FlowDecision::Refuse(reason);
         }
-        let flow = NewFlow { key: &packet.key, route: &route, service: &service, avoided };
-        let FlowPlacement { choice, candidates, barrier, overflow_to } = self.place(now, &flow);
+        let flow = NewFlow {
+            key: &packet.key,
+            route: &route,
+            service: &service,
+            unresponsive_backend: avoided,
+        };
+        let FlowPlacement { choice, candidates, barrier, overflow_to } =
+            self.place_flow(now, &flow);
         let Some((index, rank)) = choice else {
-            return self.refuse_unserved(now, &service, barrier);
+            return self.refuse_without_backend(now, &service, barrier);
         };
-        self.count_cold(now, index);
+        self.count_cold_flow(now, index);
         self.placement_count += 1;
         let mut group = 0;
         if let Some(backend) = self.backends.get_mut(index) {
@@ -82,19 +93,20 @@
         FlowDecision::Open { backend: index, reason }
     }
 
-    /// Refuses an opening packet to a service without backend servers.
+    /// Refuses an opening packet of a service without a usable backend server.
     ///
-    /// Entries lapse while the store is away, and are back some two seconds after its
-    /// return. An instance that started in between knows nothing of them, and a refusal is
-    /// final: for as long, the caller's copies may find what is missing now.
-    fn refuse_unserved(
+    /// Entries expire while the store is unreachable, and are back some two seconds after it
+    /// returns. An instance that started in between has never seen them. A refusal is final for the
+    /// caller, so during that time the packet is dropped instead, and the caller's retransmissions
+    /// may find the missing entries.
+    fn refuse_without_backend(
         &self,
         now: ClockTime,
         service: &ServiceName,
-        barrier: Option<FlowBarrier>,
+        barrier: Option<PlacementBarrier>,
     ) -> FlowDecision {
         if let Some(barrier) = barrier {
-            return self.refuse(now, RefuseReason::of_barrier(barrier));
+            return self.refuse_or_drop(now, RefuseReason::from_barrier(barrier));
         }
         let is_unknown = self.backends.service_indexes(service).is_empty();
         let is_new = self
@@ -103,12 +115,12 @@
         if is_unknown && is_new {
             return FlowDecision::Drop(DropReason::MaybeStale);
         }
-        self.refuse(now, RefuseReason::NoBackend)
+        self.refuse_or_drop(now, RefuseReason::NoBackend)
     }
 
-    /// Counts a new flow against the quota of a cold backend server; false when it has none
-    /// left.
-    fn count_cold(&mut self, now: ClockTime, index: usize) -> bool {
+    /// Counts a new flow against the quota of a cold backend server. Returns false when the quota
+    /// is used up.
+    fn count_cold_flow(&mut self, now: ClockTime, index: usize) -> bool {
         let Some(backend) = self.backends.get_mut(index).filter(|one| one.is_cold(now)) else {
             return true;
         };
@@ -124,26 +136,26 @@
     }
 
     /// Counts an opening that a backend server of another data centre left unanswered.
-    fn note_far_silence(&mut self, index: usize) {
+    fn count_remote_timeout(&mut self, index: usize) {
         let backend = self.backends.get(index);
         if backend.is_some_and(|backend| backend.data_centre != self.options.data_centre) {
             self.remote_timeouts = self.remote_timeouts.saturating_add(1);
         }
     }
 
-    /// Refuses an opening packet, if this instance can be sure.
+    /// Refuses an opening packet, or drops it while the list may be out of date.
     ///
-    /// A refusal is final for the caller, so only an instance that has heard
-    /// lately that its list is the newest refuses. Others stay silent: a copy of
-    /// the packet may find what is missing here, or has found it already.
-    fn refuse(&self, now: ClockTime, reason: RefuseReason) -> FlowDecision {
+    /// A refusal is final for the caller, so an instance refuses only when the store has recently
+    /// confirmed that its list is the newest. Otherwise it drops the packet: a retransmission may
+    /// find the entry that is missing here, or may already have found it.
+    fn refuse_or_drop(&self, now: ClockTime, reason: RefuseReason) -> FlowDecision {
         match self.list_doubt(now) {
             Some(doubt) => FlowDecision::Drop(doubt),
             None => FlowDecision::Refuse(reason),
         }
     }
 
-    /// Why this instance can't be sure that its list is the newest; none when it can.
+    /// Returns why the list may not be the newest, or `None` when it is confirmed.
     pub(crate) fn list_doubt(&self, now: ClockTime) -> Option<DropReason> {
         let Some(confirmed) = self.confirmed_at else { return Some(DropReason::NoList) };
         let is_old = confirmed.after_millis(self.options.max_list_age_ms).is_past(now);
--- a/crates/foxledge-flows/src/options.rs
+++ b/crates/foxledge-flows/src/options.rs
@@ -1,4 +1,4 @@
-//! What a router starts with.
+//! Options of a router.
 
 use std::{
     collections::HashMap,
@@ -13,7 +13,7 @@
     mechanisms::{MechanismSet, RouterMechanism},
 };
 
-/// `RouterOptions` is what a router starts with.
+/// Options with which a router is created.
 #[derive(Clone, Debug)]
 pub struct RouterOptions {
     pub(crate) data_centre: CentreName,
@@ -28,7 +28,7 @@
 }
 
 impl RouterOptions {
-    /// Options of an instance in `data_centre`.
+    /// Creates the options of an instance in `data_centre`.
     pub fn new(data_centre: CentreName) -> RouterOptions {
         RouterOptions {
             data_centre,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Sets where the instance takes messages, by which others know it.
+    /// Sets the address at which the instance receives messages, which identifies it to others.
     pub fn address(mut self, address: SocketAddrV4) -> RouterOptions {
         self.address = address;
         self
@@ -55,40 +55,40 @@
         self
     }
 
-    /// Sets by how much a cold backend server's limit may be passed.
+    /// Sets by how much the limits of cold backend servers may be exceeded.
     pub fn cold_rules(mut self, rules: ColdRules) -> RouterOptions {
         self.cold = rules;
         self
     }
 
-    /// Sets how old the store's confirmation of the list may be, in
-    /// milliseconds, for a flow to be refused; when it is older, the
-    /// caller gets no answer and a copy of its packet may be served.
+    /// Sets the maximum age of the store's confirmation of the list, in milliseconds, at which a
+    /// flow may be refused. When it is older, the packet is dropped without an answer, and a
+    /// retransmission may be served.
     pub fn max_list_age_ms(mut self, fresh_ms: u64) -> RouterOptions {
         self.max_list_age_ms = fresh_ms;
         self
     }
 
-    /// Leaves a mechanism out, so that what it is worth can be measured.
+    /// Disables a mechanism, to measure its effect.
     pub fn without(mut self, mechanism: RouterMechanism) -> RouterOptions {
-        self.without.add(mechanism);
+        self.without.insert(mechanism);
         self
     }
 
-    /// Sets whether new flows go to other data centres when the own one is full and the load of
+    /// Sets whether new flows go to other data centres when the local one is full and the load of
     /// all is known.
     pub fn overflow(mut self, overflow: bool) -> RouterOptions {
         self.overflow = overflow;
         self
     }
 
-    /// Sets whether new flows are refused while a service is known to be short of slots, and how.
+    /// Sets whether, and how, new flows are refused while a service is known to be short of slots.
     pub fn admission(mut self, admission: Option<AdmissionOptions>) -> RouterOptions {
         self.admission = admission;
         self
     }
 
-    /// Sets what tells this instance from others.
+    /// Sets the seed, which must differ between instances.
     pub fn seed(mut self, seed: u64) -> RouterOptions {
         self.seed = seed;
         self
--- a/crates/foxledge-flows/src/packet.rs
+++ b/crates/foxledge-flows/src/packet.rs
@@ -1,22 +1,22 @@
-//! Packets as the router sees them, and how they are read and written.
+//! Packets as the router sees them, and the codec that reads and writes them.
 
 use std::{fmt, net::SocketAddrV4};
 
 use thiserror::Error;
 
-/// Bytes that a receiver leaves free in front of a packet, for what
-/// [`PacketCodec::address_to`] writes there.
+/// Bytes that a receiver leaves free in front of a packet, for what [`PacketCodec::set_backend`]
+/// writes there.
 pub const HEADROOM_BYTES: usize = 8;
 
-/// Largest packet, head included, in bytes; longer datagrams are malformed.
+/// Maximum size of a packet with its head, in bytes. Longer datagrams are malformed.
 pub const MAX_PACKET_BYTES: usize = 1_400;
 
-/// `FlowKey` names one flow: the caller's end and the service's end.
+/// Addresses of a flow: the caller's and the service's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FlowKey {
     /// Address and port of the caller.
     pub caller: SocketAddrV4,
-    /// Address and port that the caller wants.
+    /// Address and port to which the caller sends.
     pub service: SocketAddrV4,
 }
 
@@ -26,58 +26,58 @@
     }
 }
 
-/// `PacketKind` is what a packet of a caller does to its flow.
+/// What a packet of a caller does to its flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PacketKind {
-    /// Opens the flow; `copy` counts resends of the opening packet, from 0.
+    /// Opens the flow.
     Open {
-        /// 0 for the first, 1 and 2 for its resends.
+        /// 0 for the first opening packet, 1 and 2 for its retransmissions.
         attempt: u32,
     },
-    /// Belongs to a flow that the caller holds open.
+    /// Continues an open flow.
     Continue,
-    /// The caller has sent all it will send.
+    /// The caller won't send any more data.
     Finish,
-    /// The caller gives the flow up.
+    /// The caller aborts the flow.
     Abort,
 }
 
-/// `FlowPacket` is the head of one packet of a caller.
+/// The head of a caller's packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FlowPacket {
-    /// The flow.
+    /// Addresses of the flow.
     pub key: FlowKey,
-    /// What the packet does.
+    /// What the packet does to its flow.
     pub kind: PacketKind,
-    /// Names the backend server that holds the flow; 0 while none does.
+    /// Token of the backend server that serves the flow; 0 before the first answer.
     pub token: u32,
     /// Sequence number of the first byte of data.
     pub sequence: u32,
     /// Next byte that the caller expects from the backend server.
     pub acknowledged: u32,
-    /// Bytes of data.
+    /// Length of the data in bytes.
     pub length: u16,
 }
 
-/// `PacketFault` is why a datagram isn't a packet.
+/// Why a datagram isn't a valid packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PacketFault {
-    /// Shorter than a head.
+    /// Shorter than a packet's head.
     #[error("shorter than a packet's head")]
     Short,
-    /// Longer than a packet may be.
+    /// Longer than the maximum size.
     #[error("longer than a packet may be")]
     Long,
-    /// The head counts other data than the datagram holds.
+    /// The length in the head differs from that of the data.
     #[error("the length in the head differs from the data")]
     Length,
-    /// No combination of flags that a caller sends.
+    /// A combination of flags that callers never send.
     #[error("flags that no caller sends")]
     Flags,
 }
 
 impl PacketFault {
-    /// The fault's word in metrics.
+    /// Returns the fault's name in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             PacketFault::Short => "short",
@@ -88,21 +88,21 @@
     }
 }
 
-/// `PacketCodec` reads and writes packets in the form that callers and backend servers speak.
+/// Reads and writes packets in the format of callers and backend servers.
 pub trait PacketCodec {
-    /// Reads the head of a packet.
+    /// Parses the head of a packet.
     ///
     /// # Errors
     ///
-    /// A [`PacketFault`] when the datagram isn't a packet of a caller.
+    /// Returns a [`PacketFault`] when the datagram isn't a packet of a caller.
     fn parse_packet(&self, datagram: &[u8]) -> Result<FlowPacket, PacketFault>;
 
-    /// Writes the intended backend server into the [`HEADROOM_BYTES`] of `frame`.
+    /// Writes the number of the intended backend server into the [`HEADROOM_BYTES`] of `frame`.
     fn set_backend(&self, frame: &mut [u8], backend: u64);
 
     /// Writes the token into a frame whose packet starts at [`HEADROOM_BYTES`].
     fn set_token(&self, frame: &mut [u8], token: u32);
 
-    /// The packet that refuses the opening packet `packet`, or ends its open flow.
+    /// Builds the packet that refuses the opening packet `packet`, or resets its open flow.
     fn reset_packet(&self, packet: &FlowPacket) -> Vec<u8>;
 }
--- a/crates/foxledge-flows/src/pending_openings.rs
+++ b/crates/foxledge-flows/src/pending_openings.rs
@@ -1,4 +1,4 @@
-//! New flows whose opening packet has been sent on and whose caller hasn't gone on yet.
+//! Openings that were forwarded and whose caller hasn't continued the flow yet.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,121 +6,122 @@
 
 use crate::{groups::GroupCounts, packet::FlowKey};
 
-/// How long an opening packet may stay unanswered, in milliseconds, before it
-/// speaks against the backend server.
+/// Time, in milliseconds, after which an unanswered opening counts against the backend server.
 ///
-/// A caller 3 ms away goes on 7 ms after its opening packet passed here. The
-/// rest is room for a late turn of this process.
+/// A caller 3 ms away continues 7 ms after its opening packet passed here. The rest allows for a
+/// late wake-up of this process.
 pub const OPENING_TIMEOUT_MS: u64 = 40;
-/// How long an opening packet is remembered, in milliseconds: callers send
-/// copies after 200 and 600 ms and give up after 1.4 s.
-const REMEMBERED_MS: u64 = 1_500;
-/// Most openings remembered at a time; more come only with a flood, and then
-/// the oldest tell least.
-const MOST_OPENINGS: usize = 20_000;
-
-/// `Opening` is one opening packet that was sent on.
+/// Time, in milliseconds, for which an opening is kept: callers retransmit after 200 and 600 ms and
+/// give up after 1.4 s.
+const OPENING_TTL_MS: u64 = 1_500;
+/// Maximum number of openings kept. Only a flood exceeds it; openings beyond it are not recorded.
+const MAX_OPENINGS: usize = 20_000;
+
+/// An opening packet that was forwarded and not answered yet.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingOpening {
     /// Index of the backend server.
     pub backend: usize,
     /// Index of the backend server's group.
     pub group: usize,
-    /// When the packet was sent there first.
+    /// When the packet was first sent to the backend server.
     pub sent_at: ClockTime,
-    /// True once its silence was counted against the backend server, or must not be.
+    /// True once the missing answer has counted against the backend server, or if it must not
+    /// count.
     pub is_overdue: bool,
 }
 
-/// `OpeningTable` is every opening that waits for its caller to go on.
+/// All openings whose caller hasn't continued the flow yet.
 #[derive(Debug, Default)]
 pub struct OpeningTable {
-    waiting: HashMap<FlowKey, PendingOpening>,
-    fresh: HashMap<usize, u32>,
-    fresh_by_group: GroupCounts,
+    by_flow: HashMap<FlowKey, PendingOpening>,
+    pending_by_backend: HashMap<usize, u32>,
+    pending_by_group: GroupCounts,
     by_age: VecDeque<(ClockTime, FlowKey)>,
     overdue: VecDeque<(ClockTime, FlowKey)>,
 }
 
 impl OpeningTable {
-    /// Notes that an opening packet was sent to a backend server.
+    /// Adds an opening that was sent to a backend server.
     pub fn add(&mut self, now: ClockTime, key: FlowKey, backend: usize, group: usize) {
-        if self.put(key, PendingOpening { backend, group, sent_at: now, is_overdue: false }) {
-            *self.fresh.entry(backend).or_default() += 1;
-            self.fresh_by_group.add(group);
+        if self.insert(key, PendingOpening { backend, group, sent_at: now, is_overdue: false }) {
+            *self.pending_by_backend.entry(backend).or_default() += 1;
+            self.pending_by_group.add(group);
             self.by_age.push_back((now, key));
         }
     }
 
-    /// Notes an opening packet that was sent on so late that its caller may have given
-    /// up: that nobody goes on says nothing of the backend server.
+    /// Adds an opening that was forwarded so late that its caller may have given up. A missing
+    /// answer then doesn't count against the backend server.
     pub fn add_untimed(&mut self, now: ClockTime, key: FlowKey, backend: usize, group: usize) {
-        if self.put(key, PendingOpening { backend, group, sent_at: now, is_overdue: true }) {
+        if self.insert(key, PendingOpening { backend, group, sent_at: now, is_overdue: true }) {
             self.overdue.push_back((now, key));
         }
     }
 
-    /// Puts an opening in place; false when there is no room.
-    fn put(&mut self, key: FlowKey, opening: PendingOpening) -> bool {
+    /// Inserts an opening. Returns false when the table is full.
+    fn insert(&mut self, key: FlowKey, opening: PendingOpening) -> bool {
         self.remove(&key);
-        if self.waiting.len() >= MOST_OPENINGS {
+        if self.by_flow.len() >= MAX_OPENINGS {
             return false;
         }
-        self.waiting.insert(key, opening);
+        self.by_flow.insert(key, opening);
         true
     }
 
-    /// The opening of a flow.
+    /// Returns the opening of a flow.
     pub fn get(&self, key: &FlowKey) -> Option<&PendingOpening> {
-        self.waiting.get(key)
+        self.by_flow.get(key)
     }
 
-    /// Takes an opening out, as its caller went on or gave up.
+    /// Removes an opening whose caller continued or gave up.
     pub fn remove(&mut self, key: &FlowKey) -> Option<PendingOpening> {
-        let opening = self.waiting.remove(key)?;
+        let opening = self.by_flow.remove(key)?;
         if !opening.is_overdue {
-            self.end_fresh(&opening);
+            self.remove_pending(&opening);
         }
         Some(opening)
     }
 
-    /// Openings at `backend` that wait and aren't overdue.
+    /// Returns the number of openings at `backend` that are neither answered nor overdue.
     pub fn pending_count(&self, backend: usize) -> u32 {
-        self.fresh.get(&backend).copied().unwrap_or(0)
+        self.pending_by_backend.get(&backend).copied().unwrap_or(0)
     }
 
-    /// Openings that wait and aren't overdue, by group of their backend server.
+    /// Returns the openings that are neither answered nor overdue, by group of their backend
+    /// server.
     pub fn pending_by_group(&self) -> &GroupCounts {
-        &self.fresh_by_group
+        &self.pending_by_group
     }
 
-    /// The next opening that has waited for longer than [`OPENING_TIMEOUT_MS`]; each is told once.
+    /// Returns the next opening that has waited for longer than [`OPENING_TIMEOUT_MS`]. Each
+    /// opening is returned once.
     pub fn next_overdue(&mut self, now: ClockTime) -> Option<PendingOpening> {
-        self.forget(now);
+        self.remove_expired(now);
         loop {
             let (sent, key) = *self.by_age.front()?;
             if !sent.after_millis(OPENING_TIMEOUT_MS).is_past(now) {
                 return None;
             }
             self.by_age.pop_front();
-            let Some(opening) = self.waiting.get_mut(&key) else { continue };
+            let Some(opening) = self.by_flow.get_mut(&key) else { continue };
             if opening.sent_at != sent {
                 continue;
             }
             opening.is_overdue = true;
             let told = *opening;
-            self.end_fresh(&told);
+            self.remove_pending(&told);
             self.overdue.push_back((sent, key));
             return Some(told);
         }
     }
 
-    fn forget(&mut self, now: ClockTime) {
+    fn remove_expired(&mut self, now: ClockTime) {
         while let Some((sent, key)) = self.overdue.front() {
-            if !sent.after_millis(REMEMBERED_MS).is_past(now) {
+            if !sent.after_millis(OPENING_TTL_MS).is_past(now) {
                 return;
             }
-            if self.waiting.get(key).is_some_and(|opening| opening.sent_at == *sent) {
+            if self.by_flow.get(key).is_some_and(|opening| opening.sent_at == *sent) {
                 let key = *key;
                 self.remove(&key);
             }
@@ -128,10 +129,10 @@
         }
     }
 
-    fn end_fresh(&mut self, opening: &PendingOpening) {
-        if let Some(count) = self.fresh.get_mut(&opening.backend) {
+    fn remove_pending(&mut self, opening: &PendingOpening) {
+        if let Some(count) = self.pending_by_backend.get_mut(&opening.backend) {
             *count = count.saturating_sub(1);
         }
-        self.fresh_by_group.remove(opening.group);
+        self.pending_by_group.remove(opening.group);
     }
 }
--- a/crates/foxledge-flows/src/placement.rs
+++ b/crates/foxledge-flows/src/placement.rs
@@ -1,58 +1,59 @@
-//! Which backend server a new flow goes to.
+//! Placement policy for new flows.
 
 use foxledge_core::time::ClockTime;
 use serde::Serialize;
 
 use crate::health::HealthClass;
 
-/// `PlacementCandidate` is a backend server that may take a new flow.
+/// A backend server that can receive a new flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlacementCandidate {
-    /// Its index.
+    /// Index of the backend server.
     pub index: usize,
-    /// What is believed of its health.
+    /// Health as this instance judges it.
     pub health: HealthClass,
     /// Openings that wait for its answer.
     pub pending_openings: u32,
-    /// True when it left an earlier copy of the caller's opening packet unanswered.
+    /// True when it left an earlier opening packet of this flow unanswered.
     pub is_unresponsive: bool,
-    /// True in the data centre of this instance.
+    /// True in the data centre in which the flow is to be placed, normally that of this instance.
     pub is_same_centre: bool,
     /// Requests that run there.
     pub running_requests: u32,
-    /// Requests that it runs at once.
+    /// Requests that it can run at the same time.
     pub slots: u32,
-    /// How many times as long as usual its answers take, in hundredths from 100 up.
+    /// Its answer time relative to the median of the service, in percent, at least 100.
     pub slowness_percent: u32,
-    /// True while it has just started and is slow.
+    /// True while it is cold: started recently and still slow.
     pub is_cold: bool,
-    /// True when slots are scarce and it is left to other instances.
+    /// True when slots are scarce and it isn't in the subset that this instance prefers.
     pub is_outside_subset: bool,
     /// Open flows there.
     pub open_flows: u32,
-    /// Counter of the last placement there.
+    /// Value of the router's placement counter at the last placement there.
     pub last_placement: u64,
 }
 
-/// `PlacementRank` is by what a candidate is chosen, the least first.
+/// Sort key of a candidate; the candidate with the smallest rank is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct PlacementRank {
-    /// Health, the caller's own failed attempt included.
+    /// Penalty for bad health, and for an opening of this flow left unanswered.
     #[serde(rename = "avoidance")]
     pub health_penalty: u8,
-    /// Load and distance as one cost.
+    /// Load, slowness and distance as one cost.
     pub cost: u32,
     /// Open flows.
     #[serde(rename = "flows")]
     pub open_flows: u32,
-    /// The longest unused goes first.
+    /// Counter of the last placement; the least recently used candidate goes first.
     #[serde(rename = "picked")]
     pub last_placement: u64,
 }
 
-/// `PlacementPolicy` chooses among candidates.
+/// Chooses among candidates.
 pub trait PlacementPolicy {
-    /// The candidate for a new flow and its rank; none without candidates.
+    /// Returns the index of the candidate for a new flow and its rank, or `None` without
+    /// candidates.
     fn choose(
         &mut self,
         now: ClockTime,
@@ -60,33 +61,31 @@
     ) -> Option<(usize, PlacementRank)>;
 }
 
-/// Cost of one request that runs, per slot.
+/// Cost of one running request per slot.
 const REQUEST_COST: u32 = 100;
-/// Slowness in hundredths from which it counts. Work times of one service differ
-/// by half of their mean, and so does a mean of some ten of them by a fifth.
-pub(crate) const SLOW: u32 = 150;
-/// Slowness in hundredths that counts at most.
-pub(crate) const SLOWEST: u32 = 1_000;
-/// Cost of a backend server that is cold: it takes 1.6 times as long, so one
-/// request there is as slow as one that waits behind half a request.
+/// Slowness, in percent, below which it is ignored. Work times of one service differ by half of
+/// their mean, and the mean of some ten of them still by a fifth.
+pub(crate) const MIN_SLOWNESS_PERCENT: u32 = 150;
+/// Maximum slowness, in percent, that is counted.
+pub(crate) const MAX_SLOWNESS_PERCENT: u32 = 1_000;
+/// Cost of a cold backend server. It takes 1.6 times as long, so a request there is as slow as one
+/// that waits behind half a request.
 const COLD_COST: u32 = 40;
-/// Cost of the way to another data centre.
+/// Cost of another data centre.
 ///
-/// Bytes between data centres are paid for. Flows leave only when every near
-/// backend server runs this many hundredths of its slots more than the far one.
-const FAR_COST: u32 = 200;
+/// Traffic between data centres is paid for. Flows leave the data centre only when every local
+/// backend server has this many hundredths of its slots more in use than the remote one.
+const REMOTE_COST: u32 = 200;
 
-/// Cost of a backend server that is left to other instances while slots are scarce: as much as one
+/// Cost of a backend server outside the preferred subset while slots are scarce: as much as one
 /// more request in each slot.
-const OUTSIDE_COST: u32 = 100;
+const OUTSIDE_SUBSET_COST: u32 = 100;
 
-/// `LeastLoaded` places on the healthiest, nearest, least loaded backend server.
+/// Places a flow on the healthiest, nearest and least loaded backend server.
 ///
-/// A backend server that takes five times as long gets a flow only when the others
-/// run five times as many requests. The number of running requests is this
-/// instance's own view. Two choices among
-/// random ones would do with less knowledge; with every count at hand the least
-/// of all is as cheap.
+/// A backend server that takes five times as long gets a flow only when the others run five times
+/// as many requests. The number of running requests is what this instance itself has seen. Two
+/// random choices would need less state, but with all counts at hand the minimum costs no more.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastLoaded;
 
@@ -101,52 +100,52 @@
     }
 }
 
-/// `PlacementBound` is against what the best of some candidates must hold for others not to be
-/// looked at.
+/// The next class of backend servers, which needn't be examined when the best candidate found so
+/// far is good enough.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PlacementBound {
-    /// A backend server of the same data centre that is left to other instances.
-    Outside,
-    /// One of another data centre.
-    Far,
+    /// Backend servers of the same data centre outside the preferred subset.
+    OutsideSubset,
+    /// Backend servers of other data centres.
+    Remote,
 }
 
 impl PlacementBound {
-    /// True when a candidate of this rank is healthy and no dearer than an idle one beyond the
-    /// bound.
-    pub fn holds(self, rank: &PlacementRank, slots: u32) -> bool {
+    /// Returns true when a candidate of this rank is healthy and costs no more than an idle backend
+    /// server of the class beyond the bound.
+    pub fn is_met_by(self, rank: &PlacementRank, slots: u32) -> bool {
         let beyond = match self {
-            PlacementBound::Outside => OUTSIDE_COST,
-            PlacementBound::Far => FAR_COST,
+            PlacementBound::OutsideSubset => OUTSIDE_SUBSET_COST,
+            PlacementBound::Remote => REMOTE_COST,
         };
         rank.health_penalty == 0 && rank.cost <= beyond + REQUEST_COST / slots.max(1)
     }
 }
 
 fn rank(candidate: &PlacementCandidate) -> PlacementRank {
-    // The flow itself is counted, so that a slow backend server costs more also when idle.
+    // The flow itself is counted, so that a slow backend server costs more even when idle.
     let requests = candidate.running_requests + candidate.pending_openings + 1;
-    let slowness = if candidate.slowness_percent < SLOW {
+    let slowness = if candidate.slowness_percent < MIN_SLOWNESS_PERCENT {
         100
     } else {
-        candidate.slowness_percent.min(SLOWEST)
+        candidate.slowness_percent.min(MAX_SLOWNESS_PERCENT)
     };
     let busy = requests * REQUEST_COST / candidate.slots.max(1) * slowness / 100;
     let cold = if candidate.is_cold { COLD_COST } else { 0 };
-    let far = if candidate.is_same_centre { 0 } else { FAR_COST };
-    let outside = if candidate.is_outside_subset { OUTSIDE_COST } else { 0 };
+    let far = if candidate.is_same_centre { 0 } else { REMOTE_COST };
+    let outside = if candidate.is_outside_subset { OUTSIDE_SUBSET_COST } else { 0 };
     PlacementRank {
-        health_penalty: avoidance(candidate),
+        health_penalty: health_penalty(candidate),
         cost: busy + cold + far + outside,
         open_flows: candidate.open_flows,
         last_placement: candidate.last_placement,
     }
 }
 
-fn avoidance(candidate: &PlacementCandidate) -> u8 {
+fn health_penalty(candidate: &PlacementCandidate) -> u8 {
     let by_health = match candidate.health {
         HealthClass::Healthy => 0,
-        // One flow at a time tries a backend server that was silent.
+        // One flow at a time is sent as a trial to a backend server that didn't answer.
         HealthClass::Probation if candidate.pending_openings == 0 => 0,
         HealthClass::Probation | HealthClass::Suspect => 1,
         HealthClass::Ejected => 3,
--- a/crates/foxledge-flows/src/router.rs
+++ b/crates/foxledge-flows/src/router.rs
@@ -1,4 +1,4 @@
-//! Decisions on packets.
+//! Decisions on packets of callers.
 
 use std::time::Duration;
 
@@ -26,10 +26,10 @@
     unknown_tokens::UnknownTokens,
 };
 
-/// Idle time of flows while no list says another, in milliseconds.
-const DEFAULT_IDLE_MS: u64 = 15_000;
+/// Idle timeout of flows, in milliseconds, until a list sets another.
+const DEFAULT_IDLE_TIMEOUT_MS: u64 = 15_000;
 
-/// `FlowRouter` decides on the packets of callers.
+/// Decides on the packets of callers.
 pub struct FlowRouter {
     pub(crate) options: RouterOptions,
     pub(crate) routes: RouteTable,
@@ -49,25 +49,25 @@
     pub(crate) latencies: Vec<Duration>,
     pub(crate) counters: RouterCounters,
     pub(crate) confirmed_at: Option<ClockTime>,
-    /// When the store first confirmed a list here.
+    /// When the store first confirmed a list to this instance.
     pub(crate) first_confirmed_at: Option<ClockTime>,
-    /// Since when confirmations have come without a gap in which the store was away.
+    /// Start of the current run of confirmations without a store outage between them.
     pub(crate) confirmed_since: Option<ClockTime>,
     pub(crate) unknown_tokens: UnknownTokens,
-    /// Openings left unanswered by backend servers of other data centres since one of them was
-    /// last seen alive.
+    /// Openings in a row that backend servers of other data centres left unanswered. Any answer
+    /// from one of them resets it to 0.
     pub(crate) remote_timeouts: u32,
     pub(crate) is_awaiting_confirmation: bool,
     pub(crate) is_catching_up: bool,
     pub(crate) idle_timeout_ms: u64,
     pub(crate) placement_count: u64,
     pub(crate) load: LoadControl,
-    /// Time for which a request counts as running at most, in milliseconds.
+    /// Time, in milliseconds, after which an unanswered request no longer counts as running.
     pub(crate) request_expiry_ms: u64,
 }
 
 impl FlowRouter {
-    /// Makes a router that knows no list.
+    /// Creates a router without a list.
     pub fn new(options: RouterOptions) -> FlowRouter {
         let (centre, admission) = (options.data_centre.clone(), options.admission.clone());
         let load = LoadControl::new(centre, options.overflow, admission);
@@ -100,10 +100,10 @@
             remote_timeouts: 0,
             is_awaiting_confirmation: false,
             is_catching_up: false,
-            idle_timeout_ms: DEFAULT_IDLE_MS,
+            idle_timeout_ms: DEFAULT_IDLE_TIMEOUT_MS,
             placement_count: 0,
             load,
-            request_expiry_ms: DEFAULT_IDLE_MS,
+            request_expiry_ms: DEFAULT_IDLE_TIMEOUT_MS,
         }
     }
 
@@ -113,43 +113,44 @@
         self
     }
 
-    /// True unless this router does without a mechanism.
+    /// Returns true unless the options disable a mechanism.
     pub(crate) fn has_mechanism(&self, mechanism: RouterMechanism) -> bool {
-        !self.options.without.holds(mechanism)
+        !self.options.without.contains(mechanism)
     }
 
-    /// When the store last confirmed the list, as far as is known here.
+    /// Returns when the store last confirmed the list to this instance.
     pub fn confirmed_at(&self) -> Option<ClockTime> {
         self.confirmed_at
     }
 
-    /// What was counted.
+    /// Returns the counters since the start.
     pub fn counters(&self) -> RouterCounters {
         self.counters
     }
 
-    /// The backend server at an index that a decision named.
+    /// Returns the backend server at the index of a decision.
     pub fn backend(&self, index: usize) -> Option<&Backend> {
         self.backends.get(index)
     }
 
-    /// The backend server of a number.
+    /// Returns the backend server with a number.
     pub fn backend_by_number(&self, number: u64) -> Option<&Backend> {
         self.backends.get(self.backends.by_number(number)?)
     }
 
-    /// Every backend server.
+    /// Returns all backend servers.
     pub fn backends(&self) -> impl Iterator<Item = &Backend> {
         self.backends.iter()
     }
 
-    /// Says where a flow would go now and what a token names, and changes nothing.
+    /// Returns where a flow would go now and which backend server its token names. Changes no
+    /// state.
     pub fn explain(&mut self, now: ClockTime, key: &FlowKey, token: u32) -> FlowExplanation {
         let route = self.routes.find(&key.service).cloned();
         let service = route.as_ref().map(|route| route.service_for(key).clone());
         let (placement, load) = match (&route, &service) {
             (Some(route), Some(service)) => (
-                self.place(now, &NewFlow { key, route, service, avoided: None }),
+                self.place_flow(now, &NewFlow { key, route, service, unresponsive_backend: None }),
                 self.explain_load(now, key, route, service).filter(|_| self.load.is_on()),
             ),
             _ => (FlowPlacement::default(), None),
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Flows that are tracked.
+    /// Returns the number of tracked flows.
     pub fn tracked_flow_count(&self) -> usize {
         self.tracks.len()
     }
@@ -175,13 +176,13 @@
     /// Decides on a packet.
     pub fn on_packet(&mut self, now: ClockTime, packet: &FlowPacket) -> FlowDecision {
         match packet.kind {
-            PacketKind::Open { attempt: copy } => self.open(now, packet, copy),
-            _ => self.follow(now, packet),
+            PacketKind::Open { attempt: copy } => self.handle_opening(now, packet, copy),
+            _ => self.forward(now, packet),
         }
     }
 
-    /// Sends a packet of an open flow to the backend server that its token names.
-    fn follow(&mut self, now: ClockTime, packet: &FlowPacket) -> FlowDecision {
+    /// Forwards a packet of an open flow to the backend server that its token names.
+    fn forward(&mut self, now: ClockTime, packet: &FlowPacket) -> FlowDecision {
         let address = &packet.key.service;
         let route = self.routes.find(address);
         if route.is_none() && self.routes.was_removed(address) {
@@ -207,7 +208,8 @@
             self.end_track(now, &packet.key);
             return FlowDecision::Reset { backend: index, reason };
         }
-        // What this packet itself tells is no evidence beside it.
+        // Read before the packet is tracked: the packet itself must not count as evidence against
+        // its backend server.
         let known = self.unanswered_state(now, index);
         let stall = self.track_packet(now, packet, index, priority);
         let reason = stall
--- a/crates/foxledge-flows/src/routes.rs
+++ b/crates/foxledge-flows/src/routes.rs
@@ -1,4 +1,4 @@
-//! Routes by address: the first that matches decides.
+//! Routes by address. The first route that matches an address decides.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -14,31 +14,31 @@
     rows::{ListRow, RouteRow, RowValue},
 };
 
-/// `FlowRoute` is one when-then rule, ready to decide.
+/// A routing rule in its parsed form.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FlowRoute {
-    /// Its name.
+    /// Name of the route.
     pub name: RuleName,
-    /// Place among all routes.
+    /// Position in the order of all routes.
     pub position: u32,
     /// Services with their weights, at least one.
     pub shares: Vec<(ServiceName, u32)>,
-    /// Paid priority, 0 is the highest.
+    /// Paid priority; 0 is the highest.
     pub priority: u32,
     /// True when requests can be repeated.
     pub idempotent: bool,
-    /// How long a request may take, in milliseconds.
+    /// Maximum duration of a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Time in which answers are wanted, in milliseconds; 0 when none is told.
-    pub aim_ms: u64,
-    /// Regions in which its backend servers must be; any when there are none.
+    /// Time, in milliseconds, within which answers are wanted; 0 without such a target.
+    pub latency_target_ms: u64,
+    /// Regions whose backend servers may serve the route; empty when any region may.
     pub regions: Vec<RegionName>,
     /// Revision at which the route last changed.
     pub revision: u64,
 }
 
 impl FlowRoute {
-    /// The service of a flow; the same one wherever the flow is decided.
+    /// Returns the service of a flow. Every instance chooses the same one.
     pub fn service_for(&self, key: &FlowKey) -> &ServiceName {
         let total: u64 = self.shares.iter().map(|(_, weight)| u64::from(*weight)).sum();
         let mut left = match (self.shares.len(), total) {
@@ -54,13 +54,13 @@
         &self.shares[0].0
     }
 
-    /// True when flows may go to `service` by this route.
+    /// Returns true when the route leads to `service`.
     pub fn allows_service(&self, service: &str) -> bool {
         self.shares.iter().any(|(name, _)| name.as_str() == service)
     }
 }
 
-/// Hash of a flow's four addresses and ports.
+/// Hashes the addresses and ports of a flow's two ends.
 pub fn flow_hash(key: &FlowKey) -> u64 {
     let mut bytes = [0; 12];
     bytes[..4].copy_from_slice(&key.caller.ip().octets());
@@ -70,40 +70,40 @@
     xxh3_64(&bytes)
 }
 
-/// `RouteTable` is every route in force.
+/// All routes of the current list.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     by_address: HashMap<SocketAddrV4, Vec<Arc<FlowRoute>>>,
-    places: HashMap<String, SocketAddrV4>,
+    addresses_by_key: HashMap<String, SocketAddrV4>,
     removed: HashSet<SocketAddrV4>,
 }
 
 impl RouteTable {
-    /// Every route that decides for its address, in no order.
+    /// Returns the deciding route of each address, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<FlowRoute>> {
         self.by_address.values().filter_map(|routes| routes.first())
     }
 
-    /// The route that decides for an address.
+    /// Returns the route that decides for an address.
     pub fn find(&self, address: &SocketAddrV4) -> Option<&Arc<FlowRoute>> {
         self.by_address.get(address)?.first()
     }
 
-    /// True when an address had a route that is gone.
+    /// Returns true when an address had a route that was removed.
     pub fn was_removed(&self, address: &SocketAddrV4) -> bool {
         self.removed.contains(address)
     }
 
-    /// Takes a row; rows of other kinds change nothing.
+    /// Applies a row. Rows of other kinds change nothing.
     pub fn apply_row(&mut self, row: &ListRow) {
         match &row.value {
-            Some(RowValue::Route(route)) => self.put(row, route),
+            Some(RowValue::Route(route)) => self.insert(row, route),
             Some(RowValue::Removed(_)) => self.remove(&row.key),
             _ => {}
         }
     }
 
-    fn put(&mut self, row: &ListRow, spec: &RouteRow) {
+    fn insert(&mut self, row: &ListRow, spec: &RouteRow) {
         self.remove(&row.key);
         let Ok(port) = u16::try_from(spec.port) else { return };
         if spec.shares.is_empty() {
@@ -118,19 +118,19 @@
             priority: spec.priority,
             idempotent: spec.idempotent,
             timeout_ms: u64::from(spec.timeout_ms),
-            aim_ms: u64::from(spec.aim_ms),
+            latency_target_ms: u64::from(spec.aim_ms),
             regions: spec.regions.iter().map(|name| RegionName::new(name)).collect(),
             revision: row.revision,
         };
         let routes = self.by_address.entry(address).or_default();
         let index = routes.partition_point(|other| other.position <= route.position);
         routes.insert(index, Arc::new(route));
-        self.places.insert(row.key.clone(), address);
+        self.addresses_by_key.insert(row.key.clone(), address);
         self.removed.remove(&address);
     }
 
     fn remove(&mut self, key: &str) {
-        let Some(address) = self.places.remove(key) else { return };
+        let Some(address) = self.addresses_by_key.remove(key) else { return };
         let name = key.strip_prefix("route/").unwrap_or(key);
         let Some(routes) = self.by_address.get_mut(&address) else { return };
         routes.retain(|route| route.name.as_str() != name);
--- a/crates/foxledge-flows/src/selection.rs
+++ b/crates/foxledge-flows/src/selection.rs
@@ -1,58 +1,59 @@
-//! The choice of a backend server for a new flow.
+//! Selection of the backend server for a new flow.
 //!
-//! While the load of all is known and slots are scarce, an opening is placed by a look at few
-//! backend servers, as many openings come then and the list may be long. Else all are looked at.
+//! While the load of all data centres is known and slots are scarce, the router examines a sample
+//! of the backend servers, because many openings arrive then and the list may be long. Otherwise it
+//! examines all of them.
 
 use foxledge_core::{names::CentreName, time::ClockTime};
 
 use crate::{
-    candidates::{CandidateSet, CandidateView, FlowPlacement, NewFlow},
+    candidates::{CandidateScope, CandidateSet, FlowPlacement, NewFlow},
     load_control::GroupSubset,
     placement::PlacementBound,
     router::FlowRouter,
     routes::flow_hash,
 };
 
-/// Most backend servers of a group or of its subset that one look takes in.
-const LOOK_LIMIT: usize = 64;
+/// Maximum number of backend servers of a group, or of its subset, that are examined for one flow.
+const MAX_EXAMINED_BACKENDS: usize = 64;
 
-/// `PlacingGuide` is what load control says of a new flow's place.
-struct PlacingGuide {
-    /// The data centre that is to serve it.
+/// Where load control wants a new flow to be placed.
+struct PlacementHint {
+    /// The data centre that should serve it.
     centre: CentreName,
-    /// True when that is another than the own one.
+    /// True when that isn't the data centre of this instance.
     is_overflow: bool,
     /// The service's group there.
     group: Option<usize>,
-    /// The usual answer time among backend servers of the service, in microseconds.
-    usual: f64,
+    /// Median answer time among backend servers of the service, in microseconds.
+    median_latency_us: f64,
 }
 
 impl FlowRouter {
     /// Chooses the backend server of a new flow.
-    pub(crate) fn place(&mut self, now: ClockTime, flow: &NewFlow<'_>) -> FlowPlacement {
+    pub(crate) fn place_flow(&mut self, now: ClockTime, flow: &NewFlow<'_>) -> FlowPlacement {
         let own = self.options.data_centre.clone();
-        let Some(guide) = self.guide(now, flow) else {
-            let usual = self.usual_time(flow.service);
+        let Some(guide) = self.placement_hint(now, flow) else {
+            let usual = self.median_latency_us(flow.service);
             return self.place_among_all(now, flow, (&own, None), usual);
         };
-        if let Some(placement) = self.place_among_few(now, flow, &guide) {
+        if let Some(placement) = self.place_in_sample(now, flow, &guide) {
             return placement;
         }
         let near = (&guide.centre, guide.group);
-        let mut placement = self.place_among_all(now, flow, near, guide.usual);
+        let mut placement = self.place_among_all(now, flow, near, guide.median_latency_us);
         if !guide.is_overflow {
             return placement;
         }
-        if !self.is_served_by(&placement, &guide.centre) {
-            return self.place_among_all(now, flow, (&own, None), guide.usual);
+        if !self.is_placed_in(&placement, &guide.centre) {
+            return self.place_among_all(now, flow, (&own, None), guide.median_latency_us);
         }
         placement.overflow_to = Some(guide.centre);
         placement
     }
 
-    /// What load control says of a flow; none while it says nothing.
-    fn guide(&self, now: ClockTime, flow: &NewFlow<'_>) -> Option<PlacingGuide> {
+    /// Returns where load control wants a flow to be placed, or `None` when it doesn't matter.
+    fn placement_hint(&self, now: ClockTime, flow: &NewFlow<'_>) -> Option<PlacementHint> {
         if !self.load.is_steering(now) {
             return None;
         }
@@ -62,58 +63,65 @@
         let is_overflow = overflow.is_some();
         let centre = overflow.unwrap_or_else(|| self.options.data_centre.clone());
         let group = groups.group_in(service, &centre);
-        let usual = self.load.plan(service)?.usual_us;
+        let usual = self.load.plan(service)?.median_latency_us;
         let is_scarce = group.is_some_and(|group| self.load.subset(now, group).is_some());
-        (is_overflow || is_scarce).then_some(PlacingGuide { centre, is_overflow, group, usual })
+        (is_overflow || is_scarce).then_some(PlacementHint {
+            centre,
+            is_overflow,
+            group,
+            median_latency_us: usual,
+        })
     }
 
-    /// Looks at the own subset of the data centre's backend servers, then at some of all of
-    /// them; none when what is found there is unhealthy, or no better than what is beyond.
-    fn place_among_few(
+    /// Examines the preferred subset of the data centre, then a sample of all its backend servers.
+    /// Returns `None` when the best one found is unhealthy, or no better than an idle one beyond
+    /// the sample.
+    fn place_in_sample(
         &mut self,
         now: ClockTime,
         flow: &NewFlow<'_>,
-        guide: &PlacingGuide,
+        guide: &PlacementHint,
     ) -> Option<FlowPlacement> {
         let group = guide.group?;
         let hash = flow_hash(flow.key);
         let subset = self.load.subset(now, group);
-        let chosen: Vec<usize> = subset.map(|one| sample(one.chosen(), hash)).unwrap_or_default();
+        let chosen: Vec<usize> =
+            subset.map(|one| sample_indexes(one.preferred(), hash)).unwrap_or_default();
         if let Some(placement) =
-            self.place_among(now, flow, guide, chosen.clone(), PlacementBound::Outside)
+            self.place_within_bound(now, flow, guide, chosen.clone(), PlacementBound::OutsideSubset)
         {
             return Some(placement);
         }
-        let mut indexes = sample(&self.backends.groups().groups()[group].backends, hash);
+        let mut indexes = sample_indexes(&self.backends.groups().groups()[group].backends, hash);
         indexes.retain(|index| !chosen.contains(index));
         indexes.extend(chosen);
-        self.place_among(now, flow, guide, indexes, PlacementBound::Far)
+        self.place_within_bound(now, flow, guide, indexes, PlacementBound::Remote)
     }
 
-    /// The best of some backend servers, if it holds against what is beyond them.
-    fn place_among(
+    /// Chooses the best of some backend servers, if it is good enough for the bound.
+    fn place_within_bound(
         &mut self,
         now: ClockTime,
         flow: &NewFlow<'_>,
-        guide: &PlacingGuide,
+        guide: &PlacementHint,
         indexes: Vec<usize>,
         bound: PlacementBound,
     ) -> Option<FlowPlacement> {
         if indexes.is_empty() {
             return None;
         }
-        let view = CandidateView {
-            near: &guide.centre,
-            shared: guide.group.and_then(|group| self.shared(now, group)),
-            usual: guide.usual,
+        let view = CandidateScope {
+            local_centre: &guide.centre,
+            preferred_subset: guide.group.and_then(|group| self.preferred_subset(now, group)),
+            median_latency_us: guide.median_latency_us,
         };
         let CandidateSet { candidates, barrier } =
-            self.candidates(now, flow, &view, indexes.into_iter());
+            self.find_candidates(now, flow, &view, indexes.into_iter());
         let (index, rank) = self.policy.choose(now, &candidates)?;
         let slots = self.backends.get(index)?.slots;
         let overflow_to = guide.is_overflow.then(|| guide.centre.clone());
         let choice = Some((index, rank));
-        bound.holds(&rank, slots).then_some(FlowPlacement {
+        bound.is_met_by(&rank, slots).then_some(FlowPlacement {
             choice,
             candidates,
             barrier,
@@ -121,8 +129,8 @@
         })
     }
 
-    /// The best of all backend servers, where those in `near` count as near, of which the subset
-    /// of `group` is preferred.
+    /// Chooses the best of all backend servers of the service. Those in `near` count as local, and
+    /// of `group` the subset of this instance is preferred.
     fn place_among_all(
         &mut self,
         now: ClockTime,
@@ -130,20 +138,24 @@
         (near, group): (&CentreName, Option<usize>),
         usual: f64,
     ) -> FlowPlacement {
-        let shared = group.and_then(|group| self.shared(now, group));
-        let view = CandidateView { near, shared, usual };
+        let shared = group.and_then(|group| self.preferred_subset(now, group));
+        let view = CandidateScope {
+            local_centre: near,
+            preferred_subset: shared,
+            median_latency_us: usual,
+        };
         let indexes = self.backends.service_indexes(flow.service).iter().copied();
-        let CandidateSet { candidates, barrier } = self.candidates(now, flow, &view, indexes);
+        let CandidateSet { candidates, barrier } = self.find_candidates(now, flow, &view, indexes);
         let choice = self.policy.choose(now, &candidates);
         FlowPlacement { choice, candidates, barrier, overflow_to: None }
     }
 
-    fn shared(&self, now: ClockTime, group: usize) -> Option<(usize, &GroupSubset)> {
+    fn preferred_subset(&self, now: ClockTime, group: usize) -> Option<(usize, &GroupSubset)> {
         self.load.subset(now, group).map(|subset| (group, subset))
     }
 
-    /// True when a flow goes to a healthy backend server of a data centre.
-    fn is_served_by(&self, placement: &FlowPlacement, centre: &CentreName) -> bool {
+    /// Returns true when a flow goes to a healthy backend server of a data centre.
+    fn is_placed_in(&self, placement: &FlowPlacement, centre: &CentreName) -> bool {
         placement.choice.is_some_and(|(index, rank)| {
             let backend = self.backends.get(index);
             rank.health_penalty == 0
@@ -152,8 +164,14 @@
     }
 }
 
-/// Some of many indexes, the same for the same hash.
-fn sample(indexes: &[usize], hash: u64) -> Vec<usize> {
+/// Returns a sample of the indexes; equal hashes give equal samples.
+fn sample_indexes(indexes: &[usize], hash: u64) -> Vec<usize> {
     let start = hash as usize % indexes.len().max(1);
-    indexes.iter().copied().cycle().skip(start).take(indexes.len().min(LOOK_LIMIT)).collect()
+    indexes
+        .iter()
+        .copied()
+        .cycle()
+        .skip(start)
+        .take(indexes.len().min(MAX_EXAMINED_BACKENDS))
+        .collect()
 }
--- a/crates/foxledge-flows/src/trial_delays.rs
+++ b/crates/foxledge-flows/src/trial_delays.rs
@@ -1,32 +1,33 @@
-//! Whose turn it is, where all instances would do the same at once.
+//! Delays that spread the trials of many instances over time.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::health::TRIAL_SLOT_MS;
 
-/// `TrialTurns` is the order in which instances try ejected backend servers again.
+/// Delays with which instances send trial flows to an ejected backend server.
 ///
-/// Nobody appoints it: each instance draws its own turn among as many as it knows, another
-/// for each backend server.
+/// There is no coordinator: each instance draws its own delay for each backend server, from a range
+/// that grows with the number of instances it knows.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TrialDelays {
     seed: u64,
-    others: u64,
+    peer_count: u64,
 }
 
 impl TrialDelays {
-    /// Turns of an instance that differs from others by its seed.
+    /// Creates the delays of an instance. `seed` must differ between instances.
     pub fn new(seed: u64) -> TrialDelays {
-        TrialDelays { seed, others: 0 }
+        TrialDelays { seed, peer_count: 0 }
     }
 
-    /// Sets how many other instances there are.
+    /// Sets the number of other instances.
     pub fn set_peer_count(&mut self, others: usize) {
-        self.others = others as u64;
+        self.peer_count = others as u64;
     }
 
-    /// This instance's turn at a backend server, in milliseconds after the first.
+    /// Returns the delay of this instance's trial at a backend server, in milliseconds after the
+    /// earliest possible one.
     pub fn delay_ms(&self, backend: u64) -> u64 {
-        xxh3_64_with_seed(&backend.to_be_bytes(), self.seed) % (self.others * TRIAL_SLOT_MS + 1)
+        xxh3_64_with_seed(&backend.to_be_bytes(), self.seed) % (self.peer_count * TRIAL_SLOT_MS + 1)
     }
 }
--- a/crates/foxledge-flows/tests/cold_limit.rs
+++ b/crates/foxledge-flows/tests/cold_limit.rs
@@ -1,7 +1,7 @@
-//! How many new flows cold backend servers get from all instances together.
+//! Limits on the new flows that cold backend servers get from all instances together.
 //!
-//! The load: a data centre comes back with all its backend servers cold while its callers wait,
-//! or is taken back after an evacuation.
+//! The load: a data centre comes back with all its backend servers cold while its callers wait, or
+//! after its evacuation has ended.
 
 mod common;
 
@@ -18,9 +18,9 @@
 };
 use proptest::prelude::*;
 
-/// New flows that a cold backend server bears in a second.
+/// New flows per second that a cold backend server can serve.
 const FLOWS_PER_S: u64 = 10;
-/// What the operators allow in all: the published limit, half more, and five.
+/// Maximum that the rules allow: the published limit, half more, and five.
 const LIMIT: usize = 20;
 const RULES: ColdRules = ColdRules { overrun_percent: 150, slack: 5 };
 
@@ -47,7 +47,7 @@
     router
 }
 
-/// Instances of one data centre, each with its view of the others.
+/// Creates the instances of one data centre, each with its own view of the others.
 fn fleet(views: &[Vec<usize>]) -> Vec<FlowRouter> {
     let with_view = |(index, view): (usize, &Vec<usize>)| {
         let mut router = instance(index);
@@ -61,8 +61,8 @@
     (0..count).map(|own| (0..count).filter(|other| *other != own).collect()).collect()
 }
 
-/// What each backend server got, with times, when `per_s` new flows a second come to `routers`
-/// in turn from `from` to `until`.
+/// Returns the times of the flows that each backend server got when `per_s` new flows a second come
+/// to `routers` in turn, from `from` to `until`.
 fn load(
     routers: &mut [FlowRouter],
     per_s: u64,
@@ -86,7 +86,7 @@
     got
 }
 
-/// The most that came in any second, wherever it begins.
+/// Returns the maximum number of flows in any second, wherever it begins.
 fn most_in_a_second(times: &[u64]) -> usize {
     let ends = times
         .iter()
@@ -94,11 +94,10 @@
     ends.max().unwrap_or(0)
 }
 
-// Symptom: backend servers that have just started break down under new flows.
-// Sequence: all of a data centre's are cold, callers wait, and each instance sends there what it
-//   thinks right without a view of the others.
+// Guards against overload of backend servers that have just started: all those of a data centre are
+// cold, callers wait, and each instance sends flows without seeing what the others send.
 #[test]
-fn limit_holds_at_each_size() {
+fn cold_limit_holds_for_every_fleet_size() {
     for count in [2, 6, 18, 73, 300] {
         let mut routers = fleet(&whole_views(count));
         let rows: Vec<_> = (1..=30).map(|number| cold(number, LOCAL_CENTRE, 9_000, 5)).collect();
@@ -115,18 +114,18 @@
             let most = most_in_a_second(times);
             assert!(most <= LIMIT, "{count} instances, backend server {number}: {most}");
         }
-        // Half of the limit is used: the rest is kept for views that differ.
+        // Half of the limit is used; the rest is reserved for views that differ.
         let cold: usize = got.range(..100).map(|(_, times)| times.len()).sum();
         assert!(cold >= 30 * FLOWS_PER_S as usize, "{count} instances: {cold} in three seconds");
     }
 }
 
-// The bound as it is stated: views may miss as many of the others as there are senders.
+// Guards the stated bound: each view may miss as many other instances as there are senders.
 proptest! {
     #![proptest_config(ProptestConfig { cases: 40, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn differing_views_bounded(
+    fn cold_limit_holds_while_views_differ(
         count in 3..40_usize,
         missed in prop::collection::vec((0..40_usize, 0..40_usize), 40),
     ) {
@@ -148,11 +147,10 @@
     }
 }
 
-// Symptom: the limit is passed as instances take over from others that died.
-// Sequence: half of the fleet dies; those who are chosen now send at once, in the same second
-//   as those who died.
+// Guards against exceeding the limit when half of the fleet dies and the new senders start in the
+// same second in which the dead instances still sent.
 #[test]
-fn takeover_waits() {
+fn new_senders_wait_after_instances_died() {
     let mut routers = fleet(&whole_views(18));
     let rows: Vec<_> = (1..=8).map(|number| cold(number, LOCAL_CENTRE, 9_000, 5)).collect();
     for router in &mut routers {
@@ -173,9 +171,10 @@
     assert!(got.values().flatten().any(|at| *at > 4_250), "the others take over in the end");
 }
 
-// An instance that has just started can't know what its former process sent.
+// Guards against exceeding the limit after a restart: an instance that has just started doesn't
+// know what its previous process sent.
 #[test]
-fn start_waits() {
+fn started_instance_waits_before_sending() {
     let mut router = instance(0);
     router.apply_rows(clock_at(0), &[cold(1, LOCAL_CENTRE, 9_000, 5)]);
     let refused = FlowDecision::Refuse(RefuseReason::ColdLimit);
@@ -188,7 +187,7 @@
 }
 
 #[test]
-fn copies_count() {
+fn retransmissions_count_against_the_quota() {
     let mut router = instance(0);
     router.apply_rows(clock_at(0), &[cold(1, LOCAL_CENTRE, 9_000, 5)]);
     router.set_neighbours(clock_at(0), vec![address(1)]);
@@ -203,21 +202,21 @@
 }
 
 #[test]
-fn warm_is_free() {
+fn warm_backend_is_not_limited() {
     let mut routers = fleet(&whole_views(6));
     for router in &mut routers {
         router.apply_rows(clock_at(2_000), &[cold(1, LOCAL_CENTRE, 1_000, 5)]);
-        // The entry says that it is warm, sooner than it said before.
+        // The entry now says that it is warm, sooner than before.
         router.apply_rows(clock_at(2_100), &[cold(1, LOCAL_CENTRE, 0, 6)]);
     }
     let got = load(&mut routers, 500, (2_200, 3_200));
     assert_eq!(got[&1].len(), 500);
 }
 
-// Symptom: a data centre that is taken back is flooded while its backend servers are cold.
-// Sequence: the end of the evacuation is heard before the entries that say how cold they are.
+// Guards against flooding a data centre whose evacuation has ended while its backend servers are
+// cold: the end of the evacuation may be received before the entries that say how cold they are.
 #[test]
-fn taken_back_cold() {
+fn backends_count_as_cold_after_an_evacuation() {
     let mut routers = fleet(&whole_views(6));
     let rows = [
         cold(1, LOCAL_CENTRE, 0, 5),
@@ -230,7 +229,7 @@
     }
     let got = load(&mut routers, 500, (5_000, 8_000));
     assert!(most_in_a_second(&got[&1]) <= LIMIT);
-    // Once its entry says so, it is warm.
+    // Its entry says that it is warm.
     for router in &mut routers {
         router.apply_rows(clock_at(8_000), &[cold(1, LOCAL_CENTRE, 0, 10)]);
     }
@@ -239,7 +238,7 @@
 }
 
 #[test]
-fn absurd_quotas() {
+fn quotas_of_extreme_limits() {
     let quota = |flows_per_ks: u64, rules: ColdRules| {
         let row = service_row("desk", 1, 0, 1);
         let Some(RowValue::Extension(row)) = row.value else { panic!("a service") };
@@ -252,7 +251,7 @@
     let strict = ColdRules::default();
     assert_eq!(quota(0, RULES), None);
     assert_eq!(quota(10_000, RULES), Some(10));
-    // Less than one each second for two: nobody.
+    // Less than one a second for each of two senders: nobody sends.
     assert_eq!(quota(1_000, strict), Some(0));
     assert_eq!(quota(2_000, strict), Some(1));
     assert_eq!(quota(1, RULES), Some(2));
--- a/crates/foxledge-flows/tests/common/load.rs
+++ b/crates/foxledge-flows/tests/common/load.rs
@@ -1,4 +1,4 @@
-//! Load views by hand.
+//! Load views for tests.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -9,11 +9,11 @@
 
 use super::{LOCAL_CENTRE, clock_at, limits_row, route_row};
 
-/// Work time of every request of these views, in microseconds.
+/// Work time of every request in these views, in microseconds.
 pub const WORK_US: f64 = 50_000.0;
 
-/// The load of callers that ask `per_s` requests a second by priority, and what runs by data
-/// centre.
+/// Load of callers that send `per_s` requests a second by priority, with the running requests by
+/// data centre.
 pub fn caller_load(per_s: &[(u32, f64)], running: &[(&str, f64)]) -> ServiceLoad {
     let load = |arrivals_per_s| PriorityLoad { arrivals_per_s, work_us: WORK_US };
     ServiceLoad {
@@ -22,7 +22,7 @@
     }
 }
 
-/// A sure view of the service `desk`, told just now.
+/// A reliable view of the service `desk`, reported at `now`.
 pub fn load_view(now: ClockTime, centres: &[(&str, ServiceLoad)]) -> LoadView {
     let centre = |load: &ServiceLoad| CentreView {
         reported_at: now,
@@ -38,8 +38,8 @@
     }
 }
 
-/// A router with load control on, one route of priority 1 at port 443 and one of priority 2 at
-/// port 444 to `desk`, and these backend servers.
+/// A router with load control, a route of priority 1 at port 443 and one of priority 2 at port 444
+/// to `desk`, and these backend servers.
 pub fn load_router(backends: &[ListRow]) -> FlowRouter {
     let options = RouterOptions::new(CentreName::new(LOCAL_CENTRE))
         .overflow(true)
@@ -47,7 +47,7 @@
     fill_router(FlowRouter::new(options), backends)
 }
 
-/// A router with these routes and backend servers, confirmed at the start.
+/// Gives a router these routes and backend servers, confirmed at the start.
 pub fn fill_router(mut router: FlowRouter, backends: &[ListRow]) -> FlowRouter {
     let mut rows = vec![limits_row(1, 1), route_row("r", 443, "desk", 1), second_route_row(2, 1)];
     rows.extend(backends.iter().cloned());
@@ -56,7 +56,7 @@
     router
 }
 
-/// The route at port 444 with a priority.
+/// Row of the route at port 444, with a priority.
 pub fn second_route_row(priority: u32, revision: u64) -> ListRow {
     let mut row = route_row("s", 444, "desk", revision);
     if let Some(foxledge_flows::rows::RowValue::Route(route)) = &mut row.value {
@@ -66,7 +66,8 @@
     row
 }
 
-/// Sets one load again and again, every 50 ms, for as long as the damped shares need.
+/// Applies the same load every 50 ms until the damped shares have settled, and returns the last
+/// time.
 pub fn apply_steady_load(
     router: &mut FlowRouter,
     from: u64,
--- a/crates/foxledge-flows/tests/common/mod.rs
+++ b/crates/foxledge-flows/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Rows and packets by hand.
+//! Rows and packets for tests.
 #![allow(dead_code)]
 
 pub mod load;
@@ -19,7 +19,7 @@
 pub const REMOTE_CENTRE: &str = "erie";
 pub const SERVICE_IP: Ipv4Addr = Ipv4Addr::new(198, 18, 0, 1);
 
-/// The point `millis` after the start of every test, an hour into the clock.
+/// The clock time `millis` after the start of the test, which is an hour into the clock.
 pub fn clock_at(millis: u64) -> ClockTime {
     ClockTime::from_micros(3_600_000_000 + millis * 1_000)
 }
@@ -123,7 +123,7 @@
     router
 }
 
-/// The number of the backend server that a decision leads to; none for other decisions.
+/// Returns the number of the backend server in a decision, or `None` for other decisions.
 pub fn decided_backend(router: &FlowRouter, decision: &FlowDecision) -> Option<u64> {
     let index = match decision {
         FlowDecision::Open { backend, .. } | FlowDecision::Forward { backend, .. } => *backend,
@@ -135,7 +135,7 @@
     router.backend(index).map(|backend| backend.number)
 }
 
-/// Opens a flow and lets its caller go on; returns the number of its backend server.
+/// Opens a flow that its caller continues, and returns the number of its backend server.
 pub fn open_flow(router: &mut FlowRouter, now: u64, key: FlowKey) -> Option<u64> {
     let decision = router.on_packet(clock_at(now), &opening_packet(key, 0));
     let number = decided_backend(router, &decision)?;
@@ -143,14 +143,14 @@
     Some(number)
 }
 
-/// The row of a data centre that is evacuated.
+/// Row of an evacuated data centre.
 pub fn evacuation_row(centre: &str, revision: u64) -> ListRow {
     let wish = ExtensionValue::Evacuation(EvacuationRow { data_centre: centre.to_owned() });
     let value = Some(RowValue::from_extension(&wish));
     ListRow { key: evacuation_key(centre), revision, value }
 }
 
-/// The row of a service whose cold backend servers bear so many new flows a second.
+/// Row of a service whose cold backend servers get at most `flows_per_s` new flows a second.
 pub fn service_row(name: &str, warm_up_ms: u32, flows_per_s: u64, revision: u64) -> ListRow {
     let limits =
         ServiceRow { name: name.to_owned(), warm_up_ms, cold_flows_per_ks: flows_per_s * 1_000 };
--- a/crates/foxledge-flows/tests/flow_placement.rs
+++ b/crates/foxledge-flows/tests/flow_placement.rs
@@ -1,4 +1,4 @@
-//! Where new flows go.
+//! Placement of new flows.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use foxledge_flows::{FlowDecision, PacketKind, RefuseReason};
 
 #[test]
-fn near_first() {
+fn prefers_the_local_data_centre() {
     let mut router = listed_router(&[
         listed_backend(1, "desk", LOCAL_CENTRE, 2),
         listed_backend(2, "desk", REMOTE_CENTRE, 2),
@@ -20,9 +20,9 @@
 }
 
 #[test]
-fn busy_leaves_centre() {
-    // A request is left running on the near backend server for each flow. Once
-    // its slots and as many places again are taken, the far one gets the rest.
+fn uses_another_data_centre_when_local_backends_are_busy() {
+    // Each flow leaves a request running on the local backend server. Once its slots are taken and
+    // as many requests wait again, the remote one gets the rest.
     let mut router = listed_router(&[
         listed_backend(1, "desk", LOCAL_CENTRE, 2),
         listed_backend(2, "desk", REMOTE_CENTRE, 2),
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn even_spread() {
+fn spreads_flows_evenly() {
     let backends: Vec<_> =
         (1..=4).map(|number| listed_backend(number, "desk", LOCAL_CENTRE, 2)).collect();
     let mut router = listed_router(&backends);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn cold_waits() {
+fn avoids_a_cold_backend_until_it_is_warm() {
     // A backend server that has just started takes 1.6 times as long.
     let mut spec = backend_spec(1, "desk", LOCAL_CENTRE);
     spec.warm_in_ms = 2_000;
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn draining_gets_none() {
+fn draining_backend_gets_no_flows() {
     let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
     let mut router = listed_router(&[one.clone(), listed_backend(2, "desk", REMOTE_CENTRE, 2)]);
     router.apply_rows(clock_at(100), &[draining_row(&one, 3)]);
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn none_refused_at_once() {
-    // Every backend server is leaving: the caller learns it with the first packet.
+fn refuses_the_first_packet_when_all_backends_drain() {
+    // Every backend server is draining: the caller is refused at its first packet.
     let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
     let mut router = listed_router(std::slice::from_ref(&one));
     router.apply_rows(clock_at(100), &[draining_row(&one, 3)]);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn first_route_decides() {
+fn first_matching_route_decides() {
     let mut second = route_row("b", 443, "other", 1);
     if let Some(foxledge_flows::rows::RowValue::Route(route)) = &mut second.value {
         route.position = 9_999;
@@ -99,14 +99,14 @@
     ];
     router.apply_rows(clock_at(0), &rows);
     assert_eq!(open_flow(&mut router, 10, flow_key(1, 1)), Some(1));
-    // The first goes, the second decides.
+    // When the first route is removed, the second decides.
     router.apply_rows(clock_at(20), &[removed_row(&rows[2], 5, 0)]);
     assert_eq!(open_flow(&mut router, 30, flow_key(1, 2)), Some(2));
 }
 
 #[test]
-fn load_returns() {
-    // An answer frees the place that its request took.
+fn answer_ends_the_running_request() {
+    // An answer frees the slot that its request took.
     let mut router = listed_router(&[listed_backend(1, "desk", LOCAL_CENTRE, 2)]);
     let key = flow_key(1, 1);
     open_flow(&mut router, 0, key);
--- a/crates/foxledge-flows/tests/load_off.rs
+++ b/crates/foxledge-flows/tests/load_off.rs
@@ -1,4 +1,4 @@
-//! Without its settings, load control changes nothing.
+//! Load control changes no decision while its settings are absent.
 
 mod common;
 
@@ -12,10 +12,21 @@
 use foxledge_load::LocalLoad;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Hash of the decisions on the sequence by the router from before load control.
+/// Hash of the decisions that the router took on the sequence before load control existed.
 const FORMER_DECISIONS: u64 = 17_309_931_106_680_505_870;
 
-/// `SeededDraws` is a sequence of numbers that is the same in each run.
+/// Names in the printed decisions, and the names that they had when [`FORMER_DECISIONS`] was
+/// computed.
+const FORMER_NAMES: [(&str, &str); 6] = [
+    ("health_penalty: ", "avoidance: "),
+    ("open_flows: ", "flows: "),
+    ("last_placement: ", "picked: "),
+    ("retransmissions: ", "copies: "),
+    ("health: ", "class: "),
+    ("Reset {", "End {"),
+];
+
+/// A sequence of numbers that is the same in each run.
 struct SeededDraws(u64);
 
 impl SeededDraws {
@@ -36,11 +47,11 @@
     rows
 }
 
-fn off_router() -> FlowRouter {
+fn router_without_load_control() -> FlowRouter {
     fill_router(FlowRouter::new(RouterOptions::new(CentreName::new(LOCAL_CENTRE)).seed(7)), &rows())
 }
 
-/// A list change now and then: leaves, returns, new starts, evacuations.
+/// Applies a random list change: drains, removals, new entries, evacuations.
 fn change_list(router: &mut FlowRouter, draws: &mut SeededDraws, now: u64) {
     let number = 1 + draws.below(12);
     let revision = 10 + now;
@@ -56,20 +67,23 @@
     let _: Vec<BackendEvent> = router.drain_backend_events();
 }
 
-/// Takes a decision into a text, by what each build tells of it.
-fn tell(text: &mut String, router: &FlowRouter, decision: &FlowDecision) {
+/// Appends a decision to a text, in a form that doesn't depend on the build.
+fn append_decision(text: &mut String, router: &FlowRouter, decision: &FlowDecision) {
     let number = decided_backend(router, decision);
-    let told = match decision {
+    let mut line = match decision {
         FlowDecision::Open { reason, .. } => {
             format!("open {number:?} {:?} {} {}", reason.rank, reason.attempt, reason.candidates)
         }
         FlowDecision::Forward { stall, .. } => format!("forward {number:?} {stall:?}"),
         other => format!("{other:?}"),
     };
-    writeln!(text, "{told}").expect("is written");
+    for (name, former) in FORMER_NAMES {
+        line = line.replace(name, former);
+    }
+    writeln!(text, "{line}").expect("a string can be written");
 }
 
-/// The decisions on 20,000 packets; `each` runs before every hundredth.
+/// Returns the decisions on 20,000 packets; `each` runs before every hundredth.
 fn decisions(router: &mut FlowRouter, mut each: impl FnMut(&mut FlowRouter, u64)) -> String {
     let mut draws = SeededDraws(20_261_204);
     let mut flows: Vec<(FlowKey, u32, u32)> = Vec::new();
@@ -84,17 +98,17 @@
         if draws.below(400) == 0 {
             change_list(router, &mut draws, now);
         }
-        let place = draws.below(flows.len().max(1) as u64) as usize;
+        let index = draws.below(flows.len().max(1) as u64) as usize;
         let kind = draws.below(10);
         if flows.is_empty() || kind < 4 {
             let key = flow_key(draws.below(200) as u8, 1_024 + draws.below(3_000) as u16);
             let copy = (draws.below(8) == 0) as u32;
             let decision = router.on_packet(clock_at(now), &opening_packet(key, copy));
-            tell(&mut text, router, &decision);
+            append_decision(&mut text, router, &decision);
             flows.extend(decided_backend(router, &decision).map(|number| (key, number as u32, 1)));
             continue;
         }
-        let (key, token, sequence) = flows[place];
+        let (key, token, sequence) = flows[index];
         let packet = match kind {
             4..7 => data_packet(key, token, sequence, 1),
             7 => flow_packet(key, PacketKind::Continue, token),
@@ -108,45 +122,45 @@
             },
         };
         let decision = router.on_packet(clock_at(now), &packet);
-        tell(&mut text, router, &decision);
+        append_decision(&mut text, router, &decision);
         match kind {
-            4..7 if draws.below(3) > 0 => flows[place].2 += 100,
-            9 => drop(flows.swap_remove(place)),
+            4..7 if draws.below(3) > 0 => flows[index].2 += 100,
+            9 => drop(flows.swap_remove(index)),
             _ => {}
         }
     }
     text
 }
 
-// A deployment without the settings is served otherwise than by the build before.
+// Guards against changed decisions in a deployment that doesn't have the settings of load control.
 #[test]
-fn same_as_before() {
-    let text = decisions(&mut off_router(), |_, _| ());
+fn decisions_match_those_before_load_control() {
+    let text = decisions(&mut router_without_load_control(), |_, _| ());
     assert_eq!(text.lines().count(), 20_000);
     assert_eq!(xxh3_64(text.as_bytes()), FORMER_DECISIONS, "{}", &text[..2_000]);
 }
 
-// A load view steers flows though the settings don't ask for it.
+// Guards against load views that steer flows though the settings don't enable it.
 #[test]
-fn views_ignored() {
+fn load_views_are_ignored_when_off() {
     let burst = caller_load(&[(1, 4_000.0), (2, 4_000.0)], &[(LOCAL_CENTRE, 100.0)]);
     let calm = caller_load(&[(1, 1.0)], &[(REMOTE_CENTRE, 0.0)]);
-    let mut is_asked = false;
-    let text = decisions(&mut off_router(), |router, now| {
-        is_asked |= router.is_load_report_due(clock_at(now));
+    let mut is_report_due = false;
+    let text = decisions(&mut router_without_load_control(), |router, now| {
+        is_report_due |= router.is_load_report_due(clock_at(now));
         assert_eq!(router.collect_local_load(clock_at(now)), LocalLoad::default());
         let centres = [(LOCAL_CENTRE, burst.clone()), (REMOTE_CENTRE, calm.clone())];
         router.apply_load_view(clock_at(now), Arc::new(load_view(clock_at(now), &centres)));
         assert_eq!((router.load_ratio(), router.load_reports(clock_at(now)).len()), (0.0, 0));
         assert_eq!(router.drain_load_events(), []);
     });
-    assert!(!is_asked);
-    assert_eq!(text, decisions(&mut off_router(), |_, _| ()));
+    assert!(!is_report_due);
+    assert_eq!(text, decisions(&mut router_without_load_control(), |_, _| ()));
 }
 
-// Measuring the own load changes decisions while no view is known.
+// Guards against changed decisions when the local load is measured but no view is known.
 #[test]
-fn measuring_changes_nothing() {
+fn measuring_load_changes_no_decision() {
     let options = RouterOptions::new(CentreName::new(LOCAL_CENTRE)).seed(7).overflow(true);
     let mut router = fill_router(FlowRouter::new(options), &rows());
     let text = decisions(&mut router, |router, now| {
@@ -154,5 +168,5 @@
             router.collect_local_load(clock_at(now));
         }
     });
-    assert_eq!(text, decisions(&mut off_router(), |_, _| ()));
+    assert_eq!(text, decisions(&mut router_without_load_control(), |_, _| ()));
 }
--- a/crates/foxledge-flows/tests/load_overflow.rs
+++ b/crates/foxledge-flows/tests/load_overflow.rs
@@ -1,4 +1,4 @@
-//! New flows leave a data centre that is full for one with room.
+//! Overflow of new flows from a full data centre to one with free slots.
 
 mod common;
 
@@ -20,12 +20,12 @@
     (0..30).map(|number| listed_backend(number + 1, "desk", centre(number), 2)).collect()
 }
 
-/// Callers whose requests need so many slots.
+/// Load of callers whose requests need a number of slots.
 fn demand(slots: f64, running: &[(&str, f64)]) -> ServiceLoad {
     caller_load(&[(1, slots / 0.05)], running)
 }
 
-/// The data centre of the backend server that a decision leads to.
+/// Returns the data centre of the backend server in a decision.
 fn centre_of(router: &FlowRouter, decision: &FlowDecision) -> Option<CentreName> {
     match decision {
         FlowDecision::Open { backend, .. } => {
@@ -35,7 +35,7 @@
     }
 }
 
-/// Opens flows, each of which ends at once; counts those by data centre.
+/// Opens flows that finish at once, and returns how many each data centre got.
 fn spread(router: &mut FlowRouter, now: u64, flows: u16) -> [u32; 3] {
     let mut counts = [0; 3];
     for port in 0..flows {
@@ -51,11 +51,11 @@
     counts
 }
 
-// A burst in one data centre waits for its slots while those of the others are idle.
+// Guards against a burst that waits in one data centre while slots of the others are idle.
 #[test]
-fn excess_leaves() {
+fn excess_flows_leave_a_full_data_centre() {
     let mut router = load_router(&backends());
-    // 60 slots are needed of 60, 40 of them by near callers: half of these flows must leave.
+    // All 60 slots are needed, 40 of them by local callers: half of the local flows must leave.
     let centres = [
         (LOCAL_CENTRE, demand(40.0, &[(LOCAL_CENTRE, 30.0)])),
         (REMOTE_CENTRE, demand(10.0, &[(REMOTE_CENTRE, 10.0)])),
@@ -67,9 +67,9 @@
     assert!((400..=600).contains(&far) && (400..=600).contains(&third), "{far} and {third}");
 }
 
-// Flows cross between data centres though the own one has slots for them.
+// Guards against flows that leave a data centre which has slots for them.
 #[test]
-fn room_stays_near() {
+fn flows_stay_local_while_slots_are_free() {
     let mut router = load_router(&backends());
     let centres = [
         (LOCAL_CENTRE, demand(15.0, &[(LOCAL_CENTRE, 15.0)])),
@@ -81,9 +81,9 @@
     assert_eq!(router.drain_load_events(), []);
 }
 
-// Flows go to a data centre that hasn't told its load, which may be full or cut off.
+// Guards against flows to a data centre without a load report, which may be full or unreachable.
 #[test]
-fn unheard_gets_none() {
+fn data_centre_without_a_report_gets_no_overflow() {
     let mut router = load_router(&backends());
     let centres = [
         (LOCAL_CENTRE, demand(40.0, &[(LOCAL_CENTRE, 30.0)])),
@@ -94,9 +94,9 @@
     assert!(far > 200 && third == 0, "{far} and {third}");
 }
 
-// An evacuated data centre gets flows because its slots look idle.
+// Guards against flows to an evacuated data centre because its slots look idle.
 #[test]
-fn evacuated_gets_none() {
+fn evacuated_data_centre_gets_no_overflow() {
     let mut router = load_router(&backends());
     router.apply_rows(clock_at(0), &[evacuation_row(REMOTE_CENTRE, 9)]);
     let centres = [
@@ -107,15 +107,16 @@
     let now = apply_steady_load(&mut router, 0, &centres);
     let [_, far, third] = spread(&mut router, now, 1_000);
     assert!(far == 0 && third > 200, "{far} and {third}");
-    // It has slots again with the next view after its end.
+    // It has slots again in the first view after the evacuation ends.
     router.apply_rows(clock_at(now), &[removed_row(&evacuation_row(REMOTE_CENTRE, 9), 10, 0)]);
     let later = apply_steady_load(&mut router, now + 50, &centres);
     assert!(spread(&mut router, later, 1_000)[1] > 200);
 }
 
-// Callers of an evacuated data centre are all sent to one other, or to the evacuated one.
+// Guards against sending all callers of an evacuated data centre to a single other one, or to the
+// evacuated one.
 #[test]
-fn own_evacuated() {
+fn flows_of_an_evacuated_data_centre_follow_free_slots() {
     let mut router = load_router(&backends());
     router.apply_rows(clock_at(0), &[evacuation_row(LOCAL_CENTRE, 9)]);
     let centres = [
@@ -128,9 +129,9 @@
     assert!(near == 0 && third > 5 * far, "{near}, {far} and {third}");
 }
 
-// Flows whose route allows the own region only leave it.
+// Guards against overflow of a route that allows only the local region.
 #[test]
-fn regions_kept() {
+fn overflow_respects_route_regions() {
     let regions = [(LOCAL_CENTRE, "lakes"), (REMOTE_CENTRE, "plains"), (THIRD, "plains")];
     let regions =
         regions.map(|(centre, region)| (CentreName::new(centre), RegionName::new(region)));
@@ -151,9 +152,9 @@
     assert_eq!(spread(&mut router, now, 300), [300, 0, 0]);
 }
 
-// Flows keep leaving by a view that nobody renews, or leave by one that isn't sure.
+// Guards against steering by a view that is no longer updated or that isn't reliable.
 #[test]
-fn lapsed_view() {
+fn expired_or_unsure_view_stops_overflow() {
     let centres = [
         (LOCAL_CENTRE, demand(40.0, &[(LOCAL_CENTRE, 30.0)])),
         (REMOTE_CENTRE, demand(2.0, &[(REMOTE_CENTRE, 2.0)])),
@@ -174,9 +175,9 @@
     assert_eq!(spread(&mut router, 950, 500), [500, 0, 0]);
 }
 
-// Operators can't see when and why flows leave a data centre.
+// Guards against overflow without events: operators must see when and why flows leave.
 #[test]
-fn overflow_told() {
+fn overflow_is_reported_and_explained() {
     let mut router = load_router(&backends());
     let burst = [
         (LOCAL_CENTRE, demand(30.0, &[(LOCAL_CENTRE, 30.0)])),
@@ -191,7 +192,7 @@
     let share_of = |centres: &[foxledge_flows::CentreLoad], name: &str| {
         centres.iter().find(|one| one.data_centre.as_str() == name).map(|one| one.overflow_share)
     };
-    // 14 of 30 leave for two data centres with equal room: the level is 0.8.
+    // 14 of 30 leave for two data centres with equally many free slots: the level is 0.8.
     let [report] = router.load_reports(clock_at(now)).try_into().expect("one service");
     let share = share_of(&report.centres, REMOTE_CENTRE).expect("is known");
     assert!((share - 7.0 / 30.0).abs() < 0.01, "{share}");
--- a/crates/foxledge-flows/tests/load_shortage.rs
+++ b/crates/foxledge-flows/tests/load_shortage.rs
@@ -1,4 +1,4 @@
-//! New flows are refused while a service is short of slots, and never else.
+//! New flows are refused only while a service is short of slots.
 
 mod common;
 
@@ -11,13 +11,13 @@
 };
 use foxledge_load::{LoadView, ServiceLoad};
 
-/// Ten near backend servers of two slots, and ten far ones.
+/// Ten local backend servers of two slots, and ten remote ones.
 fn backends() -> Vec<ListRow> {
     let centre = |number| if number <= 10 { LOCAL_CENTRE } else { REMOTE_CENTRE };
     (1..=20).map(|number| listed_backend(number, "desk", centre(number), 2)).collect()
 }
 
-/// Four times what 40 slots can serve, an eighth of it urgent.
+/// Four times the demand that 40 slots can serve, an eighth of it urgent.
 fn burst() -> [(&'static str, ServiceLoad); 2] {
     let per_s = [(1, 200.0), (2, 1_400.0)];
     [
@@ -26,15 +26,16 @@
     ]
 }
 
-/// The route at port 443 is of priority 1, that at 444 of priority 2.
+/// Key of a flow to `service_port`. The route at port 443 has priority 1, the one at 444 priority
+/// 2.
 fn key_at(caller: u8, port: u16, service_port: u16) -> FlowKey {
     let mut key = flow_key(caller, port);
     key.service.set_port(service_port);
     key
 }
 
-/// Opens a flow of each of 200 callers, each from a port of its own; counts those that are refused
-/// for shortage.
+/// Opens a flow for each of 200 callers, and returns how many are refused for shortage. The caller
+/// port depends on `now`, so that each call opens new flows.
 fn refusals(router: &mut FlowRouter, now: u64, service_port: u16, copy: u32) -> usize {
     refusals_from(router, now, service_port, copy, 5_000 + now as u16)
 }
@@ -53,7 +54,7 @@
     decisions.filter(is_refused).count()
 }
 
-/// The decisions of a router that was given the burst, with a change in its last view.
+/// Returns the refusals of a router that received the burst, after a change to its last view.
 fn refused_by(change: impl FnOnce(&mut LoadView)) -> usize {
     let mut router = load_router(&backends());
     let now = apply_steady_load(&mut router, 0, &burst());
@@ -63,19 +64,19 @@
     refusals(&mut router, now + 50, 444, 0)
 }
 
-// Urgent requests fail while others are served.
+// Guards against urgent requests that fail while others are served.
 #[test]
-fn urgent_first() {
+fn urgent_flows_are_admitted_first() {
     let mut router = load_router(&backends());
     let now = apply_steady_load(&mut router, 0, &burst());
     assert_eq!(refusals(&mut router, now, 443, 0), 0);
-    // 160 slots are needed, and urgent requests take half of the room.
+    // 160 slots are needed, and urgent requests take half of the available ones.
     assert!(refusals(&mut router, now, 444, 0) > 100);
 }
 
-// Requests are refused though a slot is free for them.
+// Guards against refusals while a slot is free.
 #[test]
-fn free_slots_used() {
+fn refuses_nothing_while_slots_suffice() {
     // One slot in eight is free.
     let per_s = [(1, 400.0), (2, 1_200.0)];
     let loads = [
@@ -86,7 +87,7 @@
     let now = apply_steady_load(&mut router, 0, &loads);
     assert_eq!(refusals(&mut router, now, 444, 0), 0);
 
-    // All are taken, but less is asked for than they can serve.
+    // All slots are taken, but the demand is less than they can serve.
     let per_s = [(1, 100.0), (2, 150.0)];
     let loads = [
         (LOCAL_CENTRE, caller_load(&per_s, &[(LOCAL_CENTRE, 21.0)])),
@@ -97,9 +98,9 @@
     assert_eq!(refusals(&mut router, now, 444, 0), 0);
 }
 
-// Callers are refused by a view that may be wrong.
+// Guards against refusals based on a view that may be wrong.
 #[test]
-fn weak_views_refuse_nothing() {
+fn unsure_or_old_view_refuses_nothing() {
     assert!(refused_by(|_| ()) > 100);
     assert_eq!(refused_by(|view| view.is_reliable = false), 0);
     let own = foxledge_core::names::CentreName::new(LOCAL_CENTRE);
@@ -110,9 +111,9 @@
     assert_eq!(refused_by(old), 0);
 }
 
-// Callers are refused while a data centre that may have room hasn't told its load.
+// Guards against refusals while a data centre that may have free slots hasn't reported its load.
 #[test]
-fn partial_view_waits() {
+fn partial_view_delays_refusals() {
     let mut router = load_router(&backends());
     let partial = |now: u64| {
         let mut partial = load_view(clock_at(now), &burst()[..1]);
@@ -124,16 +125,16 @@
         router.apply_load_view(clock_at(step * 50), partial(step * 50));
     }
     assert_eq!(refusals(&mut router, 450, 444, 0), 0);
-    // Cut off for longer, the data centre decides by itself.
+    // After a longer isolation, the data centre decides by its own load.
     for step in 10..14 {
         router.apply_load_view(clock_at(step * 50), partial(step * 50));
     }
     assert!(refusals(&mut router, 650, 444, 0) > 100);
 }
 
-// A view that nobody renews keeps refusing.
+// Guards against refusals based on a view that is no longer updated.
 #[test]
-fn lapsed_view() {
+fn expired_view_refuses_nothing() {
     let mut router = load_router(&backends());
     let now = apply_steady_load(&mut router, 0, &burst());
     assert!(refusals(&mut router, now + 399, 444, 0) > 100);
@@ -142,18 +143,19 @@
     assert_eq!(refusals(&mut router, now + 400, 444, 0), 0);
 }
 
-// A copy is refused whose flow is open elsewhere: its caller takes that for the end of it.
+// Guards against refusing a retransmission whose flow is open elsewhere: its caller would take that
+// for the end of the flow.
 #[test]
-fn copies_served() {
+fn retransmissions_are_not_refused() {
     let mut router = load_router(&backends());
     let now = apply_steady_load(&mut router, 0, &burst());
     assert_eq!(refusals(&mut router, now, 444, 1), 0);
 }
 
-// The network doubles an opening packet, and the flow that the first opened is refused by the
-// second.
+// Guards against refusing the second copy of an opening packet that the network duplicated, which
+// would end the flow that the first one opened.
 #[test]
-fn doubled_openings_served() {
+fn duplicated_openings_are_not_refused() {
     let mut router = load_router(&backends());
     let now = apply_steady_load(&mut router, 0, &burst());
     let calm = caller_load(&[(1, 1.0), (2, 1.0)], &[(LOCAL_CENTRE, 1.0)]);
@@ -164,9 +166,9 @@
     assert!(refusals_from(&mut router, now + 20, 444, 0, 901) > 100);
 }
 
-// The same, once the caller has gone on and the opening is no longer remembered.
+// The same, once the caller has continued and the opening is no longer kept.
 #[test]
-fn late_doubles_served() {
+fn duplicated_openings_of_tracked_flows_are_not_refused() {
     let mut router = load_router(&backends());
     let keys: Vec<_> = (0..200).map(|caller| key_at(caller, 900, 444)).collect();
     for key in &keys {
@@ -178,24 +180,24 @@
     assert!(refusals_from(&mut router, now, 444, 0, 901) > 100);
 }
 
-// Instances that stood still refuse by what was true before.
+// Guards against refusals by an instance that stood still and knows only the state before.
 #[test]
-fn paused_refuses_nothing() {
+fn paused_instance_refuses_nothing_until_confirmed() {
     let mut router = load_router(&backends());
     let now = apply_steady_load(&mut router, 0, &burst());
     router.record_pause();
     assert_eq!(refusals(&mut router, now, 444, 0), 0);
     let report = router.explain(clock_at(now), &key_at(1, 1, 444), 0).load.expect("is on");
     assert_eq!(report.basis, AdmissionBasis::ListDoubt);
-    // The next confirmation, and all that waited was read.
+    // Refusals resume after the next confirmation, once all waiting packets have been read.
     router.report_overdue_openings(clock_at(now + 10));
     router.set_confirmed_at(clock_at(now + 10));
     assert!(refusals(&mut router, now + 10, 444, 0) > 100);
 }
 
-// The list may be old, and with it the slots.
+// Guards against refusals by an unconfirmed list, whose slots may be out of date.
 #[test]
-fn unconfirmed_refuses_nothing() {
+fn unconfirmed_list_refuses_nothing() {
     let mut router = load_router(&backends());
     apply_steady_load(&mut router, 0, &burst());
     for step in 20..80 {
@@ -207,9 +209,9 @@
     assert_eq!(refusals(&mut router, 3_950, 444, 0), 0);
 }
 
-// An open flow is ended because slots are scarce.
+// Guards against resetting an open flow because slots are scarce.
 #[test]
-fn open_flows_kept() {
+fn shortage_resets_no_open_flow() {
     let mut router = load_router(&backends());
     let keys: Vec<_> = (0..50).map(|caller| key_at(caller, 7_000, 444)).collect();
     let numbers: Vec<_> =
@@ -228,9 +230,9 @@
     assert_eq!(router.drain_flow_resets(clock_at(now)), []);
 }
 
-// A priority that the list changes counts only after a restart.
+// Guards against a changed priority that counts only after a restart.
 #[test]
-fn priority_changed() {
+fn changed_priorities_apply_at_once() {
     let mut router = load_router(&backends());
     let now = apply_steady_load(&mut router, 0, &burst());
     assert!(refusals(&mut router, now, 444, 0) > 100);
@@ -248,9 +250,10 @@
     assert!(refusals(&mut router, now, 443, 0) > 100);
 }
 
-// Slots of an evacuated data centre count as room, and all wait.
+// Guards against counting slots of an evacuated data centre as usable, which would make all
+// requests wait.
 #[test]
-fn evacuated_slots() {
+fn slots_of_an_evacuated_data_centre_are_unusable() {
     // 35 slots are needed: two data centres have them, one doesn't.
     let per_s = [(1, 100.0), (2, 250.0)];
     let loads = [
@@ -266,9 +269,9 @@
     assert!(refused > 50, "{refused} of 200");
 }
 
-// Slots of dead and of slow backend servers count as room.
+// Guards against counting slots of draining backend servers as usable.
 #[test]
-fn lost_slots() {
+fn slots_of_draining_backends_are_unusable() {
     let mut router = load_router(&backends());
     apply_steady_load(&mut router, 0, &burst());
     assert_eq!(router.load_reports(clock_at(950))[0].slots, 40.0);
@@ -280,14 +283,15 @@
     assert_eq!(router.load_reports(clock_at(960))[0].slots, 20.0);
 }
 
-// One client account that asks ten times as often as others takes their slots.
+// Guards against a client account that sends ten times as many requests as others and takes their
+// slots.
 #[test]
-fn account_share_kept() {
+fn heavy_account_is_limited_to_its_share() {
     let mut router = load_router(&backends());
     let account =
         |caller: u8| foxledge_admission::AccountKey::of(*flow_key(caller, 1).caller.ip()).0;
     let mut now = 0;
-    // A third of the openings are of the account 250, the others of twenty.
+    // A third of the openings belong to account 250, the others to twenty accounts.
     for step in 0..40 {
         now = step * 50;
         let mut last = load_view(clock_at(now), &burst());
@@ -311,9 +315,9 @@
     assert_eq!(refused(0..5, 443), 0);
 }
 
-// Operators can't see when and why flows are refused.
+// Guards against refusals without events: operators must see when and why flows are refused.
 #[test]
-fn shortage_told() {
+fn shortage_is_reported_and_explained() {
     let mut router = load_router(&backends());
     let now = apply_steady_load(&mut router, 0, &burst());
     let changes: Vec<_> = router.drain_load_events().iter().map(|news| news.change).collect();
--- a/crates/foxledge-flows/tests/load_subsets.rs
+++ b/crates/foxledge-flows/tests/load_subsets.rs
@@ -1,4 +1,4 @@
-//! Instances share out the backend servers while slots are scarce.
+//! Instances divide the backend servers among them while slots are scarce.
 //!
 //! The load: 19 instances in front of 30 backend servers of two slots, nine of which take five
 //! times as long. Each instance sees a nineteenth of the requests; by its own count of them, a slow
@@ -21,20 +21,20 @@
 const INSTANCES: usize = 19;
 const SERVERS: u64 = 30;
 const SLOTS: usize = 2;
-/// Backend servers of higher numbers are slow.
+/// Backend servers with higher numbers are slow.
 const SLOW_FROM: u64 = 21;
 const USUAL_MS: u64 = 50;
 const SLOW_MS: u64 = 250;
-/// Time until instances know the backend servers that they use, in milliseconds.
+/// Time, in milliseconds, until instances know the backend servers that they use.
 const SETTLED_MS: u64 = 5_000;
-/// Time from a load to the view that shows it, in milliseconds.
+/// Time, in milliseconds, from a load to the view that shows it.
 const VIEW_LATE_MS: u64 = 150;
 
 fn address(instance: usize) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, instance as u8), 7_000)
 }
 
-/// An instance that knows the others, in front of `servers`.
+/// Creates an instance that knows the others, in front of `servers`.
 fn instance(index: usize, others: usize, servers: &[ListRow]) -> FlowRouter {
     let options = RouterOptions::new(CentreName::new(LOCAL_CENTRE))
         .address(address(index))
@@ -61,12 +61,12 @@
     router.apply_load_view(clock_at(now), Arc::new(load_view(clock_at(now), &loads)));
 }
 
-/// When a request ends, at which backend server, by which instance, its flow and its start.
+/// When a request ends, the number of its backend server, its instance, its flow and its start.
 type WorkEnd = (u64, u64, usize, FlowKey, u64);
 
-/// What the backend servers did.
+/// Results of a run.
 struct FleetTally {
-    /// Requests of each, by number.
+    /// Requests of each backend server, by number.
     served: Vec<u64>,
     /// Times from requests to answers, in milliseconds, sorted.
     times: Vec<u64>,
@@ -79,8 +79,8 @@
     }
 }
 
-/// Runs `per_s` requests a second for some seconds, each at any instance; instances are told the
-/// load when `is_told`.
+/// Runs `per_s` requests a second for some seconds, each at a random instance. Instances get load
+/// views when `is_told`.
 fn run_fleet(per_s: u64, seconds: u64, is_told: bool) -> FleetTally {
     let rows = servers(SERVERS);
     let mut routers: Vec<_> = (0..INSTANCES).map(|one| instance(one, INSTANCES, &rows)).collect();
@@ -105,7 +105,7 @@
             }
             let queue = queues.entry(number).or_default();
             queue.pop_front();
-            // The one behind those that run begins.
+            // The next request in the queue begins.
             if let Some((instance, key, begun)) = queue.get(SLOTS - 1).copied() {
                 ends.push(Reverse((now + work_ms(number), number, instance, key, begun)));
             }
@@ -147,13 +147,13 @@
     if number > SLOW_FROM { SLOW_MS } else { USUAL_MS }
 }
 
-/// Eight tenths of what the slots can serve, with the load of others told and without.
+/// Runs the fleet at eight tenths of what the slots can serve, with load views and without.
 fn slow_fleets() -> [FleetTally; 2] {
     [true, false].map(|is_told| run_fleet(730, 20, is_told))
 }
 
-// A slow backend server gets as many requests as any, or none for seconds and then some of each
-// instance at once.
+// Guards against a slow backend server that gets as many requests as any other, or none for seconds
+// and then some from each instance at once.
 #[test]
 fn slow_gets_fifth() {
     let [told, _] = slow_fleets();
@@ -162,25 +162,25 @@
     assert!((0.15..0.28).contains(&share), "{share:.3}");
 }
 
-// Requests wait at slow backend servers as long as where instances know their own flows alone.
+// Guards against requests that wait at slow backend servers as long as without load views.
 #[test]
-fn slow_answers_short() {
+fn load_views_shorten_waits_at_slow_backends() {
     let p99_ms = |tally: &FleetTally| tally.times[tally.times.len() * 99 / 100];
     let [told, untold] = slow_fleets().map(|tally| p99_ms(&tally));
     println!("told: p99 {told} ms, untold: p99 {untold} ms");
     assert!(told < 600 && told < untold / 2, "{told} ms");
 }
 
-// A backend server is left to nobody, or all instances crowd on the same.
+// Guards against a backend server that no instance prefers, and against one that all prefer.
 #[test]
-fn two_share_each() {
+fn two_instances_prefer_each_backend() {
     let rows = servers(SERVERS);
     let mut chosen: HashMap<usize, usize> = HashMap::new();
     for index in 0..INSTANCES {
         let mut router = instance(index, INSTANCES, &rows);
         set_load(&mut router, 50, 700.0, 40.0);
         let explanation = router.explain(clock_at(50), &flow_key(1, 1), 0);
-        // An instance without any looks at all.
+        // An instance with an empty subset examines all backend servers.
         let own = explanation.candidates.iter().filter(|one| !one.is_outside_subset);
         own.for_each(|one| *chosen.entry(one.index).or_default() += 1);
     }
@@ -188,24 +188,25 @@
     assert!(chosen.values().all(|count| *count == 2), "{chosen:?}");
 }
 
-// Instances crowd on few backend servers though nothing waits anywhere.
+// Guards against instances that use only their subsets though nothing waits anywhere.
 #[test]
-fn calm_uses_all() {
+fn all_backends_are_used_without_scarcity() {
     let mut router = instance(0, INSTANCES, &servers(SERVERS));
     set_load(&mut router, 50, 500.0, 29.0);
     assert_eq!(router.explain(clock_at(50), &flow_key(1, 1), 0).candidates.len() as u64, SERVERS);
     set_load(&mut router, 100, 500.0, 31.0);
     assert!((router.explain(clock_at(100), &flow_key(1, 1), 0).candidates.len() as u64) < SERVERS);
-    // Nor by a view that has lapsed.
+    // Nor does an expired view limit the candidates.
     assert_eq!(
         router.explain(clock_at(2_200), &flow_key(1, 1), 0).candidates.len() as u64,
         SERVERS
     );
 }
 
-// Flows go to dead backend servers of the subset, or wait there while others are idle.
+// Guards against flows to draining backend servers of the subset, and against flows that wait there
+// while other backend servers are idle.
 #[test]
-fn crowded_looks_beyond() {
+fn uses_backends_beyond_a_busy_subset() {
     let rows = servers(SERVERS);
     let mut router = instance(0, INSTANCES, &rows);
     set_load(&mut router, 50, 700.0, 40.0);
@@ -218,7 +219,7 @@
         router.on_packet(clock_at(58), &data_packet(key, number as u32, 1, 1));
         *counts.entry(number).or_default() += 1;
     }
-    // One more request a slot than elsewhere, and no more.
+    // At most one more request per slot than elsewhere.
     assert_eq!(counts.len() as u64, SERVERS);
     assert!(counts.values().all(|count| *count <= 4), "{counts:?}");
 
@@ -234,13 +235,13 @@
     assert!(!numbers.contains(&number));
 }
 
-// The subset is that of instances and backend servers that are gone.
+// Guards against a subset that still counts instances and backend servers that are gone.
 #[test]
-fn changes_followed() {
+fn subset_follows_list_and_instance_changes() {
     let rows = servers(SERVERS);
     let mut router = instance(0, 9, &rows[..20]);
     set_load(&mut router, 50, 700.0, 40.0);
-    // Ten more instances and ten more backend servers, then four instances leave.
+    // Ten more instances and ten more backend servers join, then four instances leave.
     router.apply_rows(clock_at(60), &rows[20..]);
     router.set_neighbours(clock_at(60), (1..INSTANCES).map(address).collect());
     set_load(&mut router, 100, 700.0, 40.0);
@@ -260,9 +261,9 @@
     assert_eq!(chosen(&mut router), chosen(&mut fresh));
 }
 
-// Each opening of a burst is compared with the whole of a long list.
+// Guards against comparing each opening of a burst with all of a long list.
 #[test]
-fn few_looked_at() {
+fn examines_few_backends_of_a_long_list() {
     let rows = servers(4_800);
     for instances in [1, 6, INSTANCES] {
         let mut router = instance(0, instances, &rows);
--- a/crates/foxledge-flows/tests/own_load.rs
+++ b/crates/foxledge-flows/tests/local_load.rs
@@ -1,4 +1,4 @@
-//! What an instance tells of its own load.
+//! The local load that an instance reports.
 
 mod common;
 
@@ -21,23 +21,23 @@
     load.services.get(&ServiceKey::of("desk")).cloned().unwrap_or_default()
 }
 
-/// Requests that run or wait in the own data centre.
+/// Returns the requests that run or wait in the local data centre.
 fn running(router: &mut FlowRouter, now: u64) -> f64 {
     desk_load(router, now).running.get(&CentreName::new(LOCAL_CENTRE)).copied().unwrap_or(0.0)
 }
 
-/// Arrivals a second by priority.
+/// Returns the arrivals per second by priority.
 fn arrivals(router: &mut FlowRouter, now: u64) -> BTreeMap<u32, f64> {
     let priorities = desk_load(router, now).priorities;
     priorities.into_iter().map(|(priority, load)| (priority, load.arrivals_per_s)).collect()
 }
 
-/// The packet by which a caller acknowledges an answer.
+/// Packet with which a caller acknowledges an answer.
 fn answered(key: FlowKey, token: u32, acknowledged: u32) -> FlowPacket {
     FlowPacket { acknowledged, ..flow_packet(key, PacketKind::Continue, token) }
 }
 
-/// Asks once on a flow of its own and takes the answer after some time.
+/// Sends one request on a new flow, which is answered after `work_ms`.
 fn ask(router: &mut FlowRouter, now: u64, port: u16, work_ms: u64) {
     let key = flow_key(1, port);
     let number = open_flow(router, now, key).expect("is placed") as u32;
@@ -46,9 +46,10 @@
     router.on_packet(clock_at(now + 8 + work_ms), &finish);
 }
 
-// A flow counts twice while its opening is answered, or its request doesn't count at all.
+// Guards against counting a flow twice when its opening is answered, and against not counting its
+// request.
 #[test]
-fn each_counted_once() {
+fn each_request_counts_once() {
     let mut router = load_router(&backends());
     assert_eq!(running(&mut router, 0), 0.0);
     let key = flow_key(1, 1);
@@ -63,9 +64,9 @@
     assert_eq!(running(&mut router, 63), 0.0);
 }
 
-// Copies of openings and of data count as more requests.
+// Guards against counting retransmitted openings and data as more requests.
 #[test]
-fn copies_count_once() {
+fn retransmissions_count_once() {
     let mut router = load_router(&backends());
     let key = flow_key(1, 1);
     router.on_packet(clock_at(0), &opening_packet(key, 0));
@@ -81,9 +82,9 @@
     assert!((rate - 4.0).abs() < 0.5, "{rate}");
 }
 
-// Openings that nobody answers count for ever, and the service looks full.
+// Guards against unanswered openings that count forever and make the service look full.
 #[test]
-fn unanswered_openings_end() {
+fn unanswered_openings_stop_counting() {
     let mut router = load_router(&backends());
     for port in 0..50 {
         router.on_packet(clock_at(0), &opening_packet(flow_key(1, 1_000 + port), 0));
@@ -93,9 +94,10 @@
     assert_eq!(running(&mut router, 42), 0.0);
 }
 
-// Requests count until their flow is forgotten, though the packet that ended it was lost.
+// Guards against requests that count until their flow expires because the packet that ended them
+// was lost.
 #[test]
-fn lost_ends_expire() {
+fn requests_without_an_end_expire() {
     let mut router = load_router(&backends());
     router.apply_load_view(
         clock_at(0),
@@ -109,7 +111,7 @@
     // The routes allow 1 s for a request.
     assert_eq!(running(&mut router, 1_000), 10.0);
     assert_eq!(running(&mut router, 1_008), 0.0);
-    // An answer that comes nevertheless doesn't count below zero.
+    // An answer that arrives later doesn't make the count negative.
     let token = router.backends().next().expect("is known").token;
     router.on_packet(clock_at(1_100), &answered(flow_key(1, 1_000), token, 900));
     let key = flow_key(1, 2_000);
@@ -117,10 +119,11 @@
     assert_eq!(running(&mut router, 1_111), 1.0);
 }
 
-// Requests whose answers pass at other instances, as routers move flows when a fleet starts
-// again, count until their deadline, and a service with free slots looks short for seconds.
+// Guards against requests that count until their deadline because their answers pass at other
+// instances, as network routers move flows when a fleet restarts: a service with free slots would
+// look short of them for seconds.
 #[test]
-fn moved_answers_expire() {
+fn requests_answered_elsewhere_expire() {
     let mut router = load_router(&backends());
     let patient = [route_row("r", 443, "desk", 2), second_route_row(2, 2)].map(|mut row| {
         if let Some(RowValue::Route(route)) = &mut row.value {
@@ -140,9 +143,10 @@
     assert_eq!(running(&mut router, 1_100), 0.0);
 }
 
-// Requests of a process that is gone count on after its successor has its id.
+// Guards against requests of a previous process that still count after a new process has taken over
+// its id.
 #[test]
-fn restart_ends_requests() {
+fn requests_end_with_a_backend_restart() {
     let mut first = backend_spec(1, "desk", LOCAL_CENTRE);
     first.incarnation = 5;
     let mut second = first.clone();
@@ -164,9 +168,9 @@
     assert_eq!(running(&mut router, 51), 0.0);
 }
 
-// Only the first request of a flow that is kept open counts.
+// Guards against counting only the first request of a flow that is kept open.
 #[test]
-fn feeds_count_each() {
+fn each_request_of_a_kept_flow_counts() {
     let mut router = load_router(&backends());
     let key = flow_key(1, 1);
     let token = open_flow(&mut router, 0, key).expect("is placed") as u32;
@@ -177,7 +181,7 @@
             &data_packet(key, token, 1 + request * 100, 1 + request * 50),
         );
         assert_eq!(running(&mut router, now + 1), 1.0);
-        // Every other answer is acknowledged by the next request only.
+        // Every other answer is acknowledged only by the next request.
         if request % 2 == 0 {
             router.on_packet(clock_at(now + 10), &answered(key, token, 51 + request * 50));
             assert_eq!(running(&mut router, now + 11), 0.0);
@@ -187,9 +191,9 @@
     assert!((40.0..55.0).contains(&rate), "{rate}");
 }
 
-// Requests count under the priority that their route had once.
+// Guards against counting requests under a former priority of their route.
 #[test]
-fn priority_by_route() {
+fn arrivals_count_by_current_route_priority() {
     let mut router = load_router(&backends());
     let mut other = flow_key(1, 2);
     other.service.set_port(444);
@@ -208,9 +212,10 @@
     assert_eq!(arrivals(&mut router, 18).into_keys().collect::<Vec<_>>(), [1, 2, 3]);
 }
 
-// Refused openings count as nothing asked, and the shortage ends by its own refusals.
+// Guards against refused openings that don't count as demand, so that a shortage ends by its own
+// refusals.
 #[test]
-fn refused_count_as_asked() {
+fn refused_openings_count_as_arrivals() {
     let mut router = load_router(&backends());
     let per_s = [(1, 20.0), (2, 2_000.0)];
     let now = apply_steady_load(
@@ -229,9 +234,9 @@
     assert!(refused > 100 && (rate - f64::from(refused) * 4.0).abs() < 1.0, "{refused}, {rate}");
 }
 
-// Time in a queue counts as work, so that the demand rises with the queue.
+// Guards against counting the time in a queue as work, so that the demand grows with the queue.
 #[test]
-fn work_frozen_in_bursts() {
+fn work_time_is_not_learned_in_bursts() {
     let mut router = load_router(&backends());
     let work_ms = |router: &mut FlowRouter, now| {
         let load = desk_load(router, now);
@@ -245,7 +250,7 @@
         router.apply_load_view(clock_at(now), Arc::new(load_view(clock_at(now), &calm)));
     }
     assert_eq!(work_ms(&mut router, now), 50.0);
-    // The burst is seen 200 ms after its start.
+    // The view shows the burst 200 ms after its start.
     let full = [(LOCAL_CENTRE, caller_load(&[(1, 80.0)], &[(LOCAL_CENTRE, 8.0)]))];
     for port in 0..20 {
         ask(&mut router, now, 2_000 + port, 150);
@@ -256,9 +261,10 @@
     assert_eq!(work_ms(&mut router, now), 50.0);
 }
 
-// A slow backend server makes work look longer, though its slots count for less already.
+// Guards against counting a slow backend server's answers as more work, though its slots already
+// count for less.
 #[test]
-fn slow_answers_scaled() {
+fn slow_answers_are_scaled_to_usual_work() {
     let mut router = load_router(
         &(1..=4).map(|n| listed_backend(n, "desk", LOCAL_CENTRE, 2)).collect::<Vec<_>>(),
     );
@@ -281,9 +287,10 @@
     assert!((6.0..7.5).contains(&slots), "{slots}");
 }
 
-// The start of a burst is told up to 250 ms late, or the load is told with each packet.
+// Guards against reporting the start of a burst up to 250 ms late, and against a report after every
+// packet.
 #[test]
-fn due_when_jumped() {
+fn report_is_due_after_a_load_jump() {
     let mut router = load_router(&backends());
     assert!(router.is_load_report_due(clock_at(0)));
     router.collect_local_load(clock_at(0));
@@ -293,14 +300,14 @@
         router.on_packet(clock_at(260), &opening_packet(flow_key(1, 1_000 + port), 0));
     }
     assert!(!router.is_load_report_due(clock_at(299)) && router.is_load_report_due(clock_at(300)));
-    // Busy from now on, for two seconds.
+    // The instance is busy for the next two seconds.
     router.collect_local_load(clock_at(300));
     assert!(!router.is_load_report_due(clock_at(349)) && router.is_load_report_due(clock_at(350)));
 }
 
-// The start of a shortage is decided by a load that is told every 250 ms.
+// Guards against detecting a shortage by a load that is reported only every 250 ms.
 #[test]
-fn due_when_pressed() {
+fn report_interval_shortens_under_load() {
     let mut router = load_router(&backends());
     router.collect_local_load(clock_at(0));
     let pressed = caller_load(&[(1, 50.0)], &[(LOCAL_CENTRE, 3.0)]);
@@ -312,9 +319,9 @@
     assert!(router.is_load_report_due(clock_at(50)));
 }
 
-// The account that floods isn't in the samples, or a part has more than a message holds.
+// Guards against samples that miss the flooding account or exceed the room of a message.
 #[test]
-fn accounts_sampled() {
+fn heavy_account_is_sampled() {
     let mut router = load_router(&backends());
     let per_s = [(1, 20.0), (2, 2_000.0)];
     let now = apply_steady_load(
@@ -332,7 +339,7 @@
     assert_eq!((load.sampled_accounts.len(), load.openings_per_sample), (6, 100));
     let heavy = foxledge_admission::AccountKey::of(*flow_key(77, 1).caller.ip()).0;
     assert!(load.sampled_accounts.iter().filter(|account| **account == heavy).count() >= 1);
-    // Told every other time, each opening stands in one part.
+    // Reports are sent every other time, so each opening is in one of them.
     assert_eq!(
         router.collect_local_load(clock_at(now + 100)).sampled_accounts,
         load.sampled_accounts
--- a/crates/foxledge-flows/tests/missing_routes.rs
+++ b/crates/foxledge-flows/tests/missing_routes.rs
@@ -6,7 +6,7 @@
 use foxledge_flows::{DropReason, FlowDecision, RefuseReason};
 
 #[test]
-fn fresh_list_refuses() {
+fn confirmed_list_refuses_an_unrouted_opening() {
     let mut router = empty_router();
     router.apply_rows(clock_at(0), &[limits_row(1, 1)]);
     router.set_confirmed_at(clock_at(0));
@@ -14,11 +14,10 @@
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoRoute));
 }
 
-// Symptom: callers of a route that was just added are refused for good.
-// Sequence: an instance is cut off from the store and its peers; a route is added.
-// Cause: the instance refuses what its old list doesn't have.
+// Guards against a final refusal for a route that was just added: an instance that is cut off from
+// the store and its peers would refuse what its old list doesn't have.
 #[test]
-fn stale_list_silent() {
+fn stale_list_drops_an_unrouted_opening() {
     let mut router = empty_router();
     router.apply_rows(clock_at(0), &[limits_row(1, 1)]);
     router.set_confirmed_at(clock_at(0));
@@ -27,7 +26,7 @@
 }
 
 #[test]
-fn no_list_silent() {
+fn missing_list_drops_an_opening() {
     let decision = empty_router().on_packet(clock_at(10), &opening_packet(flow_key(1, 1), 0));
     assert_eq!(decision, FlowDecision::Drop(DropReason::NoList));
 }
