--- a/crates/foxledge-flows/tests/open_flows.rs
+++ b/crates/foxledge-flows/tests/open_flows.rs
@@ -6,8 +6,8 @@
 use foxledge_flows::{DropReason, FlowDecision, PacketKind, ResetReason, rows::RowValue};
 
 #[test]
-fn any_instance_continues() {
-    // An instance that was started a moment ago knows no flow, only the list.
+fn any_instance_continues_an_open_flow() {
+    // An instance that has just started knows no flows, only the list.
     let backends: Vec<_> =
         (1..=5).map(|number| listed_backend(number, "desk", LOCAL_CENTRE, 2)).collect();
     let mut first = listed_router(&backends);
@@ -20,12 +20,11 @@
     }
 }
 
-// Symptom: packets of a price feed reach the service that took an address over.
-// Sequence: a backend server ends, its address goes to one of another service,
-//   an instance goes on sending its flows to the address.
-// Cause: the packet names no backend server, only an address.
+// Guards against packets of a price feed that reach another service: a backend server ends, its
+// address goes to one of another service, and an instance keeps sending flows to the address
+// because the packets name no backend server.
 #[test]
-fn reused_address_refuses() {
+fn reused_address_gets_no_foreign_flows() {
     let old = listed_backend(1, "desk", LOCAL_CENTRE, 2);
     let mut router = listed_router(std::slice::from_ref(&old));
     let key = flow_key(1, 1);
@@ -33,13 +32,14 @@
     let mut newer = backend_spec(2, "intake", LOCAL_CENTRE);
     newer.ip = u32::from(std::net::Ipv4Addr::new(10, 128, 0, 1));
     router.apply_rows(clock_at(100), &[removed_row(&old, 3, 0), backend_row(newer, 4)]);
-    // A caller that may ask again is told at once.
+    // A caller that may repeat its request is reset at once.
     let decision = router.on_packet(clock_at(200), &data_packet(key, 1, 1, 1));
     let FlowDecision::Reset { backend, reason: ResetReason::AddressTaken { .. } } = decision else {
         panic!("{decision:?}");
     };
     assert_eq!(router.backend(backend).map(|one| one.number), Some(1));
-    // Any other packet is still sent to the number of the old one, which the new one isn't.
+    // Other packets are still addressed to the old number, which the new backend server doesn't
+    // have.
     let mut unrepeatable = route_row("r", 443, "desk", 5);
     if let Some(RowValue::Route(route)) = &mut unrepeatable.value {
         route.idempotent = false;
@@ -50,27 +50,27 @@
 }
 
 #[test]
-fn gone_keeps_flows() {
+fn removed_backend_keeps_its_open_flows() {
     let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
     let mut router = listed_router(&[one.clone(), listed_backend(2, "desk", LOCAL_CENTRE, 2)]);
     router.apply_rows(clock_at(100), &[removed_row(&draining_row(&one, 3), 4, 0)]);
     let decision = router.on_packet(clock_at(50_000), &data_packet(flow_key(1, 1), 1, 1, 1));
     assert_eq!(decided_backend(&router, &decision), Some(1));
-    // After the longest life of a flow nothing is left to send on.
+    // After the longest lifetime of a flow, there are no flows left to forward.
     router.apply_rows(clock_at(100_000), &[limits_row(2, 9)]);
     let decision = router.on_packet(clock_at(100_001), &data_packet(flow_key(1, 1), 1, 1, 1));
     assert_eq!(decision, FlowDecision::Drop(DropReason::UnknownToken));
 }
 
 #[test]
-fn unknown_token_dropped() {
+fn unknown_token_is_dropped() {
     let mut router = listed_router(&[listed_backend(1, "desk", LOCAL_CENTRE, 2)]);
     let decision = router.on_packet(clock_at(10), &data_packet(flow_key(1, 1), 77, 1, 1));
     assert_eq!(decision, FlowDecision::Drop(DropReason::UnknownToken));
 }
 
 #[test]
-fn moved_route_keeps_flows() {
+fn route_change_keeps_open_flows() {
     let mut router = listed_router(&[
         listed_backend(1, "desk", LOCAL_CENTRE, 2),
         listed_backend(2, "other", LOCAL_CENTRE, 2),
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn removed_route_ends_flows() {
+fn removed_route_drops_open_flows() {
     let one = route_row("r", 443, "desk", 1);
     let mut router = listed_router(&[listed_backend(1, "desk", LOCAL_CENTRE, 2)]);
     let key = flow_key(1, 1);
@@ -94,12 +94,10 @@
     assert_eq!(decision, FlowDecision::Drop(DropReason::RouteRemoved));
 }
 
-// Symptom: an open flow is reset although its backend server lives.
-// Sequence: a route is added and a flow opened by it at an instance that knows it;
-//   its packets move to one that doesn't know it yet.
-// Cause: the second instance takes the packet for one without a route.
+// Guards against resetting an open flow of a healthy backend server: a route is added, one instance
+// opens a flow by it, and the flow's packets move to an instance that doesn't have the route yet.
 #[test]
-fn stale_instance_forwards() {
+fn instance_without_the_route_forwards_open_flows() {
     let mut router = empty_router();
     router.apply_rows(clock_at(0), &[limits_row(1, 1), listed_backend(1, "desk", LOCAL_CENTRE, 1)]);
     router.set_confirmed_at(clock_at(0));
@@ -111,8 +109,8 @@
 }
 
 #[test]
-fn equal_tokens_by_service() {
-    // Two numbers that fold to one token: the flow's route tells them apart.
+fn equal_tokens_are_told_apart_by_service() {
+    // Two numbers with the same token; the flow's route tells them apart.
     let long = (7_u64 << 32) | 2;
     let short = 7 ^ 2;
     let mut other = backend_spec(long, "other", LOCAL_CENTRE);
--- a/crates/foxledge-flows/tests/route_regions.rs
+++ b/crates/foxledge-flows/tests/route_regions.rs
@@ -1,4 +1,4 @@
-//! Routes whose requests may be served in some regions only.
+//! Routes whose requests may be served only in some regions.
 
 mod common;
 
@@ -44,10 +44,10 @@
     decided_backend(router, &decision)
 }
 
-// Symptom: requests that must stay in a region are served in another.
-// Sequence: the instance that takes them is elsewhere, and has backend servers nearby.
+// Guards against serving requests outside their region: the instance that receives them is
+// elsewhere and has local backend servers.
 #[test]
-fn stays_in_region() {
+fn serves_only_in_allowed_regions() {
     let mut router = router_with(route_in(&["plains"], 1));
     for port in 1..30 {
         assert_eq!(place(&mut router, port), Some(2));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn none_left_refused() {
+fn refuses_without_a_backend_in_allowed_regions() {
     let mut router = router_with(route_in(&["plains"], 1));
     let leaving = draining_row(&listed_backend(2, "desk", REMOTE_CENTRE, 2), 3);
     router.apply_rows(clock_at(50), &[leaving]);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn free_without_regions() {
+fn any_region_serves_a_route_without_regions() {
     let mut router = router_with(route_in(&[], 1));
     assert_eq!(place(&mut router, 1), Some(1));
     router.apply_rows(clock_at(50), &[route_in(&["nowhere"], 2)]);
--- a/crates/foxledge-flows/tests/slow_backend.rs
+++ b/crates/foxledge-flows/tests/slow_backend.rs
@@ -1,19 +1,18 @@
-//! Backend servers that answer, but slowly.
+//! Backend servers that answer slowly.
 //!
-//! The load: bids, a flow each, at a rate that leaves most slots free, and one of
-//! four backend servers that takes five times as long. Evenly spread, a quarter of
-//! the bids would be late.
+//! The load: bids, one flow each, at a rate that leaves most slots free, and one of four backend
+//! servers that takes five times as long. Evenly spread, a quarter of the bids would be late.
 
 mod common;
 
 use common::*;
 use foxledge_flows::{FlowRouter, PacketKind};
 
-/// Time of an answer in milliseconds, of a usual and of a slow backend server.
+/// Answer time, in milliseconds, of a usual and of a slow backend server.
 const USUAL_MS: u64 = 20;
 const SLOW_MS: u64 = 100;
 
-/// Runs bids one after the other, `gap` milliseconds apart; counts those at each backend server.
+/// Runs bids `gap` milliseconds apart, and returns how many each backend server got.
 fn run_bids(router: &mut FlowRouter, start: u64, count: u16, gap: u64, slow: u64) -> Vec<u64> {
     let mut ends: Vec<(u64, u16, u64)> = Vec::new();
     let mut counts = vec![0; 5];
@@ -42,11 +41,10 @@
     listed_router(&backends)
 }
 
-// Symptom: a quarter of the bids is late while three backend servers are nearly idle.
-// Sequence: one of four backend servers takes five times as long.
-// Cause: it is chosen whenever it runs no more requests than the others.
+// Guards against late bids while three backend servers are nearly idle: a backend server that takes
+// five times as long must not be chosen just because it runs no more requests than the others.
 #[test]
-fn slow_gets_few() {
+fn slow_backend_gets_few_flows() {
     let mut router = four_backends();
     let counts = run_bids(&mut router, 0, 400, 10, 3);
     assert!(counts[3] <= 30, "{counts:?}");
@@ -54,17 +52,17 @@
 }
 
 #[test]
-fn usual_stays_even() {
+fn equally_fast_backends_share_evenly() {
     let mut router = four_backends();
     let counts = run_bids(&mut router, 0, 400, 10, 0);
     assert!(counts[1..].iter().all(|count| (90..=110).contains(count)), "{counts:?}");
 }
 
 #[test]
-fn recovered_comes_back() {
+fn recovered_backend_gets_its_share_again() {
     let mut router = four_backends();
     run_bids(&mut router, 0, 400, 10, 3);
-    // It is as fast as the others again; after some seconds it has its part.
+    // It is as fast as the others again, and has its share after some seconds.
     let counts = run_bids(&mut router, 8_000, 800, 10, 0);
     assert!(counts[3] >= 150, "{counts:?}");
 }
--- a/crates/foxledge-flows/tests/trial_turns.rs
+++ b/crates/foxledge-flows/tests/trial_delays.rs
@@ -6,11 +6,11 @@
 use foxledge_core::names::CentreName;
 use foxledge_flows::{FlowRouter, HealthClass, HealthObservation, RouterOptions};
 
-/// Time in milliseconds until a note has gone round.
+/// Time, in milliseconds, until an observation has reached all instances.
 const NOTE_MS: u64 = 5;
 const INSTANCES: usize = 64;
 
-/// Routers that know a backend server near and another far away.
+/// Routers with a local and a remote backend server.
 fn fleet() -> Vec<FlowRouter> {
     let rows = [
         limits_row(1, 1),
@@ -29,7 +29,8 @@
     (0..INSTANCES).map(router).collect()
 }
 
-/// Flows placed at backend server 1, which answers none until `alive_at`, in each second.
+/// Returns, for each second, the flows placed at backend server 1, which answers none until
+/// `alive_at`.
 fn trials(alive_at: u64) -> Vec<usize> {
     let mut routers = fleet();
     let mut notes: Vec<(u64, HealthObservation)> = Vec::new();
@@ -41,7 +42,7 @@
         notes.retain(|(due, _)| *due > now);
         for (index, router) in routers.iter_mut().enumerate() {
             router.report_overdue_openings(clock_at(now));
-            // One flow in 50 ms at each instance.
+            // Each instance opens one flow every 50 ms.
             if (now / 5) as usize % 10 == index % 10 {
                 let flow = flow_key(index as u8 + 1, 1_024 + (now / 5) as u16);
                 let decision = router.on_packet(clock_at(now), &opening_packet(flow, 0));
@@ -62,22 +63,21 @@
     placed
 }
 
-// Symptom: for as long as a backend server is dead, hundreds of callers wait for 200 ms.
-// Sequence: it is ejected by all 64 instances for a second, for two, for four; at the end
-//   of each, every instance tries it with one flow.
-// Cause: all try at once, before the first can tell the others that it fails.
+// Guards against hundreds of callers that wait for 200 ms as long as a backend server is dead: all
+// 64 instances eject it for one, two, then four seconds, and each sends a trial flow at the end,
+// before the first failure can reach the others.
 #[test]
-fn failing_trials_few() {
+fn few_trials_while_a_backend_is_dead() {
     let placed = trials(u64::MAX);
-    // Until the first opening is overdue nobody knows.
+    // No instance knows before the first opening is overdue.
     let later: usize = placed[1..].iter().sum();
     assert!(later <= 20, "{placed:?}");
 }
 
-// Symptom: a backend server that is back gets no flows.
-// Cause: instances wait for a turn that is far away, though others have been answered.
+// Guards against a recovered backend server without flows, because instances wait for their distant
+// trial though others have been answered.
 #[test]
-fn first_success_ends_all() {
+fn first_answered_trial_ends_the_ejection_everywhere() {
     let placed = trials(1_000);
     assert!(placed[3] > 100, "{placed:?}");
 }
