--- a/crates/foxledge-flows/benches/openings.rs
+++ b/crates/foxledge-flows/benches/openings.rs
@@ -14,7 +14,7 @@
 use foxledge_flows::{FlowKey, FlowRouter, PacketKind, RouterOptions, rows::ListRow};
 
 /// Other instances of the data centre.
-const OTHERS: u8 = 18;
+const PEER_COUNT: u8 = 18;
 
 #[derive(Clone, Copy)]
 struct LoadMode {
@@ -52,16 +52,16 @@
     }
     let mut router = fill_router(FlowRouter::new(options), &rows(servers));
     let address = |one| SocketAddrV4::new([10, 9, 0, one].into(), 7_000);
-    router.set_neighbours(clock_at(0), (0..OTHERS).map(address).collect());
+    router.set_neighbours(clock_at(0), (0..PEER_COUNT).map(address).collect());
     router
 }
 
-fn set_load(router: &mut FlowRouter, mode: LoadMode, servers: u64, now: u64) {
+fn apply_load(router: &mut FlowRouter, mode: LoadMode, servers: u64, now: u64) {
     let slots = servers as f64 * 2.0;
     let per_s = [(1, slots * mode.load * 0.25 / 0.05), (2, slots * mode.load * 0.75 / 0.05)];
-    let (near, far) = (slots * 0.75 * mode.load, slots * 0.25 * mode.load);
+    let (local, remote) = (slots * 0.75 * mode.load, slots * 0.25 * mode.load);
     let loads = [
-        (LOCAL_CENTRE, caller_load(&per_s, &[(LOCAL_CENTRE, near), (REMOTE_CENTRE, far)])),
+        (LOCAL_CENTRE, caller_load(&per_s, &[(LOCAL_CENTRE, local), (REMOTE_CENTRE, remote)])),
         (REMOTE_CENTRE, caller_load(&[], &[])),
     ];
     router.set_confirmed_at(clock_at(now));
@@ -89,7 +89,7 @@
         }
         if self.count.is_multiple_of(50) {
             black_box(self.router.collect_local_load(clock_at(now)));
-            set_load(&mut self.router, self.mode, self.servers, now);
+            apply_load(&mut self.router, self.mode, self.servers, now);
         }
         self.count += 1;
         let caller = SocketAddrV4::new(
@@ -140,7 +140,7 @@
             bencher.iter(|| {
                 now += 50;
                 black_box(router.collect_local_load(clock_at(now)));
-                set_load(&mut router, mode, servers, now);
+                apply_load(&mut router, mode, servers, now);
             });
         });
     }
--- a/crates/foxledge-flows/src/candidates.rs
+++ b/crates/foxledge-flows/src/candidates.rs
@@ -85,8 +85,8 @@
     /// Returns the median answer time among backend servers of a service, in microseconds.
     pub(crate) fn median_latency_us(&self, service: &ServiceName) -> f64 {
         let indexes = self.backends.service_indexes(service).iter();
-        let known = indexes.filter_map(|index| self.backends.get(*index));
-        median_latency_us(known.filter_map(|backend| backend.latency.mean_us()))
+        let backends = indexes.filter_map(|index| self.backends.get(*index));
+        median_latency_us(backends.filter_map(|backend| backend.latency.mean_us()))
     }
 
     /// Returns those of some backend servers that accept a new flow.
@@ -99,11 +99,11 @@
         &self,
         now: ClockTime,
         flow: &NewFlow<'_>,
-        view: &CandidateScope<'_>,
+        scope: &CandidateScope<'_>,
         indexes: impl Iterator<Item = usize>,
     ) -> CandidateSet {
         let quota = self.services.get(flow.service).and_then(|one| self.options.cold.quota(one));
-        let is_cut_off = self.is_isolated(now);
+        let is_isolated = self.is_isolated(now);
         let mut set = CandidateSet::default();
         for index in indexes {
             let Some(backend) = self.backends.get(index) else { continue };
@@ -111,49 +111,51 @@
                 continue;
             }
             let barrier = self.find_barrier(now, flow.route, backend, quota).filter(|barrier| {
-                let is_near = backend.data_centre == self.options.data_centre;
-                !(*barrier == PlacementBarrier::Evacuation && is_cut_off && is_near)
+                let is_local = backend.data_centre == self.options.data_centre;
+                !(*barrier == PlacementBarrier::Evacuation && is_isolated && is_local)
             });
             match barrier {
                 Some(barrier) => set.barrier = set.barrier.max(Some(barrier)),
-                None => set.candidates.push(self.candidate(now, flow, view, (index, backend))),
+                None => {
+                    set.candidates.push(self.build_candidate(now, flow, scope, (index, backend)))
+                }
             }
         }
         set
     }
 
-    fn candidate(
+    fn build_candidate(
         &self,
         now: ClockTime,
         flow: &NewFlow<'_>,
-        view: &CandidateScope<'_>,
+        scope: &CandidateScope<'_>,
         (index, backend): (usize, &Backend),
     ) -> PlacementCandidate {
         // Ties are broken by a hash of the flow, so that instances without load data don't all
         // start with the same backend server.
-        let tie = match backend.last_placement {
+        let tie_breaker = match backend.last_placement {
             0 => flow_hash(flow.key).wrapping_mul(backend.number | 1) >> 40,
-            picked => (1 << 24) + picked,
+            counter => (1 << 24) + counter,
         };
         PlacementCandidate {
             index,
             health: self.effective_health(now, backend),
             pending_openings: self.openings.pending_count(index),
             is_unresponsive: flow.unresponsive_backend == Some(index),
-            is_same_centre: backend.data_centre == *view.local_centre
+            is_same_centre: backend.data_centre == *scope.local_centre
                 || !self.has_mechanism(RouterMechanism::Distance),
             running_requests: backend.running_requests,
             slots: backend.slots,
             slowness_percent: match self.has_mechanism(RouterMechanism::Slowness) {
-                true => (backend.latency.slowness(now, view.median_latency_us) * 100.0) as u32,
+                true => (backend.latency.slowness(now, scope.median_latency_us) * 100.0) as u32,
                 false => 100,
             },
             is_cold: backend.is_cold(now) && self.has_mechanism(RouterMechanism::Cold),
-            is_outside_subset: view
+            is_outside_subset: scope
                 .preferred_subset
                 .is_some_and(|(group, subset)| backend.group == group && !subset.contains(index)),
             open_flows: backend.recent_flows(now),
-            last_placement: tie,
+            last_placement: tie_breaker,
         }
     }
 
@@ -174,11 +176,11 @@
             return Some(PlacementBarrier::Evacuation);
         }
         let quota = quota.filter(|_| backend.is_cold(now))?;
-        let is_near = backend.data_centre == self.options.data_centre;
-        let has_share = is_near
+        let is_local = backend.data_centre == self.options.data_centre;
+        let has_quota = is_local
             && self.centre_peers.is_sender(now, backend.number, quota.senders)
             && backend.cold_flows.has_capacity(now, quota.flows);
-        (!has_share).then_some(PlacementBarrier::Cold)
+        (!has_quota).then_some(PlacementBarrier::Cold)
     }
 
     /// Returns true when neither the store nor backend servers of other data centres are reachable.
--- a/crates/foxledge-flows/src/cold.rs
+++ b/crates/foxledge-flows/src/cold.rs
@@ -117,21 +117,21 @@
 
 impl CentrePeers {
     /// Creates the view of an instance at `own` that has just started and knows no peers.
-    pub fn new(own: SocketAddrV4) -> CentrePeers {
-        CentrePeers { own_address: own, peers: Vec::new(), version: 0, sends_from: ClockTime::MAX }
+    pub fn new(own_address: SocketAddrV4) -> CentrePeers {
+        CentrePeers { own_address, peers: Vec::new(), version: 0, sends_from: ClockTime::MAX }
     }
 
     /// Sets the other known instances, including those that became unresponsive recently.
-    pub fn set_peers(&mut self, now: ClockTime, others: Vec<SocketAddrV4>) {
+    pub fn set_peers(&mut self, now: ClockTime, peers: Vec<SocketAddrV4>) {
         let is_first = self.sends_from == ClockTime::MAX;
-        if is_first || self.peers.iter().any(|known| !others.contains(known)) {
+        if is_first || self.peers.iter().any(|known| !peers.contains(known)) {
             // An instance that left the view may just have sent its share.
             self.sends_from = now.after_millis(WINDOW_MS);
         }
-        if self.peers != others {
+        if self.peers != peers {
             self.version += 1;
         }
-        self.peers = others;
+        self.peers = peers;
     }
 
     /// Returns the address of this instance.
@@ -154,9 +154,10 @@
         if self.peers.is_empty() || !self.sends_from.is_past(now) {
             return false;
         }
-        let own = instance_rank(&self.own_address, number);
-        let before = self.peers.iter().filter(|other| instance_rank(other, number) < own).count();
-        before < senders
+        let own_rank = instance_rank(&self.own_address, number);
+        let preceding =
+            self.peers.iter().filter(|other| instance_rank(other, number) < own_rank).count();
+        preceding < senders
     }
 }
 
--- a/crates/foxledge-flows/src/groups.rs
+++ b/crates/foxledge-flows/src/groups.rs
@@ -39,17 +39,17 @@
 
 impl GroupTable {
     /// Adds a backend server to its group and returns the group's index.
-    pub fn add(&mut self, service: &ServiceName, centre: &CentreName, member: usize) -> usize {
+    pub fn add(&mut self, service: &ServiceName, centre: &CentreName, backend: usize) -> usize {
         let group = self.find_or_add(service, centre);
-        self.groups[group].backends.push(member);
+        self.groups[group].backends.push(backend);
         self.groups[group].version += 1;
         group
     }
 
     /// Removes a backend server from its group.
-    pub fn remove(&mut self, group: usize, member: usize) {
+    pub fn remove(&mut self, group: usize, backend: usize) {
         if let Some(group) = self.groups.get_mut(group) {
-            group.backends.retain(|other| *other != member);
+            group.backends.retain(|other| *other != backend);
             group.version += 1;
         }
     }
--- a/crates/foxledge-flows/src/latency.rs
+++ b/crates/foxledge-flows/src/latency.rs
@@ -6,7 +6,7 @@
 
 /// Weight of one answer in the mean. At ten answers a second per instance, the last half second
 /// dominates.
-const WEIGHT: f64 = 0.2;
+const SAMPLE_WEIGHT: f64 = 0.2;
 /// Answers needed before the mean is used.
 const MIN_ANSWERS: u32 = 4;
 /// Time, in milliseconds, after which the excess of a mean without new answers counts half, so that
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LatencyGauge {
     mean_us: f64,
-    count: u32,
+    answer_count: u32,
     updated_at: ClockTime,
 }
 
@@ -26,31 +26,31 @@
     pub fn record_answer(&mut self, now: ClockTime, latency: Duration) {
         let sample = latency.as_micros() as f64;
         // The older the mean is, the more a new answer weighs.
-        let weight = 1.0 - (1.0 - WEIGHT) * self.remaining_weight(now);
-        self.mean_us = match self.count {
+        let weight = 1.0 - (1.0 - SAMPLE_WEIGHT) * self.remaining_weight(now);
+        self.mean_us = match self.answer_count {
             0 => sample,
             _ => self.mean_us + weight * (sample - self.mean_us),
         };
-        self.count = self.count.saturating_add(1);
+        self.answer_count = self.answer_count.saturating_add(1);
         self.updated_at = now;
     }
 
     /// Returns the mean in microseconds, or `None` with too few answers.
     pub fn mean_us(&self) -> Option<f64> {
-        (self.count >= MIN_ANSWERS).then_some(self.mean_us)
+        (self.answer_count >= MIN_ANSWERS).then_some(self.mean_us)
     }
 
-    /// Returns the answer time as a multiple of `usual_us`, at least 1.
-    pub fn slowness(&self, now: ClockTime, usual_us: f64) -> f64 {
+    /// Returns the answer time as a multiple of `median_us`, at least 1.
+    pub fn slowness(&self, now: ClockTime, median_us: f64) -> f64 {
         let Some(mean) = self.mean_us() else { return 1.0 };
-        let excess = (mean / usual_us.max(1.0) - 1.0).max(0.0);
+        let excess = (mean / median_us.max(1.0) - 1.0).max(0.0);
         1.0 + excess * self.remaining_weight(now)
     }
 
     /// Returns the weight that the mean still has at `now`, from 0 to 1.
     fn remaining_weight(&self, now: ClockTime) -> f64 {
-        let silent_ms = now.since(self.updated_at).as_millis() as f64;
-        0.5_f64.powf(silent_ms / HALF_LIFE_MS as f64)
+        let age_ms = now.since(self.updated_at).as_millis() as f64;
+        0.5_f64.powf(age_ms / HALF_LIFE_MS as f64)
     }
 }
 
--- a/crates/foxledge-flows/src/load_control/account_samples.rs
+++ b/crates/foxledge-flows/src/load_control/account_samples.rs
@@ -6,7 +6,7 @@
 
 /// Maximum number of account hashes per interval. A load report has room for those of two
 /// intervals.
-const MAX_HALF_ACCOUNTS: usize = 6;
+const MAX_INTERVAL_ACCOUNTS: usize = 6;
 
 /// Samples the client accounts of openings since the previous load report.
 ///
@@ -14,12 +14,12 @@
 /// since the last but one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AccountSamples {
-    current: SampleHalf,
-    previous: SampleHalf,
+    current: SampleInterval,
+    previous: SampleInterval,
 }
 
 #[derive(Clone, Debug, Default)]
-struct SampleHalf {
+struct SampleInterval {
     accounts: Vec<u32>,
     openings: u32,
 }
@@ -27,15 +27,15 @@
 impl AccountSamples {
     /// Records an opening; `draw` decides whether it replaces an entry of a full sample.
     pub fn record_opening(&mut self, caller: Ipv4Addr, draw: u64) {
-        let half = &mut self.current;
-        half.openings += 1;
+        let interval = &mut self.current;
+        interval.openings += 1;
         let account = AccountKey::of(caller).0;
-        if half.accounts.len() < MAX_HALF_ACCOUNTS {
-            return half.accounts.push(account);
+        if interval.accounts.len() < MAX_INTERVAL_ACCOUNTS {
+            return interval.accounts.push(account);
         }
-        let place = (draw % u64::from(half.openings)) as usize;
-        if let Some(held) = half.accounts.get_mut(place) {
-            *held = account;
+        let index = (draw % u64::from(interval.openings)) as usize;
+        if let Some(entry) = interval.accounts.get_mut(index) {
+            *entry = account;
         }
     }
 
@@ -48,7 +48,7 @@
         self.previous = std::mem::take(&mut self.current);
         match accounts.len() as u32 {
             0 => (accounts, 0),
-            held => (accounts, openings.div_ceil(held)),
+            count => (accounts, openings.div_ceil(count)),
         }
     }
 
--- a/crates/foxledge-flows/src/load_control/demand.rs
+++ b/crates/foxledge-flows/src/load_control/demand.rs
@@ -18,7 +18,8 @@
     /// Computes the demand of a service from a view.
     pub fn from_view(view: &'a LoadView, key: ServiceKey) -> ServiceDemand<'a> {
         let load_of = |centre: &'a CentreView| centre.services.get(&key);
-        let centres = view.centres.iter().filter_map(|(name, one)| Some((name, load_of(one)?)));
+        let centres =
+            view.centres.iter().filter_map(|(name, centre)| Some((name, load_of(centre)?)));
         let centres: BTreeMap<_, _> = centres.collect();
         let mut sums: BTreeMap<u32, WorkSum> = BTreeMap::new();
         for load in centres.values() {
@@ -26,19 +27,19 @@
                 sums.entry(*priority).or_default().add(load);
             }
         }
-        let usual_s = fallback_work_s(&sums, &centres);
+        let fallback_work_s = fallback_work_s(&sums, &centres);
         let priorities = sums.into_iter().map(|(priority, sum)| (priority, sum.load())).collect();
-        ServiceDemand { centres, priorities, fallback_work_s: usual_s }
+        ServiceDemand { centres, priorities, fallback_work_s }
     }
 
     /// Returns the slots that the requests of a data centre's callers need, wherever they are
     /// served.
     pub fn slots_needed_by(&self, centre: &CentreName) -> f64 {
         let Some(load) = self.centres.get(centre) else { return 0.0 };
-        let demand = |(priority, one): (&u32, &PriorityLoad)| {
+        let demand = |(priority, part): (&u32, &PriorityLoad)| {
             let mean_us = self.priorities.get(priority).map_or(0.0, |all| all.work_us);
-            let known_us = [one.work_us, mean_us].into_iter().find(|work_us| *work_us > 0.0);
-            one.arrivals_per_s * known_us.map_or(self.fallback_work_s, |work_us| work_us / 1e6)
+            let known_us = [part.work_us, mean_us].into_iter().find(|work_us| *work_us > 0.0);
+            part.arrivals_per_s * known_us.map_or(self.fallback_work_s, |work_us| work_us / 1e6)
         };
         load.priorities.iter().map(demand).sum()
     }
@@ -46,7 +47,7 @@
     /// Returns the requests per second of a data centre's callers.
     pub fn arrivals_per_s(&self, centre: &CentreName) -> f64 {
         let load = self.centres.get(centre);
-        load.map_or(0.0, |load| load.priorities.values().map(|one| one.arrivals_per_s).sum())
+        load.map_or(0.0, |load| load.priorities.values().map(|part| part.arrivals_per_s).sum())
     }
 
     /// Returns the requests that run or wait in a data centre, from callers of all data centres.
@@ -90,8 +91,8 @@
     }
 
     fn load(&self) -> PriorityLoad {
-        let known = self.known_per_s > 0.0;
-        let work_us = if known { self.work_us / self.known_per_s } else { 0.0 };
+        let is_known = self.known_per_s > 0.0;
+        let work_us = if is_known { self.work_us / self.known_per_s } else { 0.0 };
         PriorityLoad { arrivals_per_s: self.arrivals_per_s, work_us }
     }
 }
--- a/crates/foxledge-flows/src/load_control/mod.rs
+++ b/crates/foxledge-flows/src/load_control/mod.rs
@@ -128,27 +128,27 @@
         now: ClockTime,
         groups: &GroupTable,
         running: &GroupCounts,
-        under_way: &GroupCounts,
+        pending: &GroupCounts,
     ) -> LocalLoad {
         if !self.is_on() {
             return LocalLoad::default();
         }
-        let total = running.total() + under_way.total();
+        let total = running.total() + pending.total();
         self.schedule_report(now, total);
         self.plans_for(groups);
         let mut load = LocalLoad::default();
         for (service, plan) in groups.services().iter().zip(&self.plans) {
-            let mut own =
+            let mut local_load =
                 ServiceLoad { priorities: plan.counters.loads(now), ..Default::default() };
             for group in &service.groups {
-                let count = running.count_in(*group) + under_way.count_in(*group);
+                let count = running.count_in(*group) + pending.count_in(*group);
                 if count > 0 {
                     let centre = groups.groups()[*group].data_centre.clone();
-                    own.running.insert(centre, f64::from(count));
+                    local_load.running.insert(centre, f64::from(count));
                 }
             }
-            if !own.priorities.is_empty() || !own.running.is_empty() {
-                load.services.insert(service.key, own);
+            if !local_load.priorities.is_empty() || !local_load.running.is_empty() {
+                load.services.insert(service.key, local_load);
             }
         }
         (load.sampled_accounts, load.openings_per_sample) = self.samples.drain_sample();
@@ -187,10 +187,10 @@
         (latency, slowness): (Duration, f64),
     ) {
         let Some(centre) = groups.groups().get(group).map(|one| &one.data_centre) else { return };
-        let is_near = *centre == self.data_centre;
-        let own = self.data_centre.clone();
+        let is_local = *centre == self.data_centre;
+        let local_centre = self.data_centre.clone();
         let Some(plan) = self.plan_of_group(groups, group) else { return };
-        if is_near || plan.slots.get(&own).is_none_or(|slots| *slots <= 0.0) {
+        if is_local || plan.slots.get(&local_centre).is_none_or(|slots| *slots <= 0.0) {
             plan.counters.record_answer(priority, latency.div_f64(slowness.max(1.0)));
         }
     }
@@ -231,31 +231,33 @@
 
     /// Applies the current load of all data centres to all plans.
     pub fn apply_view(&mut self, now: ClockTime, view: Arc<LoadView>) {
-        let former = self.view_state.view.as_ref().map(|former| former.created_at);
-        let is_new = former != Some(view.created_at);
+        let previous = self.view_state.view.as_ref().map(|previous| previous.created_at);
+        let is_new = previous != Some(view.created_at);
         self.view_state = ViewState::from_view(&self.data_centre, view);
         let Some(view) = self.view_state.view.clone() else { return };
-        let basis = PlanInput {
+        let input = PlanInput {
             view: &view,
             local_centre: &self.data_centre,
             steers_until: self.view_state.steers_until,
             reported_at: self.view_state.reported_at,
             account_samples: if is_new { &view.account_samples } else { &[] },
         };
-        let (parts, age_ms) = (self.view_state.reporting_instances, self.view_state.age_ms(now));
+        let (reporting_instances, age_ms) =
+            (self.view_state.reporting_instances, self.view_state.age_ms(now));
         for plan in &mut self.plans {
-            plan.apply_view(now, &basis, self.is_overflow_on);
+            plan.apply_view(now, &input, self.is_overflow_on);
             for change in plan.drain_changes() {
-                self.events.push(LoadEvent { change, report: plan.report(parts, age_ms) });
+                self.events
+                    .push(LoadEvent { change, report: plan.report(reporting_instances, age_ms) });
             }
         }
-        let pressures = self.plans.iter().map(|plan| plan.local_load_ratio(&self.data_centre));
-        self.load_ratio = pressures.fold(0.0, f64::max);
-        let acts = |plan: &ServicePlan| plan.is_short() || plan.is_overflowing();
+        let load_ratios = self.plans.iter().map(|plan| plan.local_load_ratio(&self.data_centre));
+        self.load_ratio = load_ratios.fold(0.0, f64::max);
+        let is_acting = |plan: &ServicePlan| plan.is_short() || plan.is_overflowing();
         if !self.plans.iter().any(ServicePlan::is_short) {
             self.samples.clear();
         }
-        if self.load_ratio >= BUSY_LOAD_RATIO || self.plans.iter().any(acts) {
+        if self.load_ratio >= BUSY_LOAD_RATIO || self.plans.iter().any(is_acting) {
             self.report_times.busy_until = now.after_millis(BUSY_HOLD_MS);
             self.report_times.next_report_at =
                 self.report_times.next_report_at.min(self.report_times.early_report_from);
@@ -267,8 +269,8 @@
     pub fn update_subsets(
         &mut self,
         groups: &GroupTable,
-        neighbours: &CentrePeers,
-        members_of: impl Fn(usize) -> Vec<(usize, u64)>,
+        centre_peers: &CentrePeers,
+        backends_of: impl Fn(usize) -> Vec<(usize, u64)>,
     ) {
         self.subsets.resize_with(groups.groups().len(), GroupSubset::default);
         self.is_subset_active = vec![false; groups.groups().len()];
@@ -280,11 +282,11 @@
                 continue;
             }
             self.is_subset_active[index] = true;
-            let versions = (group.version, neighbours.version());
+            let versions = (group.version, centre_peers.version());
             if !self.subsets[index].has_versions(versions) {
-                let members = members_of(index);
-                let (own, others) = (neighbours.own_address(), neighbours.peers());
-                self.subsets[index].update(versions, &members, own, others);
+                let backends = backends_of(index);
+                let (own_address, peers) = (centre_peers.own_address(), centre_peers.peers());
+                self.subsets[index].update(versions, &backends, own_address, peers);
             }
         }
     }
@@ -296,8 +298,8 @@
 
     /// Returns the preferred backend servers of a group while its slots are scarce.
     pub fn subset(&self, now: ClockTime, group: usize) -> Option<&GroupSubset> {
-        let is_shared = self.is_subset_active.get(group).copied().unwrap_or(false);
-        self.subsets.get(group).filter(|_| is_shared && self.is_steering(now))
+        let is_active = self.is_subset_active.get(group).copied().unwrap_or(false);
+        self.subsets.get(group).filter(|_| is_active && self.is_steering(now))
     }
 
     /// Returns the other data centre to which overflow sends a new flow, or `None` when it stays in
@@ -319,7 +321,7 @@
         opening: &FlowOpening,
     ) -> AdmissionDecision {
         let is_old = self.view_state.reported_at.after_millis(ADMISSION_VIEW_TTL_MS).is_past(now);
-        match self.plans.get(service).filter(|_| self.is_sure() && !is_old) {
+        match self.plans.get(service).filter(|_| self.is_reliable() && !is_old) {
             Some(plan) => plan.admit(now, opening),
             None => AdmissionDecision::Admitted,
         }
@@ -339,7 +341,7 @@
             _ if self.admission.is_none() => AdmissionBasis::Off,
             None => AdmissionBasis::NoView,
             _ if !plan.has_admission() => AdmissionBasis::Off,
-            _ if !self.is_sure() => AdmissionBasis::UnsureView,
+            _ if !self.is_reliable() => AdmissionBasis::UnsureView,
             Some(age_ms) if age_ms >= ADMISSION_VIEW_TTL_MS => AdmissionBasis::OldView,
             _ if plan.is_refusing() => AdmissionBasis::Shortage,
             _ => AdmissionBasis::Room,
@@ -362,14 +364,14 @@
         std::mem::take(&mut self.events)
     }
 
-    fn is_sure(&self) -> bool {
+    fn is_reliable(&self) -> bool {
         self.view_state.view.as_ref().is_some_and(|view| view.is_reliable)
     }
 
     fn has_load_jumped(&self, running: u32) -> bool {
-        let (requests, part) = MIN_LOAD_CHANGE;
+        let (min_change, divisor) = MIN_LOAD_CHANGE;
         let change = running.abs_diff(self.report_times.reported_running);
-        change > requests && change > self.report_times.reported_running / part
+        change > min_change && change > self.report_times.reported_running / divisor
     }
 
     fn schedule_report(&mut self, now: ClockTime, running: u32) {
@@ -377,8 +379,8 @@
             self.report_times.busy_until = now.after_millis(BUSY_HOLD_MS);
         }
         let is_busy = !self.report_times.busy_until.is_past(now);
-        let step_ms = if is_busy { BUSY_REPORT_INTERVAL_MS } else { IDLE_REPORT_INTERVAL_MS };
-        self.report_times.next_report_at = now.after_millis(step_ms);
+        let interval_ms = if is_busy { BUSY_REPORT_INTERVAL_MS } else { IDLE_REPORT_INTERVAL_MS };
+        self.report_times.next_report_at = now.after_millis(interval_ms);
         self.report_times.early_report_from = now.after_millis(BUSY_REPORT_INTERVAL_MS);
         self.report_times.reported_running = running;
     }
@@ -390,22 +392,17 @@
 }
 
 impl ViewState {
-    fn from_view(own: &CentreName, view: Arc<LoadView>) -> ViewState {
-        let (told_at, parts) = view
+    fn from_view(local_centre: &CentreName, view: Arc<LoadView>) -> ViewState {
+        let (reported_at, reporting_instances) = view
             .centres
-            .get(own)
+            .get(local_centre)
             .map(|one| (one.reported_at, one.report_count))
             .unwrap_or_default();
         let steers_until = match view.is_reliable {
-            true => told_at.after_millis(STEERING_VIEW_TTL_MS),
+            true => reported_at.after_millis(STEERING_VIEW_TTL_MS),
             false => ClockTime::ZERO,
         };
-        ViewState {
-            view: Some(view),
-            reported_at: told_at,
-            reporting_instances: parts,
-            steers_until,
-        }
+        ViewState { view: Some(view), reported_at, reporting_instances, steers_until }
     }
 
     /// Returns the age of the newest report in the view, in milliseconds, or `None` without a view.
--- a/crates/foxledge-flows/src/load_control/service_counters.rs
+++ b/crates/foxledge-flows/src/load_control/service_counters.rs
@@ -96,13 +96,13 @@
         if !self.window_ends_at.is_past(now) {
             return;
         }
-        let span = std::mem::replace(&mut self.previous, std::mem::take(&mut self.current));
+        let window = std::mem::replace(&mut self.previous, std::mem::take(&mut self.current));
         self.window_ends_at = now.after_millis(WORK_WINDOW_MS);
-        if span.count == 0.0 {
+        if window.count == 0.0 {
             return;
         }
-        let known = self.answer_count + span.count;
-        self.mean_us += (span.sum_us - span.count * self.mean_us) / known;
-        self.answer_count = known.min(MAX_MEAN_ANSWERS);
+        let answer_count = self.answer_count + window.count;
+        self.mean_us += (window.sum_us - window.count * self.mean_us) / answer_count;
+        self.answer_count = answer_count.min(MAX_MEAN_ANSWERS);
     }
 }
--- a/crates/foxledge-flows/src/load_control/service_plan.rs
+++ b/crates/foxledge-flows/src/load_control/service_plan.rs
@@ -31,7 +31,7 @@
 /// What the routes to one service require.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServiceRoutes {
-    /// The shortest `aim_ms` of the routes; 0 when none has one.
+    /// The shortest latency target of the routes, in milliseconds; 0 when none has one.
     pub latency_target_ms: u64,
     /// All priorities.
     pub priorities: BTreeSet<u32>,
@@ -43,8 +43,8 @@
     /// Adds a route to the service.
     pub fn add_route(&mut self, route: &FlowRoute) {
         self.latency_target_ms = match (self.latency_target_ms, route.latency_target_ms) {
-            (0, aim_ms) | (aim_ms, 0) => aim_ms,
-            (known_ms, aim_ms) => known_ms.min(aim_ms),
+            (0, target_ms) | (target_ms, 0) => target_ms,
+            (shortest_ms, target_ms) => shortest_ms.min(target_ms),
         };
         self.priorities.insert(route.priority);
         self.regions.insert(route.regions.clone());
@@ -89,7 +89,7 @@
     admission: Option<Box<dyn AdmissionPolicy>>,
     options: Option<AdmissionOptions>,
     centres: Vec<CentreLoad>,
-    record_refusal: BTreeMap<u32, u64>,
+    refused_flows: BTreeMap<u32, u64>,
     is_reported_short: bool,
     is_reported_overflowing: bool,
 }
@@ -108,21 +108,21 @@
             admission: None,
             options,
             centres: Vec::new(),
-            record_refusal: BTreeMap::new(),
+            refused_flows: BTreeMap::new(),
             is_reported_short: false,
             is_reported_overflowing: false,
         }
     }
 
     /// Applies the current load of all data centres.
-    pub fn apply_view(&mut self, now: ClockTime, basis: &PlanInput<'_>, is_overflow_on: bool) {
-        let demand = ServiceDemand::from_view(basis.view, self.key);
-        let may_steer = !basis.steers_until.is_past(now);
-        self.centres = self.centre_loads(basis.view, &demand);
-        self.update_overflow(now, basis.local_centre, is_overflow_on && may_steer);
-        self.update_admission(now, basis, &demand);
+    pub fn apply_view(&mut self, now: ClockTime, input: &PlanInput<'_>, is_overflow_on: bool) {
+        let demand = ServiceDemand::from_view(input.view, self.key);
+        let may_steer = !input.steers_until.is_past(now);
+        self.centres = self.centre_loads(input.view, &demand);
+        self.update_overflow(now, input.local_centre, is_overflow_on && may_steer);
+        self.update_admission(now, input, &demand);
         let (slots, running, _) = self.totals();
-        let has_free_slots = self.load_ratio_in(basis.local_centre) < MAX_LEARNING_LOAD_RATIO
+        let has_free_slots = self.load_ratio_in(input.local_centre) < MAX_LEARNING_LOAD_RATIO
             && running < MAX_LEARNING_LOAD_RATIO * slots;
         let is_learning = may_steer && has_free_slots;
         let learning = if is_learning { WorkLearning::Enabled } else { WorkLearning::Paused };
@@ -131,8 +131,8 @@
 
     /// Returns the other data centre for a new flow with this hash, or `None` when it stays in its
     /// own.
-    pub fn overflow_centre(&self, draw: u64) -> Option<&CentreName> {
-        self.overflow.as_ref()?.centre_for(draw)
+    pub fn overflow_centre(&self, hash: u64) -> Option<&CentreName> {
+        self.overflow.as_ref()?.centre_for(hash)
     }
 
     /// Returns whether a new flow is admitted.
@@ -144,7 +144,7 @@
     /// Counts a refused opening, which adds to the demand like a request that began.
     pub fn record_refusal(&mut self, now: ClockTime, priority: u32) {
         self.counters.record_arrival(now, priority);
-        *self.record_refusal.entry(priority).or_default() += 1;
+        *self.refused_flows.entry(priority).or_default() += 1;
     }
 
     /// Returns true when admission is enabled for the service.
@@ -169,8 +169,8 @@
 
     /// Returns the requests per slot in a data centre.
     pub fn load_ratio_in(&self, centre: &CentreName) -> f64 {
-        let known = self.centres.iter().find(|one| one.data_centre == *centre);
-        known.map_or(0.0, CentreLoad::load_ratio)
+        let load = self.centres.iter().find(|one| one.data_centre == *centre);
+        load.map_or(0.0, CentreLoad::load_ratio)
     }
 
     /// Returns the share of new flows that overflow sends to a data centre.
@@ -181,12 +181,12 @@
 
     /// Returns the requests per slot in the local data centre. If it has no slots, returns the
     /// demand of its callers divided by all known slots.
-    pub fn local_load_ratio(&self, own: &CentreName) -> f64 {
-        let near = self.centres.iter().find(|one| one.data_centre == *own);
+    pub fn local_load_ratio(&self, local_centre: &CentreName) -> f64 {
+        let local = self.centres.iter().find(|one| one.data_centre == *local_centre);
         let slots: f64 = self.slots.values().sum();
-        match near {
-            Some(near) if near.slots > 0.0 => near.load_ratio(),
-            Some(near) if slots > 0.0 => near.demand / slots,
+        match local {
+            Some(local) if local.slots > 0.0 => local.load_ratio(),
+            Some(local) if slots > 0.0 => local.demand / slots,
             _ => 0.0,
         }
     }
@@ -201,11 +201,11 @@
                 false => LoadChange::ShortageEnded,
             });
         }
-        let bound =
+        let threshold =
             if self.is_reported_overflowing { OVERFLOW_END_SHARE } else { OVERFLOW_BEGIN_SHARE };
-        let is_over = self.overflow_share() >= bound;
-        if is_over != std::mem::replace(&mut self.is_reported_overflowing, is_over) {
-            changes.push(match is_over {
+        let is_overflowing = self.overflow_share() >= threshold;
+        if is_overflowing != std::mem::replace(&mut self.is_reported_overflowing, is_overflowing) {
+            changes.push(match is_overflowing {
                 true => LoadChange::OverflowBegun,
                 false => LoadChange::OverflowEnded,
             });
@@ -213,9 +213,9 @@
         changes
     }
 
-    /// Returns the load and what is done about it, for a view of `parts` instances with an age of
-    /// `age_ms`.
-    pub fn report(&self, parts: u32, age_ms: Option<u64>) -> LoadReport {
+    /// Returns the load and what is done about it, for a view with
+    /// `reporting_instances` reports.
+    pub fn report(&self, reporting_instances: u32, view_age_ms: Option<u64>) -> LoadReport {
         let (slots, running, demand) = self.totals();
         let policy = self.admission.as_ref();
         LoadReport {
@@ -228,9 +228,9 @@
             admitted_shares: policy
                 .map(|policy| policy.admitted_shares().clone())
                 .unwrap_or_default(),
-            refused_flows: self.record_refusal.clone(),
-            reporting_instances: parts,
-            view_age_ms: age_ms,
+            refused_flows: self.refused_flows.clone(),
+            reporting_instances,
+            view_age_ms,
         }
     }
 
@@ -252,21 +252,21 @@
         names.into_iter().map(load_of).collect()
     }
 
-    fn update_overflow(&mut self, now: ClockTime, own: &CentreName, is_on: bool) {
+    fn update_overflow(&mut self, now: ClockTime, local_centre: &CentreName, is_on: bool) {
         if !is_on {
             self.overflow = None;
             return;
         }
-        let heard = self.centres.iter().filter(|one| one.has_report);
-        let rooms: Vec<CentreCapacity> = heard
+        let reported = self.centres.iter().filter(|one| one.has_report);
+        let capacities: Vec<CentreCapacity> = reported
             .map(|one| CentreCapacity {
                 data_centre: one.data_centre.clone(),
                 slots: one.slots,
                 demand: one.demand,
             })
             .collect();
-        let plan = self.overflow.get_or_insert_with(|| OverflowPlan::new(own.clone()));
-        plan.update(now, &rooms);
+        let plan = self.overflow.get_or_insert_with(|| OverflowPlan::new(local_centre.clone()));
+        plan.update(now, &capacities);
         for centre in &mut self.centres {
             centre.overflow_share = plan.shares().get(&centre.data_centre).copied().unwrap_or(0.0);
         }
@@ -275,7 +275,7 @@
     fn update_admission(
         &mut self,
         now: ClockTime,
-        basis: &PlanInput<'_>,
+        input: &PlanInput<'_>,
         demand: &ServiceDemand<'_>,
     ) {
         let Some(options) = self.options.clone().filter(|one| self.needs_admission(one)) else {
@@ -284,20 +284,20 @@
         };
         let (slots, running, _) = self.totals();
         let has_slots = |centre: &CentreName| self.slots.get(centre).is_some_and(|one| *one > 0.0);
-        let room = ServiceSnapshot {
+        let snapshot = ServiceSnapshot {
             slots,
             running,
             priorities: demand.priorities.clone(),
             latency_target_ms: self.routes.latency_target_ms,
-            reported_at: basis.reported_at,
-            is_reliable: basis.view.is_reliable,
-            has_unreported_centre: basis.view.unreported_centres.iter().any(has_slots),
-            account_samples: basis.account_samples.to_vec(),
-            sampled_arrivals_per_s: demand.arrivals_per_s(basis.local_centre),
-            fleet_clock_ms: basis.view.fleet_clock_ms,
+            reported_at: input.reported_at,
+            is_reliable: input.view.is_reliable,
+            has_unreported_centre: input.view.unreported_centres.iter().any(has_slots),
+            account_samples: input.account_samples.to_vec(),
+            sampled_arrivals_per_s: demand.arrivals_per_s(input.local_centre),
+            fleet_clock_ms: input.view.fleet_clock_ms,
         };
         let policy = self.admission.get_or_insert_with(|| Box::new(ShareAdmission::new(options)));
-        policy.update(now, &room);
+        policy.update(now, &snapshot);
     }
 
     /// Returns true when routes or settings need admission. With a single priority and no account
--- a/crates/foxledge-flows/src/load_control/subsets.rs
+++ b/crates/foxledge-flows/src/load_control/subsets.rs
@@ -29,7 +29,7 @@
 /// Rank of this instance for one backend server.
 #[derive(Clone, Copy, Debug)]
 struct BackendRank {
-    own: InstanceRank,
+    own_rank: InstanceRank,
     /// Number of instances that rank before it.
     preceding_instances: usize,
 }
@@ -46,18 +46,19 @@
     pub fn update(
         &mut self,
         versions: (u64, u64),
-        members: &[(usize, u64)],
-        own: &SocketAddrV4,
-        others: &[SocketAddrV4],
+        backends: &[(usize, u64)],
+        own_address: &SocketAddrV4,
+        peers: &[SocketAddrV4],
     ) {
-        self.apply_peers(others);
-        let ranks = members.iter().map(|(_, number)| (*number, self.backend_rank(*number, own)));
+        self.apply_peers(peers);
+        let ranks =
+            backends.iter().map(|(_, number)| (*number, self.backend_rank(*number, own_address)));
         let ranks: HashMap<u64, BackendRank> = ranks.collect();
-        let is_chosen = |number: &u64| {
+        let is_preferred = |number: &u64| {
             ranks.get(number).is_some_and(|one| one.preceding_instances < INSTANCES_PER_BACKEND)
         };
-        let chosen = members.iter().filter(|(_, number)| is_chosen(number));
-        self.preferred = chosen.map(|(index, _)| *index).collect();
+        let preferred = backends.iter().filter(|(_, number)| is_preferred(number));
+        self.preferred = preferred.map(|(index, _)| *index).collect();
         self.preferred_set = self.preferred.iter().copied().collect();
         self.ranks = ranks;
         self.versions = Some(versions);
@@ -73,24 +74,25 @@
         self.preferred_set.contains(&index)
     }
 
-    fn apply_peers(&mut self, others: &[SocketAddrV4]) {
-        let newer: HashSet<SocketAddrV4> = others.iter().copied().collect();
-        let come: Vec<_> = newer.difference(&self.peers).copied().collect();
-        let gone: Vec<_> = self.peers.difference(&newer).copied().collect();
+    fn apply_peers(&mut self, peers: &[SocketAddrV4]) {
+        let current: HashSet<SocketAddrV4> = peers.iter().copied().collect();
+        let joined: Vec<_> = current.difference(&self.peers).copied().collect();
+        let left: Vec<_> = self.peers.difference(&current).copied().collect();
         for (number, rank) in &mut self.ranks {
-            let is_before = |other: &&SocketAddrV4| instance_rank(other, *number) < rank.own;
-            rank.preceding_instances += come.iter().filter(is_before).count();
-            rank.preceding_instances -= gone.iter().filter(is_before).count();
+            let precedes = |other: &&SocketAddrV4| instance_rank(other, *number) < rank.own_rank;
+            rank.preceding_instances += joined.iter().filter(precedes).count();
+            rank.preceding_instances -= left.iter().filter(precedes).count();
         }
-        self.peers = newer;
+        self.peers = current;
     }
 
-    fn backend_rank(&self, number: u64, own: &SocketAddrV4) -> BackendRank {
-        if let Some(known) = self.ranks.get(&number) {
-            return *known;
+    fn backend_rank(&self, number: u64, own_address: &SocketAddrV4) -> BackendRank {
+        if let Some(rank) = self.ranks.get(&number) {
+            return *rank;
         }
-        let own = instance_rank(own, number);
-        let before = self.peers.iter().filter(|other| instance_rank(other, number) < own).count();
-        BackendRank { own, preceding_instances: before }
+        let own_rank = instance_rank(own_address, number);
+        let preceding =
+            self.peers.iter().filter(|other| instance_rank(other, number) < own_rank).count();
+        BackendRank { own_rank, preceding_instances: preceding }
     }
 }
--- a/crates/foxledge-flows/src/load_exchange.rs
+++ b/crates/foxledge-flows/src/load_exchange.rs
@@ -26,7 +26,8 @@
     routes::{FlowRoute, flow_hash},
 };
 
-/// Multiple of its route's `aim_ms` after which an unanswered request no longer counts as running.
+/// Multiple of its route's latency target after which an unanswered request no longer counts as
+/// running.
 const EXPIRY_TARGET_MULTIPLE: u64 = 2;
 /// Minimum time, in milliseconds, for which an unanswered request counts as running.
 const MIN_REQUEST_EXPIRY_MS: u64 = 1_000;
@@ -43,9 +44,8 @@
     /// Returns the load of each service as this instance sees it, and schedules the next report.
     pub fn collect_local_load(&mut self, now: ClockTime) -> LocalLoad {
         self.tracks.expire_requests(now, self.request_expiry_ms);
-        let (running, under_way) =
-            (self.tracks.running_requests(), self.openings.pending_by_group());
-        self.load.collect_local_load(now, self.backends.groups(), running, under_way)
+        let (running, pending) = (self.tracks.running_requests(), self.openings.pending_by_group());
+        self.load.collect_local_load(now, self.backends.groups(), running, pending)
     }
 
     /// Returns the largest load of a service in the local data centre by the last view, in requests
@@ -62,12 +62,12 @@
         self.refresh_slots(now);
         self.load.apply_view(now, view);
         let backends = &self.backends;
-        let number = |index: usize| backends.get(index).map(|backend| backend.number);
-        let members_of = |group: usize| {
-            let members = backends.groups().groups()[group].backends.iter().copied();
-            members.filter_map(|index| Some((index, number(index)?))).collect()
+        let number_of = |index: usize| backends.get(index).map(|backend| backend.number);
+        let backends_of = |group: usize| {
+            let backends = backends.groups().groups()[group].backends.iter().copied();
+            backends.filter_map(|index| Some((index, number_of(index)?))).collect()
         };
-        self.load.update_subsets(backends.groups(), &self.centre_peers, members_of);
+        self.load.update_subsets(backends.groups(), &self.centre_peers, backends_of);
     }
 
     /// Returns the shortages and overflows that began or ended since the last call.
@@ -144,44 +144,46 @@
         if !self.load.start_slots_refresh(now) {
             return;
         }
-        let (routes, counted_ms) = self.routes_by_service();
-        self.request_expiry_ms = counted_ms;
+        let (routes, expiry_ms) = self.routes_by_service();
+        self.request_expiry_ms = expiry_ms;
         let services = self.backends.groups().services().iter();
-        let found = services.map(|service| {
+        let updates = services.map(|service| {
             let routes = routes.get(&service.name).cloned().unwrap_or_default();
             let groups =
                 || service.groups.iter().map(|group| &self.backends.groups().groups()[*group]);
-            let members = groups().flat_map(|group| &group.backends);
-            let known = members.filter_map(|index| self.backends.get(*index));
-            let usual = median_latency_us(known.filter_map(|backend| backend.latency.mean_us()));
-            let slots_of = |group: &BackendGroup| self.usable_slots(now, group, &routes, usual);
+            let backends = groups().flat_map(|group| &group.backends);
+            let listed = backends.filter_map(|index| self.backends.get(*index));
+            let median_latency_us =
+                median_latency_us(listed.filter_map(|backend| backend.latency.mean_us()));
+            let slots_of =
+                |group: &BackendGroup| self.usable_slots(now, group, &routes, median_latency_us);
             let slots: BTreeMap<CentreName, f64> =
                 groups().map(|group| (group.data_centre.clone(), slots_of(group))).collect();
-            (routes, usual, slots)
+            (routes, median_latency_us, slots)
         });
-        let found: Vec<_> = found.collect();
+        let updates: Vec<_> = updates.collect();
         let plans = self.load.plans_for(self.backends.groups());
-        for (plan, (routes, usual, slots)) in plans.iter_mut().zip(found) {
-            (plan.routes, plan.median_latency_us, plan.slots) = (routes, usual, slots);
+        for (plan, (routes, median_latency_us, slots)) in plans.iter_mut().zip(updates) {
+            (plan.routes, plan.median_latency_us, plan.slots) = (routes, median_latency_us, slots);
         }
     }
 
     /// Returns what routes ask of each service, and the time in milliseconds after which an
     /// unanswered request no longer counts as running.
     ///
-    /// That is twice the longest `aim_ms`. When flows move to other instances, their answers pass
-    /// there, and the requests would otherwise count here until their deadline. A request that
+    /// That is twice the longest latency target. When flows move to other instances, their answers
+    /// pass there, and the requests would otherwise count here until their deadline. A request that
     /// takes longer is counted for too short a time, which makes load control refuse less.
     fn routes_by_service(&self) -> (HashMap<ServiceName, ServiceRoutes>, u64) {
         let mut by_service: HashMap<ServiceName, ServiceRoutes> = HashMap::new();
         let mut longest_ms = 0;
         for route in self.routes.iter() {
-            let time_ms = match (route.latency_target_ms, route.timeout_ms) {
+            let expiry_ms = match (route.latency_target_ms, route.timeout_ms) {
                 (0, 0) => self.idle_timeout_ms,
                 (0, timeout_ms) => timeout_ms,
-                (aim_ms, _) => (EXPIRY_TARGET_MULTIPLE * aim_ms).max(MIN_REQUEST_EXPIRY_MS),
+                (target_ms, _) => (EXPIRY_TARGET_MULTIPLE * target_ms).max(MIN_REQUEST_EXPIRY_MS),
             };
-            longest_ms = longest_ms.max(time_ms);
+            longest_ms = longest_ms.max(expiry_ms);
             for (service, _) in &route.shares {
                 by_service.entry(service.clone()).or_default().add_route(route);
             }
@@ -197,7 +199,7 @@
         now: ClockTime,
         group: &BackendGroup,
         routes: &ServiceRoutes,
-        usual: f64,
+        median_latency_us: f64,
     ) -> f64 {
         let centre = &group.data_centre;
         if self.evacuations.contains(centre)
@@ -205,9 +207,10 @@
         {
             return 0.0;
         }
-        let members = group.backends.iter().filter_map(|index| self.backends.get(*index));
-        let slots = members.filter(|backend| self.is_usable(now, backend)).map(|backend| {
-            f64::from(backend.slots) / effective_slowness(backend.latency.slowness(now, usual))
+        let backends = group.backends.iter().filter_map(|index| self.backends.get(*index));
+        let slots = backends.filter(|backend| self.is_usable(now, backend)).map(|backend| {
+            f64::from(backend.slots)
+                / effective_slowness(backend.latency.slowness(now, median_latency_us))
         });
         slots.sum()
     }
@@ -231,9 +234,9 @@
         let Some(priority) = priority.filter(|_| self.load.is_on()) else { return };
         let groups = self.backends.groups();
         let service = groups.groups()[backend.group].service;
-        let usual = self.load.plan(service).map_or(0.0, |plan| plan.median_latency_us);
-        let slowness = match usual > 0.0 {
-            true => effective_slowness(backend.latency.slowness(now, usual)),
+        let median_latency_us = self.load.plan(service).map_or(0.0, |plan| plan.median_latency_us);
+        let slowness = match median_latency_us > 0.0 {
+            true => effective_slowness(backend.latency.slowness(now, median_latency_us)),
             false => 1.0,
         };
         self.load.record_answer(groups, backend.group, priority, (latency, slowness));
@@ -265,7 +268,7 @@
 /// Returns the slowness as placement counts it: answer times of one service differ by half of their
 /// mean.
 fn effective_slowness(slowness: f64) -> f64 {
-    let (slow, slowest) =
+    let (min_slowness, max_slowness) =
         (f64::from(MIN_SLOWNESS_PERCENT) / 100.0, f64::from(MAX_SLOWNESS_PERCENT) / 100.0);
-    if slowness < slow { 1.0 } else { slowness.min(slowest) }
+    if slowness < min_slowness { 1.0 } else { slowness.min(max_slowness) }
 }
--- a/crates/foxledge-flows/src/loss_gauge.rs
+++ b/crates/foxledge-flows/src/loss_gauge.rs
@@ -3,7 +3,7 @@
 /// Weight of one answered request in the moving average, about the last ten. An instance sees some
 /// 30 answers a second, so losses show before the 0.6 s are over after which an unanswered backend
 /// server counts as dead.
-const WEIGHT: f64 = 0.1;
+const SAMPLE_WEIGHT: f64 = 0.1;
 /// Share of answered requests with retransmissions above which paths count as lossy: two of the
 /// last ten. A single lost packet doesn't exceed it.
 const LOSSY_SHARE: f64 = 0.15;
@@ -22,9 +22,9 @@
 
 impl LossGauge {
     /// Records an answered request with the number of its data's retransmissions.
-    pub fn record_request(&mut self, copies: u32) {
-        let sample = if copies > 0 { 1.0 } else { 0.0 };
-        self.retransmitted_share += WEIGHT * (sample - self.retransmitted_share);
+    pub fn record_request(&mut self, retransmissions: u32) {
+        let sample = if retransmissions > 0 { 1.0 } else { 0.0 };
+        self.retransmitted_share += SAMPLE_WEIGHT * (sample - self.retransmitted_share);
     }
 
     /// Returns true when packets are lost on all paths, so that a missing answer says little about
--- a/crates/foxledge-flows/src/new_flows.rs
+++ b/crates/foxledge-flows/src/new_flows.rs
@@ -28,26 +28,26 @@
         &mut self,
         now: ClockTime,
         packet: &FlowPacket,
-        copy: u32,
+        attempt: u32,
     ) -> FlowDecision {
         let Some(route) = self.routes.find(&packet.key.service).cloned() else {
             return self.refuse_or_drop(now, RefuseReason::NoRoute);
         };
-        if copy > 0 {
+        if attempt > 0 {
             self.counters.retransmitted_openings += 1;
         }
         let reason = |rank, candidates| OpenReason {
             route: Arc::from(route.name.as_str()),
             route_revision: route.revision,
-            attempt: copy,
+            attempt,
             rank,
             candidates,
             overflow_to: None,
         };
-        let former = self.openings.get(&packet.key).copied();
-        if let Some(opening) = former {
-            let is_same = !opening.sent_at.after_millis(EARLY_RETRANSMISSION_MS).is_past(now);
-            if is_same && self.has_mechanism(RouterMechanism::RetransmissionWindow) {
+        let previous = self.openings.get(&packet.key).copied();
+        if let Some(opening) = previous {
+            let is_early = !opening.sent_at.after_millis(EARLY_RETRANSMISSION_MS).is_past(now);
+            if is_early && self.has_mechanism(RouterMechanism::RetransmissionWindow) {
                 if !self.count_cold_flow(now, opening.backend) {
                     return FlowDecision::Drop(DropReason::ColdLimit);
                 }
@@ -60,18 +60,14 @@
             });
         }
         let service = route.service_for(&packet.key).clone();
-        let avoided = former.map(|opening| opening.backend);
-        if former.is_none()
+        let unresponsive_backend = previous.map(|opening| opening.backend);
+        if previous.is_none()
             && let Some(reason) = self.load_refusal(now, packet, &route, &service)
         {
             return FlowDecision::Refuse(reason);
         }
-        let flow = NewFlow {
-            key: &packet.key,
-            route: &route,
-            service: &service,
-            unresponsive_backend: avoided,
-        };
+        let flow =
+            NewFlow { key: &packet.key, route: &route, service: &service, unresponsive_backend };
         let FlowPlacement { choice, candidates, barrier, overflow_to } =
             self.place_flow(now, &flow);
         let Some((index, rank)) = choice else {
@@ -108,11 +104,11 @@
         if let Some(barrier) = barrier {
             return self.refuse_or_drop(now, RefuseReason::from_barrier(barrier));
         }
-        let is_unknown = self.backends.service_indexes(service).is_empty();
-        let is_new = self
+        let is_unlisted = self.backends.service_indexes(service).is_empty();
+        let is_list_incomplete = self
             .first_confirmed_at
             .is_none_or(|at| !at.after_millis(REMOVAL_GRACE_MS).is_past(now));
-        if is_unknown && is_new {
+        if is_unlisted && is_list_incomplete {
             return FlowDecision::Drop(DropReason::MaybeStale);
         }
         self.refuse_or_drop(now, RefuseReason::NoBackend)
--- a/crates/foxledge-flows/src/options.rs
+++ b/crates/foxledge-flows/src/options.rs
@@ -22,7 +22,7 @@
     pub(crate) address: SocketAddrV4,
     pub(crate) max_list_age_ms: u64,
     pub(crate) seed: u64,
-    pub(crate) without: MechanismSet,
+    pub(crate) disabled: MechanismSet,
     pub(crate) overflow: bool,
     pub(crate) admission: Option<AdmissionOptions>,
 }
@@ -37,7 +37,7 @@
             address: SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0),
             max_list_age_ms: 2_000,
             seed: 0,
-            without: MechanismSet::default(),
+            disabled: MechanismSet::default(),
             overflow: false,
             admission: None,
         }
@@ -71,7 +71,7 @@
 
     /// Disables a mechanism, to measure its effect.
     pub fn without(mut self, mechanism: RouterMechanism) -> RouterOptions {
-        self.without.insert(mechanism);
+        self.disabled.insert(mechanism);
         self
     }
 
--- a/crates/foxledge-flows/src/packet.rs
+++ b/crates/foxledge-flows/src/packet.rs
@@ -63,16 +63,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PacketFault {
     /// Shorter than a packet's head.
-    #[error("shorter than a packet's head")]
+    #[error("datagram is shorter than a packet head")]
     Short,
     /// Longer than the maximum size.
-    #[error("longer than a packet may be")]
+    #[error("datagram is longer than the maximum packet size")]
     Long,
     /// The length in the head differs from that of the data.
-    #[error("the length in the head differs from the data")]
+    #[error("length in the packet head differs from the data")]
     Length,
     /// A combination of flags that callers never send.
-    #[error("flags that no caller sends")]
+    #[error("combination of flags is invalid")]
     Flags,
 }
 
--- a/crates/foxledge-flows/src/pending_openings.rs
+++ b/crates/foxledge-flows/src/pending_openings.rs
@@ -99,29 +99,29 @@
     pub fn next_overdue(&mut self, now: ClockTime) -> Option<PendingOpening> {
         self.remove_expired(now);
         loop {
-            let (sent, key) = *self.by_age.front()?;
-            if !sent.after_millis(OPENING_TIMEOUT_MS).is_past(now) {
+            let (sent_at, key) = *self.by_age.front()?;
+            if !sent_at.after_millis(OPENING_TIMEOUT_MS).is_past(now) {
                 return None;
             }
             self.by_age.pop_front();
             let Some(opening) = self.by_flow.get_mut(&key) else { continue };
-            if opening.sent_at != sent {
+            if opening.sent_at != sent_at {
                 continue;
             }
             opening.is_overdue = true;
-            let told = *opening;
-            self.remove_pending(&told);
-            self.overdue.push_back((sent, key));
-            return Some(told);
+            let overdue_opening = *opening;
+            self.remove_pending(&overdue_opening);
+            self.overdue.push_back((sent_at, key));
+            return Some(overdue_opening);
         }
     }
 
     fn remove_expired(&mut self, now: ClockTime) {
-        while let Some((sent, key)) = self.overdue.front() {
-            if !sent.after_millis(OPENING_TTL_MS).is_past(now) {
+        while let Some((sent_at, key)) = self.overdue.front() {
+            if !sent_at.after_millis(OPENING_TTL_MS).is_past(now) {
                 return;
             }
-            if self.by_flow.get(key).is_some_and(|opening| opening.sent_at == *sent) {
+            if self.by_flow.get(key).is_some_and(|opening| opening.sent_at == *sent_at) {
                 let key = *key;
                 self.remove(&key);
             }
--- a/crates/foxledge-flows/src/placement.rs
+++ b/crates/foxledge-flows/src/placement.rs
@@ -114,11 +114,11 @@
     /// Returns true when a candidate of this rank is healthy and costs no more than an idle backend
     /// server of the class beyond the bound.
     pub fn is_met_by(self, rank: &PlacementRank, slots: u32) -> bool {
-        let beyond = match self {
+        let next_class_cost = match self {
             PlacementBound::OutsideSubset => OUTSIDE_SUBSET_COST,
             PlacementBound::Remote => REMOTE_COST,
         };
-        rank.health_penalty == 0 && rank.cost <= beyond + REQUEST_COST / slots.max(1)
+        rank.health_penalty == 0 && rank.cost <= next_class_cost + REQUEST_COST / slots.max(1)
     }
 }
 
@@ -130,26 +130,26 @@
     } else {
         candidate.slowness_percent.min(MAX_SLOWNESS_PERCENT)
     };
-    let busy = requests * REQUEST_COST / candidate.slots.max(1) * slowness / 100;
-    let cold = if candidate.is_cold { COLD_COST } else { 0 };
-    let far = if candidate.is_same_centre { 0 } else { REMOTE_COST };
-    let outside = if candidate.is_outside_subset { OUTSIDE_SUBSET_COST } else { 0 };
+    let load_cost = requests * REQUEST_COST / candidate.slots.max(1) * slowness / 100;
+    let cold_cost = if candidate.is_cold { COLD_COST } else { 0 };
+    let distance_cost = if candidate.is_same_centre { 0 } else { REMOTE_COST };
+    let subset_cost = if candidate.is_outside_subset { OUTSIDE_SUBSET_COST } else { 0 };
     PlacementRank {
         health_penalty: health_penalty(candidate),
-        cost: busy + cold + far + outside,
+        cost: load_cost + cold_cost + distance_cost + subset_cost,
         open_flows: candidate.open_flows,
         last_placement: candidate.last_placement,
     }
 }
 
 fn health_penalty(candidate: &PlacementCandidate) -> u8 {
-    let by_health = match candidate.health {
+    let class_penalty = match candidate.health {
         HealthClass::Healthy => 0,
         // One flow at a time is sent as a trial to a backend server that didn't answer.
         HealthClass::Probation if candidate.pending_openings == 0 => 0,
         HealthClass::Probation | HealthClass::Suspect => 1,
         HealthClass::Ejected => 3,
     };
-    let by_caller = if candidate.is_unresponsive { 2 } else { 0 };
-    by_health.max(by_caller)
+    let flow_penalty = if candidate.is_unresponsive { 2 } else { 0 };
+    class_penalty.max(flow_penalty)
 }
--- a/crates/foxledge-flows/src/router.rs
+++ b/crates/foxledge-flows/src/router.rs
@@ -115,7 +115,7 @@
 
     /// Returns true unless the options disable a mechanism.
     pub(crate) fn has_mechanism(&self, mechanism: RouterMechanism) -> bool {
-        !self.options.without.contains(mechanism)
+        !self.options.disabled.contains(mechanism)
     }
 
     /// Returns when the store last confirmed the list to this instance.
@@ -155,12 +155,12 @@
             ),
             _ => (FlowPlacement::default(), None),
         };
-        let fits = |backend: &Backend| {
+        let is_allowed = |backend: &Backend| {
             route.as_ref().is_some_and(|route| route.allows_service(&backend.service))
         };
         FlowExplanation {
             choice: placement.choice,
-            token_backend: self.backends.by_token(token, fits),
+            token_backend: self.backends.by_token(token, is_allowed),
             load,
             service,
             route,
@@ -176,7 +176,7 @@
     /// Decides on a packet.
     pub fn on_packet(&mut self, now: ClockTime, packet: &FlowPacket) -> FlowDecision {
         match packet.kind {
-            PacketKind::Open { attempt: copy } => self.handle_opening(now, packet, copy),
+            PacketKind::Open { attempt } => self.handle_opening(now, packet, attempt),
             _ => self.forward(now, packet),
         }
     }
@@ -189,19 +189,21 @@
             self.end_track(now, &packet.key);
             return FlowDecision::Drop(DropReason::RouteRemoved);
         }
-        let fits =
+        let is_allowed =
             |backend: &Backend| route.is_some_and(|route| route.allows_service(&backend.service));
-        let holder = self.backends.by_token(packet.token, fits);
-        let may_repeat = route.is_some_and(|route| route.idempotent);
+        let token_backend = self.backends.by_token(packet.token, is_allowed);
+        let is_repeatable = route.is_some_and(|route| route.idempotent);
         let priority = route.map(|route| route.priority);
-        let Some(index) = holder else { return self.handle_unknown_token(now, packet, may_repeat) };
+        let Some(index) = token_backend else {
+            return self.handle_unknown_token(now, packet, is_repeatable);
+        };
         if let Some(opening) = self.openings.remove(&packet.key)
             && opening.backend == index
             && self.backends.get(index).is_some_and(|one| one.discovered_at <= opening.sent_at)
         {
             self.record_alive(now, index);
         }
-        if may_repeat
+        if is_repeatable
             && packet.length > 0
             && let Some(reason) = self.replaced_reset_reason(now, index)
         {
@@ -210,11 +212,11 @@
         }
         // Read before the packet is tracked: the packet itself must not count as evidence against
         // its backend server.
-        let known = self.unanswered_state(now, index);
+        let unanswered = self.unanswered_state(now, index);
         let stall = self.track_packet(now, packet, index, priority);
         let reason = stall
-            .filter(|_| may_repeat)
-            .and_then(|one| self.stalled_reset_reason(now, index, one, known));
+            .filter(|_| is_repeatable)
+            .and_then(|one| self.stalled_reset_reason(now, index, one, unanswered));
         if let Some(reason) = reason {
             self.end_track(now, &packet.key);
             return FlowDecision::Reset { backend: index, reason };
--- a/crates/foxledge-flows/src/routes.rs
+++ b/crates/foxledge-flows/src/routes.rs
@@ -41,15 +41,15 @@
     /// Returns the service of a flow. Every instance chooses the same one.
     pub fn service_for(&self, key: &FlowKey) -> &ServiceName {
         let total: u64 = self.shares.iter().map(|(_, weight)| u64::from(*weight)).sum();
-        let mut left = match (self.shares.len(), total) {
+        let mut remaining = match (self.shares.len(), total) {
             (1, _) | (_, 0) => 0,
             _ => flow_hash(key) % total,
         };
         for (service, weight) in &self.shares {
-            if left < u64::from(*weight) {
+            if remaining < u64::from(*weight) {
                 return service;
             }
-            left -= u64::from(*weight);
+            remaining -= u64::from(*weight);
         }
         &self.shares[0].0
     }
@@ -103,23 +103,23 @@
         }
     }
 
-    fn insert(&mut self, row: &ListRow, spec: &RouteRow) {
+    fn insert(&mut self, row: &ListRow, route_row: &RouteRow) {
         self.remove(&row.key);
-        let Ok(port) = u16::try_from(spec.port) else { return };
-        if spec.shares.is_empty() {
+        let Ok(port) = u16::try_from(route_row.port) else { return };
+        if route_row.shares.is_empty() {
             return;
         }
-        let address = SocketAddrV4::new(Ipv4Addr::from(spec.ip), port);
-        let shares = spec.shares.iter();
+        let address = SocketAddrV4::new(Ipv4Addr::from(route_row.ip), port);
+        let shares = route_row.shares.iter();
         let route = FlowRoute {
-            name: RuleName::new(&spec.name),
-            position: spec.position,
+            name: RuleName::new(&route_row.name),
+            position: route_row.position,
             shares: shares.map(|share| (ServiceName::new(&share.service), share.weight)).collect(),
-            priority: spec.priority,
-            idempotent: spec.idempotent,
-            timeout_ms: u64::from(spec.timeout_ms),
-            latency_target_ms: u64::from(spec.aim_ms),
-            regions: spec.regions.iter().map(|name| RegionName::new(name)).collect(),
+            priority: route_row.priority,
+            idempotent: route_row.idempotent,
+            timeout_ms: u64::from(route_row.timeout_ms),
+            latency_target_ms: u64::from(route_row.aim_ms),
+            regions: route_row.regions.iter().map(|name| RegionName::new(name)).collect(),
             revision: row.revision,
         };
         let routes = self.by_address.entry(address).or_default();
--- a/crates/foxledge-flows/src/selection.rs
+++ b/crates/foxledge-flows/src/selection.rs
@@ -32,23 +32,23 @@
 impl FlowRouter {
     /// Chooses the backend server of a new flow.
     pub(crate) fn place_flow(&mut self, now: ClockTime, flow: &NewFlow<'_>) -> FlowPlacement {
-        let own = self.options.data_centre.clone();
-        let Some(guide) = self.placement_hint(now, flow) else {
-            let usual = self.median_latency_us(flow.service);
-            return self.place_among_all(now, flow, (&own, None), usual);
+        let own_centre = self.options.data_centre.clone();
+        let Some(hint) = self.placement_hint(now, flow) else {
+            let median_latency_us = self.median_latency_us(flow.service);
+            return self.place_among_all(now, flow, (&own_centre, None), median_latency_us);
         };
-        if let Some(placement) = self.place_in_sample(now, flow, &guide) {
+        if let Some(placement) = self.place_in_sample(now, flow, &hint) {
             return placement;
         }
-        let near = (&guide.centre, guide.group);
-        let mut placement = self.place_among_all(now, flow, near, guide.median_latency_us);
-        if !guide.is_overflow {
+        let preference = (&hint.centre, hint.group);
+        let mut placement = self.place_among_all(now, flow, preference, hint.median_latency_us);
+        if !hint.is_overflow {
             return placement;
         }
-        if !self.is_placed_in(&placement, &guide.centre) {
-            return self.place_among_all(now, flow, (&own, None), guide.median_latency_us);
+        if !self.is_placed_in(&placement, &hint.centre) {
+            return self.place_among_all(now, flow, (&own_centre, None), hint.median_latency_us);
         }
-        placement.overflow_to = Some(guide.centre);
+        placement.overflow_to = Some(hint.centre);
         placement
     }
 
@@ -63,13 +63,13 @@
         let is_overflow = overflow.is_some();
         let centre = overflow.unwrap_or_else(|| self.options.data_centre.clone());
         let group = groups.group_in(service, &centre);
-        let usual = self.load.plan(service)?.median_latency_us;
+        let median_latency_us = self.load.plan(service)?.median_latency_us;
         let is_scarce = group.is_some_and(|group| self.load.subset(now, group).is_some());
         (is_overflow || is_scarce).then_some(PlacementHint {
             centre,
             is_overflow,
             group,
-            median_latency_us: usual,
+            median_latency_us,
         })
     }
 
@@ -80,22 +80,26 @@
         &mut self,
         now: ClockTime,
         flow: &NewFlow<'_>,
-        guide: &PlacementHint,
+        hint: &PlacementHint,
     ) -> Option<FlowPlacement> {
-        let group = guide.group?;
+        let group = hint.group?;
         let hash = flow_hash(flow.key);
         let subset = self.load.subset(now, group);
-        let chosen: Vec<usize> =
+        let preferred: Vec<usize> =
             subset.map(|one| sample_indexes(one.preferred(), hash)).unwrap_or_default();
-        if let Some(placement) =
-            self.place_within_bound(now, flow, guide, chosen.clone(), PlacementBound::OutsideSubset)
-        {
+        if let Some(placement) = self.place_within_bound(
+            now,
+            flow,
+            hint,
+            preferred.clone(),
+            PlacementBound::OutsideSubset,
+        ) {
             return Some(placement);
         }
         let mut indexes = sample_indexes(&self.backends.groups().groups()[group].backends, hash);
-        indexes.retain(|index| !chosen.contains(index));
-        indexes.extend(chosen);
-        self.place_within_bound(now, flow, guide, indexes, PlacementBound::Remote)
+        indexes.retain(|index| !preferred.contains(index));
+        indexes.extend(preferred);
+        self.place_within_bound(now, flow, hint, indexes, PlacementBound::Remote)
     }
 
     /// Chooses the best of some backend servers, if it is good enough for the bound.
@@ -103,23 +107,23 @@
         &mut self,
         now: ClockTime,
         flow: &NewFlow<'_>,
-        guide: &PlacementHint,
+        hint: &PlacementHint,
         indexes: Vec<usize>,
         bound: PlacementBound,
     ) -> Option<FlowPlacement> {
         if indexes.is_empty() {
             return None;
         }
-        let view = CandidateScope {
-            local_centre: &guide.centre,
-            preferred_subset: guide.group.and_then(|group| self.preferred_subset(now, group)),
-            median_latency_us: guide.median_latency_us,
+        let scope = CandidateScope {
+            local_centre: &hint.centre,
+            preferred_subset: hint.group.and_then(|group| self.preferred_subset(now, group)),
+            median_latency_us: hint.median_latency_us,
         };
         let CandidateSet { candidates, barrier } =
-            self.find_candidates(now, flow, &view, indexes.into_iter());
+            self.find_candidates(now, flow, &scope, indexes.into_iter());
         let (index, rank) = self.policy.choose(now, &candidates)?;
         let slots = self.backends.get(index)?.slots;
-        let overflow_to = guide.is_overflow.then(|| guide.centre.clone());
+        let overflow_to = hint.is_overflow.then(|| hint.centre.clone());
         let choice = Some((index, rank));
         bound.is_met_by(&rank, slots).then_some(FlowPlacement {
             choice,
@@ -129,23 +133,19 @@
         })
     }
 
-    /// Chooses the best of all backend servers of the service. Those in `near` count as local, and
-    /// of `group` the subset of this instance is preferred.
+    /// Chooses the best of all backend servers of the service. Those in `local_centre` count as
+    /// local, and of `group` the subset of this instance is preferred.
     fn place_among_all(
         &mut self,
         now: ClockTime,
         flow: &NewFlow<'_>,
-        (near, group): (&CentreName, Option<usize>),
-        usual: f64,
+        (local_centre, group): (&CentreName, Option<usize>),
+        median_latency_us: f64,
     ) -> FlowPlacement {
-        let shared = group.and_then(|group| self.preferred_subset(now, group));
-        let view = CandidateScope {
-            local_centre: near,
-            preferred_subset: shared,
-            median_latency_us: usual,
-        };
+        let preferred_subset = group.and_then(|group| self.preferred_subset(now, group));
+        let scope = CandidateScope { local_centre, preferred_subset, median_latency_us };
         let indexes = self.backends.service_indexes(flow.service).iter().copied();
-        let CandidateSet { candidates, barrier } = self.find_candidates(now, flow, &view, indexes);
+        let CandidateSet { candidates, barrier } = self.find_candidates(now, flow, &scope, indexes);
         let choice = self.policy.choose(now, &candidates);
         FlowPlacement { choice, candidates, barrier, overflow_to: None }
     }
--- a/crates/foxledge-flows/src/trial_delays.rs
+++ b/crates/foxledge-flows/src/trial_delays.rs
@@ -21,8 +21,8 @@
     }
 
     /// Sets the number of other instances.
-    pub fn set_peer_count(&mut self, others: usize) {
-        self.peer_count = others as u64;
+    pub fn set_peer_count(&mut self, peer_count: usize) {
+        self.peer_count = peer_count as u64;
     }
 
     /// Returns the delay of this instance's trial at a backend server, in milliseconds after the
--- a/crates/foxledge-flows/tests/cold_limit.rs
+++ b/crates/foxledge-flows/tests/cold_limit.rs
@@ -28,7 +28,7 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 1, (instance / 250) as u8, (instance % 250) as u8), 7_000)
 }
 
-fn cold(number: u64, centre: &str, warm_in_ms: u32, revision: u64) -> ListRow {
+fn cold_backend_row(number: u64, centre: &str, warm_in_ms: u32, revision: u64) -> ListRow {
     let mut spec = backend_spec(number, "desk", centre);
     spec.warm_in_ms = warm_in_ms;
     backend_row(spec, revision)
@@ -57,18 +57,18 @@
     views.iter().enumerate().map(with_view).collect()
 }
 
-fn whole_views(count: usize) -> Vec<Vec<usize>> {
+fn complete_views(count: usize) -> Vec<Vec<usize>> {
     (0..count).map(|own| (0..count).filter(|other| *other != own).collect()).collect()
 }
 
 /// Returns the times of the flows that each backend server got when `per_s` new flows a second come
 /// to `routers` in turn, from `from` to `until`.
-fn load(
+fn send_flows(
     routers: &mut [FlowRouter],
     per_s: u64,
     (from, until): (u64, u64),
 ) -> BTreeMap<u64, Vec<u64>> {
-    let mut got: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
+    let mut received: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
     let count = per_s * (until - from) / 1_000;
     for flow in 0..count {
         let now = from + flow * 1_000 / per_s;
@@ -78,16 +78,16 @@
         router.set_confirmed_at(clock_at(now));
         let decision = router.on_packet(clock_at(now), &opening_packet(key, 0));
         let Some(number) = decided_backend(router, &decision) else { continue };
-        got.entry(number).or_default().push(now);
+        received.entry(number).or_default().push(now);
         let answer = flow_packet(key, foxledge_flows::PacketKind::Continue, number as u32);
         router.on_packet(clock_at(now + 7), &answer);
         router.report_overdue_openings(clock_at(now + 7));
     }
-    got
+    received
 }
 
 /// Returns the maximum number of flows in any second, wherever it begins.
-fn most_in_a_second(times: &[u64]) -> usize {
+fn max_in_a_second(times: &[u64]) -> usize {
     let ends = times
         .iter()
         .map(|end| times.iter().filter(|at| **at <= *end && **at + 1_000 >= *end).count());
@@ -99,24 +99,28 @@
 #[test]
 fn cold_limit_holds_for_every_fleet_size() {
     for count in [2, 6, 18, 73, 300] {
-        let mut routers = fleet(&whole_views(count));
-        let rows: Vec<_> = (1..=30).map(|number| cold(number, LOCAL_CENTRE, 9_000, 5)).collect();
-        let warm_far: Vec<_> =
+        let mut routers = fleet(&complete_views(count));
+        let rows: Vec<_> =
+            (1..=30).map(|number| cold_backend_row(number, LOCAL_CENTRE, 9_000, 5)).collect();
+        let warm_remote: Vec<_> =
             (101..=110).map(|number| listed_backend(number, "desk", REMOTE_CENTRE, 5)).collect();
         for router in &mut routers {
             router.apply_rows(clock_at(2_000), &rows);
-            router.apply_rows(clock_at(2_000), &warm_far);
+            router.apply_rows(clock_at(2_000), &warm_remote);
         }
-        let got = load(&mut routers, 2_000, (2_000, 5_000));
-        let served: usize = got.values().map(Vec::len).sum();
+        let received = send_flows(&mut routers, 2_000, (2_000, 5_000));
+        let served: usize = received.values().map(Vec::len).sum();
         assert_eq!(served, 6_000, "{count} instances: warm ones elsewhere take the rest");
-        for (number, times) in got.range(..100) {
-            let most = most_in_a_second(times);
-            assert!(most <= LIMIT, "{count} instances, backend server {number}: {most}");
+        for (number, times) in received.range(..100) {
+            let maximum = max_in_a_second(times);
+            assert!(maximum <= LIMIT, "{count} instances, backend server {number}: {maximum}");
         }
         // Half of the limit is used; the rest is reserved for views that differ.
-        let cold: usize = got.range(..100).map(|(_, times)| times.len()).sum();
-        assert!(cold >= 30 * FLOWS_PER_S as usize, "{count} instances: {cold} in three seconds");
+        let cold_flows: usize = received.range(..100).map(|(_, times)| times.len()).sum();
+        assert!(
+            cold_flows >= 30 * FLOWS_PER_S as usize,
+            "{count} instances: {cold_flows} in three seconds"
+        );
     }
 }
 
@@ -127,22 +131,22 @@
     #[test]
     fn cold_limit_holds_while_views_differ(
         count in 3..40_usize,
-        missed in prop::collection::vec((0..40_usize, 0..40_usize), 40),
+        missing in prop::collection::vec((0..40_usize, 0..40_usize), 40),
     ) {
-        let mut views = whole_views(count);
+        let mut views = complete_views(count);
         for (own, view) in views.iter_mut().enumerate() {
-            let (one, other) = missed[own];
+            let (one, other) = missing[own];
             view.retain(|known| *known != one && *known != other);
         }
         let mut routers = fleet(&views);
-        let rows: Vec<_> = (1..=5).map(|number| cold(number, LOCAL_CENTRE, 9_000, 5)).collect();
+        let rows: Vec<_> = (1..=5).map(|number| cold_backend_row(number, LOCAL_CENTRE, 9_000, 5)).collect();
         for router in &mut routers {
             router.apply_rows(clock_at(2_000), &rows);
         }
-        let got = load(&mut routers, 1_000, (2_000, 4_000));
-        for (number, times) in &got {
-            let most = most_in_a_second(times);
-            prop_assert!(most <= LIMIT, "backend server {}: {}", number, most);
+        let received = send_flows(&mut routers, 1_000, (2_000, 4_000));
+        for (number, times) in &received {
+            let maximum = max_in_a_second(times);
+            prop_assert!(maximum <= LIMIT, "backend server {}: {}", number, maximum);
         }
     }
 }
@@ -151,24 +155,25 @@
 // same second in which the dead instances still sent.
 #[test]
 fn new_senders_wait_after_instances_died() {
-    let mut routers = fleet(&whole_views(18));
-    let rows: Vec<_> = (1..=8).map(|number| cold(number, LOCAL_CENTRE, 9_000, 5)).collect();
+    let mut routers = fleet(&complete_views(18));
+    let rows: Vec<_> =
+        (1..=8).map(|number| cold_backend_row(number, LOCAL_CENTRE, 9_000, 5)).collect();
     for router in &mut routers {
         router.apply_rows(clock_at(2_000), &rows);
     }
-    let mut got = load(&mut routers, 1_000, (2_000, 3_000));
-    let mut left = routers.split_off(9);
-    for router in &mut left {
+    let mut received = send_flows(&mut routers, 1_000, (2_000, 3_000));
+    let mut remaining = routers.split_off(9);
+    for router in &mut remaining {
         router.set_neighbours(clock_at(3_000), (10..18).map(address).collect());
     }
-    for (number, times) in load(&mut left, 1_000, (3_000, 5_000)) {
-        got.entry(number).or_default().extend(times);
+    for (number, times) in send_flows(&mut remaining, 1_000, (3_000, 5_000)) {
+        received.entry(number).or_default().extend(times);
     }
-    for (number, times) in &got {
-        let most = most_in_a_second(times);
-        assert!(most <= LIMIT, "backend server {number}: {most}");
+    for (number, times) in &received {
+        let maximum = max_in_a_second(times);
+        assert!(maximum <= LIMIT, "backend server {number}: {maximum}");
     }
-    assert!(got.values().flatten().any(|at| *at > 4_250), "the others take over in the end");
+    assert!(received.values().flatten().any(|at| *at > 4_250), "the others take over in the end");
 }
 
 // Guards against exceeding the limit after a restart: an instance that has just started doesn't
@@ -176,7 +181,7 @@
 #[test]
 fn started_instance_waits_before_sending() {
     let mut router = instance(0);
-    router.apply_rows(clock_at(0), &[cold(1, LOCAL_CENTRE, 9_000, 5)]);
+    router.apply_rows(clock_at(0), &[cold_backend_row(1, LOCAL_CENTRE, 9_000, 5)]);
     let refused = FlowDecision::Refuse(RefuseReason::ColdLimit);
     assert_eq!(router.on_packet(clock_at(100), &opening_packet(flow_key(1, 1), 0)), refused);
     router.set_neighbours(clock_at(200), vec![address(1)]);
@@ -189,13 +194,13 @@
 #[test]
 fn retransmissions_count_against_the_quota() {
     let mut router = instance(0);
-    router.apply_rows(clock_at(0), &[cold(1, LOCAL_CENTRE, 9_000, 5)]);
+    router.apply_rows(clock_at(0), &[cold_backend_row(1, LOCAL_CENTRE, 9_000, 5)]);
     router.set_neighbours(clock_at(0), vec![address(1)]);
     router.set_confirmed_at(clock_at(2_000));
     let mut sent = 0;
-    for copy in 0..20 {
-        let decision =
-            router.on_packet(clock_at(2_000 + copy), &opening_packet(flow_key(1, 1), copy as u32));
+    for attempt in 0..20 {
+        let decision = router
+            .on_packet(clock_at(2_000 + attempt), &opening_packet(flow_key(1, 1), attempt as u32));
         sent += usize::from(decided_backend(&router, &decision).is_some());
     }
     assert_eq!(sent, LIMIT / 4);
@@ -203,23 +208,23 @@
 
 #[test]
 fn warm_backend_is_not_limited() {
-    let mut routers = fleet(&whole_views(6));
+    let mut routers = fleet(&complete_views(6));
     for router in &mut routers {
-        router.apply_rows(clock_at(2_000), &[cold(1, LOCAL_CENTRE, 1_000, 5)]);
+        router.apply_rows(clock_at(2_000), &[cold_backend_row(1, LOCAL_CENTRE, 1_000, 5)]);
         // The entry now says that it is warm, sooner than before.
-        router.apply_rows(clock_at(2_100), &[cold(1, LOCAL_CENTRE, 0, 6)]);
+        router.apply_rows(clock_at(2_100), &[cold_backend_row(1, LOCAL_CENTRE, 0, 6)]);
     }
-    let got = load(&mut routers, 500, (2_200, 3_200));
-    assert_eq!(got[&1].len(), 500);
+    let received = send_flows(&mut routers, 500, (2_200, 3_200));
+    assert_eq!(received[&1].len(), 500);
 }
 
 // Guards against flooding a data centre whose evacuation has ended while its backend servers are
 // cold: the end of the evacuation may be received before the entries that say how cold they are.
 #[test]
 fn backends_count_as_cold_after_an_evacuation() {
-    let mut routers = fleet(&whole_views(6));
+    let mut routers = fleet(&complete_views(6));
     let rows = [
-        cold(1, LOCAL_CENTRE, 0, 5),
+        cold_backend_row(1, LOCAL_CENTRE, 0, 5),
         listed_backend(2, "desk", REMOTE_CENTRE, 5),
         evacuation_row(LOCAL_CENTRE, 6),
     ];
@@ -227,14 +232,14 @@
         router.apply_rows(clock_at(2_000), &rows);
         router.apply_rows(clock_at(5_000), &[removed_row(&evacuation_row(LOCAL_CENTRE, 6), 9, 0)]);
     }
-    let got = load(&mut routers, 500, (5_000, 8_000));
-    assert!(most_in_a_second(&got[&1]) <= LIMIT);
+    let received = send_flows(&mut routers, 500, (5_000, 8_000));
+    assert!(max_in_a_second(&received[&1]) <= LIMIT);
     // Its entry says that it is warm.
     for router in &mut routers {
-        router.apply_rows(clock_at(8_000), &[cold(1, LOCAL_CENTRE, 0, 10)]);
+        router.apply_rows(clock_at(8_000), &[cold_backend_row(1, LOCAL_CENTRE, 0, 10)]);
     }
-    let got = load(&mut routers, 100, (8_000, 9_000));
-    assert!(got[&1].len() > 90, "{}", got[&1].len());
+    let received = send_flows(&mut routers, 100, (8_000, 9_000));
+    assert!(received[&1].len() > 90, "{}", received[&1].len());
 }
 
 #[test]
--- a/crates/foxledge-flows/tests/common/mod.rs
+++ b/crates/foxledge-flows/tests/common/mod.rs
@@ -97,8 +97,8 @@
     }
 }
 
-pub fn opening_packet(key: FlowKey, copy: u32) -> FlowPacket {
-    flow_packet(key, PacketKind::Open { attempt: copy }, 0)
+pub fn opening_packet(key: FlowKey, attempt: u32) -> FlowPacket {
+    flow_packet(key, PacketKind::Open { attempt }, 0)
 }
 
 pub fn flow_packet(key: FlowKey, kind: PacketKind, token: u32) -> FlowPacket {
@@ -145,8 +145,8 @@
 
 /// Row of an evacuated data centre.
 pub fn evacuation_row(centre: &str, revision: u64) -> ListRow {
-    let wish = ExtensionValue::Evacuation(EvacuationRow { data_centre: centre.to_owned() });
-    let value = Some(RowValue::from_extension(&wish));
+    let evacuation = ExtensionValue::Evacuation(EvacuationRow { data_centre: centre.to_owned() });
+    let value = Some(RowValue::from_extension(&evacuation));
     ListRow { key: evacuation_key(centre), revision, value }
 }
 
--- a/crates/foxledge-flows/tests/flow_placement.rs
+++ b/crates/foxledge-flows/tests/flow_placement.rs
@@ -30,7 +30,7 @@
     let mut numbers = Vec::new();
     for port in 0..10 {
         let key = flow_key(1, 1_000 + port);
-        let number = open_flow(&mut router, 0, key).expect("is placed");
+        let number = open_flow(&mut router, 0, key).expect("the flow is placed");
         router.on_packet(clock_at(8), &data_packet(key, number as u32, 1, 1));
         numbers.push(number);
     }
@@ -46,7 +46,7 @@
     let mut counts = [0; 5];
     for port in 0..400 {
         let number = open_flow(&mut router, u64::from(port), flow_key(1, 1_000 + port));
-        counts[number.expect("is placed") as usize] += 1;
+        counts[number.expect("the flow is placed") as usize] += 1;
     }
     assert_eq!(&counts[1..], &[100, 100, 100, 100]);
 }
--- a/crates/foxledge-flows/tests/load_off.rs
+++ b/crates/foxledge-flows/tests/load_off.rs
@@ -84,7 +84,7 @@
 }
 
 /// Returns the decisions on 20,000 packets; `each` runs before every hundredth.
-fn decisions(router: &mut FlowRouter, mut each: impl FnMut(&mut FlowRouter, u64)) -> String {
+fn decisions(router: &mut FlowRouter, mut before_step: impl FnMut(&mut FlowRouter, u64)) -> String {
     let mut draws = SeededDraws(20_261_204);
     let mut flows: Vec<(FlowKey, u32, u32)> = Vec::new();
     let mut text = String::new();
@@ -93,7 +93,7 @@
         if step % 100 == 0 {
             router.set_confirmed_at(clock_at(now));
             router.report_overdue_openings(clock_at(now));
-            each(router, now);
+            before_step(router, now);
         }
         if draws.below(400) == 0 {
             change_list(router, &mut draws, now);
@@ -102,8 +102,8 @@
         let kind = draws.below(10);
         if flows.is_empty() || kind < 4 {
             let key = flow_key(draws.below(200) as u8, 1_024 + draws.below(3_000) as u16);
-            let copy = (draws.below(8) == 0) as u32;
-            let decision = router.on_packet(clock_at(now), &opening_packet(key, copy));
+            let attempt = (draws.below(8) == 0) as u32;
+            let decision = router.on_packet(clock_at(now), &opening_packet(key, attempt));
             append_decision(&mut text, router, &decision);
             flows.extend(decided_backend(router, &decision).map(|number| (key, number as u32, 1)));
             continue;
--- a/crates/foxledge-flows/tests/load_overflow.rs
+++ b/crates/foxledge-flows/tests/load_overflow.rs
@@ -21,12 +21,12 @@
 }
 
 /// Load of callers whose requests need a number of slots.
-fn demand(slots: f64, running: &[(&str, f64)]) -> ServiceLoad {
+fn demand_load(slots: f64, running: &[(&str, f64)]) -> ServiceLoad {
     caller_load(&[(1, slots / 0.05)], running)
 }
 
 /// Returns the data centre of the backend server in a decision.
-fn centre_of(router: &FlowRouter, decision: &FlowDecision) -> Option<CentreName> {
+fn decided_centre(router: &FlowRouter, decision: &FlowDecision) -> Option<CentreName> {
     match decision {
         FlowDecision::Open { backend, .. } => {
             router.backend(*backend).map(|backend| backend.data_centre.clone())
@@ -36,16 +36,16 @@
 }
 
 /// Opens flows that finish at once, and returns how many each data centre got.
-fn spread(router: &mut FlowRouter, now: u64, flows: u16) -> [u32; 3] {
+fn place_flows(router: &mut FlowRouter, now: u64, flows: u16) -> [u32; 3] {
     let mut counts = [0; 3];
     for port in 0..flows {
         let key = flow_key((port % 200) as u8, 2_000 + port);
         let decision = router.on_packet(clock_at(now), &opening_packet(key, 0));
-        let number = decided_backend(router, &decision).expect("is placed");
-        let centre = centre_of(router, &decision).expect("is placed");
-        let place =
+        let number = decided_backend(router, &decision).expect("the flow is placed");
+        let centre = decided_centre(router, &decision).expect("the flow is placed");
+        let index =
             [LOCAL_CENTRE, REMOTE_CENTRE, THIRD].iter().position(|name| *name == centre.as_str());
-        counts[place.expect("is known")] += 1;
+        counts[index.expect("the entry is known")] += 1;
         router.on_packet(clock_at(now), &flow_packet(key, PacketKind::Finish, number as u32));
     }
     counts
@@ -57,14 +57,14 @@
     let mut router = load_router(&backends());
     // All 60 slots are needed, 40 of them by local callers: half of the local flows must leave.
     let centres = [
-        (LOCAL_CENTRE, demand(40.0, &[(LOCAL_CENTRE, 30.0)])),
-        (REMOTE_CENTRE, demand(10.0, &[(REMOTE_CENTRE, 10.0)])),
-        (THIRD, demand(10.0, &[(THIRD, 10.0)])),
+        (LOCAL_CENTRE, demand_load(40.0, &[(LOCAL_CENTRE, 30.0)])),
+        (REMOTE_CENTRE, demand_load(10.0, &[(REMOTE_CENTRE, 10.0)])),
+        (THIRD, demand_load(10.0, &[(THIRD, 10.0)])),
     ];
     let now = apply_steady_load(&mut router, 0, &centres);
-    let [near, far, third] = spread(&mut router, now, 2_000);
-    assert!((900..=1_100).contains(&near), "{near} near, {far} and {third} far");
-    assert!((400..=600).contains(&far) && (400..=600).contains(&third), "{far} and {third}");
+    let [local, remote, third] = place_flows(&mut router, now, 2_000);
+    assert!((900..=1_100).contains(&local), "{local} local, {remote} and {third} remote");
+    assert!((400..=600).contains(&remote) && (400..=600).contains(&third), "{remote} and {third}");
 }
 
 // Guards against flows that leave a data centre which has slots for them.
@@ -72,12 +72,12 @@
 fn flows_stay_local_while_slots_are_free() {
     let mut router = load_router(&backends());
     let centres = [
-        (LOCAL_CENTRE, demand(15.0, &[(LOCAL_CENTRE, 15.0)])),
-        (REMOTE_CENTRE, demand(2.0, &[(REMOTE_CENTRE, 2.0)])),
-        (THIRD, demand(2.0, &[(THIRD, 2.0)])),
+        (LOCAL_CENTRE, demand_load(15.0, &[(LOCAL_CENTRE, 15.0)])),
+        (REMOTE_CENTRE, demand_load(2.0, &[(REMOTE_CENTRE, 2.0)])),
+        (THIRD, demand_load(2.0, &[(THIRD, 2.0)])),
     ];
     let now = apply_steady_load(&mut router, 0, &centres);
-    assert_eq!(spread(&mut router, now, 500), [500, 0, 0]);
+    assert_eq!(place_flows(&mut router, now, 500), [500, 0, 0]);
     assert_eq!(router.drain_load_events(), []);
 }
 
@@ -86,12 +86,12 @@
 fn data_centre_without_a_report_gets_no_overflow() {
     let mut router = load_router(&backends());
     let centres = [
-        (LOCAL_CENTRE, demand(40.0, &[(LOCAL_CENTRE, 30.0)])),
-        (REMOTE_CENTRE, demand(10.0, &[(REMOTE_CENTRE, 10.0)])),
+        (LOCAL_CENTRE, demand_load(40.0, &[(LOCAL_CENTRE, 30.0)])),
+        (REMOTE_CENTRE, demand_load(10.0, &[(REMOTE_CENTRE, 10.0)])),
     ];
     let now = apply_steady_load(&mut router, 0, &centres);
-    let [_, far, third] = spread(&mut router, now, 1_000);
-    assert!(far > 200 && third == 0, "{far} and {third}");
+    let [_, remote, third] = place_flows(&mut router, now, 1_000);
+    assert!(remote > 200 && third == 0, "{remote} and {third}");
 }
 
 // Guards against flows to an evacuated data centre because its slots look idle.
@@ -100,17 +100,17 @@
     let mut router = load_router(&backends());
     router.apply_rows(clock_at(0), &[evacuation_row(REMOTE_CENTRE, 9)]);
     let centres = [
-        (LOCAL_CENTRE, demand(30.0, &[(LOCAL_CENTRE, 30.0)])),
-        (REMOTE_CENTRE, demand(1.0, &[(REMOTE_CENTRE, 0.0)])),
-        (THIRD, demand(5.0, &[(THIRD, 6.0)])),
+        (LOCAL_CENTRE, demand_load(30.0, &[(LOCAL_CENTRE, 30.0)])),
+        (REMOTE_CENTRE, demand_load(1.0, &[(REMOTE_CENTRE, 0.0)])),
+        (THIRD, demand_load(5.0, &[(THIRD, 6.0)])),
     ];
     let now = apply_steady_load(&mut router, 0, &centres);
-    let [_, far, third] = spread(&mut router, now, 1_000);
-    assert!(far == 0 && third > 200, "{far} and {third}");
+    let [_, remote, third] = place_flows(&mut router, now, 1_000);
+    assert!(remote == 0 && third > 200, "{remote} and {third}");
     // It has slots again in the first view after the evacuation ends.
     router.apply_rows(clock_at(now), &[removed_row(&evacuation_row(REMOTE_CENTRE, 9), 10, 0)]);
     let later = apply_steady_load(&mut router, now + 50, &centres);
-    assert!(spread(&mut router, later, 1_000)[1] > 200);
+    assert!(place_flows(&mut router, later, 1_000)[1] > 200);
 }
 
 // Guards against sending all callers of an evacuated data centre to a single other one, or to the
@@ -120,13 +120,13 @@
     let mut router = load_router(&backends());
     router.apply_rows(clock_at(0), &[evacuation_row(LOCAL_CENTRE, 9)]);
     let centres = [
-        (LOCAL_CENTRE, demand(10.0, &[(REMOTE_CENTRE, 5.0), (THIRD, 5.0)])),
-        (REMOTE_CENTRE, demand(15.0, &[(REMOTE_CENTRE, 15.0)])),
-        (THIRD, demand(5.0, &[(THIRD, 5.0)])),
+        (LOCAL_CENTRE, demand_load(10.0, &[(REMOTE_CENTRE, 5.0), (THIRD, 5.0)])),
+        (REMOTE_CENTRE, demand_load(15.0, &[(REMOTE_CENTRE, 15.0)])),
+        (THIRD, demand_load(5.0, &[(THIRD, 5.0)])),
     ];
     let now = apply_steady_load(&mut router, 0, &centres);
-    let [near, far, third] = spread(&mut router, now, 1_000);
-    assert!(near == 0 && third > 5 * far, "{near}, {far} and {third}");
+    let [local, remote, third] = place_flows(&mut router, now, 1_000);
+    assert!(local == 0 && third > 5 * remote, "{local}, {remote} and {third}");
 }
 
 // Guards against overflow of a route that allows only the local region.
@@ -138,33 +138,33 @@
     let options =
         RouterOptions::new(CentreName::new(LOCAL_CENTRE)).overflow(true).regions(regions.into());
     let mut router = fill_router(FlowRouter::new(options), &backends());
-    let mut row = route_row("r", 443, "desk", 5);
-    if let Some(foxledge_flows::rows::RowValue::Route(route)) = &mut row.value {
+    let mut route = route_row("r", 443, "desk", 5);
+    if let Some(foxledge_flows::rows::RowValue::Route(route)) = &mut route.value {
         route.regions = vec!["lakes".to_owned()];
     }
-    router.apply_rows(clock_at(0), &[row]);
+    router.apply_rows(clock_at(0), &[route]);
     let centres = [
-        (LOCAL_CENTRE, demand(40.0, &[(LOCAL_CENTRE, 30.0)])),
-        (REMOTE_CENTRE, demand(2.0, &[])),
-        (THIRD, demand(2.0, &[])),
+        (LOCAL_CENTRE, demand_load(40.0, &[(LOCAL_CENTRE, 30.0)])),
+        (REMOTE_CENTRE, demand_load(2.0, &[])),
+        (THIRD, demand_load(2.0, &[])),
     ];
     let now = apply_steady_load(&mut router, 0, &centres);
-    assert_eq!(spread(&mut router, now, 300), [300, 0, 0]);
+    assert_eq!(place_flows(&mut router, now, 300), [300, 0, 0]);
 }
 
 // Guards against steering by a view that is no longer updated or that isn't reliable.
 #[test]
 fn expired_or_unsure_view_stops_overflow() {
     let centres = [
-        (LOCAL_CENTRE, demand(40.0, &[(LOCAL_CENTRE, 30.0)])),
-        (REMOTE_CENTRE, demand(2.0, &[(REMOTE_CENTRE, 2.0)])),
-        (THIRD, demand(2.0, &[(THIRD, 2.0)])),
+        (LOCAL_CENTRE, demand_load(40.0, &[(LOCAL_CENTRE, 30.0)])),
+        (REMOTE_CENTRE, demand_load(2.0, &[(REMOTE_CENTRE, 2.0)])),
+        (THIRD, demand_load(2.0, &[(THIRD, 2.0)])),
     ];
     let mut router = load_router(&backends());
     let now = apply_steady_load(&mut router, 0, &centres);
-    assert!(spread(&mut router, now, 500)[0] < 400);
+    assert!(place_flows(&mut router, now, 500)[0] < 400);
     router.set_confirmed_at(clock_at(now + 2_001));
-    assert_eq!(spread(&mut router, now + 2_001, 500), [500, 0, 0]);
+    assert_eq!(place_flows(&mut router, now + 2_001, 500), [500, 0, 0]);
 
     let mut router = load_router(&backends());
     for step in 0..20 {
@@ -172,7 +172,7 @@
         unsure.is_reliable = false;
         router.apply_load_view(clock_at(step * 50), Arc::new(unsure));
     }
-    assert_eq!(spread(&mut router, 950, 500), [500, 0, 0]);
+    assert_eq!(place_flows(&mut router, 950, 500), [500, 0, 0]);
 }
 
 // Guards against overflow without events: operators must see when and why flows leave.
@@ -180,12 +180,12 @@
 fn overflow_is_reported_and_explained() {
     let mut router = load_router(&backends());
     let burst = [
-        (LOCAL_CENTRE, demand(30.0, &[(LOCAL_CENTRE, 30.0)])),
-        (REMOTE_CENTRE, demand(5.0, &[(REMOTE_CENTRE, 5.0)])),
-        (THIRD, demand(5.0, &[(THIRD, 5.0)])),
+        (LOCAL_CENTRE, demand_load(30.0, &[(LOCAL_CENTRE, 30.0)])),
+        (REMOTE_CENTRE, demand_load(5.0, &[(REMOTE_CENTRE, 5.0)])),
+        (THIRD, demand_load(5.0, &[(THIRD, 5.0)])),
     ];
     let now = apply_steady_load(&mut router, 0, &burst);
-    let [begun] = router.drain_load_events().try_into().expect("one change");
+    let [begun] = router.drain_load_events().try_into().expect("there is one change");
     assert_eq!(begun.change, LoadChange::OverflowBegun);
     assert_eq!((begun.report.reporting_instances, begun.report.view_age_ms), (8, Some(0)));
     assert_eq!((begun.report.slots, begun.report.demand.round()), (60.0, 40.0));
@@ -193,24 +193,24 @@
         centres.iter().find(|one| one.data_centre.as_str() == name).map(|one| one.overflow_share)
     };
     // 14 of 30 leave for two data centres with equally many free slots: the level is 0.8.
-    let [report] = router.load_reports(clock_at(now)).try_into().expect("one service");
-    let share = share_of(&report.centres, REMOTE_CENTRE).expect("is known");
+    let [report] = router.load_reports(clock_at(now)).try_into().expect("there is one service");
+    let share = share_of(&report.centres, REMOTE_CENTRE).expect("the entry is known");
     assert!((share - 7.0 / 30.0).abs() < 0.01, "{share}");
 
     let explanation = (0..200)
         .map(|port| router.explain(clock_at(now), &flow_key(1, 3_000 + port), 0))
         .find(|one| one.load.as_ref().is_some_and(|load| load.overflow_to.is_some()))
-        .expect("some leave");
-    let load = explanation.load.expect("is on");
+        .expect("some flows leave");
+    let load = explanation.load.expect("load control is on");
     assert_eq!((load.priority, load.verdict), (1, AdmissionDecision::Admitted));
     let chosen = explanation.choice.and_then(|(index, _)| router.backend(index));
     assert_eq!(chosen.map(|one| one.data_centre.clone()), load.overflow_to);
 
     let calm = [
-        (LOCAL_CENTRE, demand(5.0, &[(LOCAL_CENTRE, 5.0)])),
-        (REMOTE_CENTRE, demand(5.0, &[(REMOTE_CENTRE, 5.0)])),
+        (LOCAL_CENTRE, demand_load(5.0, &[(LOCAL_CENTRE, 5.0)])),
+        (REMOTE_CENTRE, demand_load(5.0, &[(REMOTE_CENTRE, 5.0)])),
     ];
     apply_steady_load(&mut router, now + 50, &calm);
-    let [ended] = router.drain_load_events().try_into().expect("one change");
+    let [ended] = router.drain_load_events().try_into().expect("there is one change");
     assert_eq!(ended.change, LoadChange::OverflowEnded);
 }
--- a/crates/foxledge-flows/tests/load_shortage.rs
+++ b/crates/foxledge-flows/tests/load_shortage.rs
@@ -28,7 +28,7 @@
 
 /// Key of a flow to `service_port`. The route at port 443 has priority 1, the one at 444 priority
 /// 2.
-fn key_at(caller: u8, port: u16, service_port: u16) -> FlowKey {
+fn flow_key_to(caller: u8, port: u16, service_port: u16) -> FlowKey {
     let mut key = flow_key(caller, port);
     key.service.set_port(service_port);
     key
@@ -36,32 +36,32 @@
 
 /// Opens a flow for each of 200 callers, and returns how many are refused for shortage. The caller
 /// port depends on `now`, so that each call opens new flows.
-fn refusals(router: &mut FlowRouter, now: u64, service_port: u16, copy: u32) -> usize {
-    refusals_from(router, now, service_port, copy, 5_000 + now as u16)
+fn count_refusals(router: &mut FlowRouter, now: u64, service_port: u16, attempt: u32) -> usize {
+    count_refusals_from(router, now, service_port, attempt, 5_000 + now as u16)
 }
 
-fn refusals_from(
+fn count_refusals_from(
     router: &mut FlowRouter,
     now: u64,
     service_port: u16,
-    copy: u32,
+    attempt: u32,
     port: u16,
 ) -> usize {
-    let keys = (0..200).map(|caller| key_at(caller, port, service_port));
-    let decisions = keys.map(|key| router.on_packet(clock_at(now), &opening_packet(key, copy)));
+    let keys = (0..200).map(|caller| flow_key_to(caller, port, service_port));
+    let decisions = keys.map(|key| router.on_packet(clock_at(now), &opening_packet(key, attempt)));
     let is_refused =
         |decision: &FlowDecision| matches!(decision, FlowDecision::Refuse(RefuseReason::Shortage));
     decisions.filter(is_refused).count()
 }
 
 /// Returns the refusals of a router that received the burst, after a change to its last view.
-fn refused_by(change: impl FnOnce(&mut LoadView)) -> usize {
+fn refusals_after_change(change: impl FnOnce(&mut LoadView)) -> usize {
     let mut router = load_router(&backends());
     let now = apply_steady_load(&mut router, 0, &burst());
     let mut last = load_view(clock_at(now + 50), &burst());
     change(&mut last);
     router.apply_load_view(clock_at(now + 50), Arc::new(last));
-    refusals(&mut router, now + 50, 444, 0)
+    count_refusals(&mut router, now + 50, 444, 0)
 }
 
 // Guards against urgent requests that fail while others are served.
@@ -69,9 +69,9 @@
 fn urgent_flows_are_admitted_first() {
     let mut router = load_router(&backends());
     let now = apply_steady_load(&mut router, 0, &burst());
-    assert_eq!(refusals(&mut router, now, 443, 0), 0);
+    assert_eq!(count_refusals(&mut router, now, 443, 0), 0);
     // 160 slots are needed, and urgent requests take half of the available ones.
-    assert!(refusals(&mut router, now, 444, 0) > 100);
+    assert!(count_refusals(&mut router, now, 444, 0) > 100);
 }
 
 // Guards against refusals while a slot is free.
@@ -85,7 +85,7 @@
     ];
     let mut router = load_router(&backends());
     let now = apply_steady_load(&mut router, 0, &loads);
-    assert_eq!(refusals(&mut router, now, 444, 0), 0);
+    assert_eq!(count_refusals(&mut router, now, 444, 0), 0);
 
     // All slots are taken, but the demand is less than they can serve.
     let per_s = [(1, 100.0), (2, 150.0)];
@@ -95,20 +95,20 @@
     ];
     let mut router = load_router(&backends());
     let now = apply_steady_load(&mut router, 0, &loads);
-    assert_eq!(refusals(&mut router, now, 444, 0), 0);
+    assert_eq!(count_refusals(&mut router, now, 444, 0), 0);
 }
 
 // Guards against refusals based on a view that may be wrong.
 #[test]
 fn unsure_or_old_view_refuses_nothing() {
-    assert!(refused_by(|_| ()) > 100);
-    assert_eq!(refused_by(|view| view.is_reliable = false), 0);
+    assert!(refusals_after_change(|_| ()) > 100);
+    assert_eq!(refusals_after_change(|view| view.is_reliable = false), 0);
     let own = foxledge_core::names::CentreName::new(LOCAL_CENTRE);
     let old = |view: &mut LoadView| {
-        let centre = view.centres.get_mut(&own).expect("is known");
+        let centre = view.centres.get_mut(&own).expect("the entry is known");
         centre.reported_at = centre.reported_at.before_millis(401);
     };
-    assert_eq!(refused_by(old), 0);
+    assert_eq!(refusals_after_change(old), 0);
 }
 
 // Guards against refusals while a data centre that may have free slots hasn't reported its load.
@@ -124,12 +124,12 @@
         router.set_confirmed_at(clock_at(step * 50));
         router.apply_load_view(clock_at(step * 50), partial(step * 50));
     }
-    assert_eq!(refusals(&mut router, 450, 444, 0), 0);
+    assert_eq!(count_refusals(&mut router, 450, 444, 0), 0);
     // After a longer isolation, the data centre decides by its own load.
     for step in 10..14 {
         router.apply_load_view(clock_at(step * 50), partial(step * 50));
     }
-    assert!(refusals(&mut router, 650, 444, 0) > 100);
+    assert!(count_refusals(&mut router, 650, 444, 0) > 100);
 }
 
 // Guards against refusals based on a view that is no longer updated.
@@ -137,10 +137,10 @@
 fn expired_view_refuses_nothing() {
     let mut router = load_router(&backends());
     let now = apply_steady_load(&mut router, 0, &burst());
-    assert!(refusals(&mut router, now + 399, 444, 0) > 100);
+    assert!(count_refusals(&mut router, now + 399, 444, 0) > 100);
     let mut router = load_router(&backends());
     let now = apply_steady_load(&mut router, 0, &burst());
-    assert_eq!(refusals(&mut router, now + 400, 444, 0), 0);
+    assert_eq!(count_refusals(&mut router, now + 400, 444, 0), 0);
 }
 
 // Guards against refusing a retransmission whose flow is open elsewhere: its caller would take that
@@ -149,7 +149,7 @@
 fn retransmissions_are_not_refused() {
     let mut router = load_router(&backends());
     let now = apply_steady_load(&mut router, 0, &burst());
-    assert_eq!(refusals(&mut router, now, 444, 1), 0);
+    assert_eq!(count_refusals(&mut router, now, 444, 1), 0);
 }
 
 // Guards against refusing the second copy of an opening packet that the network duplicated, which
@@ -160,24 +160,24 @@
     let now = apply_steady_load(&mut router, 0, &burst());
     let calm = caller_load(&[(1, 1.0), (2, 1.0)], &[(LOCAL_CENTRE, 1.0)]);
     let now = apply_steady_load(&mut router, now + 50, &[(LOCAL_CENTRE, calm)]);
-    assert_eq!(refusals_from(&mut router, now, 444, 0, 900), 0);
+    assert_eq!(count_refusals_from(&mut router, now, 444, 0, 900), 0);
     router.apply_load_view(clock_at(now + 20), Arc::new(load_view(clock_at(now + 20), &burst())));
-    assert_eq!(refusals_from(&mut router, now + 20, 444, 0, 900), 0);
-    assert!(refusals_from(&mut router, now + 20, 444, 0, 901) > 100);
+    assert_eq!(count_refusals_from(&mut router, now + 20, 444, 0, 900), 0);
+    assert!(count_refusals_from(&mut router, now + 20, 444, 0, 901) > 100);
 }
 
 // The same, once the caller has continued and the opening is no longer kept.
 #[test]
 fn duplicated_openings_of_tracked_flows_are_not_refused() {
     let mut router = load_router(&backends());
-    let keys: Vec<_> = (0..200).map(|caller| key_at(caller, 900, 444)).collect();
+    let keys: Vec<_> = (0..200).map(|caller| flow_key_to(caller, 900, 444)).collect();
     for key in &keys {
-        let token = open_flow(&mut router, 0, *key).expect("is placed") as u32;
+        let token = open_flow(&mut router, 0, *key).expect("the flow is placed") as u32;
         router.on_packet(clock_at(8), &data_packet(*key, token, 1, 1));
     }
     let now = apply_steady_load(&mut router, 10, &burst());
-    assert_eq!(refusals_from(&mut router, now, 444, 0, 900), 0);
-    assert!(refusals_from(&mut router, now, 444, 0, 901) > 100);
+    assert_eq!(count_refusals_from(&mut router, now, 444, 0, 900), 0);
+    assert!(count_refusals_from(&mut router, now, 444, 0, 901) > 100);
 }
 
 // Guards against refusals by an instance that stood still and knows only the state before.
@@ -186,13 +186,14 @@
     let mut router = load_router(&backends());
     let now = apply_steady_load(&mut router, 0, &burst());
     router.record_pause();
-    assert_eq!(refusals(&mut router, now, 444, 0), 0);
-    let report = router.explain(clock_at(now), &key_at(1, 1, 444), 0).load.expect("is on");
+    assert_eq!(count_refusals(&mut router, now, 444, 0), 0);
+    let report =
+        router.explain(clock_at(now), &flow_key_to(1, 1, 444), 0).load.expect("load control is on");
     assert_eq!(report.basis, AdmissionBasis::ListDoubt);
     // Refusals resume after the next confirmation, once all waiting packets have been read.
     router.report_overdue_openings(clock_at(now + 10));
     router.set_confirmed_at(clock_at(now + 10));
-    assert!(refusals(&mut router, now + 10, 444, 0) > 100);
+    assert!(count_refusals(&mut router, now + 10, 444, 0) > 100);
 }
 
 // Guards against refusals by an unconfirmed list, whose slots may be out of date.
@@ -206,16 +207,18 @@
             Arc::new(load_view(clock_at(step * 50), &burst())),
         );
     }
-    assert_eq!(refusals(&mut router, 3_950, 444, 0), 0);
+    assert_eq!(count_refusals(&mut router, 3_950, 444, 0), 0);
 }
 
 // Guards against resetting an open flow because slots are scarce.
 #[test]
 fn shortage_resets_no_open_flow() {
     let mut router = load_router(&backends());
-    let keys: Vec<_> = (0..50).map(|caller| key_at(caller, 7_000, 444)).collect();
-    let numbers: Vec<_> =
-        keys.iter().map(|key| open_flow(&mut router, 0, *key).expect("is placed")).collect();
+    let keys: Vec<_> = (0..50).map(|caller| flow_key_to(caller, 7_000, 444)).collect();
+    let numbers: Vec<_> = keys
+        .iter()
+        .map(|key| open_flow(&mut router, 0, *key).expect("the flow is placed"))
+        .collect();
     let now = apply_steady_load(&mut router, 50, &burst());
     for (key, number) in keys.iter().zip(numbers) {
         for packet in [
@@ -235,7 +238,7 @@
 fn changed_priorities_apply_at_once() {
     let mut router = load_router(&backends());
     let now = apply_steady_load(&mut router, 0, &burst());
-    assert!(refusals(&mut router, now, 444, 0) > 100);
+    assert!(count_refusals(&mut router, now, 444, 0) > 100);
     router.apply_rows(
         clock_at(now),
         &[second_route_row(1, 7), {
@@ -246,8 +249,8 @@
             row
         }],
     );
-    assert_eq!(refusals(&mut router, now, 444, 0), 0);
-    assert!(refusals(&mut router, now, 443, 0) > 100);
+    assert_eq!(count_refusals(&mut router, now, 444, 0), 0);
+    assert!(count_refusals(&mut router, now, 443, 0) > 100);
 }
 
 // Guards against counting slots of an evacuated data centre as usable, which would make all
@@ -262,10 +265,10 @@
     ];
     let mut router = load_router(&backends());
     let now = apply_steady_load(&mut router, 0, &loads);
-    assert_eq!(refusals(&mut router, now, 444, 0), 0);
+    assert_eq!(count_refusals(&mut router, now, 444, 0), 0);
     router.apply_rows(clock_at(now), &[evacuation_row(REMOTE_CENTRE, 9)]);
     let now = apply_steady_load(&mut router, now + 50, &loads);
-    let refused = refusals(&mut router, now, 444, 0);
+    let refused = count_refusals(&mut router, now, 444, 0);
     assert!(refused > 50, "{refused} of 200");
 }
 
@@ -275,9 +278,9 @@
     let mut router = load_router(&backends());
     apply_steady_load(&mut router, 0, &burst());
     assert_eq!(router.load_reports(clock_at(950))[0].slots, 40.0);
-    let gone: Vec<_> =
+    let remote: Vec<_> =
         (11..=20).map(|number| listed_backend(number, "desk", REMOTE_CENTRE, 2)).collect();
-    let rows: Vec<_> = gone.iter().map(|row| draining_row(row, 9)).collect();
+    let rows: Vec<_> = remote.iter().map(|row| draining_row(row, 9)).collect();
     router.apply_rows(clock_at(960), &rows);
     router.apply_load_view(clock_at(960), Arc::new(load_view(clock_at(960), &burst())));
     assert_eq!(router.load_reports(clock_at(960))[0].slots, 20.0);
@@ -304,7 +307,7 @@
         let ports = (1_000..1_040_u16).flat_map(|port| callers.clone().map(move |one| (one, port)));
         let decisions = ports.map(|(caller, port)| {
             now += 1;
-            let key = key_at(caller, port, service_port);
+            let key = flow_key_to(caller, port, service_port);
             router.set_confirmed_at(clock_at(now));
             let decision = router.on_packet(clock_at(now), &opening_packet(key, 0));
             matches!(decision, FlowDecision::Refuse(RefuseReason::AccountShare))
@@ -322,8 +325,8 @@
     let now = apply_steady_load(&mut router, 0, &burst());
     let changes: Vec<_> = router.drain_load_events().iter().map(|news| news.change).collect();
     assert_eq!(changes, [LoadChange::ShortageBegun]);
-    let refused = refusals(&mut router, now, 444, 0) as u64;
-    let [report] = router.load_reports(clock_at(now)).try_into().expect("one service");
+    let refused = count_refusals(&mut router, now, 444, 0) as u64;
+    let [report] = router.load_reports(clock_at(now)).try_into().expect("there is one service");
     assert!(
         report.is_short && report.admitted_shares[&1] == 1.0 && report.admitted_shares[&2] < 0.5
     );
@@ -333,9 +336,9 @@
         (None, Some(&refused))
     );
 
-    let keys = (0..50).map(|caller| key_at(caller, 9, 444));
-    let explained =
-        keys.map(|key| (key, router.explain(clock_at(now), &key, 0).load.expect("is on")));
+    let keys = (0..50).map(|caller| flow_key_to(caller, 9, 444));
+    let explained = keys
+        .map(|key| (key, router.explain(clock_at(now), &key, 0).load.expect("load control is on")));
     for (key, load) in explained.collect::<Vec<_>>() {
         assert_eq!((load.basis, load.priority), (AdmissionBasis::Shortage, 2));
         let decision = router.on_packet(clock_at(now), &opening_packet(key, 0));
--- a/crates/foxledge-flows/tests/local_load.rs
+++ b/crates/foxledge-flows/tests/local_load.rs
@@ -22,25 +22,25 @@
 }
 
 /// Returns the requests that run or wait in the local data centre.
-fn running(router: &mut FlowRouter, now: u64) -> f64 {
+fn running_requests(router: &mut FlowRouter, now: u64) -> f64 {
     desk_load(router, now).running.get(&CentreName::new(LOCAL_CENTRE)).copied().unwrap_or(0.0)
 }
 
 /// Returns the arrivals per second by priority.
-fn arrivals(router: &mut FlowRouter, now: u64) -> BTreeMap<u32, f64> {
+fn arrivals_by_priority(router: &mut FlowRouter, now: u64) -> BTreeMap<u32, f64> {
     let priorities = desk_load(router, now).priorities;
     priorities.into_iter().map(|(priority, load)| (priority, load.arrivals_per_s)).collect()
 }
 
 /// Packet with which a caller acknowledges an answer.
-fn answered(key: FlowKey, token: u32, acknowledged: u32) -> FlowPacket {
+fn acknowledgement(key: FlowKey, token: u32, acknowledged: u32) -> FlowPacket {
     FlowPacket { acknowledged, ..flow_packet(key, PacketKind::Continue, token) }
 }
 
 /// Sends one request on a new flow, which is answered after `work_ms`.
-fn ask(router: &mut FlowRouter, now: u64, port: u16, work_ms: u64) {
+fn send_request(router: &mut FlowRouter, now: u64, port: u16, work_ms: u64) {
     let key = flow_key(1, port);
-    let number = open_flow(router, now, key).expect("is placed") as u32;
+    let number = open_flow(router, now, key).expect("the flow is placed") as u32;
     router.on_packet(clock_at(now + 8), &data_packet(key, number, 1, 1));
     let finish = FlowPacket { acknowledged: 900, ..flow_packet(key, PacketKind::Finish, number) };
     router.on_packet(clock_at(now + 8 + work_ms), &finish);
@@ -51,17 +51,17 @@
 #[test]
 fn each_request_counts_once() {
     let mut router = load_router(&backends());
-    assert_eq!(running(&mut router, 0), 0.0);
+    assert_eq!(running_requests(&mut router, 0), 0.0);
     let key = flow_key(1, 1);
     let decision = router.on_packet(clock_at(0), &opening_packet(key, 0));
-    let token = decided_backend(&router, &decision).expect("is placed") as u32;
-    assert_eq!(running(&mut router, 1), 1.0);
+    let token = decided_backend(&router, &decision).expect("the flow is placed") as u32;
+    assert_eq!(running_requests(&mut router, 1), 1.0);
     router.on_packet(clock_at(7), &data_packet(key, token, 1, 1));
-    assert_eq!(running(&mut router, 8), 1.0);
-    router.on_packet(clock_at(60), &answered(key, token, 900));
-    assert_eq!(running(&mut router, 61), 0.0);
+    assert_eq!(running_requests(&mut router, 8), 1.0);
+    router.on_packet(clock_at(60), &acknowledgement(key, token, 900));
+    assert_eq!(running_requests(&mut router, 61), 0.0);
     router.on_packet(clock_at(62), &flow_packet(key, PacketKind::Finish, token));
-    assert_eq!(running(&mut router, 63), 0.0);
+    assert_eq!(running_requests(&mut router, 63), 0.0);
 }
 
 // Guards against counting retransmitted openings and data as more requests.
@@ -71,12 +71,13 @@
     let key = flow_key(1, 1);
     router.on_packet(clock_at(0), &opening_packet(key, 0));
     let decision = router.on_packet(clock_at(100), &opening_packet(key, 1));
-    let token = decided_backend(&router, &decision).expect("is placed") as u32;
+    let token = decided_backend(&router, &decision).expect("the flow is placed") as u32;
     router.on_packet(clock_at(107), &data_packet(key, token, 1, 1));
     router.on_packet(clock_at(307), &data_packet(key, token, 1, 1));
     router.on_packet(clock_at(707), &data_packet(key, token, 1, 1));
-    assert_eq!(running(&mut router, 708), 1.0);
-    let [(1, rate)] = arrivals(&mut router, 107).into_iter().collect::<Vec<_>>()[..] else {
+    assert_eq!(running_requests(&mut router, 708), 1.0);
+    let [(1, rate)] = arrivals_by_priority(&mut router, 107).into_iter().collect::<Vec<_>>()[..]
+    else {
         panic!("one priority");
     };
     assert!((rate - 4.0).abs() < 0.5, "{rate}");
@@ -89,9 +90,9 @@
     for port in 0..50 {
         router.on_packet(clock_at(0), &opening_packet(flow_key(1, 1_000 + port), 0));
     }
-    assert_eq!(running(&mut router, 1), 50.0);
+    assert_eq!(running_requests(&mut router, 1), 50.0);
     router.report_overdue_openings(clock_at(41));
-    assert_eq!(running(&mut router, 42), 0.0);
+    assert_eq!(running_requests(&mut router, 42), 0.0);
 }
 
 // Guards against requests that count until their flow expires because the packet that ended them
@@ -105,18 +106,18 @@
     );
     for port in 0..10 {
         let key = flow_key(1, 1_000 + port);
-        let token = open_flow(&mut router, 0, key).expect("is placed") as u32;
+        let token = open_flow(&mut router, 0, key).expect("the flow is placed") as u32;
         router.on_packet(clock_at(8), &data_packet(key, token, 1, 1));
     }
     // The routes allow 1 s for a request.
-    assert_eq!(running(&mut router, 1_000), 10.0);
-    assert_eq!(running(&mut router, 1_008), 0.0);
+    assert_eq!(running_requests(&mut router, 1_000), 10.0);
+    assert_eq!(running_requests(&mut router, 1_008), 0.0);
     // An answer that arrives later doesn't make the count negative.
-    let token = router.backends().next().expect("is known").token;
-    router.on_packet(clock_at(1_100), &answered(flow_key(1, 1_000), token, 900));
+    let token = router.backends().next().expect("the entry is known").token;
+    router.on_packet(clock_at(1_100), &acknowledgement(flow_key(1, 1_000), token, 900));
     let key = flow_key(1, 2_000);
     router.on_packet(clock_at(1_110), &opening_packet(key, 0));
-    assert_eq!(running(&mut router, 1_111), 1.0);
+    assert_eq!(running_requests(&mut router, 1_111), 1.0);
 }
 
 // Guards against requests that count until their deadline because their answers pass at other
@@ -125,22 +126,22 @@
 #[test]
 fn requests_answered_elsewhere_expire() {
     let mut router = load_router(&backends());
-    let patient = [route_row("r", 443, "desk", 2), second_route_row(2, 2)].map(|mut row| {
+    let routes = [route_row("r", 443, "desk", 2), second_route_row(2, 2)].map(|mut row| {
         if let Some(RowValue::Route(route)) = &mut row.value {
             (route.timeout_ms, route.aim_ms) = (10_000, 400);
         }
         row
     });
-    router.apply_rows(clock_at(0), &patient);
+    router.apply_rows(clock_at(0), &routes);
     router.apply_load_view(
         clock_at(0),
         Arc::new(load_view(clock_at(0), &[(LOCAL_CENTRE, caller_load(&[], &[]))])),
     );
     let key = flow_key(1, 1);
-    let token = open_flow(&mut router, 0, key).expect("is placed") as u32;
+    let token = open_flow(&mut router, 0, key).expect("the flow is placed") as u32;
     router.on_packet(clock_at(8), &data_packet(key, token, 1, 1));
-    assert_eq!(running(&mut router, 800), 1.0);
-    assert_eq!(running(&mut router, 1_100), 0.0);
+    assert_eq!(running_requests(&mut router, 800), 1.0);
+    assert_eq!(running_requests(&mut router, 1_100), 0.0);
 }
 
 // Guards against requests of a previous process that still count after a new process has taken over
@@ -157,15 +158,15 @@
         open_flow(&mut router, 0, key);
         router.on_packet(clock_at(8), &data_packet(key, 1, 1, 1));
     }
-    assert_eq!(running(&mut router, 9), 3.0);
+    assert_eq!(running_requests(&mut router, 9), 3.0);
     router.apply_rows(clock_at(10), &[backend_row(second, 3)]);
-    assert_eq!(running(&mut router, 11), 0.0);
+    assert_eq!(running_requests(&mut router, 11), 0.0);
     let key = flow_key(1, 2_000);
     open_flow(&mut router, 20, key);
     router.on_packet(clock_at(28), &data_packet(key, 1, 1, 1));
-    assert_eq!(running(&mut router, 29), 1.0);
+    assert_eq!(running_requests(&mut router, 29), 1.0);
     router.on_packet(clock_at(50), &flow_packet(key, PacketKind::Abort, 1));
-    assert_eq!(running(&mut router, 51), 0.0);
+    assert_eq!(running_requests(&mut router, 51), 0.0);
 }
 
 // Guards against counting only the first request of a flow that is kept open.
@@ -173,21 +174,21 @@
 fn each_request_of_a_kept_flow_counts() {
     let mut router = load_router(&backends());
     let key = flow_key(1, 1);
-    let token = open_flow(&mut router, 0, key).expect("is placed") as u32;
+    let token = open_flow(&mut router, 0, key).expect("the flow is placed") as u32;
     for request in 0..40_u32 {
         let now = 10 + u64::from(request) * 20;
         router.on_packet(
             clock_at(now),
             &data_packet(key, token, 1 + request * 100, 1 + request * 50),
         );
-        assert_eq!(running(&mut router, now + 1), 1.0);
+        assert_eq!(running_requests(&mut router, now + 1), 1.0);
         // Every other answer is acknowledged only by the next request.
         if request % 2 == 0 {
-            router.on_packet(clock_at(now + 10), &answered(key, token, 51 + request * 50));
-            assert_eq!(running(&mut router, now + 11), 0.0);
+            router.on_packet(clock_at(now + 10), &acknowledgement(key, token, 51 + request * 50));
+            assert_eq!(running_requests(&mut router, now + 11), 0.0);
         }
     }
-    let rate = arrivals(&mut router, 800)[&1];
+    let rate = arrivals_by_priority(&mut router, 800)[&1];
     assert!((40.0..55.0).contains(&rate), "{rate}");
 }
 
@@ -198,18 +199,18 @@
     let mut other = flow_key(1, 2);
     other.service.set_port(444);
     for key in [flow_key(1, 1), other] {
-        let token = open_flow(&mut router, 0, key).expect("is placed") as u32;
+        let token = open_flow(&mut router, 0, key).expect("the flow is placed") as u32;
         router.on_packet(clock_at(8), &data_packet(key, token, 1, 1));
     }
-    assert_eq!(arrivals(&mut router, 8).into_keys().collect::<Vec<_>>(), [1, 2]);
+    assert_eq!(arrivals_by_priority(&mut router, 8).into_keys().collect::<Vec<_>>(), [1, 2]);
     router.apply_rows(clock_at(10), &[second_route_row(3, 7)]);
     let token = open_flow(&mut router, 10, FlowKey { caller: flow_key(1, 3).caller, ..other });
-    let token = token.expect("is placed") as u32;
+    let token = token.expect("the flow is placed") as u32;
     router.on_packet(
         clock_at(18),
         &data_packet(FlowKey { caller: flow_key(1, 3).caller, ..other }, token, 1, 1),
     );
-    assert_eq!(arrivals(&mut router, 18).into_keys().collect::<Vec<_>>(), [1, 2, 3]);
+    assert_eq!(arrivals_by_priority(&mut router, 18).into_keys().collect::<Vec<_>>(), [1, 2, 3]);
 }
 
 // Guards against refused openings that don't count as demand, so that a shortage ends by its own
@@ -230,7 +231,7 @@
         let decision = router.on_packet(clock_at(now), &opening_packet(key, 0));
         refused += u32::from(decided_backend(&router, &decision).is_none());
     }
-    let rate = arrivals(&mut router, now)[&2];
+    let rate = arrivals_by_priority(&mut router, now)[&2];
     assert!(refused > 100 && (rate - f64::from(refused) * 4.0).abs() < 1.0, "{refused}, {rate}");
 }
 
@@ -245,7 +246,7 @@
     let calm = [(LOCAL_CENTRE, caller_load(&[(1, 10.0)], &[(LOCAL_CENTRE, 1.0)]))];
     let mut now = 0;
     for port in 0..20 {
-        ask(&mut router, now, 1_000 + port, 50);
+        send_request(&mut router, now, 1_000 + port, 50);
         now += 100;
         router.apply_load_view(clock_at(now), Arc::new(load_view(clock_at(now), &calm)));
     }
@@ -253,7 +254,7 @@
     // The view shows the burst 200 ms after its start.
     let full = [(LOCAL_CENTRE, caller_load(&[(1, 80.0)], &[(LOCAL_CENTRE, 8.0)]))];
     for port in 0..20 {
-        ask(&mut router, now, 2_000 + port, 150);
+        send_request(&mut router, now, 2_000 + port, 150);
         now += 100;
         let load = if port < 2 { &calm } else { &full };
         router.apply_load_view(clock_at(now), Arc::new(load_view(clock_at(now), load)));
@@ -272,7 +273,7 @@
     let mut now = 0;
     for round in 0..200_u16 {
         let key = flow_key(1, 1_000 + round);
-        let number = open_flow(&mut router, now, key).expect("is placed");
+        let number = open_flow(&mut router, now, key).expect("the flow is placed");
         router.on_packet(clock_at(now + 8), &data_packet(key, number as u32, 1, 1));
         let work_ms = if number == 3 { 250 } else { 50 };
         let finish =
@@ -310,10 +311,10 @@
 fn report_interval_shortens_under_load() {
     let mut router = load_router(&backends());
     router.collect_local_load(clock_at(0));
-    let pressed = caller_load(&[(1, 50.0)], &[(LOCAL_CENTRE, 3.0)]);
+    let high_load = caller_load(&[(1, 50.0)], &[(LOCAL_CENTRE, 3.0)]);
     router.apply_load_view(
         clock_at(10),
-        Arc::new(load_view(clock_at(10), &[(LOCAL_CENTRE, pressed)])),
+        Arc::new(load_view(clock_at(10), &[(LOCAL_CENTRE, high_load)])),
     );
     assert_eq!(router.load_ratio(), 0.75);
     assert!(router.is_load_report_due(clock_at(50)));
--- a/crates/foxledge-flows/tests/open_flows.rs
+++ b/crates/foxledge-flows/tests/open_flows.rs
@@ -14,7 +14,7 @@
     let mut second = listed_router(&backends);
     for port in 0..50 {
         let key = flow_key(1, 1_000 + port);
-        let number = open_flow(&mut first, 0, key).expect("is placed");
+        let number = open_flow(&mut first, 0, key).expect("the flow is placed");
         let decision = second.on_packet(clock_at(20), &data_packet(key, number as u32, 1, 1));
         assert_eq!(decided_backend(&second, &decision), Some(number));
     }
@@ -29,9 +29,9 @@
     let mut router = listed_router(std::slice::from_ref(&old));
     let key = flow_key(1, 1);
     open_flow(&mut router, 0, key);
-    let mut newer = backend_spec(2, "intake", LOCAL_CENTRE);
-    newer.ip = u32::from(std::net::Ipv4Addr::new(10, 128, 0, 1));
-    router.apply_rows(clock_at(100), &[removed_row(&old, 3, 0), backend_row(newer, 4)]);
+    let mut reused = backend_spec(2, "intake", LOCAL_CENTRE);
+    reused.ip = u32::from(std::net::Ipv4Addr::new(10, 128, 0, 1));
+    router.apply_rows(clock_at(100), &[removed_row(&old, 3, 0), backend_row(reused, 4)]);
     // A caller that may repeat its request is reset at once.
     let decision = router.on_packet(clock_at(200), &data_packet(key, 1, 1, 1));
     let FlowDecision::Reset { backend, reason: ResetReason::AddressTaken { .. } } = decision else {
@@ -111,14 +111,15 @@
 #[test]
 fn equal_tokens_are_told_apart_by_service() {
     // Two numbers with the same token; the flow's route tells them apart.
-    let long = (7_u64 << 32) | 2;
-    let short = 7 ^ 2;
-    let mut other = backend_spec(long, "other", LOCAL_CENTRE);
+    let long_number = (7_u64 << 32) | 2;
+    let short_number = 7 ^ 2;
+    let mut other = backend_spec(long_number, "other", LOCAL_CENTRE);
     other.ip += 1;
     let mut router = listed_router(&[
-        backend_row(backend_spec(short, "desk", LOCAL_CENTRE), 2),
+        backend_row(backend_spec(short_number, "desk", LOCAL_CENTRE), 2),
         backend_row(other, 2),
     ]);
-    let decision = router.on_packet(clock_at(10), &data_packet(flow_key(1, 1), short as u32, 1, 1));
-    assert_eq!(decided_backend(&router, &decision), Some(short));
+    let decision =
+        router.on_packet(clock_at(10), &data_packet(flow_key(1, 1), short_number as u32, 1, 1));
+    assert_eq!(decided_backend(&router, &decision), Some(short_number));
 }
--- a/crates/foxledge-flows/tests/route_regions.rs
+++ b/crates/foxledge-flows/tests/route_regions.rs
@@ -11,7 +11,7 @@
     rows::{ListRow, RowValue},
 };
 
-fn route_in(regions: &[&str], revision: u64) -> ListRow {
+fn route_row_in(regions: &[&str], revision: u64) -> ListRow {
     let mut row = route_row("r", 443, "desk", revision);
     if let Some(RowValue::Route(route)) = &mut row.value {
         route.regions = regions.iter().map(|name| (*name).to_owned()).collect();
@@ -38,7 +38,7 @@
     router
 }
 
-fn place(router: &mut FlowRouter, port: u16) -> Option<u64> {
+fn place_flow(router: &mut FlowRouter, port: u16) -> Option<u64> {
     let decision =
         router.on_packet(clock_at(u64::from(port)), &opening_packet(flow_key(1, port), 0));
     decided_backend(router, &decision)
@@ -48,15 +48,15 @@
 // elsewhere and has local backend servers.
 #[test]
 fn serves_only_in_allowed_regions() {
-    let mut router = router_with(route_in(&["plains"], 1));
+    let mut router = router_with(route_row_in(&["plains"], 1));
     for port in 1..30 {
-        assert_eq!(place(&mut router, port), Some(2));
+        assert_eq!(place_flow(&mut router, port), Some(2));
     }
 }
 
 #[test]
 fn refuses_without_a_backend_in_allowed_regions() {
-    let mut router = router_with(route_in(&["plains"], 1));
+    let mut router = router_with(route_row_in(&["plains"], 1));
     let leaving = draining_row(&listed_backend(2, "desk", REMOTE_CENTRE, 2), 3);
     router.apply_rows(clock_at(50), &[leaving]);
     let decision = router.on_packet(clock_at(60), &opening_packet(flow_key(1, 1), 0));
@@ -65,9 +65,9 @@
 
 #[test]
 fn any_region_serves_a_route_without_regions() {
-    let mut router = router_with(route_in(&[], 1));
-    assert_eq!(place(&mut router, 1), Some(1));
-    router.apply_rows(clock_at(50), &[route_in(&["nowhere"], 2)]);
+    let mut router = router_with(route_row_in(&[], 1));
+    assert_eq!(place_flow(&mut router, 1), Some(1));
+    router.apply_rows(clock_at(50), &[route_row_in(&["nowhere"], 2)]);
     let decision = router.on_packet(clock_at(60), &opening_packet(flow_key(1, 2), 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoRegion));
 }
--- a/crates/foxledge-flows/tests/slow_backend.rs
+++ b/crates/foxledge-flows/tests/slow_backend.rs
@@ -9,15 +9,21 @@
 use foxledge_flows::{FlowRouter, PacketKind};
 
 /// Answer time, in milliseconds, of a usual and of a slow backend server.
-const USUAL_MS: u64 = 20;
-const SLOW_MS: u64 = 100;
+const USUAL_ANSWER_MS: u64 = 20;
+const SLOW_ANSWER_MS: u64 = 100;
 
-/// Runs bids `gap` milliseconds apart, and returns how many each backend server got.
-fn run_bids(router: &mut FlowRouter, start: u64, count: u16, gap: u64, slow: u64) -> Vec<u64> {
+/// Runs bids `interval_ms` milliseconds apart, and returns how many each backend server got.
+fn run_bids(
+    router: &mut FlowRouter,
+    start: u64,
+    count: u16,
+    interval_ms: u64,
+    slow: u64,
+) -> Vec<u64> {
     let mut ends: Vec<(u64, u16, u64)> = Vec::new();
     let mut counts = vec![0; 5];
     for index in 0..count {
-        let now = start + u64::from(index) * gap;
+        let now = start + u64::from(index) * interval_ms;
         ends.sort_unstable();
         while let Some((end, port, number)) = ends.first().copied().filter(|end| end.0 <= now) {
             let mut finish = flow_packet(flow_key(1, port), PacketKind::Finish, number as u32);
@@ -26,10 +32,10 @@
             ends.remove(0);
         }
         let port = 1_024 + (start as u16) + index;
-        let number = open_flow(router, now, flow_key(1, port)).expect("is placed");
+        let number = open_flow(router, now, flow_key(1, port)).expect("the flow is placed");
         router.on_packet(clock_at(now + 7), &data_packet(flow_key(1, port), number as u32, 1, 1));
-        let work = if number == slow { SLOW_MS } else { USUAL_MS };
-        ends.push((now + 7 + work, port, number));
+        let answer_ms = if number == slow { SLOW_ANSWER_MS } else { USUAL_ANSWER_MS };
+        ends.push((now + 7 + answer_ms, port, number));
         counts[number as usize] += 1;
     }
     counts
--- a/crates/foxledge-flows/tests/trial_delays.rs
+++ b/crates/foxledge-flows/tests/trial_delays.rs
@@ -7,7 +7,7 @@
 use foxledge_flows::{FlowRouter, HealthClass, HealthObservation, RouterOptions};
 
 /// Time, in milliseconds, until an observation has reached all instances.
-const NOTE_MS: u64 = 5;
+const OBSERVATION_DELAY_MS: u64 = 5;
 const INSTANCES: usize = 64;
 
 /// Routers with a local and a remote backend server.
@@ -31,32 +31,39 @@
 
 /// Returns, for each second, the flows placed at backend server 1, which answers none until
 /// `alive_at`.
-fn trials(alive_at: u64) -> Vec<usize> {
+fn trials_by_second(alive_at: u64) -> Vec<usize> {
     let mut routers = fleet();
-    let mut notes: Vec<(u64, HealthObservation)> = Vec::new();
+    let mut observations: Vec<(u64, HealthObservation)> = Vec::new();
     let mut placed = vec![0; 12];
     for now in (0..12_000).step_by(5) {
-        for (_, note) in notes.iter().filter(|(due, _)| *due == now) {
-            routers.iter_mut().for_each(|router| router.apply_observation(clock_at(now), note));
+        for (_, observation) in observations.iter().filter(|(arrives_at, _)| *arrives_at == now) {
+            routers
+                .iter_mut()
+                .for_each(|router| router.apply_observation(clock_at(now), observation));
         }
-        notes.retain(|(due, _)| *due > now);
+        observations.retain(|(arrives_at, _)| *arrives_at > now);
         for (index, router) in routers.iter_mut().enumerate() {
             router.report_overdue_openings(clock_at(now));
             // Each instance opens one flow every 50 ms.
             if (now / 5) as usize % 10 == index % 10 {
                 let flow = flow_key(index as u8 + 1, 1_024 + (now / 5) as u16);
                 let decision = router.on_packet(clock_at(now), &opening_packet(flow, 0));
-                let number = decided_backend(router, &decision).expect("is placed");
+                let number = decided_backend(router, &decision).expect("the flow is placed");
                 placed[(now / 1_000) as usize] += usize::from(number == 1);
                 if number == 2 || now >= alive_at {
                     router.on_packet(clock_at(now), &data_packet(flow, number as u32, 1_000, 1));
                 }
             }
-            notes.extend(router.drain_observations().into_iter().map(|note| (now + NOTE_MS, note)));
+            observations.extend(
+                router
+                    .drain_observations()
+                    .into_iter()
+                    .map(|observation| (now + OBSERVATION_DELAY_MS, observation)),
+            );
         }
     }
     let healthy = routers.iter().filter(|router| {
-        let health = &router.backend_by_number(1).expect("is known").health;
+        let health = &router.backend_by_number(1).expect("the entry is known").health;
         health.class(clock_at(12_000)) == HealthClass::Healthy
     });
     assert_eq!(healthy.count(), if alive_at < 12_000 { INSTANCES } else { 0 });
@@ -68,7 +75,7 @@
 // before the first failure can reach the others.
 #[test]
 fn few_trials_while_a_backend_is_dead() {
-    let placed = trials(u64::MAX);
+    let placed = trials_by_second(u64::MAX);
     // No instance knows before the first opening is overdue.
     let later: usize = placed[1..].iter().sum();
     assert!(later <= 20, "{placed:?}");
@@ -78,6 +85,6 @@
 // trial though others have been answered.
 #[test]
 fn first_answered_trial_ends_the_ejection_everywhere() {
-    let placed = trials(1_000);
+    let placed = trials_by_second(1_000);
     assert!(placed[3] > 100, "{placed:?}");
 }
