--- a/crates/foxledge-flows/src/cold.rs
+++ b/crates/foxledge-flows/src/cold.rs
@@ -116,7 +116,7 @@
 }
 
 impl CentrePeers {
-    /// Creates the view of an instance at `own` that has just started and knows no peers.
+    /// Creates the view of an instance at `own_address` that has just started and knows no peers.
     pub fn new(own_address: SocketAddrV4) -> CentrePeers {
         CentrePeers { own_address, peers: Vec::new(), version: 0, sends_from: ClockTime::MAX }
     }
--- a/crates/foxledge-flows/src/load_control/mod.rs
+++ b/crates/foxledge-flows/src/load_control/mod.rs
@@ -34,8 +34,9 @@
 const BUSY_HOLD_MS: u64 = 2_000;
 /// Requests per slot in the local data centre from which an instance is busy.
 const BUSY_LOAD_RATIO: f64 = 0.6;
-/// Change of running requests that makes a report due early, as a number and as a divisor of the
-/// last reported count: a burst should be known everywhere within 200 ms.
+/// A report is due early when the number of running requests has changed by more than the first
+/// value, and by more than the last reported number divided by the second. A burst should be known
+/// everywhere within 200 ms.
 const MIN_LOAD_CHANGE: (u32, u32) = (3, 2);
 /// Age, in milliseconds, from which a view no longer steers flows.
 const STEERING_VIEW_TTL_MS: u64 = 2_000;
--- a/crates/foxledge-flows/src/routes.rs
+++ b/crates/foxledge-flows/src/routes.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// Hashes the addresses and ports of a flow's two ends.
+/// Hashes a flow's four addresses and ports.
 pub fn flow_hash(key: &FlowKey) -> u64 {
     let mut bytes = [0; 12];
     bytes[..4].copy_from_slice(&key.caller.ip().octets());
--- a/crates/foxledge-flows/tests/cold_limit.rs
+++ b/crates/foxledge-flows/tests/cold_limit.rs
@@ -79,8 +79,8 @@
         let decision = router.on_packet(clock_at(now), &opening_packet(key, 0));
         let Some(number) = decided_backend(router, &decision) else { continue };
         received.entry(number).or_default().push(now);
-        let answer = flow_packet(key, foxledge_flows::PacketKind::Continue, number as u32);
-        router.on_packet(clock_at(now + 7), &answer);
+        let next_packet = flow_packet(key, foxledge_flows::PacketKind::Continue, number as u32);
+        router.on_packet(clock_at(now + 7), &next_packet);
         router.report_overdue_openings(clock_at(now + 7));
     }
     received
@@ -139,7 +139,8 @@
             view.retain(|known| *known != one && *known != other);
         }
         let mut routers = fleet(&views);
-        let rows: Vec<_> = (1..=5).map(|number| cold_backend_row(number, LOCAL_CENTRE, 9_000, 5)).collect();
+        let rows: Vec<_> =
+            (1..=5).map(|number| cold_backend_row(number, LOCAL_CENTRE, 9_000, 5)).collect();
         for router in &mut routers {
             router.apply_rows(clock_at(2_000), &rows);
         }
@@ -246,9 +247,11 @@
 fn quotas_of_extreme_limits() {
     let quota = |flows_per_ks: u64, rules: ColdRules| {
         let row = service_row("desk", 1, 0, 1);
-        let Some(RowValue::Extension(row)) = row.value else { panic!("a service") };
+        let Some(RowValue::Extension(row)) = row.value else {
+            panic!("expected a row of a service")
+        };
         let Some(foxledge_flows::rows::ExtensionValue::Service(mut limits)) = row.decode() else {
-            panic!("a service")
+            panic!("expected a row of a service")
         };
         limits.cold_flows_per_ks = flows_per_ks;
         rules.quota(&limits).map(|quota| quota.senders * quota.flows)
--- a/crates/foxledge-flows/tests/local_load.rs
+++ b/crates/foxledge-flows/tests/local_load.rs
@@ -78,7 +78,7 @@
     assert_eq!(running_requests(&mut router, 708), 1.0);
     let [(1, rate)] = arrivals_by_priority(&mut router, 107).into_iter().collect::<Vec<_>>()[..]
     else {
-        panic!("one priority");
+        panic!("expected one priority");
     };
     assert!((rate - 4.0).abs() < 0.5, "{rate}");
 }
