--- a/crates/foxledge-flows/benches/openings.rs
+++ b/crates/foxledge-flows/benches/openings.rs
@@ -1,4 +1,4 @@
-//! Time of an opening packet, without and with load control, by the number of backend servers.
+//! Time of an opening packet by the number of backend servers, with load control and without.
 //!
 //! `cargo bench -p foxledge-flows --bench openings`
 
@@ -13,14 +13,14 @@
 use foxledge_core::names::CentreName;
 use foxledge_flows::{FlowKey, FlowRouter, PacketKind, RouterOptions, rows::ListRow};
 
-/// Instances of the data centre beside the measured one.
-const OTHERS: u8 = 18;
+/// Other instances of the data centre.
+const PEER_COUNT: u8 = 18;
 
 #[derive(Clone, Copy)]
 struct LoadMode {
     name: &'static str,
     is_on: bool,
-    /// Requests a slot in the view.
+    /// Requests per slot in the view.
     load: f64,
 }
 
@@ -52,26 +52,27 @@
     }
     let mut router = fill_router(FlowRouter::new(options), &rows(servers));
     let address = |one| SocketAddrV4::new([10, 9, 0, one].into(), 7_000);
-    router.set_neighbours(clock_at(0), (0..OTHERS).map(address).collect());
+    router.set_neighbours(clock_at(0), (0..PEER_COUNT).map(address).collect());
     router
 }
 
-fn set_load(router: &mut FlowRouter, mode: LoadMode, servers: u64, now: u64) {
+fn apply_load(router: &mut FlowRouter, mode: LoadMode, servers: u64, now: u64) {
     let slots = servers as f64 * 2.0;
     let per_s = [(1, slots * mode.load * 0.25 / 0.05), (2, slots * mode.load * 0.75 / 0.05)];
-    let (near, far) = (slots * 0.75 * mode.load, slots * 0.25 * mode.load);
+    let (local, remote) = (slots * 0.75 * mode.load, slots * 0.25 * mode.load);
     let loads = [
-        (LOCAL_CENTRE, caller_load(&per_s, &[(LOCAL_CENTRE, near), (REMOTE_CENTRE, far)])),
+        (LOCAL_CENTRE, caller_load(&per_s, &[(LOCAL_CENTRE, local), (REMOTE_CENTRE, remote)])),
         (REMOTE_CENTRE, caller_load(&[], &[])),
     ];
     router.set_confirmed_at(clock_at(now));
     router.apply_load_view(clock_at(now), Arc::new(load_view(clock_at(now), &loads)));
 }
 
-/// Flows that are open at a time.
+/// Flows that are open at the same time.
 const OPEN_FLOWS: usize = 20;
 
-/// An opening every millisecond and the end of an earlier flow, with all that goes on beside it.
+/// Opens a flow every millisecond and finishes an earlier one, together with the router's periodic
+/// work.
 struct OpeningRun {
     router: FlowRouter,
     mode: LoadMode,
@@ -88,7 +89,7 @@
         }
         if self.count.is_multiple_of(50) {
             black_box(self.router.collect_local_load(clock_at(now)));
-            set_load(&mut self.router, self.mode, self.servers, now);
+            apply_load(&mut self.router, self.mode, self.servers, now);
         }
         self.count += 1;
         let caller = SocketAddrV4::new(
@@ -139,7 +140,7 @@
             bencher.iter(|| {
                 now += 50;
                 black_box(router.collect_local_load(clock_at(now)));
-                set_load(&mut router, mode, servers, now);
+                apply_load(&mut router, mode, servers, now);
             });
         });
     }
--- a/crates/foxledge-flows/tests/slow_backend.rs
+++ b/crates/foxledge-flows/tests/slow_backend.rs
@@ -1,24 +1,29 @@
-//! Backend servers that answer, but slowly.
+//! Backend servers that answer slowly.
 //!
-//! The load: bids, a flow each, at a rate that leaves most slots free, and one of
-//! four backend servers that takes five times as long. Evenly spread, a quarter of
-//! the bids would be late.
+//! The load: bids, one flow each, at a rate that leaves most slots free, and one of four backend
+//! servers that takes five times as long. Evenly spread, a quarter of the bids would be late.
 
 mod common;
 
 use common::*;
 use foxledge_flows::{FlowRouter, PacketKind};
 
-/// Time of an answer in milliseconds, of a usual and of a slow backend server.
-const USUAL_MS: u64 = 20;
-const SLOW_MS: u64 = 100;
+/// Answer time, in milliseconds, of a usual and of a slow backend server.
+const USUAL_ANSWER_MS: u64 = 20;
+const SLOW_ANSWER_MS: u64 = 100;
 
-/// Runs bids one after the other, `gap` milliseconds apart; counts those at each backend server.
-fn run_bids(router: &mut FlowRouter, start: u64, count: u16, gap: u64, slow: u64) -> Vec<u64> {
+/// Runs bids `interval_ms` milliseconds apart, and returns how many each backend server got.
+fn run_bids(
+    router: &mut FlowRouter,
+    start: u64,
+    count: u16,
+    interval_ms: u64,
+    slow: u64,
+) -> Vec<u64> {
     let mut ends: Vec<(u64, u16, u64)> = Vec::new();
     let mut counts = vec![0; 5];
     for index in 0..count {
-        let now = start + u64::from(index) * gap;
+        let now = start + u64::from(index) * interval_ms;
         ends.sort_unstable();
         while let Some((end, port, number)) = ends.first().copied().filter(|end| end.0 <= now) {
             let mut finish = flow_packet(flow_key(1, port), PacketKind::Finish, number as u32);
@@ -27,10 +32,10 @@
             ends.remove(0);
         }
         let port = 1_024 + (start as u16) + index;
-        let number = open_flow(router, now, flow_key(1, port)).expect("is placed");
+        let number = open_flow(router, now, flow_key(1, port)).expect("the flow is placed");
         router.on_packet(clock_at(now + 7), &data_packet(flow_key(1, port), number as u32, 1, 1));
-        let work = if number == slow { SLOW_MS } else { USUAL_MS };
-        ends.push((now + 7 + work, port, number));
+        let answer_ms = if number == slow { SLOW_ANSWER_MS } else { USUAL_ANSWER_MS };
+        ends.push((now + 7 + answer_ms, port, number));
         counts[number as usize] += 1;
     }
     counts
@@ -42,11 +47,10 @@
     listed_router(&backends)
 }
 
-// Symptom: a quarter of the bids is late while three backend servers are nearly idle.
-// Sequence: one of four backend servers takes five times as long.
-// Cause: it is chosen whenever it runs no more requests than the others.
+// Guards against late bids while three backend servers are nearly idle: a backend server that takes
+// five times as long must not be chosen just because it runs no more requests than the others.
 #[test]
-fn slow_gets_few() {
+fn slow_backend_gets_few_flows() {
     let mut router = four_backends();
     let counts = run_bids(&mut router, 0, 400, 10, 3);
     assert!(counts[3] <= 30, "{counts:?}");
@@ -54,17 +58,17 @@
 }
 
 #[test]
-fn usual_stays_even() {
+fn equally_fast_backends_share_evenly() {
     let mut router = four_backends();
     let counts = run_bids(&mut router, 0, 400, 10, 0);
     assert!(counts[1..].iter().all(|count| (90..=110).contains(count)), "{counts:?}");
 }
 
 #[test]
-fn recovered_comes_back() {
+fn recovered_backend_gets_its_share_again() {
     let mut router = four_backends();
     run_bids(&mut router, 0, 400, 10, 3);
-    // It is as fast as the others again; after some seconds it has its part.
+    // It is as fast as the others again, and has its share after some seconds.
     let counts = run_bids(&mut router, 8_000, 800, 10, 0);
     assert!(counts[3] >= 150, "{counts:?}");
 }
--- a/crates/foxledge-flows/tests/trial_turns.rs
+++ b/crates/foxledge-flows/tests/trial_delays.rs
@@ -6,11 +6,11 @@
 use foxledge_core::names::CentreName;
 use foxledge_flows::{FlowRouter, HealthClass, HealthObservation, RouterOptions};
 
-/// Time in milliseconds until a note has gone round.
-const NOTE_MS: u64 = 5;
+/// Time, in milliseconds, until an observation has reached all instances.
+const OBSERVATION_DELAY_MS: u64 = 5;
 const INSTANCES: usize = 64;
 
-/// Routers that know a backend server near and another far away.
+/// Routers with a local and a remote backend server.
 fn fleet() -> Vec<FlowRouter> {
     let rows = [
         limits_row(1, 1),
@@ -29,55 +29,62 @@
     (0..INSTANCES).map(router).collect()
 }
 
-/// Flows placed at backend server 1, which answers none until `alive_at`, in each second.
-fn trials(alive_at: u64) -> Vec<usize> {
+/// Returns, for each second, the flows placed at backend server 1, which answers none until
+/// `alive_at`.
+fn trials_by_second(alive_at: u64) -> Vec<usize> {
     let mut routers = fleet();
-    let mut notes: Vec<(u64, HealthObservation)> = Vec::new();
+    let mut observations: Vec<(u64, HealthObservation)> = Vec::new();
     let mut placed = vec![0; 12];
     for now in (0..12_000).step_by(5) {
-        for (_, note) in notes.iter().filter(|(due, _)| *due == now) {
-            routers.iter_mut().for_each(|router| router.apply_observation(clock_at(now), note));
+        for (_, observation) in observations.iter().filter(|(arrives_at, _)| *arrives_at == now) {
+            routers
+                .iter_mut()
+                .for_each(|router| router.apply_observation(clock_at(now), observation));
         }
-        notes.retain(|(due, _)| *due > now);
+        observations.retain(|(arrives_at, _)| *arrives_at > now);
         for (index, router) in routers.iter_mut().enumerate() {
             router.report_overdue_openings(clock_at(now));
-            // One flow in 50 ms at each instance.
+            // Each instance opens one flow every 50 ms.
             if (now / 5) as usize % 10 == index % 10 {
                 let flow = flow_key(index as u8 + 1, 1_024 + (now / 5) as u16);
                 let decision = router.on_packet(clock_at(now), &opening_packet(flow, 0));
-                let number = decided_backend(router, &decision).expect("is placed");
+                let number = decided_backend(router, &decision).expect("the flow is placed");
                 placed[(now / 1_000) as usize] += usize::from(number == 1);
                 if number == 2 || now >= alive_at {
                     router.on_packet(clock_at(now), &data_packet(flow, number as u32, 1_000, 1));
                 }
             }
-            notes.extend(router.drain_observations().into_iter().map(|note| (now + NOTE_MS, note)));
+            observations.extend(
+                router
+                    .drain_observations()
+                    .into_iter()
+                    .map(|observation| (now + OBSERVATION_DELAY_MS, observation)),
+            );
         }
     }
     let healthy = routers.iter().filter(|router| {
-        let health = &router.backend_by_number(1).expect("is known").health;
+        let health = &router.backend_by_number(1).expect("the entry is known").health;
         health.class(clock_at(12_000)) == HealthClass::Healthy
     });
     assert_eq!(healthy.count(), if alive_at < 12_000 { INSTANCES } else { 0 });
     placed
 }
 
-// Symptom: for as long as a backend server is dead, hundreds of callers wait for 200 ms.
-// Sequence: it is ejected by all 64 instances for a second, for two, for four; at the end
-//   of each, every instance tries it with one flow.
-// Cause: all try at once, before the first can tell the others that it fails.
+// Guards against hundreds of callers that wait for 200 ms as long as a backend server is dead: all
+// 64 instances eject it for one, two, then four seconds, and each sends a trial flow at the end,
+// before the first failure can reach the others.
 #[test]
-fn failing_trials_few() {
-    let placed = trials(u64::MAX);
-    // Until the first opening is overdue nobody knows.
+fn few_trials_while_a_backend_is_dead() {
+    let placed = trials_by_second(u64::MAX);
+    // No instance knows before the first opening is overdue.
     let later: usize = placed[1..].iter().sum();
     assert!(later <= 20, "{placed:?}");
 }
 
-// Symptom: a backend server that is back gets no flows.
-// Cause: instances wait for a turn that is far away, though others have been answered.
+// Guards against a recovered backend server without flows, because instances wait for their distant
+// trial though others have been answered.
 #[test]
-fn first_success_ends_all() {
-    let placed = trials(1_000);
+fn first_answered_trial_ends_the_ejection_everywhere() {
+    let placed = trials_by_second(1_000);
     assert!(placed[3] > 100, "{placed:?}");
 }
