--- a/crates/foxledge-flows/src/backend_table.rs
+++ b/crates/foxledge-flows/src/backend_table.rs
@@ -1,4 +1,4 @@
-//! Every backend server that a router knows, to be found by what packets and rows name.
+//! The backend servers that a router knows, indexed by what packets and rows refer to.
 
 use std::{collections::HashMap, net::SocketAddrV4, sync::Arc};
 
@@ -14,17 +14,17 @@
     rows::{BackendRow, ListRow, RowValue},
 };
 
-/// How long packets of open flows still find a backend server that is gone, in milliseconds.
-const GONE_KEPT_MS: u64 = 90_000;
+/// The time, in milliseconds, for which a removed backend server is kept for its open flows.
+const REMOVED_BACKEND_TTL_MS: u64 = 90_000;
 
-/// `BackendTable` is every backend server, those lately gone included.
+/// The known backend servers, including recently removed ones.
 ///
-/// Indexes stay valid until [`BackendTable::forget`] frees them, so that tracks
-/// and openings can hold them.
+/// Indexes stay valid until [`BackendTable::remove_expired`] frees them, so that tracks and
+/// openings can store them.
 #[derive(Clone, Debug, Default)]
 pub struct BackendTable {
     slots: Vec<Option<Backend>>,
-    free: Vec<usize>,
+    free_slots: Vec<usize>,
     by_address: HashMap<SocketAddrV4, Vec<usize>>,
     by_key: HashMap<Arc<str>, usize>,
     by_token: HashMap<u32, Vec<usize>>,
@@ -33,35 +33,35 @@
 }
 
 impl BackendTable {
-    /// The backend server at an index.
+    /// Returns the backend server at an index.
     pub fn get(&self, index: usize) -> Option<&Backend> {
         self.slots.get(index)?.as_ref()
     }
 
-    /// The backend server at an index, to be changed.
+    /// Returns the backend server at an index for modification.
     pub fn get_mut(&mut self, index: usize) -> Option<&mut Backend> {
         self.slots.get_mut(index)?.as_mut()
     }
 
-    /// Indexes of a service's backend servers.
+    /// Returns the indexes of a service's backend servers.
     pub fn service_indexes(&self, service: &str) -> &[usize] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Backend servers by service and data centre.
+    /// Returns the backend servers grouped by service and data centre.
     pub(crate) fn groups(&self) -> &GroupTable {
         &self.groups
     }
 
-    /// Forgets what backend servers left unanswered.
+    /// Clears the counts of unanswered packets of all backend servers.
     pub fn clear_unanswered(&mut self) {
         for backend in self.slots.iter_mut().flatten() {
             backend.health.clear_unanswered();
         }
     }
 
-    /// Lets the backend servers of a data centre count as cold for as long as their service's
-    /// are, told by `warm_up_of` in milliseconds, unless their entries are newer than `revision`.
+    /// Marks the backend servers of a data centre as cold for the warm-up time of their service,
+    /// which `warm_up_of` returns in milliseconds. Entries newer than `revision` are left alone.
     pub fn mark_cold(
         &mut self,
         now: ClockTime,
@@ -77,15 +77,16 @@
         }
     }
 
-    /// Every backend server.
+    /// Returns an iterator over all backend servers.
     pub fn iter(&self) -> impl Iterator<Item = &Backend> {
         self.slots.iter().flatten()
     }
 
-    /// The backend server that a token names, if need be the one that `fits`.
+    /// Returns the backend server with a token. If several share the token, the one that satisfies
+    /// `fits` is preferred.
     ///
-    /// Two backend servers may share a token. The wrong one refuses packets that
-    /// name the other's number, so this must choose right.
+    /// A backend server refuses packets that carry another one's number, so a wrong choice breaks
+    /// the flow.
     pub fn by_token(&self, token: u32, fits: impl Fn(&Backend) -> bool) -> Option<usize> {
         match self.by_token.get(&token)?.as_slice() {
             [index] => Some(*index),
@@ -97,24 +98,24 @@
         }
     }
 
-    /// The backend server of a number.
+    /// Returns the index of the backend server with a number.
     pub fn by_number(&self, number: u64) -> Option<usize> {
         let indexes = self.by_token.get(&token_of(number))?;
         let is_it = |backend: &Backend| backend.number == number && !backend.is_shadowed;
         indexes.iter().copied().find(|index| self.get(*index).is_some_and(is_it))
     }
 
-    /// Takes a row; rows of other kinds change nothing.
+    /// Applies a list row. Rows of other kinds are ignored.
     pub fn apply_row(&mut self, now: ClockTime, row: &ListRow) -> Option<BackendEvent> {
         match &row.value {
-            Some(RowValue::Backend(spec)) => self.put(now, row, spec, None),
+            Some(RowValue::Backend(spec)) => self.apply_backend(now, row, spec, None),
             Some(RowValue::Removed(removed)) => {
                 let age = u64::from(removed.age_ms) * 1_000;
                 let gone = ClockTime::from_micros(now.as_micros().saturating_sub(age));
                 match &removed.backend {
-                    Some(spec) => self.put(now, row, spec, Some(gone)),
+                    Some(spec) => self.apply_backend(now, row, spec, Some(gone)),
                     None => {
-                        self.refuse(&row.key, gone);
+                        self.mark_invalid(&row.key, gone);
                         None
                     }
                 }
@@ -123,9 +124,9 @@
         }
     }
 
-    /// True when another backend server that is listed has the address of one that is gone, and
-    /// registered after it. Between epochs that can't be told: a restored store may list who had
-    /// the address before.
+    /// Returns true if another listed backend server registered at the address of a removed one
+    /// after it. Revisions of different epochs aren't compared: a restored store may list the
+    /// previous owner of the address.
     pub fn is_replaced(&self, index: usize) -> bool {
         let Some(gone) = self.get(index) else { return false };
         let Some(indexes) = self.by_address.get(&gone.address) else { return false };
@@ -137,10 +138,13 @@
         others.any(|other| other.removed_at.is_none() && is_later(other))
     }
 
-    /// Forgets those that are gone for longer than flows last; returns their indexes.
+    /// Drops the backend servers that were removed longer ago than flows last, and returns their
+    /// indexes.
     pub fn remove_expired(&mut self, now: ClockTime) -> Vec<usize> {
         let is_old = |backend: &Backend| {
-            backend.removed_at.is_some_and(|gone| gone.after_millis(GONE_KEPT_MS).is_past(now))
+            backend
+                .removed_at
+                .is_some_and(|gone| gone.after_millis(REMOVED_BACKEND_TTL_MS).is_past(now))
         };
         let old: Vec<_> =
             (0..self.slots.len()).filter(|index| self.get(*index).is_some_and(is_old)).collect();
@@ -150,18 +154,18 @@
             if let Some(indexes) = self.by_token.get_mut(&backend.token) {
                 indexes.retain(|other| other != index);
             }
-            self.settle_number(backend.number);
-            self.free.push(*index);
+            self.resolve_number(backend.number);
+            self.free_slots.push(*index);
         }
         old
     }
 
-    /// Lets the grace of entries that vanished begin anew when the store was away or came back
-    /// from a copy between two confirmations, and they were in their grace at the first.
+    /// Restarts the grace period of removed entries after an outage or a restore of the store
+    /// between two confirmations, if the period hadn't ended at the first of them.
     ///
-    /// Entries that lapse as the store goes away are back some two seconds after its
-    /// return. Counted from the lapse, the grace is over at the return, and an instance
-    /// that missed what happened in between refuses flows that all others serve.
+    /// Entries that expire as the store goes down are back about two seconds after its return.
+    /// Counted from the expiry, the grace period would be over at the return, and an instance that
+    /// missed what happened in between would refuse flows that all others serve.
     pub fn restart_grace(&mut self, former: ClockTime, confirmed: ClockTime) {
         for backend in self.slots.iter_mut().flatten() {
             let is_in_grace =
@@ -172,15 +176,16 @@
         }
     }
 
-    /// Takes note that nobody knows what the entry of a key means: no new flows.
-    fn refuse(&mut self, key: &str, gone: ClockTime) {
+    /// Marks the backend server of a key as removed and draining because its entry can't be
+    /// decoded.
+    fn mark_invalid(&mut self, key: &str, gone: ClockTime) {
         let Some(index) = self.by_key.get(key).copied() else { return };
         if let Some(backend) = self.get_mut(index) {
             (backend.removed_at, backend.is_draining) = (Some(gone), true);
         }
     }
 
-    fn put(
+    fn apply_backend(
         &mut self,
         now: ClockTime,
         row: &ListRow,
@@ -188,15 +193,15 @@
         gone: Option<ClockTime>,
     ) -> Option<BackendEvent> {
         let address = spec.address()?;
-        self.retire_address(address, row, now);
+        self.end_grace_at_address(address, row, now);
         let mut newer = Backend::new(now, row, spec, address, gone);
         newer.apply_draining(row, spec);
         let Some(index) = self.by_key.get(row.key.as_str()).copied() else {
-            self.add(newer);
+            self.insert(newer);
             return None;
         };
         let known = self.get_mut(index)?;
-        // What an older row says of a start doesn't hold any more, whatever its clock said.
+        // An older row doesn't override a newer one, whatever start time it carries.
         if row.revision < known.revision {
             return None;
         }
@@ -206,7 +211,7 @@
                 newer.cold_flows = known.cold_flows;
             }
             self.link(index, newer);
-            self.settle_number(spec.number);
+            self.resolve_number(spec.number);
             return Some(BackendEvent::Restarted { index, former });
         }
         known.removed_at = gone;
@@ -217,15 +222,15 @@
             known.warm_at = newer.warm_at;
             return None;
         }
-        // Its open flows go on where they are: it may well live there. The entry names
-        // nobody who could be sure to be meant.
+        // Its open flows stay where they are, as the process may still be alive there. The new
+        // entry can't be trusted to belong to it.
         known.is_draining = true;
         Some(BackendEvent::EntryConflict { index, address })
     }
 
-    /// Ends the grace of one that is gone when another has its address in the same epoch: it
-    /// can't live.
-    fn retire_address(&mut self, address: SocketAddrV4, row: &ListRow, now: ClockTime) {
+    /// Ends the grace period of a removed backend server when another one registers at its address
+    /// in the same epoch: the removed one can't be alive.
+    fn end_grace_at_address(&mut self, address: SocketAddrV4, row: &ListRow, now: ClockTime) {
         let Some(indexes) = self.by_address.get(&address) else { return };
         for index in indexes {
             let Some(backend) = self.slots[*index].as_mut() else { continue };
@@ -237,8 +242,8 @@
         }
     }
 
-    fn add(&mut self, backend: Backend) {
-        let index = self.free.pop().unwrap_or_else(|| {
+    fn insert(&mut self, backend: Backend) {
+        let index = self.free_slots.pop().unwrap_or_else(|| {
             self.slots.push(None);
             self.slots.len() - 1
         });
@@ -246,10 +251,11 @@
         self.by_key.insert(backend.key.clone(), index);
         self.by_token.entry(backend.token).or_default().push(index);
         self.link(index, backend);
-        self.settle_number(number);
+        self.resolve_number(number);
     }
 
-    /// Puts a backend server in place, to be found by what may differ between its starts.
+    /// Stores a backend server in its slot and in the indexes of what may change between its
+    /// starts.
     fn link(&mut self, index: usize, mut backend: Backend) {
         backend.group = self.groups.add(&backend.service, &backend.data_centre, index);
         self.by_service.entry(backend.service.clone()).or_default().push(index);
@@ -272,12 +278,12 @@
         Some(backend)
     }
 
-    /// Decides which entry a number means: the one that had it first, for as long as its
-    /// flows may last.
+    /// Decides which entry a number refers to: the entry that used it first, until the flows of
+    /// that one have ended.
     ///
-    /// Packets of open flows name their backend server by its number alone. If another
-    /// writer's entry with the same number were followed, they would all break.
-    fn settle_number(&mut self, number: u64) {
+    /// Packets of open flows identify their backend server by number only. Switching to another
+    /// writer's entry with the same number would break all of them.
+    fn resolve_number(&mut self, number: u64) {
         let Some(indexes) = self.by_token.get(&token_of(number)) else { return };
         let same = indexes.iter().copied().filter(|index| {
             self.slots[*index].as_ref().is_some_and(|backend| backend.number == number)
--- a/crates/foxledge-flows/src/backends.rs
+++ b/crates/foxledge-flows/src/backends.rs
@@ -1,4 +1,4 @@
-//! A backend server as the router knows it.
+//! The state of one backend server in the router.
 
 use std::{net::SocketAddrV4, sync::Arc};
 
@@ -15,77 +15,77 @@
     rows::{BackendRow, ListRow, RowValue},
 };
 
-/// How long a backend server whose entry vanished may still get new flows, in
-/// milliseconds, if nothing said before that it was leaving.
+/// The grace period, in milliseconds, in which a backend server still gets new flows after its
+/// entry was removed without a draining announcement.
 ///
-/// When the store was away, entries of live processes lapse and are back about
-/// two seconds after its return. Without this span all of a service's backend
-/// servers could be missing at once, and every new flow would be refused. It
-/// stays below the 3 s within which a leaving one must get no new flow.
+/// Entries of live processes expire during a store outage and are back about two seconds after its
+/// return. Without the grace period, all backend servers of a service could be missing at once, and
+/// every new flow would be refused. The period is shorter than the 3 s after which a backend server
+/// that leaves must get no new flow.
 pub(crate) const REMOVAL_GRACE_MS: u64 = 2_200;
-/// Age of the store's last confirmation at which it counts as away, in
-/// milliseconds: more than any instance in touch sees.
-const STORE_AWAY_MS: u64 = 2_500;
-/// How long flows that have ended still count for the choice of a backend server, in
-/// milliseconds.
+/// The age, in milliseconds, at which the last list confirmation means that the store is
+/// unreachable. An instance in contact with the store never sees an age this high.
+const STORE_TIMEOUT_MS: u64 = 2_500;
+/// The time, in milliseconds, for which flows that have ended still count in the placement of new
+/// flows.
 ///
-/// A crash ends all flows there in one moment, so that dead backend servers had the fewest of all
-/// and got every new flow until they were found out. Callers that are reset ask again at once:
-/// within those 40 ms all of their tries went to one dead backend server or the other.
-const FORMER_FLOWS_MS: u64 = 1_000;
+/// A crash ends all flows of a backend server at the same moment. Without this window, dead backend
+/// servers would have the fewest flows and get every new flow until they are detected: callers
+/// retry at once after a reset, and all tries within those 40 ms went to dead backend servers.
+const ENDED_FLOWS_WINDOW_MS: u64 = 1_000;
 
-/// `Backend` is one process of a backend server.
+/// One process of a backend server.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// Its key in the list.
+    /// The key of its row.
     pub key: Arc<str>,
-    /// The number by which packets name it.
+    /// The number that identifies it in packets.
     pub number: u64,
-    /// The token by which flows name it.
+    /// The token that identifies it in flows.
     pub token: u32,
-    /// Names the start of this process; 0 when nothing is told.
+    /// Identifies the start of this process; 0 if unknown.
     pub incarnation: u64,
     /// Its service.
     pub service: ServiceName,
-    /// Where it takes packets.
+    /// The address at which it receives packets.
     pub address: SocketAddrV4,
     /// Its data centre.
     pub data_centre: CentreName,
-    /// Index of the backend servers of its service and data centre.
+    /// The index of the group of its service and data centre.
     pub(crate) group: usize,
-    /// Requests that it runs at once, 1 at least.
+    /// The number of requests that it processes at once, at least 1.
     pub slots: u32,
-    /// It is leaving: no new flows.
+    /// True if it is about to stop and must get no new flows.
     pub is_draining: bool,
-    /// Revision at which its own entry last said that it leaves.
+    /// The revision at which its own entry last announced draining.
     pub draining_revision: Option<u64>,
-    /// When it will be warm.
+    /// When its warm-up ends.
     pub warm_at: ClockTime,
-    /// New flows that this instance sent there lately while it was cold.
+    /// The flows that this instance placed there recently while it was cold.
     pub cold_flows: FlowWindow,
-    /// When its entry was seen to be gone; none while it is listed.
+    /// When its entry was found removed; `None` while it is listed.
     pub removed_at: Option<ClockTime>,
-    /// Its entry's revision.
+    /// The revision of its entry.
     pub revision: u64,
-    /// Revision at which its entry was created.
+    /// The revision at which its entry was created.
     pub created_revision: u64,
-    /// When this start of it became known here.
+    /// When this instance discovered this start of the process.
     pub discovered_at: ClockTime,
-    /// Another entry has the same number, and had it before: no new flows.
+    /// True if an older entry has the same number, so that this one must get no new flows.
     pub is_shadowed: bool,
-    /// When this instance itself last saw it answer.
+    /// When this instance last saw a response of its own flows from it.
     pub answered_at: Option<ClockTime>,
-    /// What packets tell of its health.
+    /// Its health.
     pub health: HealthState,
-    /// How long it takes for an answer, as far as this instance sees.
+    /// Its response times, as observed by this instance.
     pub latency: LatencyGauge,
-    /// Requests that run there, as far as this instance sees.
+    /// The number of requests running there, as far as this instance observes.
     pub running_requests: u32,
-    /// Flows open there, as far as this instance sees.
+    /// The number of flows open there, as far as this instance observes.
     pub open_flows: u32,
-    /// The most that were open lately, and until when they count.
-    former_flows: (u32, ClockTime),
-    /// Counter of the last placement there.
+    /// The recent peak of open flows, and until when it counts.
+    recent_peak: (u32, ClockTime),
+    /// The value of the placement counter at the last placement there.
     pub last_placement: u64,
 }
 
@@ -121,32 +121,32 @@
             latency: LatencyGauge::default(),
             running_requests: 0,
             open_flows: 0,
-            former_flows: (0, ClockTime::ZERO),
+            recent_peak: (0, ClockTime::ZERO),
             last_placement: 0,
         }
     }
 
-    /// Counts the end of a flow.
+    /// Records the end of a flow.
     pub(crate) fn record_flow_end(&mut self, now: ClockTime) {
-        self.former_flows = (self.recent_flows(now), now.after_millis(FORMER_FLOWS_MS));
+        self.recent_peak = (self.recent_flows(now), now.after_millis(ENDED_FLOWS_WINDOW_MS));
         self.open_flows = self.open_flows.saturating_sub(1);
     }
 
-    /// Flows that are open there, or were until a moment ago.
+    /// Returns the number of open flows, or the recent peak while that counts.
     pub fn recent_flows(&self, now: ClockTime) -> u32 {
-        let (former, until) = self.former_flows;
+        let (former, until) = self.recent_peak;
         if until.is_past(now) { self.open_flows } else { self.open_flows.max(former) }
     }
 
-    /// True while it is slow after its start.
+    /// Returns true during the warm-up after its start.
     pub fn is_cold(&self, now: ClockTime) -> bool {
         !self.warm_at.is_past(now)
     }
 
-    /// Takes what a newer row of the same start says of its leave.
+    /// Applies the draining flag of a newer row of the same start.
     ///
-    /// A restored store may hold the entry from before the leave, which the process doesn't
-    /// take back.
+    /// A restored store may hold the entry from before the process began to drain, which the
+    /// process doesn't undo.
     pub(crate) fn apply_draining(&mut self, row: &ListRow, spec: &BackendRow) {
         let is_own_entry = matches!(row.value, Some(RowValue::Backend(_)));
         if is_own_entry && spec.draining {
@@ -157,19 +157,19 @@
         self.is_draining = spec.draining || has_left;
     }
 
-    /// True when an entry as this one's can be of the same process.
+    /// Returns true if the entry of `other` can belong to the same process.
     pub(crate) fn is_same_process(&self, other: &Backend) -> bool {
         self.incarnation == other.incarnation
             && self.address == other.address
             && self.service == other.service
     }
 
-    /// True when new flows may go there.
+    /// Returns true if new flows may be placed there.
     ///
-    /// One whose entry vanished without a word gets them for [`REMOVAL_GRACE_MS`]. While
-    /// nothing is heard of the store (`confirmed` is when it last was), the span
-    /// doesn't run out: the entry can't come back before the store does, and has
-    /// the whole span from then on (`BackendTable::renew_grace`).
+    /// A backend server whose entry was removed without notice gets new flows for
+    /// [`REMOVAL_GRACE_MS`]. The period doesn't run out while the store is unreachable (`confirmed`
+    /// is the last list confirmation): the entry can't come back before the store does, and the
+    /// full period starts then (`BackendTable::restart_grace`).
     pub fn accepts_new_flows(&self, now: ClockTime, confirmed: Option<ClockTime>) -> bool {
         if self.is_draining || self.is_shadowed {
             return false;
@@ -182,35 +182,37 @@
     }
 }
 
-/// `BackendEvent` is a change of what is believed of a backend server's entry.
+/// A change of a backend server's entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BackendEvent {
-    /// It started again under its id: nothing that was seen before counts.
+    /// The process started again under the same id; earlier observations no longer count.
     Restarted {
         /// Its index.
         index: usize,
-        /// Names the start before; 0 when nothing was told of it.
+        /// The incarnation before; 0 if it was unknown.
         former: u64,
     },
-    /// Its entry tells of the same start, or of none any more, with another address or
-    /// service: somebody else wrote it.
+    /// The entry names the same start, or none any more, with another address or service: another
+    /// process wrote it.
     EntryConflict {
         /// Its index.
         index: usize,
-        /// The address that the entry names.
+        /// The address in the entry.
         address: SocketAddrV4,
     },
 }
 
-/// True when the store counts as away at `now`, heard of last at `confirmed`.
+/// Returns true if, at `now`, the last list confirmation is so old that the store counts as
+/// unreachable.
 pub(crate) fn is_store_unreachable(confirmed: ClockTime, now: ClockTime) -> bool {
-    confirmed.after_millis(STORE_AWAY_MS).is_past(now)
+    confirmed.after_millis(STORE_TIMEOUT_MS).is_past(now)
 }
 
-/// The token of a backend server's number; never 0, which names none.
+/// Returns the token of a backend server's number. It is never 0, which stands for no backend
+/// server.
 ///
-/// Numbers of 32 bits are their own tokens, so those can't collide. Longer ones
-/// are folded; flows tell colliding ones apart by their service.
+/// A number that fits into 32 bits is its own token and can't collide. Longer numbers are folded;
+/// flows with colliding tokens are told apart by their service.
 pub fn token_of(number: u64) -> u32 {
     let folded = (number ^ (number >> 32)) as u32;
     folded.max(1)
--- a/crates/foxledge-flows/src/dead_backends.rs
+++ b/crates/foxledge-flows/src/dead_backends.rs
@@ -1,36 +1,36 @@
-//! Backend servers that may have flows to end.
+//! Dead backend servers whose open flows are to be reset.
 
 use foxledge_core::time::ClockTime;
 
-/// Time between two looks for flows to end, in milliseconds.
-const LOOK_MS: u64 = 20;
+/// The time, in milliseconds, between two checks for flows to reset.
+const CHECK_INTERVAL_MS: u64 = 20;
 
-/// `DeadBackends` is backend servers that may have flows to end.
+/// The indexes of dead backend servers that may have flows to reset.
 #[derive(Debug, Default)]
 pub struct DeadBackends {
     indexes: Vec<usize>,
-    look_at: ClockTime,
+    next_check_at: ClockTime,
 }
 
 impl DeadBackends {
-    /// Adds a backend server that is dead.
+    /// Adds a dead backend server.
     pub fn add(&mut self, index: usize) {
         if !self.indexes.contains(&index) {
             self.indexes.push(index);
         }
     }
 
-    /// Takes one out.
+    /// Removes a backend server.
     pub fn remove(&mut self, index: usize) {
         self.indexes.retain(|other| *other != index);
     }
 
-    /// Takes all of them out when it is time for another look; none before.
+    /// Removes and returns all of them if the next check is due, and none otherwise.
     pub fn drain_due(&mut self, now: ClockTime) -> Vec<usize> {
-        if self.indexes.is_empty() || !self.look_at.is_past(now) {
+        if self.indexes.is_empty() || !self.next_check_at.is_past(now) {
             return Vec::new();
         }
-        self.look_at = now.after_millis(LOOK_MS);
+        self.next_check_at = now.after_millis(CHECK_INTERVAL_MS);
         std::mem::take(&mut self.indexes)
     }
 }
--- a/crates/foxledge-flows/src/health.rs
+++ b/crates/foxledge-flows/src/health.rs
@@ -1,53 +1,54 @@
-//! What packets tell of a backend server's health.
+//! Failure detection for backend servers.
 //!
-//! Backend servers answer callers directly, so an instance sees no answer. It
-//! sees what follows one: a caller that got the answer to its opening packet
-//! goes on, one that didn't falls silent or sends the opening packet again.
+//! Backend servers respond to callers directly, so an instance sees no response. It sees what
+//! follows one: a caller that got the response to its opening packet continues, and one that didn't
+//! falls silent or retransmits the opening packet.
 
 use foxledge_core::time::ClockTime;
 use serde::Serialize;
 
-/// How long one sign of silence keeps new flows away, in milliseconds.
+/// The time, in milliseconds, for which one suspicion keeps new flows away.
 ///
-/// Long enough for the caller's first resend at 200 ms to confirm or refute it;
-/// a false alarm after a lost datagram costs one backend server for that long.
+/// It is long enough for the caller's first retransmission at 200 ms to confirm or refute the
+/// suspicion. A false alarm after a lost datagram costs one backend server for this long.
 pub const SUSPICION_TIMEOUT_MS: u64 = 300;
-/// First time without new flows after confirmed silence, in milliseconds.
+/// The duration, in milliseconds, of the first ejection, in which a backend server gets no new
+/// flows.
 ///
-/// Each return risks one caller's 200 ms until its resend. The platform drops the
-/// entry of a dead process after about 3.6 s, so two or three are risked.
-const FIRST_EJECTION_MS: u64 = 1_000;
-/// Longest time without new flows, in milliseconds.
-const LONGEST_EJECTION_MS: u64 = 8_000;
+/// Each trial after an ejection costs one caller the 200 ms until its retransmission if it fails.
+/// The platform removes the entry of a dead process after about 3.6 s, so two or three trials
+/// happen.
+const MIN_EJECTION_MS: u64 = 1_000;
+/// The maximum duration of an ejection, in milliseconds.
+const MAX_EJECTION_MS: u64 = 8_000;
 
-/// How long the belief that a backend server is dead holds without new evidence, in
-/// milliseconds.
+/// The time, in milliseconds, for which a backend server counts as dead without new evidence.
 ///
-/// One that was cut off and is reached again looks dead until something is sent there.
-/// Idle flows are ended within a second of the belief; held for longer, it would end flows
-/// that live again.
-const DEAD_MS: u64 = 3_000;
+/// A backend server that was partitioned and is reachable again looks dead until a packet is sent
+/// there. Idle flows are reset within a second of the detection; with a longer time, flows that
+/// work again would be reset.
+const DEATH_EVIDENCE_TTL_MS: u64 = 3_000;
 
-/// `ObservationKind` is what one instance tells others of a backend server.
+/// What an instance observed of a backend server and reports to its peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ObservationKind {
     /// A new flow wasn't answered as fast as others are.
     Suspect,
-    /// Several signs of silence.
+    /// The backend server was ejected after several unanswered packets.
     Ejected,
-    /// A new flow stayed unanswered though the caller sent its opening packet again.
+    /// A new flow stayed unanswered although the caller retransmitted its opening packet.
     #[serde(rename = "silent")]
     OpeningUnanswered,
-    /// Data of an open flow stayed unanswered though the caller sent it again and again.
+    /// Data of an open flow stayed unanswered although the caller retransmitted it repeatedly.
     #[serde(rename = "lost")]
     DataUnanswered,
-    /// It answers again.
+    /// It responds again.
     Alive,
 }
 
 impl ObservationKind {
-    /// The kind's word in metrics.
+    /// Returns the name of the kind in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             ObservationKind::Suspect => "suspect",
@@ -59,152 +60,156 @@
     }
 }
 
-/// `HealthObservation` is one instance's observation of one backend server.
+/// One instance's observation of one backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HealthObservation {
     /// The number of the backend server.
     pub number: u64,
-    /// Which start of it was observed.
+    /// The incarnation that was observed.
     pub incarnation: u64,
     /// What was observed.
     pub kind: ObservationKind,
-    /// When, on the clock of this process.
+    /// The time of the observation on the clock of this process.
     pub observed_at: ClockTime,
 }
 
-/// `UnansweredPacket` is what stayed unanswered although its caller sent it again.
+/// The kind of a packet that stayed unanswered although its caller retransmitted it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnansweredPacket {
     /// An opening packet.
     Opening,
-    /// Data of a flow that hasn't witnessed before.
+    /// Data of a flow that hasn't counted as evidence before.
     Data,
-    /// Data of a flow that has, or where packets are lost on all ways.
+    /// Data of a flow that has counted before, or where packets are lost on all paths.
     UncertainData,
 }
 
-/// Time that each instance has for its trial of an ejected backend server, in
-/// milliseconds: a trial that fails shows after 40 ms, and all know some ms later.
+/// The time slot, in milliseconds, of each instance's trial of an ejected backend server. A failed
+/// trial shows after 40 ms, and all instances know of it some milliseconds later.
 ///
-/// When all try at the end of the ejection, each trial costs a caller 200 ms: of 64
-/// instances before 33 dead backend servers, 2,000 flows in one second. In turn, the
-/// first failure spares the others theirs, and the first success ends the ejection.
+/// If all instances tried at the end of the ejection, each trial would cost a caller 200 ms: with
+/// 64 instances and 33 dead backend servers, 2,000 flows within one second. With slots, the first
+/// failure spares the other instances their trials, and the first success ends the ejection.
 pub const TRIAL_SLOT_MS: u64 = 60;
 
-/// `HealthState` is what is believed of one backend server.
+/// The health of one backend server, as one instance knows it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HealthState {
     suspect_until: ClockTime,
-    /// When the first instance may try it again.
-    trials_from: ClockTime,
-    /// When this one may.
-    ejected_until: ClockTime,
-    ejections: u32,
-    alive_at: ClockTime,
-    strikes: u32,
-    /// When something was first found unanswered since the last sign of life.
+    /// When the ejection ends and the first instance may try the backend server again.
+    first_trial_at: ClockTime,
+    /// When this instance may try it.
+    own_trial_at: ClockTime,
+    ejection_count: u32,
+    last_alive_at: ClockTime,
+    suspicion_count: u32,
+    /// When a packet was first found unanswered since the last response.
     unanswered_since: Option<ClockTime>,
-    /// Opening packets that stayed unanswered since then.
-    silent_openings: u32,
-    /// Open flows whose data stayed unanswered since then.
-    lost_flows: u32,
-    /// When the last of them was found.
-    evidence_at: ClockTime,
-    /// When the newest of anything that speaks against it was found, here or by a peer.
-    against_at: ClockTime,
+    /// The number of opening packets that stayed unanswered since the last response.
+    unanswered_openings: u32,
+    /// The number of open flows whose data stayed unanswered since the last response.
+    unanswered_flows: u32,
+    /// When the latest unanswered packet was found.
+    last_unanswered_at: ClockTime,
+    /// The time of the latest negative observation, by this instance or a peer.
+    last_negative_at: ClockTime,
 }
 
-/// `HealthClass` orders backend servers for new flows, the best first.
+/// The order in which backend servers are preferred for new flows, best first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HealthClass {
-    /// Nothing speaks against it.
+    /// There is no negative observation.
     Healthy,
-    /// Was ejected, and one flow may try it.
+    /// The ejection is over, and one flow may try the backend server.
     Probation,
-    /// One sign of silence.
+    /// One packet wasn't answered in time.
     Suspect,
-    /// Confirmed silence.
+    /// Several packets stayed unanswered.
     Ejected,
 }
 
 impl HealthState {
-    /// Of a process that became known at `now`: what was sent before was sent to another.
+    /// Returns the state of a process discovered at `now`. Packets sent earlier were meant for the
+    /// process before it.
     pub fn started_at(now: ClockTime) -> HealthState {
-        HealthState { alive_at: now, ..HealthState::default() }
+        HealthState { last_alive_at: now, ..HealthState::default() }
     }
 
-    /// Its class at `now`.
+    /// Returns the class at `now`.
     pub fn class(&self, now: ClockTime) -> HealthClass {
-        if !self.ejected_until.is_past(now) {
+        if !self.own_trial_at.is_past(now) {
             return HealthClass::Ejected;
         }
         if self.is_suspect(now) {
             return HealthClass::Suspect;
         }
-        match self.ejections {
+        match self.ejection_count {
             0 => HealthClass::Healthy,
             _ => HealthClass::Probation,
         }
     }
 
-    /// Takes a sign of life; returns the news for others, if it is any.
+    /// Records a response. Returns the observation to report if this ends an ejection.
     pub fn on_alive(&mut self, now: ClockTime) -> Option<ObservationKind> {
-        let was_ejected = self.ejections > 0;
+        let was_ejected = self.ejection_count > 0;
         *self = HealthState::started_at(now);
         was_ejected.then_some(ObservationKind::Alive)
     }
 
-    /// Takes an answer to something asked at `asked`, which came nobody knows when.
+    /// Records the response to a request sent at `asked` when the time of the response is unknown.
     pub fn on_answer_since(&mut self, asked: ClockTime) {
         if self.unanswered_since.is_some_and(|silent| silent < asked) {
             self.clear_unanswered();
         }
     }
 
-    /// Forgets what stayed unanswered, as nobody knows what was answered meanwhile.
+    /// Clears the counts of unanswered packets, as responses may have been missed.
     pub fn clear_unanswered(&mut self) {
-        (self.unanswered_since, self.silent_openings, self.lost_flows) = (None, 0, 0);
+        (self.unanswered_since, self.unanswered_openings, self.unanswered_flows) = (None, 0, 0);
     }
 
-    /// True when it is surely dead, or out of reach: data of an open flow stayed unanswered
-    /// through two copies, and so did that of another or the opening of a new one, with no
-    /// sign of life between, here or told by peers.
+    /// Returns true if the backend server is certainly dead or unreachable: data of an open flow
+    /// stayed unanswered through two retransmissions, and so did that of another flow or the
+    /// opening of a new one, without a response in between, observed by this instance or a peer.
     ///
-    /// One that is full of flows answers no opening but does answer data; one that is slow
+    /// A backend server that is full doesn't answer openings but does answer data, and a slow one
     /// acknowledges data at once.
     pub fn is_dead(&self, now: ClockTime) -> bool {
-        let is_recent = !self.evidence_at.after_millis(DEAD_MS).is_past(now);
-        is_recent && self.lost_flows > 0 && self.lost_flows + self.silent_openings > 1
+        let is_recent = !self.last_unanswered_at.after_millis(DEATH_EVIDENCE_TTL_MS).is_past(now);
+        is_recent
+            && self.unanswered_flows > 0
+            && self.unanswered_flows + self.unanswered_openings > 1
     }
 
-    /// Takes a first sign of silence about something sent at `sent`.
+    /// Records the first timeout of a packet sent at `sent`.
     ///
-    /// A second one in a row, or one while the backend server is on probation,
-    /// confirms the first; so does one at another instance that comes soon after. Where
-    /// each instance waits for a second of its own, a crash that resets its callers'
-    /// openings is found after 0.4 to 2 s: by then most of 64 instances have sent one there.
+    /// A second timeout in a row, or one during probation, confirms the suspicion. So does a
+    /// timeout at another instance soon after: if each instance waited for a second timeout of its
+    /// own, a crash that resets its callers' openings would be found after 0.4 to 2 s, by when most
+    /// of 64 instances have sent one there.
     ///
-    /// If that ejects it, this instance tries it again `turn_ms` after the first.
+    /// If that ejects the backend server, this instance tries it again `trial_delay_ms` after the
+    /// first one.
     pub fn on_suspicion(
         &mut self,
         now: ClockTime,
         sent: ClockTime,
         turn_ms: u64,
     ) -> Option<ObservationKind> {
-        if self.alive_at > sent {
+        if self.last_alive_at > sent {
             return None;
         }
-        self.against_at = now;
-        self.strikes += 1;
-        if self.strikes > 1 || self.ejections > 0 || self.is_suspect(now) {
-            return self.confirm(now, turn_ms);
+        self.last_negative_at = now;
+        self.suspicion_count += 1;
+        if self.suspicion_count > 1 || self.ejection_count > 0 || self.is_suspect(now) {
+            return self.eject_if_due(now, turn_ms);
         }
         self.suspect_until = now.after_millis(SUSPICION_TIMEOUT_MS);
         Some(ObservationKind::Suspect)
     }
 
-    /// Takes what was sent at `sent` and not answered although its caller sent it again.
+    /// Records a packet sent at `sent` that stayed unanswered although its caller retransmitted it.
     pub fn on_unanswered(
         &mut self,
         now: ClockTime,
@@ -212,23 +217,24 @@
         witness: UnansweredPacket,
         turn_ms: u64,
     ) -> Option<ObservationKind> {
-        if self.alive_at > sent {
+        if self.last_alive_at > sent {
             return None;
         }
         let is_news = self.unanswered_since.is_none();
-        let is_ejected = self.confirm(now, turn_ms).is_some();
+        let is_ejected = self.eject_if_due(now, turn_ms).is_some();
         self.unanswered_since.get_or_insert(now);
-        (self.evidence_at, self.against_at) = (now, now);
+        (self.last_unanswered_at, self.last_negative_at) = (now, now);
         match witness {
             UnansweredPacket::Opening => {
-                self.silent_openings += 1;
-                (self.silent_openings == 1 || is_ejected)
+                self.unanswered_openings += 1;
+                (self.unanswered_openings == 1 || is_ejected)
                     .then_some(ObservationKind::OpeningUnanswered)
             }
             UnansweredPacket::Data => {
-                self.lost_flows += 1;
-                // Two suffice at every instance.
-                (self.lost_flows <= 2 || is_ejected).then_some(ObservationKind::DataUnanswered)
+                self.unanswered_flows += 1;
+                // Two flows suffice for every instance to detect the death.
+                (self.unanswered_flows <= 2 || is_ejected)
+                    .then_some(ObservationKind::DataUnanswered)
             }
             UnansweredPacket::UncertainData if is_news => Some(ObservationKind::OpeningUnanswered),
             UnansweredPacket::UncertainData => is_ejected.then_some(ObservationKind::Ejected),
@@ -239,41 +245,43 @@
         !self.suspect_until.is_past(now)
     }
 
-    /// When something was first found unanswered, if nothing was heard of it since.
+    /// Returns when a packet was first found unanswered, if there was no response since.
     pub fn unanswered_since(&self) -> Option<ClockTime> {
         self.unanswered_since
     }
 
-    /// When something was first found unanswered, if the newest of it was found lately and
-    /// nothing was heard of it since.
+    /// Returns when a packet was first found unanswered, if there was no response since and the
+    /// latest such packet was found recently.
     pub fn recent_unanswered_since(&self, now: ClockTime) -> Option<ClockTime> {
-        self.unanswered_since.filter(|_| !self.evidence_at.after_millis(DEAD_MS).is_past(now))
+        self.unanswered_since
+            .filter(|_| !self.last_unanswered_at.after_millis(DEATH_EVIDENCE_TTL_MS).is_past(now))
     }
 
-    /// Ejects it unless it is, and again after the failed trial of any instance.
-    fn confirm(&mut self, now: ClockTime, turn_ms: u64) -> Option<ObservationKind> {
-        if !self.trials_from.is_past(now) {
+    /// Ejects the backend server unless it is ejected, and again after any instance's failed trial.
+    fn eject_if_due(&mut self, now: ClockTime, turn_ms: u64) -> Option<ObservationKind> {
+        if !self.first_trial_at.is_past(now) {
             return None;
         }
         self.eject(now, turn_ms);
         Some(ObservationKind::Ejected)
     }
 
-    /// Takes an observation of another instance.
+    /// Applies another instance's observation.
     ///
-    /// Notes come late. A sign of life from before the newest evidence refutes what is older
-    /// than itself and leaves the rest: else one that was on its way when a backend server died
-    /// makes the dead one look healthy and idle, and all new flows go there.
+    /// Observations may arrive late. A response observed before the latest negative observation
+    /// refutes only what is older than itself. Otherwise, an observation still in transit when a
+    /// backend server died would make the dead one look healthy and idle, and all new flows would
+    /// go there.
     pub fn on_observation(&mut self, now: ClockTime, note: &HealthObservation, turn_ms: u64) {
-        if note.observed_at <= self.alive_at {
+        if note.observed_at <= self.last_alive_at {
             return;
         }
         if note.kind != ObservationKind::Alive {
-            self.against_at = self.against_at.max(note.observed_at);
+            self.last_negative_at = self.last_negative_at.max(note.observed_at);
         }
         match note.kind {
-            ObservationKind::Alive if note.observed_at < self.against_at => {
-                self.alive_at = note.observed_at
+            ObservationKind::Alive if note.observed_at < self.last_negative_at => {
+                self.last_alive_at = note.observed_at
             }
             ObservationKind::Alive => *self = HealthState::started_at(note.observed_at),
             ObservationKind::Suspect => {
@@ -281,31 +289,31 @@
                 self.suspect_until =
                     self.suspect_until.max(note.observed_at.after_millis(SUSPICION_TIMEOUT_MS));
                 if is_second {
-                    self.confirm(now, turn_ms);
+                    self.eject_if_due(now, turn_ms);
                 }
             }
             ObservationKind::OpeningUnanswered => {
-                self.silent_openings += 1;
-                self.on_told_silence(now, note.observed_at, turn_ms);
+                self.unanswered_openings += 1;
+                self.on_peer_unanswered(now, note.observed_at, turn_ms);
             }
             ObservationKind::DataUnanswered => {
-                self.lost_flows += 1;
-                self.on_told_silence(now, note.observed_at, turn_ms);
+                self.unanswered_flows += 1;
+                self.on_peer_unanswered(now, note.observed_at, turn_ms);
             }
-            ObservationKind::Ejected => drop(self.confirm(now, turn_ms)),
+            ObservationKind::Ejected => drop(self.eject_if_due(now, turn_ms)),
         }
     }
 
-    fn on_told_silence(&mut self, now: ClockTime, at: ClockTime, turn_ms: u64) {
+    fn on_peer_unanswered(&mut self, now: ClockTime, at: ClockTime, turn_ms: u64) {
         self.unanswered_since = Some(self.unanswered_since.map_or(at, |known| known.min(at)));
-        self.evidence_at = self.evidence_at.max(at);
-        self.confirm(now, turn_ms);
+        self.last_unanswered_at = self.last_unanswered_at.max(at);
+        self.eject_if_due(now, turn_ms);
     }
 
     fn eject(&mut self, now: ClockTime, turn_ms: u64) {
-        let doubled = FIRST_EJECTION_MS << self.ejections.min(8);
-        self.ejections += 1;
-        self.trials_from = now.after_millis(doubled.min(LONGEST_EJECTION_MS));
-        self.ejected_until = self.trials_from.after_millis(turn_ms);
+        let doubled = MIN_EJECTION_MS << self.ejection_count.min(8);
+        self.ejection_count += 1;
+        self.first_trial_at = now.after_millis(doubled.min(MAX_EJECTION_MS));
+        self.own_trial_at = self.first_trial_at.after_millis(turn_ms);
     }
 }
--- a/crates/foxledge-flows/src/list.rs
+++ b/crates/foxledge-flows/src/list.rs
@@ -11,8 +11,8 @@
 
 use crate::{
     list_rows::{
-        evacuation, is_of_config, is_of_own_item, is_removed, item_row_key, newest_of_each, placed,
-        removal, retirement, vanished_number, with_open_flows,
+        evacuation_row, invalid_entry_row, is_config_row, is_item_row, is_removed, item_row_key,
+        keep_known_backend, newest_by_key, removal_row, removed_backend_number, with_positions,
     },
     revisions::epoch_of,
     rows::{
@@ -22,110 +22,113 @@
     source::{ConfigReading, ItemChange, ListReading},
 };
 
-/// How long a removed row stays known, in milliseconds.
+/// The time, in milliseconds, for which a removed row is kept.
 ///
-/// A removed backend server keeps its open flows for as long as a flow may last
-/// (60 s on the users' platform), and an instance that was cut off for less than
-/// this catches up by changes instead of by a whole copy.
-const REMOVED_KEPT_MS: u64 = 90_000;
+/// A removed backend server keeps its open flows for as long as a flow may last, 60 s on the users'
+/// platform. An instance that was partitioned for a shorter time than this catches up by changes
+/// instead of a full transfer.
+const REMOVED_ROW_TTL_MS: u64 = 90_000;
 
-/// Most gaps that are remembered; of older ones the changes are told no longer.
-const MOST_GAPS: usize = 8;
+/// The maximum number of remembered gaps. The changes before older gaps are no longer available.
+const MAX_GAPS: usize = 8;
 
-/// `ChangeCoverage` is how a list can tell the changes since a revision.
+/// Whether the changes since a revision are available from a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeCoverage {
-    /// Every change.
+    /// Every change is available.
     Complete,
-    /// What differs, but for what came and went within a gap.
+    /// The differences are available, except for rows that were both added and removed within a
+    /// gap.
     AcrossGap,
-    /// Not at all: a whole copy is needed.
+    /// The changes aren't available, and a full transfer is needed.
     Unavailable,
 }
 
-/// `ListCursor` is a place in the order of changes.
+/// A position in the order of changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ListCursor {
-    /// Revision of the last row before the place.
+    /// The revision of the last row before the position.
     pub revision: u64,
-    /// Its key; empty for a place after all rows of lower revisions.
+    /// The key of that row; empty for a position after all rows of lower revisions.
     pub key: Arc<str>,
 }
 
 impl ListCursor {
-    /// The place after every row of `revision`.
+    /// Returns the position after every row of `revision`.
     pub fn after_revision(revision: u64) -> ListCursor {
-        // No key sorts behind this one, as keys are ASCII.
+        // Every key sorts before this one, as keys are ASCII.
         ListCursor { revision, key: Arc::from("\u{10ffff}") }
     }
 
-    /// The place before every row.
+    /// Returns the position before every row.
     pub fn start() -> ListCursor {
         ListCursor { revision: 0, key: Arc::from("") }
     }
 }
 
-/// `ListPage` is some rows in the order of changes.
+/// A range of rows in the order of changes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ListPage {
     /// The rows.
     pub rows: Vec<ListRow>,
-    /// Where the next page begins; none after the last.
+    /// The position at which the next page begins; `None` after the last page.
     pub next: Option<ListCursor>,
 }
 
-/// `ListGap` is a span of revisions in which rows may have come and gone unseen, as the list
-/// was read whole at its end.
+/// A span of revisions in which rows may have been added and removed unnoticed, as the whole list
+/// was read at its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ListGap {
-    /// Revision up to which the list was known in full before.
+    /// The revision up to which the list was complete before.
     after: u64,
-    /// Revision of the whole reading.
+    /// The revision of the whole reading.
     until: u64,
 }
 
 impl ListGap {
-    /// True when an instance that knows the list up to `revision` may know rows that came
-    /// within the gap.
-    fn holds(&self, revision: u64) -> bool {
+    /// Returns true if an instance that knows the list up to `revision` may know rows that were
+    /// added within the gap.
+    fn contains(&self, revision: u64) -> bool {
         self.after < revision && revision < self.until
     }
 }
 
-/// `FleetList` is every published row, known in full up to one revision.
+/// All published rows, complete up to one revision.
 ///
-/// The revision never falls within a process: rows of an older revision than
-/// the known one are passed over, whoever brings them.
+/// The revision never decreases within a process: rows of an older revision than the known one are
+/// ignored, whatever their source.
 #[derive(Clone, Debug, Default)]
 pub struct FleetList {
     rows: HashMap<Arc<str>, ListRow>,
-    order: BTreeSet<(u64, Arc<str>)>,
-    removed: HashMap<Arc<str>, ClockTime>,
+    by_revision: BTreeSet<(u64, Arc<str>)>,
+    removal_times: HashMap<Arc<str>, ClockTime>,
     head: u64,
     floor: u64,
-    /// The oldest first; none reaches below the floor.
+    /// The gaps, oldest first; none reaches below the floor.
     gaps: Vec<ListGap>,
 }
 
 impl FleetList {
-    /// Makes an empty list, older than every published one.
+    /// Creates an empty list, which is older than every published one.
     pub fn new() -> FleetList {
         FleetList::default()
     }
 
-    /// The revision up to which the list is known in full; 0 before the first.
+    /// Returns the revision up to which the list is complete; 0 for an empty list.
     pub fn head(&self) -> u64 {
         self.head
     }
 
-    /// Changes can be told after this revision and every later one.
+    /// Returns the lowest revision such that all changes after it, and after every later one, are
+    /// available.
     pub fn floor(&self) -> u64 {
         self.gaps.last().map_or(self.floor, |gap| gap.until.max(self.floor))
     }
 
-    /// How the changes after `revision` can be told to an instance that knows the list up to it.
+    /// Returns whether the changes since `revision` are available to an instance that knows the
+    /// list up to it.
     pub fn coverage_since(&self, revision: u64) -> ChangeCoverage {
-        if revision < self.floor || self.gaps.iter().any(|gap| gap.holds(revision)) {
+        if revision < self.floor || self.gaps.iter().any(|gap| gap.contains(revision)) {
             return ChangeCoverage::Unavailable;
         }
         match self.gaps.iter().any(|gap| revision <= gap.after) {
@@ -134,49 +137,49 @@
         }
     }
 
-    /// True when rows are known that changed after the revision up to which all are.
+    /// Returns true if rows newer than the head are known.
     ///
-    /// Pages of a whole reading are no snapshot: the later ones may hold newer rows.
+    /// The pages of a whole reading aren't a snapshot: later pages may contain newer rows.
     pub fn has_rows_past_head(&self) -> bool {
-        self.order.last().is_some_and(|(revision, _)| *revision > self.head)
+        self.by_revision.last().is_some_and(|(revision, _)| *revision > self.head)
     }
 
-    /// The operators' version of the routes; 0 while none is known.
+    /// Returns the operators' version of the routes; 0 while none is known.
     pub fn version(&self) -> u64 {
         self.rows.get(LIMITS_KEY).and_then(ListRow::config_version).unwrap_or(0)
     }
 
-    /// True when routes are known, so that flows can be placed.
+    /// Returns true if routes are known, so that flows can be placed.
     pub fn has_routes(&self) -> bool {
         self.contains(LIMITS_KEY)
     }
 
-    /// Number of rows, removed ones included.
+    /// Returns the number of rows, including removed ones.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// True when nothing is known.
+    /// Returns true if no rows are known.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// Every row, in no order.
+    /// Returns an iterator over all rows in no particular order.
     pub fn rows(&self) -> impl Iterator<Item = &ListRow> {
         self.rows.values()
     }
 
-    /// Takes what changed up to `head`; returns the rows that were new here.
+    /// Applies the changes up to `head`. Returns the rows that were new to this list.
     pub fn apply_changes(&mut self, now: ClockTime, rows: Vec<ListRow>, head: u64) -> Vec<ListRow> {
         let known = self.head;
         let news: Vec<_> = rows.into_iter().filter(|row| row.revision > known).collect();
-        let taken = news.into_iter().filter_map(|row| self.put(now, row)).collect();
+        let taken = news.into_iter().filter_map(|row| self.insert_row(now, row)).collect();
         self.head = self.head.max(head);
         taken
     }
 
-    /// Takes what changed up to `head`, as told over a gap by an instance that read the list
-    /// whole; returns the rows that were new here.
+    /// Applies the changes up to `head` from an instance that read the whole list, across the
+    /// resulting gap. Returns the rows that were new to this list.
     pub fn apply_changes_across_gap(
         &mut self,
         now: ClockTime,
@@ -185,14 +188,14 @@
     ) -> Vec<ListRow> {
         let former = self.head;
         let taken = self.apply_changes(now, rows, head);
-        self.note_gap(former);
+        self.record_gap(former);
         taken
     }
 
-    /// Takes a whole copy; rows that it lacks are gone.
+    /// Applies a full transfer and removes rows that it lacks.
     ///
-    /// A copy that isn't newer than what is known is passed over. `floor` is that of whoever
-    /// made the copy.
+    /// A snapshot that isn't newer than this list is ignored. `floor` is the floor of the sender's
+    /// list.
     pub fn apply_snapshot(
         &mut self,
         now: ClockTime,
@@ -203,31 +206,34 @@
         if head <= self.head {
             return Vec::new();
         }
-        let rows = newest_of_each(rows);
+        let rows = newest_by_key(rows);
         let listed: BTreeSet<&str> = rows.iter().map(|row| row.key.as_str()).collect();
         let gone: Vec<_> = self
             .rows
             .values()
             .filter(|row| !is_removed(row) && row.revision <= head)
             .filter(|row| !listed.contains(row.key.as_str()))
-            .map(|row| removal(row, head))
+            .map(|row| removal_row(row, head))
             .collect();
-        let rows: Vec<_> = rows.into_iter().map(|row| self.overriding(row, head)).collect();
-        let mut taken: Vec<_> = rows.into_iter().filter_map(|row| self.put(now, row)).collect();
-        taken.extend(gone.into_iter().filter_map(|row| self.put(now, row)));
+        let rows: Vec<_> =
+            rows.into_iter().map(|row| self.with_effective_revision(row, head)).collect();
+        let mut taken: Vec<_> =
+            rows.into_iter().filter_map(|row| self.insert_row(now, row)).collect();
+        taken.extend(gone.into_iter().filter_map(|row| self.insert_row(now, row)));
         self.head = head;
         self.raise_floor(floor);
         taken
     }
 
-    /// Turns a whole reading of the store into rows and takes them.
+    /// Converts a whole reading of the store into rows and applies them.
     pub fn apply_reading(&mut self, now: ClockTime, reading: ListReading) -> Vec<ListRow> {
         if reading.head < self.head {
             return Vec::new();
         }
         let head = reading.head;
         let listed: BTreeSet<String> = reading.items.iter().filter_map(item_row_key).collect();
-        // Without a list of the operators the known one stays, unless a restored store lost it.
+        // If the reading lacks the operators' list, the known one stays, unless a restored store
+        // lost it.
         let is_config = |item: &ItemChange| matches!(item, ItemChange::Config { .. });
         let has_lost_config =
             epoch_of(head) > epoch_of(self.head) && !reading.items.iter().any(is_config);
@@ -235,63 +241,65 @@
         let gone: Vec<_> = self
             .rows
             .values()
-            .filter(|row| is_of_own_item(row) || is_lost(row) && !is_removed(row))
+            .filter(|row| is_item_row(row) || is_lost(row) && !is_removed(row))
             .filter(|row| row.revision <= head && !listed.contains(&row.key))
-            .map(|row| removal(row, head))
+            .map(|row| removal_row(row, head))
             .collect();
-        let mut taken = self.put_items(now, reading.items);
-        taken.extend(gone.into_iter().filter_map(|row| self.put(now, row)));
+        let mut taken = self.apply_items(now, reading.items);
+        taken.extend(gone.into_iter().filter_map(|row| self.insert_row(now, row)));
         let former = std::mem::replace(&mut self.head, head);
-        // What came and went since this list was last complete isn't in the
-        // reading. An instance that knows the list up to a revision in between may
-        // know it, and would keep it for ever if it were given only the changes known here.
-        self.note_gap(former);
+        // Rows that were added and removed since this list was last complete aren't in the reading.
+        // An instance that knows the list up to a revision in between may know such a row, and
+        // would keep it for ever if it got only the changes known here.
+        self.record_gap(former);
         taken
     }
 
-    /// Turns a part of a reading into rows and takes none of them.
+    /// Converts a part of a reading into rows without applying them.
     pub fn partial_rows(&self, items: Vec<ItemChange>) -> Vec<ListRow> {
-        items.into_iter().flat_map(|item| self.rows_of(item)).collect()
+        items.into_iter().flat_map(|item| self.rows_from_item(item)).collect()
     }
 
-    /// True when a row of this key is in the list and not gone.
+    /// Returns true if the list contains a row with this key that isn't removed.
     pub fn contains(&self, key: &str) -> bool {
         self.rows.get(key).is_some_and(|row| !is_removed(row))
     }
 
-    /// Turns changes of the store into rows and takes them.
+    /// Converts changes from the store into rows and applies them.
     pub fn apply_watch(&mut self, now: ClockTime, reading: ListReading) -> Vec<ListRow> {
         let known = self.head;
         let is_news = |item: &ItemChange| item.revision() > known;
         let news = reading.items.into_iter().filter(is_news).collect();
-        let taken = self.put_items(now, news);
+        let taken = self.apply_items(now, news);
         self.head = self.head.max(reading.head);
         taken
     }
 
-    /// Backend servers that are gone and still remembered, of the numbers that are meant.
+    /// Returns the remembered removed backend servers whose number satisfies `is_meant`.
     pub fn removed_backends(&self, now: ClockTime, is_meant: impl Fn(u64) -> bool) -> Vec<ListRow> {
-        let known = self.removed.keys().filter_map(|key| self.rows.get(key));
-        let meant = known.filter(|row| vanished_number(row).is_some_and(&is_meant));
-        let mut rows: Vec<_> = meant.map(|row| self.aged(now, row)).collect();
+        let known = self.removal_times.keys().filter_map(|key| self.rows.get(key));
+        let meant = known.filter(|row| removed_backend_number(row).is_some_and(&is_meant));
+        let mut rows: Vec<_> = meant.map(|row| self.with_age(now, row)).collect();
         rows.sort_unstable_by(|one, other| one.key.cmp(&other.key));
         rows
     }
 
-    /// Takes backend servers that were gone before this list knew them; returns those. What the
-    /// list says of a key stands: an older word of it mustn't come back.
+    /// Adds backend servers that were removed before this list knew them, and returns those. Keys
+    /// that the list knows are skipped, so that older rows don't override them.
     pub fn apply_removed_backends(&mut self, now: ClockTime, rows: Vec<ListRow>) -> Vec<ListRow> {
-        let news = rows.into_iter().filter(|row| vanished_number(row).is_some());
+        let news = rows.into_iter().filter(|row| removed_backend_number(row).is_some());
         let news: Vec<_> = news.filter(|row| !self.rows.contains_key(row.key.as_str())).collect();
-        news.into_iter().filter_map(|row| self.put(now, row)).collect()
+        news.into_iter().filter_map(|row| self.insert_row(now, row)).collect()
     }
 
-    /// Rows after a cursor, in order of changes, up to `budget` encoded bytes but one at least.
+    /// Returns the rows after a cursor in the order of changes, up to `budget` encoded bytes but at
+    /// least one.
     pub fn page(&self, now: ClockTime, cursor: &ListCursor, budget: usize) -> ListPage {
-        self.page_with_size(now, cursor, budget, |row| row.encoded_len() + ROW_FRAME)
+        self.page_with_size(now, cursor, budget, |row| row.encoded_len() + ROW_FRAME_BYTES)
     }
 
-    /// The same, with the bytes that each row adds told by `size_of`, in the order of rows.
+    /// Works like [`FleetList::page`], with `size_of` returning the bytes that each row adds; it is
+    /// called in the order of the rows.
     pub fn page_with_size(
         &self,
         now: ClockTime,
@@ -302,9 +310,9 @@
         let from = (cursor.revision, cursor.key.clone());
         let mut page = ListPage::default();
         let mut size = 0;
-        for (revision, key) in self.order.range((Bound::Excluded(from), Bound::Unbounded)) {
+        for (revision, key) in self.by_revision.range((Bound::Excluded(from), Bound::Unbounded)) {
             let Some(row) = self.rows.get(key) else { continue };
-            let row = self.aged(now, row);
+            let row = self.with_age(now, row);
             size += size_of(&row);
             if size > budget && !page.rows.is_empty() {
                 let last = page.rows.last().map(|row| row.key.as_str()).unwrap_or_default();
@@ -317,31 +325,31 @@
         page
     }
 
-    /// Forgets removals that are older than any open flow.
+    /// Drops removed rows that are older than any open flow.
     pub fn remove_expired(&mut self, now: ClockTime) {
         let old: Vec<_> = self
-            .removed
+            .removal_times
             .iter()
-            .filter(|(_, at)| at.after_millis(REMOVED_KEPT_MS).is_past(now))
+            .filter(|(_, at)| at.after_millis(REMOVED_ROW_TTL_MS).is_past(now))
             .map(|(key, _)| key.clone())
             .collect();
         for key in old {
-            self.removed.remove(&key);
+            self.removal_times.remove(&key);
             let Some(row) = self.rows.remove(&key) else { continue };
-            self.order.remove(&(row.revision, key));
+            self.by_revision.remove(&(row.revision, key));
             self.raise_floor(row.revision);
         }
     }
 
-    /// Notes that the list was known in full up to `former`, and is again up to its head.
-    fn note_gap(&mut self, former: u64) {
+    /// Records a gap: the list was complete up to `former` and is again up to its head.
+    fn record_gap(&mut self, former: u64) {
         if former == 0 || epoch_of(former) < epoch_of(self.head) {
             return self.raise_floor(self.head);
         }
         if former < self.head {
             self.gaps.push(ListGap { after: former, until: self.head });
         }
-        if self.gaps.len() > MOST_GAPS {
+        if self.gaps.len() > MAX_GAPS {
             let oldest = self.gaps.remove(0);
             self.raise_floor(oldest.until);
         }
@@ -353,12 +361,12 @@
         self.gaps.retain(|gap| gap.until > floor);
     }
 
-    /// A row of a copy of revision `head`, under a revision at which it counts.
+    /// Returns a row of a snapshot of revision `head`, with a revision at which it takes effect.
     ///
-    /// Who reads a whole list doesn't see a route that went and came back: its row is
-    /// as old as the route. An instance that saw it go knows a newer row, and yet the
-    /// copy is right, as it is newer as a whole.
-    fn overriding(&self, mut row: ListRow, head: u64) -> ListRow {
+    /// A reader of the whole list doesn't see that a route was removed and restored: the route's
+    /// row is as old as the route. An instance that saw the removal knows a newer row, and yet the
+    /// snapshot is right, as it is newer as a whole.
+    fn with_effective_revision(&self, mut row: ListRow, head: u64) -> ListRow {
         let Some(known) = self.rows.get(row.key.as_str()) else { return row };
         let is_passed_over = known.revision >= row.revision && known.revision < head;
         let are_removed = is_removed(known) && is_removed(&row);
@@ -368,21 +376,21 @@
         row
     }
 
-    /// Takes items one after the other.
+    /// Applies items one after the other.
     ///
-    /// One answer may hold several lists. Each is compared with the one before it: a
-    /// route that goes and comes back within one answer would else stay gone, as it
-    /// comes back just as it had been known.
-    fn put_items(&mut self, now: ClockTime, items: Vec<ItemChange>) -> Vec<ListRow> {
+    /// One response of the store may contain several versions of the operators' list. Each is
+    /// compared with the one before it: otherwise a route that is removed and restored within one
+    /// response would stay removed, as it returns just as it was known before.
+    fn apply_items(&mut self, now: ClockTime, items: Vec<ItemChange>) -> Vec<ListRow> {
         let mut taken = Vec::new();
         for item in items {
-            let rows = self.rows_of(item);
-            taken.extend(rows.into_iter().filter_map(|row| self.put(now, row)));
+            let rows = self.rows_from_item(item);
+            taken.extend(rows.into_iter().filter_map(|row| self.insert_row(now, row)));
         }
         taken
     }
 
-    fn rows_of(&self, item: ItemChange) -> Vec<ListRow> {
+    fn rows_from_item(&self, item: ItemChange) -> Vec<ListRow> {
         match item {
             ItemChange::Config { revision, config } => self.config_rows(revision, config),
             ItemChange::Backend { revision, id, backend } => vec![ListRow {
@@ -390,36 +398,37 @@
                 revision,
                 value: Some(RowValue::Backend(backend)),
             }],
-            ItemChange::BackendRemoved { revision, id } => self.gone(&backend_key(&id), revision),
+            ItemChange::BackendRemoved { revision, id } => {
+                self.removal_rows(&backend_key(&id), revision)
+            }
             ItemChange::EvacuationBegun { revision, data_centre } => {
-                vec![evacuation(revision, data_centre)]
+                vec![evacuation_row(revision, data_centre)]
             }
             ItemChange::EvacuationEnded { revision, data_centre } => {
-                self.gone(&evacuation_key(&data_centre), revision)
+                self.removal_rows(&evacuation_key(&data_centre), revision)
             }
             ItemChange::BackendInvalid { revision, id, .. } => {
-                vec![retirement(backend_key(&id), revision)]
+                vec![invalid_entry_row(backend_key(&id), revision)]
             }
             ItemChange::Malformed { .. } => Vec::new(),
         }
     }
 
-    /// The row of something that is gone, if it was known.
-    fn gone(&self, key: &str, revision: u64) -> Vec<ListRow> {
+    /// Returns the removal of a row if the row is known.
+    fn removal_rows(&self, key: &str, revision: u64) -> Vec<ListRow> {
         let known = self.rows.get(key);
-        known.map(|row| removal(row, revision)).into_iter().collect()
+        known.map(|row| removal_row(row, revision)).into_iter().collect()
     }
 
-    /// The rows that differ from the operators' list in force.
+    /// Returns the rows that differ from the operators' list in force.
     ///
-    /// A row that didn't change keeps its revision, so that instances pass on
-    /// one row for one changed route. At 350 routes that is some 60 bytes in
-    /// place of 20 KB.
+    /// An unchanged row keeps its revision, so that instances pass on one row for one changed
+    /// route. At 350 routes that is about 60 bytes instead of 20 KB.
     fn config_rows(&self, revision: u64, config: ConfigReading) -> Vec<ListRow> {
         let mut listed = BTreeSet::new();
         let mut rows = Vec::new();
         let limits = (LIMITS_KEY.to_owned(), RowValue::Limits(config.limits));
-        let routes = placed(config.routes)
+        let routes = with_positions(config.routes)
             .into_iter()
             .map(|route| (route_key(&route.name), RowValue::Route(route)));
         let services = config.services.into_iter().map(|service| {
@@ -440,48 +449,48 @@
         let gone = self
             .rows
             .values()
-            .filter(|row| is_of_config(row))
+            .filter(|row| is_config_row(row))
             .filter(|row| row.revision < revision && !listed.contains(&row.key))
-            .map(|row| removal(row, revision));
+            .map(|row| removal_row(row, revision));
         rows.extend(gone);
         rows
     }
 
-    /// Puts a row in place unless a newer one is known.
-    fn put(&mut self, now: ClockTime, mut row: ListRow) -> Option<ListRow> {
+    /// Inserts a row unless a newer one is known.
+    fn insert_row(&mut self, now: ClockTime, mut row: ListRow) -> Option<ListRow> {
         let key: Arc<str> = Arc::from(row.key.as_str());
         if let Some(known) = self.rows.get(&key) {
             if known.revision >= row.revision {
                 return None;
             }
-            row = with_open_flows(known, row);
-            self.order.remove(&(known.revision, key.clone()));
+            row = keep_known_backend(known, row);
+            self.by_revision.remove(&(known.revision, key.clone()));
         }
         match &row.value {
             Some(RowValue::Removed(removed)) => {
                 let age = u64::from(removed.age_ms) * 1_000;
                 let at = ClockTime::from_micros(now.as_micros().saturating_sub(age));
-                self.removed.insert(key.clone(), at);
+                self.removal_times.insert(key.clone(), at);
             }
             _ => {
-                self.removed.remove(&key);
+                self.removal_times.remove(&key);
             }
         }
-        self.order.insert((row.revision, key.clone()));
+        self.by_revision.insert((row.revision, key.clone()));
         self.rows.insert(key, row.clone());
         Some(row)
     }
 
-    /// The row with the time since its removal, as it is sent.
-    fn aged(&self, now: ClockTime, row: &ListRow) -> ListRow {
+    /// Returns the row as it is sent, with the time since its removal.
+    fn with_age(&self, now: ClockTime, row: &ListRow) -> ListRow {
         let mut row = row.clone();
         if let Some(RowValue::Removed(removed)) = &mut row.value {
-            let at = self.removed.get(row.key.as_str()).copied().unwrap_or(now);
+            let at = self.removal_times.get(row.key.as_str()).copied().unwrap_or(now);
             removed.age_ms = u32::try_from(now.since(at).as_millis()).unwrap_or(u32::MAX);
         }
         row
     }
 }
 
-/// Bytes that a row takes in a message beside its own: a tag and a length.
-const ROW_FRAME: usize = 4;
+/// The bytes that a row adds to a message besides its own: a tag and a length.
+const ROW_FRAME_BYTES: usize = 4;
--- a/crates/foxledge-flows/src/list_rows.rs
+++ b/crates/foxledge-flows/src/list_rows.rs
@@ -1,4 +1,4 @@
-//! Rows as a list makes them from what it reads.
+//! Construction of list rows from items of the store.
 
 use std::collections::HashMap;
 
@@ -10,11 +10,11 @@
     source::ItemChange,
 };
 
-/// Gives each route its place among those of the same address, in the operators' order.
+/// Assigns each route its position among the routes of the same address, in the operators' order.
 ///
-/// A place among all routes would change for most of them with every route that
-/// comes or goes: of 1,400 routes some 1,000 rows were sent for each such change.
-pub(crate) fn placed(mut routes: Vec<RouteRow>) -> Vec<RouteRow> {
+/// A position among all routes would change for most routes whenever one is added or removed: with
+/// 1,400 routes, about 1,000 rows were sent for each such change.
+pub(crate) fn with_positions(mut routes: Vec<RouteRow>) -> Vec<RouteRow> {
     let mut counts: HashMap<(u32, u32), u32> = HashMap::new();
     for route in &mut routes {
         let count = counts.entry((route.ip, route.port)).or_default();
@@ -24,9 +24,9 @@
     routes
 }
 
-/// Each row once, the newest: one that changed while a copy was sent page by page is
-/// in it as it was and as it is.
-pub(crate) fn newest_of_each(rows: Vec<ListRow>) -> Vec<ListRow> {
+/// Returns the newest row of each key. A row that changed during a paged transfer is contained in
+/// it both as it was and as it is.
+pub(crate) fn newest_by_key(rows: Vec<ListRow>) -> Vec<ListRow> {
     let mut newest: HashMap<String, ListRow> = HashMap::new();
     for row in rows {
         match newest.get(&row.key) {
@@ -37,7 +37,8 @@
     newest.into_values().collect()
 }
 
-/// The key of the row of an item of its own, and none for the operators' list, which makes many.
+/// Returns the key of an item's row, or `None` for the operators' list, which yields many rows, and
+/// for removals.
 pub(crate) fn item_row_key(item: &ItemChange) -> Option<String> {
     match item {
         ItemChange::Backend { id, .. } => Some(backend_key(id)),
@@ -50,8 +51,9 @@
     }
 }
 
-/// True for rows that a whole reading names if they are in force.
-pub(crate) fn is_of_own_item(row: &ListRow) -> bool {
+/// Returns true for rows that a whole reading contains as items of their own while they are in
+/// force.
+pub(crate) fn is_item_row(row: &ListRow) -> bool {
     match &row.value {
         Some(RowValue::Backend(_)) => true,
         Some(RowValue::Extension(row)) => {
@@ -61,8 +63,9 @@
     }
 }
 
-/// True for rows that the operators' list makes; limits stay until there are others.
-pub(crate) fn is_of_config(row: &ListRow) -> bool {
+/// Returns true for rows that are part of the operators' list. Limits aren't among them, as they
+/// stay until they are replaced.
+pub(crate) fn is_config_row(row: &ListRow) -> bool {
     match &row.value {
         Some(RowValue::Route(_)) => true,
         Some(RowValue::Extension(row)) => matches!(row.decode(), Some(ExtensionValue::Service(_))),
@@ -70,15 +73,15 @@
     }
 }
 
-/// The row of a data centre that is to be evacuated.
-pub(crate) fn evacuation(revision: u64, data_centre: String) -> ListRow {
+/// Returns the row of a data centre that is evacuated.
+pub(crate) fn evacuation_row(revision: u64, data_centre: String) -> ListRow {
     let key = evacuation_key(&data_centre);
     let value = ExtensionValue::Evacuation(EvacuationRow { data_centre });
     ListRow { key, revision, value: Some(RowValue::from_extension(&value)) }
 }
 
-/// The number of a backend server that is gone.
-pub(crate) fn vanished_number(row: &ListRow) -> Option<u64> {
+/// Returns the number of a removed backend server.
+pub(crate) fn removed_backend_number(row: &ListRow) -> Option<u64> {
     match &row.value {
         Some(RowValue::Removed(removed)) => Some(removed.backend.as_ref()?.number),
         _ => None,
@@ -89,16 +92,16 @@
     matches!(row.value, Some(RowValue::Removed(_)) | None)
 }
 
-/// The row of an entry that can't be understood. It names nobody, and is a row also where
-/// no good entry was known: an instance that has its list from here may know one.
-pub(crate) fn retirement(key: String, revision: u64) -> ListRow {
+/// Returns the row of an entry that can't be decoded. It names no backend server. It is added even
+/// if no valid entry was known, as an instance that gets its list from this one may know one.
+pub(crate) fn invalid_entry_row(key: String, revision: u64) -> ListRow {
     let removed = RemovedRow { backend: None, age_ms: 0 };
     ListRow { key, revision, value: Some(RowValue::Removed(removed)) }
 }
 
-/// Keeps the known backend server in the row of an entry that can't be understood any
-/// more: its open flows go on, and it gets no new ones.
-pub(crate) fn with_open_flows(known: &ListRow, mut row: ListRow) -> ListRow {
+/// Keeps the known backend server in the row of an entry that can no longer be decoded: its open
+/// flows continue, and it gets no new ones.
+pub(crate) fn keep_known_backend(known: &ListRow, mut row: ListRow) -> ListRow {
     let backend = match &known.value {
         Some(RowValue::Backend(backend)) => backend,
         Some(RowValue::Removed(RemovedRow { backend: Some(backend), .. })) => backend,
@@ -110,7 +113,7 @@
     row
 }
 
-pub(crate) fn removal(row: &ListRow, revision: u64) -> ListRow {
+pub(crate) fn removal_row(row: &ListRow, revision: u64) -> ListRow {
     let backend = match &row.value {
         Some(RowValue::Backend(backend)) => Some(backend.clone()),
         Some(RowValue::Removed(removed)) => removed.backend.clone(),
--- a/crates/foxledge-flows/src/list_updates.rs
+++ b/crates/foxledge-flows/src/list_updates.rs
@@ -1,4 +1,4 @@
-//! What a router learns of the list, the store and the fleet.
+//! Updates of a router's knowledge of the list, the store and the fleet.
 
 use std::{collections::HashMap, net::SocketAddrV4};
 
@@ -16,7 +16,7 @@
 };
 
 impl FlowRouter {
-    /// Takes rows of the list.
+    /// Applies rows of the list.
     pub fn apply_rows(&mut self, now: ClockTime, rows: &[ListRow]) {
         for row in rows {
             if let Some(RowValue::Limits(limits)) = &row.value {
@@ -25,105 +25,104 @@
             self.routes.apply_row(row);
             self.services.apply_row(row);
             if let Some(news) = self.evacuations.apply_row(now, row) {
-                self.note_evacuation(now, news);
+                self.apply_evacuation(now, news);
             }
             if let Some(news) = self.backends.apply_row(now, row) {
-                self.take_news(news);
+                self.record_backend_event(news);
             }
         }
         self.backends.remove_expired(now);
         self.load.invalidate_slots();
     }
 
-    /// Takes rows of a list of a newer epoch: the store came back from an older copy, and what
-    /// it lost is written again.
+    /// Applies rows of a list of a newer epoch: the store was restored from an older backup, and
+    /// what it lost will be written again.
     pub fn apply_restored_rows(&mut self, now: ClockTime, rows: &[ListRow]) {
-        self.note_gap(self.confirmed_at.unwrap_or(now), now);
+        self.record_confirmation_gap(self.confirmed_at.unwrap_or(now), now);
         let until = now.after_millis(REMOVAL_GRACE_MS);
         let is_other = |row: &&ListRow| !self.evacuations.defer_row(until, row);
         let others: Vec<_> = rows.iter().filter(is_other).cloned().collect();
         self.apply_rows(now, &others);
     }
 
-    /// What rows changed in what is believed of backend servers since the last call.
+    /// Returns the changes of backend servers' entries since the last call.
     pub fn drain_backend_events(&mut self) -> Vec<BackendEvent> {
         std::mem::take(&mut self.backend_events)
     }
 
-    /// What operators want of data centres that changed since the last call.
+    /// Returns the evacuations that began or ended since the last call.
     pub fn drain_evacuation_events(&mut self) -> Vec<EvacuationEvent> {
         std::mem::take(&mut self.evacuation_events)
     }
 
-    /// Every data centre that is evacuated, by name.
+    /// Returns an iterator over the evacuated data centres, ordered by name.
     pub fn evacuations(&self) -> impl Iterator<Item = (&CentreName, &Evacuation)> {
         self.evacuations.iter()
     }
 
-    /// Takes the other instances of the own data centre that are known, those that fell silent
-    /// lately included.
+    /// Sets the known other instances of the local data centre, including those that recently
+    /// became unresponsive.
     pub fn set_neighbours(&mut self, now: ClockTime, others: Vec<SocketAddrV4>) {
         self.centre_peers.set_peers(now, others);
     }
 
-    /// Sets the region of each data centre, as the settings changed.
+    /// Sets the region of each data centre after a change of the settings.
     pub fn set_regions(&mut self, regions: HashMap<CentreName, RegionName>) {
         self.options.regions = regions;
         self.load.invalidate_slots();
     }
 
-    /// True when a backend server takes new flows, for all that its entry and operators say.
+    /// Returns true if a backend server may get new flows according to its entry and the operators.
     pub fn accepts_new_flows(&self, now: ClockTime, backend: &Backend) -> bool {
         backend.accepts_new_flows(now, self.confirmed_at)
             && !self.evacuations.contains(&backend.data_centre)
     }
 
-    /// Notes when the store last confirmed that the list is the newest.
+    /// Records when the store last confirmed that the list is the newest.
     pub fn set_confirmed_at(&mut self, at: ClockTime) {
         if let Some(former) = self.confirmed_at.filter(|former| is_store_unreachable(*former, at)) {
-            self.note_gap(former, at);
+            self.record_confirmation_gap(former, at);
         }
         self.confirmed_at = Some(at);
         for news in self.evacuations.apply_deferred(at) {
-            self.note_evacuation(at, news);
+            self.apply_evacuation(at, news);
         }
         self.confirmed_since.get_or_insert(at);
         self.first_confirmed_at.get_or_insert(at);
         self.is_awaiting_confirmation = false;
     }
 
-    /// Notes that entries may have been lost between two moments, and are written again.
-    fn note_gap(&mut self, from: ClockTime, until: ClockTime) {
+    /// Records that entries may have been lost between two moments and will be written again.
+    fn record_confirmation_gap(&mut self, from: ClockTime, until: ClockTime) {
         self.backends.restart_grace(from, until);
         self.confirmed_since = None;
     }
 
-    /// Notes that this process stood still: until the next confirmation, and until all
-    /// that waited has been read ([`FlowRouter::check_overdue`]), nothing is refused, and
-    /// openings speak against no backend server.
+    /// Records that this process was paused. Until the next list confirmation, and until all
+    /// packets that arrived meanwhile have been read ([`FlowRouter::report_overdue_openings`]),
+    /// nothing is refused, and openings don't count against backend servers.
     ///
-    /// Opening packets that waited meanwhile are old. Their callers may have
-    /// opened the flow at another instance since, and would take the refusal for
-    /// the end of it.
+    /// Opening packets that waited meanwhile are old. Their callers may have opened the flow at
+    /// another instance since, and would take the refusal for the end of that flow.
     pub fn record_pause(&mut self) {
         self.is_awaiting_confirmation = true;
         self.is_catching_up = true;
-        // Signs of life came while this process stood still, and notes of them are gone.
+        // Responses came during the pause, and peers' observations of them are lost.
         self.backends.clear_unanswered();
     }
 
-    /// Sets how many other instances there are, as far as is known here.
+    /// Sets the number of other instances known here.
     pub fn set_peer_count(&mut self, others: usize) {
         if self.has_mechanism(RouterMechanism::TrialDelays) {
             self.trial_delays.set_peer_count(others);
         }
     }
 
-    /// Takes what operators want of a data centre.
+    /// Applies the begin or end of an evacuation.
     ///
-    /// Backend servers of one that was evacuated may be cold when it is taken back, and the
-    /// entries that say so may be heard of later than its end: until then they count as cold.
-    fn note_evacuation(&mut self, now: ClockTime, news: EvacuationEvent) {
+    /// Backend servers of a data centre may be cold when its evacuation ends, and the entries that
+    /// say so may arrive after the end: until then they count as cold.
+    fn apply_evacuation(&mut self, now: ClockTime, news: EvacuationEvent) {
         if let EvacuationChange::Ended { .. } = news.change {
             let services = &self.services;
             let warm_up_of = |service: &ServiceName| {
@@ -135,15 +134,16 @@
         self.load.invalidate_slots();
     }
 
-    fn take_news(&mut self, news: BackendEvent) {
+    fn record_backend_event(&mut self, news: BackendEvent) {
         if let BackendEvent::Restarted { index, .. } = news {
-            self.tracks.retire(index);
+            self.tracks.retire_backend(index);
             self.dead_backends.remove(index);
         }
         self.backend_events.push(news);
     }
 
-    /// True when nothing was heard of the store for longer than an instance in touch knows.
+    /// Returns true if the last list confirmation is older than an instance in contact with the
+    /// store ever sees.
     pub(crate) fn is_store_unreachable(&self, now: ClockTime) -> bool {
         self.confirmed_at.is_some_and(|at| is_store_unreachable(at, now))
     }
--- a/crates/foxledge-flows/src/observations.rs
+++ b/crates/foxledge-flows/src/observations.rs
@@ -1,7 +1,8 @@
-//! What packets of callers tell of backend servers, and what peers tell.
+//! Health observations from the packets of callers and from peers.
 //!
-//! Backend servers answer callers directly. An instance sees callers go on, fall silent
-//! or send again, and concludes.
+//! Backend servers respond to callers directly, so an instance sees no response. It sees whether
+//! callers continue, fall silent or retransmit, and derives the health of backend servers from
+//! that.
 
 use std::time::Duration;
 
@@ -13,16 +14,15 @@
     mechanisms::RouterMechanism,
     packet::{FlowKey, FlowPacket, PacketKind},
     router::FlowRouter,
-    tracks::{DataResend, RequestAnswer, ResendMeaning, TrackEvent},
+    tracks::{DataRetransmission, LossEvidence, RequestAnswer, TrackEvent},
 };
 
 impl FlowRouter {
-    /// Counts openings that have stayed unanswered against their backend servers.
+    /// Counts the openings that have stayed unanswered too long against their backend servers.
     ///
-    /// `read_at` is when the socket was seen to be empty, or earlier. After a
-    /// pause of this process, the packets by which callers went on wait in the
-    /// socket; an opening counted before they are read would speak against a
-    /// backend server that answered long ago.
+    /// `read_at` is a time at which the socket was empty, or an earlier one. After a pause of this
+    /// process the packets with which callers continued wait in the socket. An opening judged
+    /// before they are read would count against a backend server that responded long ago.
     pub fn report_overdue_openings(&mut self, read_at: ClockTime) {
         self.is_catching_up = false;
         while let Some(opening) = self.openings.next_overdue(read_at) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Takes what another instance observed of a backend server.
+    /// Applies another instance's observation of a backend server.
     pub fn apply_observation(&mut self, now: ClockTime, note: &HealthObservation) {
         if !self.has_mechanism(RouterMechanism::PeerObservations) {
             return;
@@ -44,7 +44,7 @@
         let Some(index) = self.backends.by_number(note.number) else { return };
         let turns = self.trial_delays;
         let Some(backend) = self.backends.get_mut(index) else { return };
-        // A peer that doesn't know of the new start yet saw the silence of the former.
+        // A peer that doesn't know the new start yet observed the previous process.
         if backend.incarnation != note.incarnation {
             return;
         }
@@ -54,18 +54,18 @@
         }
     }
 
-    /// What was observed of backend servers since the last call, for other instances.
+    /// Returns this instance's observations since the last call, to be sent to other instances.
     pub fn drain_observations(&mut self) -> Vec<HealthObservation> {
         std::mem::take(&mut self.observations)
     }
 
-    /// Times from requests to their answers seen since the last call.
+    /// Returns the response times observed since the last call.
     pub fn drain_latencies(&mut self) -> Vec<Duration> {
         std::mem::take(&mut self.latencies)
     }
 
-    /// Takes a packet into its flow's track, under the priority of its route; tells when the
-    /// caller waits in vain.
+    /// Records a packet in its flow's track, with the priority of its route. Returns a stall if the
+    /// caller retransmitted unanswered data.
     pub(crate) fn track_packet(
         &mut self,
         now: ClockTime,
@@ -77,12 +77,13 @@
             self.record_flow_end(now, index, was_running);
         }
         if matches!(packet.kind, PacketKind::Finish | PacketKind::Abort) {
-            // A caller that gives up acknowledges nothing by it, whatever its packet holds there.
-            // Taken for an answer, each caller that left a dead backend server would revive it.
+            // A caller that gives up acknowledges nothing with its abort, whatever the packet's
+            // field holds. Treated as a response, each caller that leaves a dead backend server
+            // would revive it.
             if packet.kind == PacketKind::Finish
-                && let TrackEvent::Answered(answer) = self.tracks.finish(now, packet)
+                && let TrackEvent::RequestAnswered(answer) = self.tracks.final_event(now, packet)
             {
-                self.answered(now, index, answer, priority);
+                self.record_answer(now, index, answer, priority);
             }
             self.end_track(now, &packet.key);
             return None;
@@ -90,7 +91,7 @@
         let before = self.tracks.len();
         let group = self.backends.get(index)?.group;
         let news = self.tracks.record_packet(now, packet, (index, group));
-        if matches!(news, TrackEvent::Asked | TrackEvent::AskedAgain(_)) {
+        if matches!(news, TrackEvent::RequestStarted | TrackEvent::NextRequestStarted(_)) {
             self.record_arrival(now, index, priority);
         }
         let backend = self.backends.get_mut(index)?;
@@ -98,53 +99,56 @@
             backend.open_flows += 1;
         }
         match news {
-            TrackEvent::Nothing => {}
-            TrackEvent::Asked => backend.running_requests += 1,
-            TrackEvent::AskedAgain(asked) => backend.health.on_answer_since(asked),
-            TrackEvent::Answered(answer) => {
+            TrackEvent::NoChange => {}
+            TrackEvent::RequestStarted => backend.running_requests += 1,
+            TrackEvent::NextRequestStarted(asked) => backend.health.on_answer_since(asked),
+            TrackEvent::RequestAnswered(answer) => {
                 backend.running_requests = backend.running_requests.saturating_sub(1);
-                self.answered(now, index, answer, priority);
+                self.record_answer(now, index, answer, priority);
+            }
+            TrackEvent::DataRetransmitted(resend) => {
+                return Some(self.record_stall(now, index, resend));
             }
-            TrackEvent::Resent(resend) => return Some(self.stalled(now, index, resend)),
         }
         None
     }
 
-    /// Takes data that stays unanswered as evidence against its backend server.
-    fn stalled(
+    /// Counts retransmitted data as evidence against its backend server.
+    fn record_stall(
         &mut self,
         now: ClockTime,
         index: usize,
-        DataResend { sent, copies, meaning }: DataResend,
+        DataRetransmission { sent_at: sent, retransmissions: copies, evidence: meaning }: DataRetransmission,
     ) -> FlowStall {
         self.counters.retransmitted_data += 1;
         let waited_ms = now.since(sent).as_millis() as u64;
-        // A copy that waited while this process stood still was sent nobody knows when; the
-        // first of them may not have been sent on before the last came.
-        let meaning = if self.is_catching_up { ResendMeaning::Doubt } else { meaning };
+        // It is unknown when retransmissions that are read after a pause were sent; the backend
+        // server may not have received the first transmission before the last one arrived.
+        let meaning = if self.is_catching_up { LossEvidence::Suspected } else { meaning };
         let witness = match meaning {
-            ResendMeaning::NewLoss if !self.is_lossy() => UnansweredPacket::Data,
+            LossEvidence::Confirmed if !self.is_lossy() => UnansweredPacket::Data,
             _ => UnansweredPacket::UncertainData,
         };
         self.observe_health(now, index, |health, turn_ms| match meaning {
-            ResendMeaning::Doubt => health.on_suspicion(now, sent, turn_ms),
+            LossEvidence::Suspected => health.on_suspicion(now, sent, turn_ms),
             _ => health.on_unanswered(now, sent, witness, turn_ms),
         });
         let health = self.backends.get(index).map(|backend| backend.health).unwrap_or_default();
-        let is_lost = meaning != ResendMeaning::Doubt;
+        let is_lost = meaning != LossEvidence::Suspected;
         FlowStall { waited_ms, retransmissions: copies, health: health.class(now), is_lost }
     }
 
-    /// True when packets are lost on all ways of this instance, so that silence tells little.
+    /// Returns true if packets are lost on all paths of this instance, so that missing responses
+    /// prove little.
     pub(crate) fn is_lossy(&self) -> bool {
         self.losses.is_lossy() && self.has_mechanism(RouterMechanism::LossDoubt)
     }
 
-    fn answered(
+    fn record_answer(
         &mut self,
         now: ClockTime,
         index: usize,
-        RequestAnswer { latency, copies }: RequestAnswer,
+        RequestAnswer { latency, retransmissions: copies }: RequestAnswer,
         priority: Option<u32>,
     ) {
         self.latencies.push(latency);
@@ -156,7 +160,7 @@
         self.record_alive(now, index);
     }
 
-    /// Takes a sign of life that this instance saw itself.
+    /// Records a response that this instance observed itself.
     pub(crate) fn record_alive(&mut self, now: ClockTime, index: usize) {
         if let Some(backend) = self.backends.get_mut(index) {
             backend.answered_at = Some(now);
@@ -168,7 +172,7 @@
     }
 
     pub(crate) fn end_track(&mut self, now: ClockTime, key: &FlowKey) {
-        if let Some((index, was_running)) = self.tracks.end(key) {
+        if let Some((index, was_running)) = self.tracks.remove(key) {
             self.record_flow_end(now, index, was_running);
         }
     }
@@ -181,8 +185,8 @@
         }
     }
 
-    /// Changes what is believed of a backend server, with this instance's turn to try it
-    /// again in milliseconds, and keeps the news for others.
+    /// Updates the health of a backend server by `observe`, which gets this instance's trial delay
+    /// in milliseconds, and queues the resulting observation for other instances.
     pub(crate) fn observe_health(
         &mut self,
         now: ClockTime,
--- a/crates/foxledge-flows/src/rows.rs
+++ b/crates/foxledge-flows/src/rows.rs
@@ -1,29 +1,28 @@
-//! Rows: what is published, cut into pieces that change one by one.
+//! Rows: published content in units that change independently.
 //!
-//! A list of routes may be a megabyte long and change thousands of times a day.
-//! Instances pass on only the rows that changed, each under the revision at
-//! which it did.
+//! A list of routes may take a megabyte and change thousands of times a day. Instances pass on only
+//! the rows that changed, each with the revision of its change.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use prost::{Message, Oneof};
 
-/// `ListRow` is one published row under its key.
+/// A published row with its key.
 #[derive(Clone, PartialEq, Message)]
 pub struct ListRow {
-    /// Unique in the list: a word for the kind and a name.
+    /// The key, unique in the list: the kind of the row and a name.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Revision at which the row last changed.
+    /// The revision at which the row last changed.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
-    /// What it says.
+    /// The content of the row.
     #[prost(oneof = "RowValue", tags = "3, 4, 5, 6, 7")]
     pub value: Option<RowValue>,
 }
 
 impl ListRow {
-    /// The operators' version, if the row tells it.
+    /// Returns the operators' version of the list if the row contains it.
     pub fn config_version(&self) -> Option<u64> {
         match &self.value {
             Some(RowValue::Limits(limits)) => Some(limits.version),
@@ -32,19 +31,19 @@
     }
 }
 
-/// `RowValue` is what a row says.
+/// The content of a row.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum RowValue {
-    /// A route: one when-then rule.
+    /// A route, one when-then rule.
     #[prost(message, tag = "3")]
     Route(RouteRow),
     /// A backend server.
     #[prost(message, tag = "4")]
     Backend(BackendRow),
-    /// Limits of the whole list.
+    /// The limits of the whole list.
     #[prost(message, tag = "5")]
     Limits(LimitsRow),
-    /// The row is gone.
+    /// The row was removed.
     #[prost(message, tag = "6")]
     Removed(RemovedRow),
     /// A row of a kind that not every build knows.
@@ -52,28 +51,28 @@
     Extension(ExtensionRow),
 }
 
-/// `ExtensionRow` is a row of a kind that not every build knows.
+/// A row of a kind that not every build knows.
 ///
-/// An instance hands its list on to others. While a fleet is replaced by a newer build, those of
-/// the older one must hand on rows that they don't understand as they got them. As a field of
-/// its own in the message, such a row would be dropped as it is decoded, and go on as one that
-/// says nothing under the right revision: newer instances would take it for true.
+/// Instances pass their list on to others. During an upgrade of the fleet, instances of the older
+/// build must pass on rows that they can't decode unchanged. As a separate field of the message,
+/// such a row would be dropped on decoding and passed on empty with the right revision, and newer
+/// instances would accept it.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ExtensionRow {
-    /// Of what kind; never used for two.
+    /// The kind; never reused for another one.
     #[prost(uint32, tag = "1")]
     pub kind: u32,
-    /// The message of that kind.
+    /// The encoded message of that kind.
     #[prost(bytes = "vec", tag = "2")]
     pub body: Vec<u8>,
 }
 
-/// `ExtensionValue` is what a row of a kind that this build knows says.
+/// The content of an extension row of a kind that this build knows.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ExtensionValue {
     /// A data centre is evacuated.
     Evacuation(EvacuationRow),
-    /// Limits of a service.
+    /// The limits of a service.
     Service(ServiceRow),
 }
 
@@ -81,7 +80,7 @@
 const SERVICE_KIND: u32 = 2;
 
 impl ExtensionRow {
-    /// What the row says; none for kinds that this build doesn't know.
+    /// Returns the content of the row, or `None` for a kind that this build doesn't know.
     pub fn decode(&self) -> Option<ExtensionValue> {
         match self.kind {
             EVACUATION_KIND => {
@@ -94,7 +93,7 @@
 }
 
 impl RowValue {
-    /// A row that says this.
+    /// Returns the row value with this content.
     pub fn from_extension(value: &ExtensionValue) -> RowValue {
         let (kind, body) = match value {
             ExtensionValue::Evacuation(row) => (EVACUATION_KIND, row.encode_to_vec()),
@@ -104,7 +103,7 @@
     }
 }
 
-/// `EvacuationRow` is the operators' wish that a data centre's backend servers get no new flows.
+/// The operators' request that a data centre's backend servers get no new flows.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct EvacuationRow {
     /// The data centre.
@@ -112,157 +111,159 @@
     pub data_centre: String,
 }
 
-/// `ServiceRow` is what holds for the backend servers of a service.
+/// The limits that apply to the backend servers of a service.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ServiceRow {
     /// The service.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// How long a backend server stays cold after its start, in milliseconds.
+    /// The warm-up time of a backend server after its start, in milliseconds.
     #[prost(uint32, tag = "2")]
     pub warm_up_ms: u32,
-    /// New flows that a cold one bears, in thousandths a second; 0 without a limit.
+    /// The rate of new flows that a cold backend server can take, in flows per 1,000 seconds; 0 for
+    /// no limit.
     #[prost(uint64, tag = "3")]
     pub cold_flows_per_ks: u64,
 }
 
-/// `RouteRow` is a when-then rule: flows to an address go to services.
+/// A when-then rule that routes flows to an address to services.
 #[derive(Clone, PartialEq, Message)]
 pub struct RouteRow {
-    /// Its name.
+    /// The name of the route.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Place among the routes of its address: the first that matches decides.
+    /// The position among the routes of the same address: the first route that matches decides.
     #[prost(uint32, tag = "2")]
     pub position: u32,
-    /// IPv4 address that callers want, as a number.
+    /// The IPv4 address that callers connect to, as a number.
     #[prost(fixed32, tag = "3")]
     pub ip: u32,
-    /// Port that callers want.
+    /// The port that callers connect to.
     #[prost(uint32, tag = "4")]
     pub port: u32,
-    /// Services with their weights; several when flows are split.
+    /// The services with their weights; several if flows are split.
     #[prost(message, repeated, tag = "5")]
     pub shares: Vec<ServiceShare>,
-    /// Paid priority, 0 is the highest.
+    /// The paid priority; 0 is the highest.
     #[prost(uint32, tag = "6")]
     pub priority: u32,
-    /// How long a request may take, in milliseconds.
+    /// The time, in milliseconds, that a request may take.
     #[prost(uint32, tag = "7")]
     pub timeout_ms: u32,
-    /// True when requests can be repeated.
+    /// True if requests may be repeated.
     #[prost(bool, tag = "8")]
     pub idempotent: bool,
-    /// Regions in which its backend servers must be; any when there are none.
+    /// The regions in which the backend servers must be; empty for any.
     #[prost(string, repeated, tag = "9")]
     pub regions: Vec<String>,
-    /// Time in which answers are wanted, in milliseconds; 0 when none is told.
+    /// The latency target of responses, in milliseconds; 0 for none.
     #[prost(uint32, tag = "10")]
     pub aim_ms: u32,
 }
 
-/// `ServiceShare` is a service's share of a route's flows.
+/// A service's share of a route's flows.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ServiceShare {
     /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// Its weight among the shares of the route.
+    /// The weight of the service among the shares of the route.
     #[prost(uint32, tag = "2")]
     pub weight: u32,
 }
 
-/// `BackendRow` is one process of a backend server.
+/// One process of a backend server.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct BackendRow {
-    /// The number by which packets name it.
+    /// The number that identifies it in packets.
     #[prost(fixed64, tag = "1")]
     pub number: u64,
     /// Its service.
     #[prost(string, tag = "2")]
     pub service: String,
-    /// IPv4 address, as a number.
+    /// Its IPv4 address, as a number.
     #[prost(fixed32, tag = "3")]
     pub ip: u32,
-    /// Port.
+    /// Its port.
     #[prost(uint32, tag = "4")]
     pub port: u32,
     /// Its data centre.
     #[prost(string, tag = "5")]
     pub data_centre: String,
-    /// Requests that it runs at once.
+    /// The number of requests that it processes at once.
     #[prost(uint32, tag = "6")]
     pub slots: u32,
-    /// It is leaving: no new flows.
+    /// True if it is about to stop and must get no new flows.
     #[prost(bool, tag = "7")]
     pub draining: bool,
-    /// Time until it is warm, counted from when the row was written, in milliseconds.
+    /// The remaining warm-up time at the time of writing, in milliseconds.
     #[prost(uint32, tag = "8")]
     pub warm_in_ms: u32,
-    /// Names the start of the process among those of one key; 0 when nothing is told. No
-    /// order: what is newer is told by the row's revision.
+    /// Identifies the start of the process among those with the same key; 0 if unknown.
+    /// Incarnations have no order: the revision of the row tells which is newer.
     #[prost(uint64, tag = "9")]
     pub incarnation: u64,
-    /// Revision at which its entry was created; 0 when nothing is told.
+    /// The revision at which the entry was created; 0 if unknown.
     #[prost(uint64, tag = "10")]
     pub created_revision: u64,
 }
 
 impl BackendRow {
-    /// Where it takes packets; none when the row names no port.
+    /// Returns the address at which it receives packets, or `None` if the row contains no valid
+    /// port.
     pub fn address(&self) -> Option<SocketAddrV4> {
         let port = u16::try_from(self.port).ok().filter(|port| *port > 0)?;
         Some(SocketAddrV4::new(Ipv4Addr::from(self.ip), port))
     }
 }
 
-/// `LimitsRow` is what holds for all flows.
+/// The limits that apply to all flows.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LimitsRow {
-    /// The operators' number of the list.
+    /// The operators' version of the list.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// Silence after which a flow may be forgotten, in milliseconds.
+    /// The time without packets, in milliseconds, after which a flow may be dropped.
     #[prost(uint32, tag = "2")]
     pub idle_ms: u32,
 }
 
-/// `RemovedRow` is what remains of a row that is gone.
+/// The remainder of a removed row.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct RemovedRow {
-    /// The backend server that it was; its open flows may go on. None for a route, and for
-    /// an entry that can't be understood where no good one was known.
+    /// The removed backend server, whose open flows may continue. `None` for a route, and for an
+    /// entry that can't be decoded if no valid one was known.
     #[prost(message, optional, tag = "1")]
     pub backend: Option<BackendRow>,
-    /// Time since the removal when the row was sent, in milliseconds.
+    /// The time between the removal and the sending of the row, in milliseconds.
     #[prost(uint32, tag = "2")]
     pub age_ms: u32,
 }
 
-/// Key of the row of limits.
+/// The key of the limits row.
 pub const LIMITS_KEY: &str = "limits";
 
-/// Key of a route's row.
+/// Returns the key of a route's row.
 pub fn route_key(name: &str) -> String {
     format!("route/{name}")
 }
 
-/// Key of the row of a service's limits.
+/// Returns the key of the row of a service's limits.
 pub fn service_key(name: &str) -> String {
     format!("service/{name}")
 }
 
-/// True for keys of rows that the operators' list makes.
+/// Returns true for the keys of rows that are part of the operators' list.
 pub fn is_config_key(key: &str) -> bool {
     key == LIMITS_KEY || key.starts_with("route/") || key.starts_with("service/")
 }
 
-/// Key of the row of a data centre's evacuation.
+/// Returns the key of the row of a data centre's evacuation.
 pub fn evacuation_key(data_centre: &str) -> String {
     format!("evacuation/{data_centre}")
 }
 
-/// Key of a backend server's row.
+/// Returns the key of a backend server's row.
 pub fn backend_key(id: &str) -> String {
     format!("backend/{id}")
 }
--- a/crates/foxledge-flows/src/source.rs
+++ b/crates/foxledge-flows/src/source.rs
@@ -1,4 +1,4 @@
-//! Where lists come from: the border to the platform's store.
+//! The interface to the platform's store, from which lists are read.
 
 use std::{future::Future, pin::Pin};
 
@@ -9,91 +9,90 @@
     rows::{BackendRow, LimitsRow, RouteRow, ServiceRow},
 };
 
-/// `ConfigReading` is the operators' list as published, whole.
+/// A complete version of the operators' list as published.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConfigReading {
-    /// Version and limits.
+    /// The version and the limits.
     pub limits: LimitsRow,
-    /// Routes in the operators' order.
+    /// The routes in the operators' order.
     pub routes: Vec<RouteRow>,
-    /// Limits of services.
+    /// The limits of services.
     pub services: Vec<ServiceRow>,
-    /// Services whose limits can't be understood, and why: those known before stay in force.
+    /// The services whose limits can't be decoded; their known limits stay in force.
     pub invalid_services: Vec<InvalidService>,
 }
 
-/// `InvalidService` is a service whose limits can't be understood.
+/// A service whose limits can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidService {
-    /// Its name.
+    /// The name of the service.
     pub name: String,
-    /// What is wrong.
+    /// The reason, for operators.
     pub fault: String,
 }
 
-/// `ItemChange` is one published item at one revision.
+/// A published item at one revision.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ItemChange {
     /// The operators' list.
     Config {
-        /// Revision of the item.
+        /// The revision of the item.
         revision: u64,
-        /// Its contents.
+        /// The content of the list.
         config: ConfigReading,
     },
     /// A backend server's entry.
     Backend {
-        /// Revision of the item.
+        /// The revision of the item.
         revision: u64,
         /// The backend server's id.
         id: String,
-        /// Its contents.
+        /// The content of the entry.
         backend: BackendRow,
     },
-    /// A backend server's entry is gone.
+    /// A backend server's entry was removed.
     BackendRemoved {
-        /// Revision of the removal.
+        /// The revision of the removal.
         revision: u64,
         /// The backend server's id.
         id: String,
     },
-    /// A backend server's entry that can't be understood: it names none that may get new
-    /// flows.
+    /// A backend server's entry can't be decoded and names no backend server for new flows.
     BackendInvalid {
-        /// Revision of the item.
+        /// The revision of the item.
         revision: u64,
-        /// The id under which it lies.
+        /// The id in the entry's key.
         id: String,
-        /// What is wrong.
+        /// The reason, for operators.
         fault: String,
     },
-    /// A data centre is to be evacuated.
+    /// A data centre is evacuated.
     EvacuationBegun {
-        /// Revision of the item.
+        /// The revision of the item.
         revision: u64,
         /// The data centre.
         data_centre: String,
     },
-    /// A data centre is taken back.
+    /// The evacuation of a data centre has ended.
     EvacuationEnded {
-        /// Revision of the removal.
+        /// The revision of the removal.
         revision: u64,
         /// The data centre.
         data_centre: String,
     },
-    /// Another item that can't be understood; the last good one stays in force.
+    /// Another item can't be decoded; the last valid one stays in force.
     Malformed {
-        /// Revision of the item.
+        /// The revision of the item.
         revision: u64,
-        /// Where it lies.
+        /// The key of the item.
         key: String,
-        /// What is wrong.
+        /// The reason, for operators.
         fault: String,
     },
 }
 
 impl ItemChange {
-    /// The revision of the change.
+    /// Returns the revision of the change.
     pub fn revision(&self) -> u64 {
         match self {
             ItemChange::Config { revision, .. }
@@ -125,25 +124,24 @@
     }
 }
 
-/// `ListReading` is an answer of the store: items, and the revision up to which they are complete.
+/// Items read from the store, and the revision up to which they are complete.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ListReading {
     /// The items.
     pub items: Vec<ItemChange>,
     /// The store's revision.
     pub head: u64,
-    /// Set when there are more items than these.
+    /// True if the store holds more items than these.
     pub is_partial: bool,
 }
 
 impl ListReading {
-    /// A reading to which nothing is missing.
+    /// Creates a reading that isn't missing any items.
     pub fn complete(items: Vec<ItemChange>, head: u64) -> ListReading {
         ListReading { items, head, is_partial: false }
     }
 
-    /// The reading with its revisions in an epoch of the store's history, where they were
-    /// the store's own numbers before.
+    /// Returns the reading with the store's own numbers turned into revisions of an epoch.
     pub fn with_epoch(mut self, epoch: u64) -> ListReading {
         self.head = revision_of(epoch, self.head);
         for item in &mut self.items {
@@ -152,51 +150,52 @@
         self
     }
 
-    /// Epoch of the store's history from which the reading comes; 0 when the store tells none.
+    /// Returns the epoch of the store's history that the reading comes from; 0 if the store names
+    /// none.
     pub fn epoch(&self) -> u64 {
         epoch_of(self.head)
     }
 }
 
-/// `ReadMode` is how new a whole reading must be.
+/// The consistency of a whole reading.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadMode {
-    /// As new as the store's newest acknowledgement.
+    /// Includes every write that the store had acknowledged.
     Linearizable,
     /// Cheap for the store, and possibly seconds old.
     Serializable,
 }
 
-/// `SourceError` is why the store gave no answer that can be used.
+/// The reason why the store gave no usable response.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SourceError {
-    /// The history that a watch asked for is gone; a whole reading is needed.
-    #[error("the history is gone")]
+    /// The history that a watch requested is no longer available; a whole reading is needed.
+    #[error("the requested history is no longer available")]
     HistoryGone,
-    /// The answer comes from an older epoch of the store's history than the list.
-    #[error("epoch {answered} of the store's history, {known} is known")]
+    /// The response comes from an older epoch of the store's history than the list.
+    #[error("response is from epoch {answered} of the store's history, but epoch {known} is known")]
     OlderEpoch {
-        /// Epoch of the answer.
+        /// The epoch of the response.
         answered: u64,
-        /// Epoch of the list.
+        /// The epoch of the list.
         known: u64,
     },
-    /// The store turned the call away.
-    #[error("turned away with status {0}")]
+    /// The store responded with this error status.
+    #[error("store responded with status {0}")]
     UnexpectedStatus(u16),
-    /// No answer in time.
-    #[error("no answer within {0} ms")]
+    /// The store didn't respond within this time, in milliseconds.
+    #[error("no response within {0} ms")]
     Timeout(u64),
     /// The connection failed.
     #[error("connection failed: {0}")]
     Connection(String),
-    /// The answer can't be understood.
-    #[error("malformed answer: {0}")]
+    /// The response can't be decoded.
+    #[error("malformed response: {0}")]
     Malformed(String),
 }
 
 impl SourceError {
-    /// The error's word in metrics.
+    /// Returns the name of the error in metrics.
     pub fn as_str(&self) -> &'static str {
         match self {
             SourceError::HistoryGone => "history_gone",
@@ -209,19 +208,19 @@
     }
 }
 
-/// `SourceFuture` is a store's answer that is still on its way.
+/// A pending response of the store.
 pub type SourceFuture<'a> =
     Pin<Box<dyn Future<Output = Result<ListReading, SourceError>> + Send + 'a>>;
 
-/// `ListSource` reads what operators and backend servers publish.
+/// A reader of what operators and backend servers publish.
 pub trait ListSource: Send {
-    /// Reads the items that one answer holds, in the way that is cheap for the store and
-    /// may be old.
+    /// Reads the items that fit into one response, in the mode that is cheap for the store and may
+    /// return old items.
     fn read_first_page(&mut self) -> SourceFuture<'_>;
 
-    /// Reads everything.
+    /// Reads all items.
     fn read_all(&mut self, mode: ReadMode) -> SourceFuture<'_>;
 
-    /// Waits for changes after a revision, `wait_ms` milliseconds at most.
+    /// Waits up to `wait_ms` milliseconds for changes after a revision.
     fn watch(&mut self, after: u64, wait_ms: u64) -> SourceFuture<'_>;
 }
--- a/crates/foxledge-flows/src/tracks.rs
+++ b/crates/foxledge-flows/src/tracks.rs
@@ -1,7 +1,7 @@
-//! Open flows as far as this instance has seen them.
+//! Tracking of open flows, as far as this instance has seen them.
 //!
-//! Nothing depends on a track: a flow without one goes on by its token. Tracks
-//! tell how many requests each backend server works on and how long it takes.
+//! Forwarding doesn't depend on tracks: a flow without one continues by its token. Tracks tell how
+//! many requests each backend server processes and how long these take.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -15,147 +15,148 @@
     packet::{FlowKey, FlowPacket},
 };
 
-/// How long data of an open flow must stay unanswered, in milliseconds, to speak for
-/// the death of its backend server.
+/// The time, in milliseconds, for which data of an open flow must stay unanswered to count as
+/// evidence that its backend server is dead.
 ///
-/// Callers send data again after 200 ms and after 400 ms more. A backend server that
-/// lives acknowledges the first copy, so the second shows that nothing gets there.
-/// Its caller, which may ask again, has some 400 ms of its second left for that.
+/// Callers retransmit data after 200 ms and after another 400 ms. A live backend server
+/// acknowledges the first transmission, so the second retransmission shows that no packet arrives
+/// there. A caller with an idempotent request then has about 400 ms of its deadline of one second
+/// left to repeat it.
 pub const DATA_LOSS_MS: u64 = 500;
-/// How often it must have been sent again besides. Time alone says little: when the
-/// network holds everything up for half a second, the first copies come that late.
-const LOST_COPIES: u32 = 2;
-/// Silence of a flow after which nothing of an answer is on its way any more, in
-/// milliseconds: callers acknowledge every second packet of one, and send again what stays
-/// unacknowledged for 200 ms.
-const AT_REST_MS: u64 = 250;
-/// Time that a caller must have waited, in milliseconds, for its flow to be ended because its
-/// backend server is dead: one that lives shows it by most answers within this time.
-const WAITED_MS: u64 = 150;
-/// What the end of a flow takes of its sequence numbers.
-const FLOW_END: u32 = 1;
-/// Most flows tracked, at about 70 bytes each.
-const MOST_TRACKS: usize = 100_000;
-/// Time between two looks for forgotten tracks, in milliseconds.
-const SWEEP_MS: u64 = 5_000;
-/// A copy of data sooner than this after the one before wasn't sent because that one
-/// stayed unanswered: callers send again after 200 ms at the earliest. The network made
-/// it, or both waited in the socket together while this process stood still.
-const RESEND_MS: u64 = 150;
+/// The number of retransmissions that is required besides. Time alone proves little: when the
+/// network delays all packets by half a second, the first retransmissions arrive that late.
+const MIN_LOSS_RETRANSMISSIONS: u32 = 2;
+/// The time without packets, in milliseconds, after which no part of a response is in transit any
+/// more. Callers acknowledge every second packet of a response, and what stays unacknowledged for
+/// 200 ms is retransmitted.
+const IDLE_AFTER_MS: u64 = 250;
+/// The time, in milliseconds, that a caller must have waited before its flow is reset because its
+/// backend server is dead. A live one shows most responses within this time.
+const MIN_WAIT_MS: u64 = 150;
+/// The sequence numbers that the end of a flow consumes.
+const FIN_SEQUENCE_LENGTH: u32 = 1;
+/// The maximum number of tracked flows, at about 70 bytes each.
+const MAX_TRACKS: usize = 100_000;
+/// The time, in milliseconds, between two sweeps for expired tracks.
+const SWEEP_INTERVAL_MS: u64 = 5_000;
+/// The minimum interval, in milliseconds, of retransmissions that mean an unanswered packet:
+/// callers retransmit after 200 ms at the earliest. An earlier copy was made by the network, or
+/// both copies waited in the socket while this process was paused.
+const MIN_RETRANSMISSION_INTERVAL_MS: u64 = 150;
 
 #[derive(Clone, Copy, Debug)]
 struct FlowTrack {
     backend: usize,
-    /// Group in which the request that runs is counted; none while it isn't.
+    /// The group in which the running request is counted; `None` if it isn't counted.
     counted_in: Option<usize>,
-    last_at: ClockTime,
-    /// When the request that runs was sent on; none while none does.
-    asked_at: Option<ClockTime>,
-    /// End of the data sent on so far.
-    sent_to: u32,
-    /// When the last of it was sent on first.
+    last_packet_at: ClockTime,
+    /// When the running request was forwarded; `None` if none is running.
+    request_at: Option<ClockTime>,
+    /// The end of the data forwarded so far, as a sequence number.
+    sent_end: u32,
+    /// When the last part of that data was first forwarded.
     sent_at: ClockTime,
-    /// When it was last sent on again, or first.
-    copied_at: ClockTime,
-    /// How often it was sent again.
-    copies: u32,
-    /// What the caller had received when it asked.
-    acknowledged: u32,
-    /// What it has received by its newest packet.
-    received: u32,
-    /// Its data has stayed unanswered for so long that it witnesses for a death.
-    is_witness: bool,
-    /// It may be one of a process that is gone, whose successor has its id: what happens on
-    /// it tells nothing.
+    /// When that part was last forwarded.
+    last_sent_at: ClockTime,
+    /// The number of its retransmissions.
+    retransmissions: u32,
+    /// What the caller had acknowledged when it sent the request.
+    request_acknowledged: u32,
+    /// What the caller has acknowledged by its newest packet.
+    latest_acknowledged: u32,
+    /// True once the unanswered data has counted as evidence of a dead backend server.
+    is_loss_counted: bool,
+    /// True if the flow may belong to a previous process with the same id, so that its packets
+    /// prove nothing.
     is_retired: bool,
 }
 
-/// `TrackEvent` is what a packet of an open flow tells.
+/// What a packet of an open flow shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrackEvent {
-    /// Nothing new.
-    Nothing,
-    /// A request began.
-    Asked,
-    /// The answer to a request has begun to arrive.
-    Answered(RequestAnswer),
-    /// A request began, and the one before, asked at this time, had been answered.
-    AskedAgain(ClockTime),
-    /// Data was sent again.
-    Resent(DataResend),
+    /// No change.
+    NoChange,
+    /// A request started.
+    RequestStarted,
+    /// The response to a request has begun to arrive.
+    RequestAnswered(RequestAnswer),
+    /// A request started, and the previous one, sent at this time, had been answered.
+    NextRequestStarted(ClockTime),
+    /// Data was retransmitted.
+    DataRetransmitted(DataRetransmission),
 }
 
-/// `RequestAnswer` is how a request was answered.
+/// The response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestAnswer {
-    /// How long after it was asked.
+    /// The time between the request and the response.
     pub latency: Duration,
-    /// How often its data had been sent again.
-    pub copies: u32,
+    /// The number of retransmissions of the request's data.
+    pub retransmissions: u32,
 }
 
-/// `DataResend` is a caller's data that stays unanswered.
+/// A retransmission of a caller's unanswered data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DataResend {
-    /// When the newest of it was sent on first.
-    pub sent: ClockTime,
-    /// How often it was sent again, each time after a wait for an answer.
-    pub copies: u32,
-    /// What this tells of the backend server.
-    pub meaning: ResendMeaning,
+pub struct DataRetransmission {
+    /// When the newest part of the data was first forwarded.
+    pub sent_at: ClockTime,
+    /// The number of retransmissions, each after a wait for a response.
+    pub retransmissions: u32,
+    /// What the retransmission proves of the backend server.
+    pub evidence: LossEvidence,
 }
 
-/// `ResendMeaning` is what data that is sent again tells of its backend server.
+/// What a retransmission proves of the backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ResendMeaning {
+pub enum LossEvidence {
     /// A packet may have been lost.
-    Doubt,
-    /// Nothing gets there; this flow shows it for the first time.
-    NewLoss,
-    /// Nothing gets there, as this flow has shown before.
-    SameLoss,
+    Suspected,
+    /// No packet arrives there, as this flow shows for the first time.
+    Confirmed,
+    /// No packet arrives there, as this flow has shown before.
+    Repeated,
 }
 
-/// `FlowState` is what an open flow does.
+/// The state of an open flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FlowState {
-    /// Nothing is under way on it.
+    /// Neither a request nor a response is in progress.
     Idle,
-    /// Its caller has waited for an answer for [`WAITED_MS`] and more.
+    /// The caller has waited for a response for [`MIN_WAIT_MS`] or longer.
     Waiting,
 }
 
-/// `OpenFlow` is an open flow of a backend server.
+/// An open flow of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenFlow {
     /// The flow.
     pub key: FlowKey,
-    /// What it does.
+    /// Its state.
     pub state: FlowState,
-    /// What its caller has received.
-    pub received: u32,
-    /// When its last packet came, or when the data that waits was sent on first.
+    /// What its caller has acknowledged.
+    pub acknowledged: u32,
+    /// When its last packet arrived, or when the unanswered data was first forwarded.
     pub since: ClockTime,
 }
 
-/// `TrackTable` is the flows that were seen lately.
+/// The flows that were seen recently.
 #[derive(Debug, Default)]
 pub struct TrackTable {
     tracks: HashMap<FlowKey, FlowTrack>,
-    is_counting: bool,
+    is_counting_requests: bool,
     running_requests: GroupCounts,
-    /// When requests began that may still be counted, the oldest first.
-    begun: VecDeque<(ClockTime, FlowKey)>,
-    sweep_at: ClockTime,
+    /// When requests started that may still be counted, oldest first.
+    started_requests: VecDeque<(ClockTime, FlowKey)>,
+    next_sweep_at: ClockTime,
 }
 
 impl TrackTable {
-    /// Makes an empty table that counts the requests that run by group.
+    /// Creates an empty table that counts running requests by group.
     pub fn with_request_counts() -> TrackTable {
-        TrackTable { is_counting: true, ..TrackTable::default() }
+        TrackTable { is_counting_requests: true, ..TrackTable::default() }
     }
 
-    /// Takes a packet of a flow at `backend`, which is of `group`.
+    /// Records a packet of a flow to `backend`, which belongs to `group`.
     pub fn record_packet(
         &mut self,
         now: ClockTime,
@@ -163,100 +164,101 @@
         (backend, group): (usize, usize),
     ) -> TrackEvent {
         let Some(track) = self.tracks.get_mut(&packet.key) else {
-            return self.begin(now, packet, (backend, group));
+            return self.start_track(now, packet, (backend, group));
         };
-        track.last_at = now;
+        track.last_packet_at = now;
         if track.is_retired {
-            return TrackEvent::Nothing;
+            return TrackEvent::NoChange;
         }
         track.backend = backend;
-        if is_after(packet.acknowledged, track.received) {
-            track.received = packet.acknowledged;
+        if is_after(packet.acknowledged, track.latest_acknowledged) {
+            track.latest_acknowledged = packet.acknowledged;
         }
-        let is_answered = track.asked_at.is_some() && track.is_answer(packet.acknowledged);
+        let is_answered = track.request_at.is_some() && track.is_answer(packet.acknowledged);
         if packet.length == 0 {
             if !is_answered {
-                return TrackEvent::Nothing;
+                return TrackEvent::NoChange;
             }
-            track.uncount(&mut self.running_requests);
-            return track.answer(now);
+            track.stop_counting(&mut self.running_requests);
+            return track.finish_request(now);
         }
         let end = packet.sequence.wrapping_add(u32::from(packet.length));
-        if !is_after(end, track.sent_to) {
-            return track.resend(now);
+        if !is_after(end, track.sent_end) {
+            return track.record_retransmission(now);
         }
-        (track.sent_to, track.sent_at) = (end, now);
-        (track.copied_at, track.copies, track.is_witness) = (now, 0, false);
-        if track.asked_at.is_some() && !is_answered {
-            return TrackEvent::Nothing;
+        (track.sent_end, track.sent_at) = (end, now);
+        (track.last_sent_at, track.retransmissions, track.is_loss_counted) = (now, 0, false);
+        if track.request_at.is_some() && !is_answered {
+            return TrackEvent::NoChange;
         }
-        let last_asked = track.asked_at.replace(now);
-        track.uncount(&mut self.running_requests);
-        if self.is_counting {
+        let last_asked = track.request_at.replace(now);
+        track.stop_counting(&mut self.running_requests);
+        if self.is_counting_requests {
             track.counted_in = Some(group);
             self.running_requests.add(group);
-            self.begun.push_back((now, packet.key));
+            self.started_requests.push_back((now, packet.key));
         }
-        track.acknowledged = packet.acknowledged;
-        // The last answer was seen only now, with the next request: one begins as one ends.
-        last_asked.map_or(TrackEvent::Asked, TrackEvent::AskedAgain)
+        track.request_acknowledged = packet.acknowledged;
+        // The previous response is noticed only now, with the next request: one ends as the other
+        // starts.
+        last_asked.map_or(TrackEvent::RequestStarted, TrackEvent::NextRequestStarted)
     }
 
-    /// Takes the last packet of a flow: callers that have had their answer often
-    /// acknowledge it with the packet that ends the flow.
-    pub fn finish(&self, now: ClockTime, packet: &FlowPacket) -> TrackEvent {
-        let Some(track) = self.tracks.get(&packet.key) else { return TrackEvent::Nothing };
-        match track.asked_at {
+    /// Returns what the last packet of a flow shows: callers often acknowledge a response with the
+    /// packet that ends the flow.
+    pub fn final_event(&self, now: ClockTime, packet: &FlowPacket) -> TrackEvent {
+        let Some(track) = self.tracks.get(&packet.key) else { return TrackEvent::NoChange };
+        match track.request_at {
             Some(asked) if track.is_answer(packet.acknowledged) => {
-                TrackEvent::Answered(track.answer_to(now, asked))
+                TrackEvent::RequestAnswered(track.request_answer(now, asked))
             }
-            _ => TrackEvent::Nothing,
+            _ => TrackEvent::NoChange,
         }
     }
 
-    /// Ends a track; true when a request was running.
-    pub fn end(&mut self, key: &FlowKey) -> Option<(usize, bool)> {
+    /// Removes a track. Returns its backend server, and true if a request was running.
+    pub fn remove(&mut self, key: &FlowKey) -> Option<(usize, bool)> {
         let mut track = self.tracks.remove(key)?;
-        track.uncount(&mut self.running_requests);
-        (!track.is_retired).then_some((track.backend, track.asked_at.is_some()))
+        track.stop_counting(&mut self.running_requests);
+        (!track.is_retired).then_some((track.backend, track.request_at.is_some()))
     }
 
-    /// Makes the tracks of a backend server tell nothing more, as it starts again under its
-    /// id. The new process resets the flows that it doesn't know; their requests, counted
-    /// as running, would keep new flows away from it.
-    pub fn retire(&mut self, backend: usize) {
+    /// Makes the tracks of a backend server prove nothing more, as it started again under its id.
+    /// The new process resets flows that it doesn't know. Their requests, if still counted as
+    /// running, would keep new flows away from it.
+    pub fn retire_backend(&mut self, backend: usize) {
         let own = self.tracks.values_mut().filter(|track| track.backend == backend);
         for track in own {
-            track.uncount(&mut self.running_requests);
-            (track.is_retired, track.asked_at) = (true, None);
+            track.stop_counting(&mut self.running_requests);
+            (track.is_retired, track.request_at) = (true, None);
         }
     }
 
-    /// Forgets flows that were silent for longer than flows may be, and returns them.
+    /// Removes and returns flows without packets for longer than `idle_ms`.
     pub fn sweep(&mut self, now: ClockTime, idle_ms: u64) -> Vec<(usize, bool)> {
-        if !self.sweep_at.is_past(now) {
+        if !self.next_sweep_at.is_past(now) {
             return Vec::new();
         }
-        self.sweep_at = now.after_millis(SWEEP_MS);
+        self.next_sweep_at = now.after_millis(SWEEP_INTERVAL_MS);
         self.expire_requests(now, idle_ms);
         let mut ended = Vec::new();
         let running = &mut self.running_requests;
         self.tracks.retain(|_, track| {
-            let is_old = track.last_at.after_millis(idle_ms).is_past(now);
+            let is_old = track.last_packet_at.after_millis(idle_ms).is_past(now);
             if is_old {
-                track.uncount(running);
+                track.stop_counting(running);
             }
             if is_old && !track.is_retired {
-                ended.push((track.backend, track.asked_at.is_some()));
+                ended.push((track.backend, track.request_at.is_some()));
             }
             !is_old
         });
         ended
     }
 
-    /// Flows of a backend server that are at rest or wait for an answer; a caller's time for
-    /// one, told by `time_of` in milliseconds, ends the wait.
-    pub fn held_flows<'a>(
+    /// Returns the flows of a backend server that are idle or wait for a response. A wait ends with
+    /// the request timeout, which `timeout_of` returns in milliseconds.
+    pub fn backend_flows<'a>(
         &'a self,
         now: ClockTime,
         backend: usize,
@@ -265,137 +267,144 @@
         let own = self.tracks.iter().filter(move |(_, track)| track.backend == backend);
         own.filter_map(move |(key, track)| {
             let (state, since) = track.state(now, time_of(key))?;
-            Some(OpenFlow { key: *key, state, received: track.received, since })
+            Some(OpenFlow { key: *key, state, acknowledged: track.latest_acknowledged, since })
         })
     }
 
-    /// Stops counting requests that began longer than `limit_ms` ago: their callers have given
-    /// up, and the packet that told it was lost or went to another instance.
+    /// Stops counting requests that started more than `limit_ms` ago: their callers have given up,
+    /// and the packet that showed it was lost or went to another instance.
     pub fn expire_requests(&mut self, now: ClockTime, limit_ms: u64) {
-        while let Some((begun, key)) = self.begun.front().copied() {
+        while let Some((begun, key)) = self.started_requests.front().copied() {
             if !begun.after_millis(limit_ms).is_past(now) {
                 return;
             }
-            self.begun.pop_front();
+            self.started_requests.pop_front();
             if let Some(track) = self.tracks.get_mut(&key)
-                && track.asked_at == Some(begun)
+                && track.request_at == Some(begun)
             {
-                track.uncount(&mut self.running_requests);
+                track.stop_counting(&mut self.running_requests);
             }
         }
     }
 
-    /// Requests that run, by group of their backend server.
+    /// Returns the running requests by group of their backend server.
     pub fn running_requests(&self) -> &GroupCounts {
         &self.running_requests
     }
 
-    /// True when a flow is tracked.
+    /// Returns true if a flow is tracked.
     pub fn contains(&self, key: &FlowKey) -> bool {
         self.tracks.contains_key(key)
     }
 
-    /// Number of flows tracked.
+    /// Returns the number of tracked flows.
     pub fn len(&self) -> usize {
         self.tracks.len()
     }
 
-    fn begin(
+    fn start_track(
         &mut self,
         now: ClockTime,
         packet: &FlowPacket,
         (backend, group): (usize, usize),
     ) -> TrackEvent {
-        // A flow begins with data; what comes without may be the end of one.
-        if packet.length == 0 || self.tracks.len() >= MOST_TRACKS {
-            return TrackEvent::Nothing;
+        // A flow begins with data; a packet without data may be the end of one.
+        if packet.length == 0 || self.tracks.len() >= MAX_TRACKS {
+            return TrackEvent::NoChange;
         }
         let track = FlowTrack {
             backend,
-            counted_in: self.is_counting.then_some(group),
-            last_at: now,
-            asked_at: Some(now),
-            sent_to: packet.sequence.wrapping_add(u32::from(packet.length)),
+            counted_in: self.is_counting_requests.then_some(group),
+            last_packet_at: now,
+            request_at: Some(now),
+            sent_end: packet.sequence.wrapping_add(u32::from(packet.length)),
             sent_at: now,
-            copied_at: now,
-            copies: 0,
-            acknowledged: packet.acknowledged,
-            received: packet.acknowledged,
-            is_witness: false,
+            last_sent_at: now,
+            retransmissions: 0,
+            request_acknowledged: packet.acknowledged,
+            latest_acknowledged: packet.acknowledged,
+            is_loss_counted: false,
             is_retired: false,
         };
         self.tracks.insert(packet.key, track);
-        if self.is_counting {
+        if self.is_counting_requests {
             self.running_requests.add(group);
-            self.begun.push_back((now, packet.key));
+            self.started_requests.push_back((now, packet.key));
         }
-        TrackEvent::Asked
+        TrackEvent::RequestStarted
     }
 }
 
 impl FlowTrack {
-    /// What the flow does, and since when; none when that can't be told yet.
+    /// Returns the state of the flow and since when it lasts, or `None` if it isn't known yet.
     fn state(&self, now: ClockTime, time_ms: u64) -> Option<(FlowState, ClockTime)> {
         if self.is_retired {
             return None;
         }
-        let is_asking = self.asked_at.is_some() && !self.sent_at.after_millis(time_ms).is_past(now);
+        let is_asking =
+            self.request_at.is_some() && !self.sent_at.after_millis(time_ms).is_past(now);
         if is_asking {
-            let has_waited = self.sent_at.after_millis(WAITED_MS).is_past(now);
+            let has_waited = self.sent_at.after_millis(MIN_WAIT_MS).is_past(now);
             return has_waited.then_some((FlowState::Waiting, self.sent_at));
         }
-        let is_at_rest = self.last_at.after_millis(AT_REST_MS).is_past(now);
-        is_at_rest.then_some((FlowState::Idle, self.last_at))
+        let is_at_rest = self.last_packet_at.after_millis(IDLE_AFTER_MS).is_past(now);
+        is_at_rest.then_some((FlowState::Idle, self.last_packet_at))
     }
 
-    /// Stops counting the request that runs.
-    fn uncount(&mut self, running: &mut GroupCounts) {
+    /// Stops counting the running request.
+    fn stop_counting(&mut self, running: &mut GroupCounts) {
         if let Some(group) = self.counted_in.take() {
             running.remove(group);
         }
     }
 
-    /// Takes data that was sent on before.
-    fn resend(&mut self, now: ClockTime) -> TrackEvent {
-        let is_soon = !self.copied_at.after_millis(RESEND_MS).is_past(now);
-        if is_soon || self.asked_at.is_none() {
-            return TrackEvent::Nothing;
+    /// Records data that was forwarded before.
+    fn record_retransmission(&mut self, now: ClockTime) -> TrackEvent {
+        let is_soon = !self.last_sent_at.after_millis(MIN_RETRANSMISSION_INTERVAL_MS).is_past(now);
+        if is_soon || self.request_at.is_none() {
+            return TrackEvent::NoChange;
         }
-        self.copied_at = now;
-        self.copies += 1;
+        self.last_sent_at = now;
+        self.retransmissions += 1;
         let waited_ms = now.since(self.sent_at).as_millis() as u64;
-        let meaning =
-            match (waited_ms >= DATA_LOSS_MS && self.copies >= LOST_COPIES, self.is_witness) {
-                (false, _) => ResendMeaning::Doubt,
-                (true, false) => ResendMeaning::NewLoss,
-                (true, true) => ResendMeaning::SameLoss,
-            };
-        self.is_witness |= meaning == ResendMeaning::NewLoss;
-        TrackEvent::Resent(DataResend { sent: self.sent_at, copies: self.copies, meaning })
+        let meaning = match (
+            waited_ms >= DATA_LOSS_MS && self.retransmissions >= MIN_LOSS_RETRANSMISSIONS,
+            self.is_loss_counted,
+        ) {
+            (false, _) => LossEvidence::Suspected,
+            (true, false) => LossEvidence::Confirmed,
+            (true, true) => LossEvidence::Repeated,
+        };
+        self.is_loss_counted |= meaning == LossEvidence::Confirmed;
+        TrackEvent::DataRetransmitted(DataRetransmission {
+            sent_at: self.sent_at,
+            retransmissions: self.retransmissions,
+            evidence: meaning,
+        })
     }
 
-    /// True when what the caller acknowledges holds data of an answer.
+    /// Returns true if the acknowledged sequence number covers data of a response.
     ///
     /// The end of a flow counts like one byte. A backend server that stops ends its flows, and
-    /// their callers acknowledge that: taken for answers, these ends would make a process that
-    /// is gone look alive, and new flows would go to a start of it that nobody reaches.
+    /// their callers acknowledge that. Treated as responses, these ends would make a stopped
+    /// process look alive, and new flows would go to a start of it that is unreachable.
     fn is_answer(&self, acknowledged: u32) -> bool {
-        is_after(acknowledged, self.acknowledged.wrapping_add(FLOW_END))
+        is_after(acknowledged, self.request_acknowledged.wrapping_add(FIN_SEQUENCE_LENGTH))
     }
 
-    fn answer(&mut self, now: ClockTime) -> TrackEvent {
-        match self.asked_at.take() {
-            Some(asked) => TrackEvent::Answered(self.answer_to(now, asked)),
-            None => TrackEvent::Nothing,
+    fn finish_request(&mut self, now: ClockTime) -> TrackEvent {
+        match self.request_at.take() {
+            Some(asked) => TrackEvent::RequestAnswered(self.request_answer(now, asked)),
+            None => TrackEvent::NoChange,
         }
     }
 
-    fn answer_to(&self, now: ClockTime, asked: ClockTime) -> RequestAnswer {
-        RequestAnswer { latency: now.since(asked), copies: self.copies }
+    fn request_answer(&self, now: ClockTime, asked: ClockTime) -> RequestAnswer {
+        RequestAnswer { latency: now.since(asked), retransmissions: self.retransmissions }
     }
 }
 
-/// True when sequence number `a` comes after `b`, in the arithmetic of a counter that wraps.
+/// Returns true if sequence number `a` comes after `b` in wrapping arithmetic.
 fn is_after(a: u32, b: u32) -> bool {
     a != b && a.wrapping_sub(b) < 1 << 31
 }
--- a/crates/foxledge-flows/src/unknown_tokens.rs
+++ b/crates/foxledge-flows/src/unknown_tokens.rs
@@ -1,8 +1,8 @@
-//! Tokens that name no backend server of the list.
+//! Flows whose token matches no listed backend server.
 //!
-//! An instance that starts has never heard of backend servers that vanished before. Their callers
-//! go on with the flows that they hold open, hear nothing from anybody, and wait until their
-//! deadline. Such a flow is reset where it is sure that its backend server is gone.
+//! An instance that has just started doesn't know backend servers that were removed before. Callers
+//! that still hold flows to them get no response and wait until their deadline. Such a flow is
+//! reset once the list proves that its backend server is gone.
 
 use std::collections::HashMap;
 
@@ -16,74 +16,75 @@
     router::FlowRouter,
 };
 
-/// By how much a confirmation of the list must be newer than the first packet with a token, in
-/// milliseconds. Peers tell its age without the time of the way.
-const CONFIRMED_AFTER_MS: u64 = 200;
-/// How long a token that isn't asked for any more is remembered, in milliseconds: longer than
-/// any deadline of callers.
-const REMEMBERED_MS: u64 = 30_000;
-/// Time until others are asked once more for a token, in milliseconds.
-const ASK_AGAIN_MS: u64 = 500;
-/// Most tokens remembered, at some 60 bytes each: all backend servers of a data centre of the
-/// largest deployment.
-const MOST_TOKENS: usize = 5_000;
+/// How much newer than the first packet with a token a list confirmation must be, in milliseconds.
+/// Peers report the age of a confirmation without the transfer time.
+const MIN_CONFIRMATION_GAP_MS: u64 = 200;
+/// The time, in milliseconds, after which a token without further packets is forgotten. It exceeds
+/// every deadline of callers.
+const TOKEN_TTL_MS: u64 = 30_000;
+/// The time, in milliseconds, between two queries to peers about the same token.
+const QUERY_INTERVAL_MS: u64 = 500;
+/// The maximum number of remembered tokens, at about 60 bytes each. It covers all backend servers
+/// of a data centre of the largest deployment.
+const MAX_TOKENS: usize = 5_000;
 
-/// `AbsentToken` is when packets came with a token that names nobody.
+/// The times at which packets with one unknown token arrived.
 #[derive(Clone, Copy, Debug)]
-struct AbsentToken {
-    first: ClockTime,
-    last: ClockTime,
-    /// When others may be asked for it again.
-    ask_at: ClockTime,
+struct TokenRecord {
+    first_seen_at: ClockTime,
+    last_seen_at: ClockTime,
+    /// When peers may be queried again.
+    next_query_at: ClockTime,
 }
 
-/// `UnknownTokens` is the tokens that name nobody.
+/// The tokens that match no listed backend server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UnknownTokens {
-    seen: HashMap<u32, AbsentToken>,
-    /// Those for which others are to be asked.
-    wanted: Vec<u32>,
+    records: HashMap<u32, TokenRecord>,
+    /// The tokens that peers are to be queried for.
+    pending_queries: Vec<u32>,
 }
 
 impl UnknownTokens {
-    /// Notes a token; returns when it was first seen, or none when there is no room for it.
-    fn note(&mut self, now: ClockTime, token: u32) -> Option<ClockTime> {
-        if self.seen.len() >= MOST_TOKENS && !self.seen.contains_key(&token) {
-            self.seen.retain(|_, known| !known.is_forgotten(now));
-            if self.seen.len() >= MOST_TOKENS {
+    /// Records a packet with a token. Returns when the token was first seen, or `None` if the table
+    /// is full.
+    fn record_token(&mut self, now: ClockTime, token: u32) -> Option<ClockTime> {
+        if self.records.len() >= MAX_TOKENS && !self.records.contains_key(&token) {
+            self.records.retain(|_, known| !known.is_expired(now));
+            if self.records.len() >= MAX_TOKENS {
                 return None;
             }
         }
-        let new = AbsentToken { first: now, last: now, ask_at: now };
-        let known = self.seen.entry(token).or_insert(new);
-        if known.is_forgotten(now) {
+        let new = TokenRecord { first_seen_at: now, last_seen_at: now, next_query_at: now };
+        let known = self.records.entry(token).or_insert(new);
+        if known.is_expired(now) {
             *known = new;
         }
-        known.last = now;
-        if known.ask_at.is_past(now) {
-            known.ask_at = now.after_millis(ASK_AGAIN_MS);
-            self.wanted.push(token);
+        known.last_seen_at = now;
+        if known.next_query_at.is_past(now) {
+            known.next_query_at = now.after_millis(QUERY_INTERVAL_MS);
+            self.pending_queries.push(token);
         }
-        Some(known.first)
+        Some(known.first_seen_at)
     }
 }
 
-impl AbsentToken {
-    fn is_forgotten(&self, now: ClockTime) -> bool {
-        self.last.after_millis(REMEMBERED_MS).is_past(now)
+impl TokenRecord {
+    fn is_expired(&self, now: ClockTime) -> bool {
+        self.last_seen_at.after_millis(TOKEN_TTL_MS).is_past(now)
     }
 }
 
 impl FlowRouter {
-    /// Tokens that name nobody here, for which others are to be asked now.
+    /// Returns the unknown tokens that peers are to be queried for now.
     pub fn drain_token_queries(&mut self) -> Vec<u32> {
-        std::mem::take(&mut self.unknown_tokens.wanted)
+        std::mem::take(&mut self.unknown_tokens.pending_queries)
     }
 
-    /// Why a flow that waits is ended because another backend server has the address of its own.
+    /// Returns why a stalled flow is reset if another backend server has the address of its own.
     ///
-    /// One that vanished can't live where another registered since. The list must be as sure as
-    /// for a refusal.
+    /// A backend server that was removed can't be alive if another one has registered at its
+    /// address since. The list must be as certain as for a refusal.
     pub(crate) fn replaced_reset_reason(
         &self,
         now: ClockTime,
@@ -96,22 +97,24 @@
         Some(ResetReason::AddressTaken { gone_ms: now.since(gone).as_millis() as u64 })
     }
 
-    /// Decides on a packet whose token names nobody; `may_repeat` tells that its route's requests
-    /// may be repeated.
+    /// Decides on a packet with an unknown token; `may_repeat` is true if requests of its route are
+    /// idempotent.
     ///
-    /// As long as no list was confirmed, what is known may be a part, and most open flows' backend
-    /// servers aren't in it: others know them.
+    /// Before the first list confirmation the known list may be partial and lack the backend
+    /// servers of most open flows. The packet is then relayed to another instance.
     ///
-    /// What the list must be for the flow to be reset:
+    /// The flow is reset only if all of these hold:
     ///
-    /// - known in full and confirmed lately, by an instance that didn't stand still since;
-    /// - confirmed after the token was first seen, as the entry of a backend server is older
-    ///   than its flows: one that just isn't known here yet is in the list by then;
-    /// - confirmed for longer without a gap than entries that lapsed while the store was away
-    ///   take to come back.
+    /// - The list is complete and was confirmed recently, and this process wasn't paused since.
+    /// - The list was confirmed after the token was first seen. An entry is older than the flows of
+    ///   its backend server, so a backend server that merely isn't known here yet is listed by
+    ///   then.
+    /// - Confirmations came without a gap for longer than entries that expired during a store
+    ///   outage take to come back.
     ///
-    /// Only data is answered: whoever sends none waits for nothing. Requests that can't be
-    /// repeated aren't ended, as their callers couldn't do anything else before their deadline.
+    /// Only data packets lead to a reset: a caller that sends no data awaits no response. Requests
+    /// that aren't idempotent are never reset, as their callers couldn't do anything else before
+    /// their deadline.
     pub(crate) fn handle_unknown_token(
         &mut self,
         now: ClockTime,
@@ -128,9 +131,9 @@
         if packet.length == 0 {
             return unknown;
         }
-        let first = self.unknown_tokens.note(now, packet.token);
+        let first = self.unknown_tokens.record_token(now, packet.token);
         let is_absent = first.zip(self.confirmed_at).is_some_and(|(first, confirmed)| {
-            first.after_millis(CONFIRMED_AFTER_MS).is_past(confirmed)
+            first.after_millis(MIN_CONFIRMATION_GAP_MS).is_past(confirmed)
         });
         let is_list_sure =
             self.confirmed_since.is_some_and(|at| at.after_millis(REMOVAL_GRACE_MS).is_past(now));
--- a/crates/foxledge-flows/tests/crashed_backends.rs
+++ b/crates/foxledge-flows/tests/crashed_backends.rs
@@ -1,7 +1,7 @@
-//! New flows in the moment after several backend servers crashed.
+//! New flows just after several backend servers crashed.
 //!
-//! The load: one in six of a service crashes; callers whose flows are reset ask again at once, and
-//! may do so twice.
+//! One in six backend servers of a service crashes. Callers whose flows are reset retry at once, up
+//! to twice.
 
 mod common;
 
@@ -10,7 +10,7 @@
 
 const BACKENDS: u64 = 30;
 
-/// One in six, as they come.
+/// Every sixth backend server is dead.
 fn is_dead(number: u64) -> bool {
     number % 6 == 1
 }
@@ -20,16 +20,15 @@
     router.on_packet(clock_at(now), &last);
 }
 
-// Symptom: callers are failed though five in six backend servers live and are idle.
-// Sequence: a crash resets all flows there; their callers ask again on new flows, which the dead
-//   backend servers reset as well, twice, all within 40 ms.
-// Cause: without flows the dead ones have the fewest of all, and get every new flow.
+// Guards against failed callers while five in six backend servers are idle. A crash resets all
+// flows of a backend server. Without open flows, the dead ones have the fewest of all and would get
+// every retry, which they reset as well, all within 40 ms.
 #[test]
-fn retries_find_the_living() {
+fn retries_reach_live_backends_within_three_tries() {
     let rows: Vec<_> =
         (1..=BACKENDS).map(|number| listed_backend(number, "desk", LOCAL_CENTRE, 2)).collect();
     let mut router = listed_router(&rows);
-    // Two kept flows at each, at rest.
+    // Two idle open flows at each backend server.
     let mut held = Vec::new();
     for port in 0..2 * BACKENDS as u16 {
         let number =
@@ -63,9 +62,9 @@
     assert_eq!(failed, 0, "callers whose three tries all went to dead backend servers");
 }
 
-// A backend server whose flows have ended in order is as good as others after a moment.
+// Guards against a lasting disadvantage of a backend server whose flows ended normally.
 #[test]
-fn former_flows_fade() {
+fn ended_flows_stop_counting_after_a_second() {
     let mut router = listed_router(&[
         listed_backend(1, "desk", LOCAL_CENTRE, 2),
         listed_backend(2, "desk", LOCAL_CENTRE, 2),
--- a/crates/foxledge-flows/tests/dead_backend.rs
+++ b/crates/foxledge-flows/tests/dead_backend.rs
@@ -1,4 +1,4 @@
-//! Open flows at a backend server that is surely dead.
+//! Open flows of a dead backend server.
 
 mod common;
 
@@ -8,10 +8,10 @@
     rows::RowValue,
 };
 
-/// When the callers of these tests ask on their open flows.
+/// When the callers of these tests send their request.
 const ASKED: u64 = 1_010;
 
-/// A router whose backend server 1 holds the flow that is returned; 2 is there as well.
+/// Returns a router and an open flow at backend server 1 of two.
 fn flow_at_first() -> (FlowRouter, FlowKey) {
     let mut router = listed_router(&[
         listed_backend(1, "desk", LOCAL_CENTRE, 2),
@@ -25,7 +25,7 @@
     panic!("no flow was placed at the first backend server");
 }
 
-/// Opens flows at `sent` until one goes to backend server 1, and sends that one's copy.
+/// Opens flows at `sent_at` until one goes to backend server 1, and retransmits that opening.
 fn unanswered_opening(router: &mut FlowRouter, sent: u64) {
     for port in 100..120 {
         let decision = router.on_packet(clock_at(sent), &opening_packet(flow_key(7, port), 0));
@@ -43,8 +43,8 @@
     panic!("no flow was placed at the first backend server");
 }
 
-/// Sends a request on a flow that backend server 1 holds, and what its caller sends
-/// again while no answer comes; tells what was done with the last.
+/// Sends a request on a flow at backend server 1 and two retransmissions. Returns the decision on
+/// the last one.
 fn unanswered_request(router: &mut FlowRouter, key: FlowKey) -> FlowDecision {
     let request = data_packet(key, 1, 2_000, 1);
     let mut last = router.on_packet(clock_at(ASKED), &request);
@@ -55,12 +55,10 @@
     last
 }
 
-// Symptom: price feeds fail after a second although other backend servers are idle.
-// Sequence: a backend server dies; callers with an open flow there send their request
-//   again and again.
-// Cause: packets of open flows are sent on to it, whatever is known of it.
+// Guards against requests that fail at their deadline while other backend servers are idle: the
+// packets of open flows would be forwarded to the dead backend server in any case.
 #[test]
-fn dead_flow_ended() {
+fn resets_stalled_flow_after_unanswered_opening() {
     let (mut router, key) = flow_at_first();
     unanswered_opening(&mut router, 1_000);
     let decision = unanswered_request(&mut router, key);
@@ -76,12 +74,10 @@
     );
 }
 
-// Symptom: every feed at a dead backend server fails, though none of its flows is new.
-// Sequence: it dies with flows open; as requests there stay unanswered it counts as
-//   busy, and no new flow is placed there.
-// Cause: only an unanswered new flow counts as evidence.
+// Guards against a death that is never detected because no new flow is placed there: with
+// unanswered requests the backend server counts as busy, and only openings would count as evidence.
 #[test]
-fn stalled_flows_suffice() {
+fn stalled_flows_alone_prove_the_death() {
     let (mut router, key) = flow_at_first();
     let others = [8, 9].map(|caller| FlowKey { caller: common::flow_key(caller, 1).caller, ..key });
     for (wait, ends) in [(0, [false; 3]), (200, [false; 3]), (600, [false, true, true])] {
@@ -97,27 +93,25 @@
     );
 }
 
-// Symptom: a flow is broken off while its backend server works on the request.
-// Sequence: requests there take a second; callers send them again meanwhile.
-// Cause: a request that is slow is taken for one that is lost.
+// Guards against the reset of a flow while its backend server, which takes a second for a request,
+// is still processing it.
 #[test]
-fn slow_flow_kept() {
+fn keeps_flow_of_slow_backend() {
     let (mut router, key) = flow_at_first();
     let decision = unanswered_request(&mut router, key);
     assert!(matches!(decision, FlowDecision::Forward { stall: Some(_), .. }));
 }
 
-// Symptom: a flow is broken off at a backend server that serves others.
-// Sequence: one opening packet is lost on the way; the next flows there are answered.
-// Cause: old evidence is kept although the backend server has shown that it lives.
+// Guards against the reset of a flow at a backend server that serves others: one opening was lost,
+// and the responses since must clear that evidence.
 #[test]
-fn life_clears_silence() {
+fn response_clears_unanswered_opening() {
     let (mut router, key) = flow_at_first();
     let other = FlowKey { caller: common::flow_key(2, 1).caller, ..key };
     router.on_packet(clock_at(990), &data_packet(other, 1, 1_000, 1));
     unanswered_opening(&mut router, 1_000);
-    // A request that acknowledges an answer shows life since that was asked for, and
-    // the second of these was asked for after the silence.
+    // A request that acknowledges a response proves life since the request before it. The second of
+    // these requests was sent after the unanswered opening.
     for (now, sequence, acknowledged) in [(1_250, 1_100, 500), (1_400, 1_200, 900)] {
         router.on_packet(clock_at(now), &data_packet(other, 1, sequence, acknowledged));
     }
@@ -125,11 +119,10 @@
     assert!(matches!(decision, FlowDecision::Forward { .. }), "{decision:?}");
 }
 
-// Symptom: a bid is lost that its backend server had received.
-// Sequence: the backend server falls silent while the bid is under way.
-// Cause: the flow is reset, and its caller may not ask again.
+// Guards against the loss of a request that its backend server has received: its caller may not
+// repeat it after a reset.
 #[test]
-fn unsafe_flow_kept() {
+fn keeps_stalled_flow_with_non_idempotent_request() {
     let (mut router, key) = flow_at_first();
     let mut row = route_row("r", 443, "desk", 9);
     if let Some(RowValue::Route(route)) = &mut row.value {
@@ -141,11 +134,10 @@
     assert!(matches!(decision, FlowDecision::Forward { .. }), "{decision:?}");
 }
 
-// Symptom: flows to a dead backend server go on for as long as other callers send.
-// Sequence: a caller got its answer before the silence, and asks again after it.
-// Cause: the acknowledgement of an old answer is taken for a sign of life now.
+// Guards against flows to a dead backend server that are kept because another caller acknowledges a
+// response from before the death.
 #[test]
-fn old_answer_says_nothing() {
+fn acknowledged_earlier_response_proves_nothing() {
     let (mut router, key) = flow_at_first();
     let other = FlowKey { caller: common::flow_key(2, 1).caller, ..key };
     router.on_packet(clock_at(990), &data_packet(other, 1, 1_000, 1));
@@ -156,8 +148,8 @@
 }
 
 #[test]
-fn silence_told_counts() {
-    // What another instance saw of an unanswered opening counts; its suspicions don't.
+fn counts_unanswered_packets_reported_by_peers() {
+    // Packets that another instance found unanswered count; its ejections don't.
     for (kind, ends) in [
         (ObservationKind::OpeningUnanswered, true),
         (ObservationKind::DataUnanswered, true),
@@ -173,11 +165,10 @@
     }
 }
 
-// Symptom: seconds after a backend server died, callers still wait 600 ms on flows there.
-// Sequence: flows that were idle ask one after the other; each must find out by itself.
-// Cause: what is known for long counts no more than what was seen just now.
+// Guards against a wait of 600 ms for each caller that sends a request on an idle flow seconds
+// after the death. With evidence that old, one retransmission suffices.
 #[test]
-fn long_silence_ends_sooner() {
+fn resets_sooner_when_unresponsive_for_long() {
     let (mut router, key) = flow_at_first();
     unanswered_opening(&mut router, 1_000);
     let request = data_packet(key, 1, 2_000, 1);
@@ -191,11 +182,10 @@
     assert!(matches!(decision, FlowDecision::Reset { .. }), "{decision:?}");
 }
 
-// Symptom: an upload is broken off 200 ms after its last part was sent.
-// Sequence: parts of a request are sent for half a second; one of them is lost.
-// Cause: the wait is counted from the first part, though the last was sent just now.
+// Guards against the reset of an upload 200 ms after its last part: parts are sent for half a
+// second, and the wait counts from the last part, not from the first.
 #[test]
-fn last_part_counts() {
+fn measures_stall_from_last_part_of_request() {
     let (mut router, key) = flow_at_first();
     unanswered_opening(&mut router, 1_000);
     router.on_packet(clock_at(1_010), &data_packet(key, 1, 2_000, 1));
@@ -206,12 +196,10 @@
     }
 }
 
-// Symptom: flows are broken off after a pause of the instance.
-// Sequence: the instance stands still for a second; a request and what its caller sent
-//   again are read within a millisecond.
-// Cause: the time at which a packet is read is taken for that at which it was sent.
+// Guards against resets after a pause of one second: the request and its retransmissions are read
+// within a millisecond, and the times at which they were sent are unknown.
 #[test]
-fn pause_ends_nothing() {
+fn keeps_flows_whose_packets_waited_during_pause() {
     let (mut router, key) = flow_at_first();
     unanswered_opening(&mut router, 1_000);
     for step in 0..3 {
@@ -221,8 +209,9 @@
 }
 
 #[test]
-fn lone_flow_ends_late() {
-    // Nobody else has a flow there: the third copy speaks for the silence, the fourth ends it.
+fn resets_only_flow_at_fourth_transmission() {
+    // No other flow exists there: the third transmission is the evidence, and the fourth leads to
+    // the reset.
     let (mut router, key) = flow_at_first();
     let decision = unanswered_request(&mut router, key);
     assert!(matches!(decision, FlowDecision::Forward { .. }), "{decision:?}");
@@ -230,13 +219,10 @@
     assert!(matches!(decision, FlowDecision::Reset { .. }), "{decision:?}");
 }
 
-// Symptom: flows are reset though their backend servers live.
-// Sequence: the network holds all packets up for 0.6 s; the first copies of the data of two
-//   flows to one backend server come that late, just before the answers.
-// Cause: the time since the data was sent is taken for the number of copies that no
-//   answer came to.
+// Guards against resets when the network delays all packets by 0.6 s: the first retransmissions of
+// two flows arrive just before the responses. The time alone must not count as two retransmissions.
 #[test]
-fn late_copies_end_nothing() {
+fn delayed_first_retransmissions_reset_nothing() {
     let (mut router, key) = flow_at_first();
     let other = FlowKey { caller: common::flow_key(8, 1).caller, ..key };
     for (now, is_stalled) in [(ASKED, false), (ASKED + 620, true)] {
@@ -253,12 +239,10 @@
     assert!(router.drain_observations().iter().all(|note| !is_silence(note.kind)));
 }
 
-// Symptom: as an instance goes on after a pause, it resets flows that live.
-// Sequence: data was sent on before the pause; its copies wait in the socket, and are
-//   read together at the end of it.
-// Cause: copies that are read together are counted as sent one after the other.
+// Guards against resets after a pause: retransmissions that waited in the socket are read together
+// and must not count as sent one after the other.
 #[test]
-fn waiting_copies_count_once() {
+fn retransmissions_read_together_count_once() {
     let (mut router, key) = flow_at_first();
     unanswered_opening(&mut router, 800);
     let request = data_packet(key, 1, 2_000, 1);
@@ -270,14 +254,14 @@
     }
 }
 
-/// What peers tell of a backend server whose death two of them have found.
+/// The observations of two peers that have detected the death of backend server 1.
 fn told_death(at_ms: u64) -> [HealthObservation; 2] {
     [ObservationKind::OpeningUnanswered, ObservationKind::DataUnanswered].map(|kind| {
         HealthObservation { number: 1, incarnation: 0, kind, observed_at: clock_at(at_ms) }
     })
 }
 
-/// Lets a caller of backend server 2 have an answer at `now`: the instance's own way is good.
+/// Lets backend server 2 respond to a flow at `now`, which proves that this instance's link works.
 fn answer_elsewhere(router: &mut FlowRouter, now: u64) {
     let caller = common::flow_key(3, 7);
     router.on_packet(clock_at(now - 20), &data_packet(caller, 2, 5_000, 1));
@@ -286,13 +270,10 @@
     router.on_packet(clock_at(now), &packet);
 }
 
-// Symptom: a caller that is alone with its backend server waits for 1.4 s, and has hardly
-//   time left to ask elsewhere.
-// Sequence: the backend server has died, as all instances were told; a caller asks on its
-//   open flow, and sends its request again.
-// Cause: what is told counts no more than one silence seen here.
+// Guards against a wait of 1.4 s on the only flow of a backend server whose death peers have
+// reported: its caller would have hardly any time left to repeat the request.
 #[test]
-fn told_death_ends() {
+fn resets_only_flow_when_peers_reported_the_death() {
     let (mut router, key) = flow_at_first();
     let request = data_packet(key, 1, 2_000, 1);
     router.on_packet(clock_at(ASKED), &request);
@@ -308,9 +289,9 @@
     assert_eq!(waited_ms, 200);
 }
 
-// The same where no other backend server has answered this instance: its own way may be cut.
+// As above, but no other backend server has responded to this instance: its own link may be down.
 #[test]
-fn cut_instance_waits() {
+fn keeps_flow_when_own_link_may_be_down() {
     let (mut router, key) = flow_at_first();
     let request = data_packet(key, 1, 2_000, 1);
     router.on_packet(clock_at(ASKED), &request);
@@ -321,12 +302,10 @@
     assert!(matches!(decision, FlowDecision::Forward { .. }), "{decision:?}");
 }
 
-// Symptom: when it becomes known that a backend server is dead, callers there go on waiting
-//   until they send again, 0.2 to 0.8 s later.
-// Sequence: two flows witness the death; those that asked after them wait meanwhile.
-// Cause: a flow is looked at only when a packet of it comes.
+// Guards against callers that wait 0.2 to 0.8 s for their next retransmission after the death was
+// detected through other flows: their flows must be reset without a packet of their own.
 #[test]
-fn waiting_flow_ended() {
+fn resets_waiting_flow_without_a_packet() {
     for (asked, ends) in [(ASKED, true), (ASKED + 200, false)] {
         let (mut router, key) = flow_at_first();
         router.on_packet(clock_at(asked), &data_packet(key, 1, 2_000, 1));
@@ -334,7 +313,7 @@
             .iter()
             .for_each(|note| router.apply_observation(clock_at(ASKED + 210), note));
         answer_elsewhere(&mut router, ASKED + 230);
-        // A request that was asked just now may be answered yet, and would show life.
+        // A request that was sent just now may still be answered, which would prove life.
         let ended = router.drain_flow_resets(clock_at(ASKED + 250));
         assert_eq!(
             ended.iter().map(|end| end.key).collect::<Vec<_>>(),
@@ -349,10 +328,9 @@
     }
 }
 
-// Symptom: a bid is lost that its backend server had received and answered.
-// Cause: a request that may not be repeated is ended while its answer may be on the way.
+// Guards against the loss of a request that can't be repeated and whose response may be in transit.
 #[test]
-fn waiting_bid_kept() {
+fn keeps_waiting_flow_with_non_idempotent_request() {
     let (mut router, key) = flow_at_first();
     let mut row = route_row("r", 443, "desk", 9);
     if let Some(RowValue::Route(route)) = &mut row.value {
--- a/crates/foxledge-flows/tests/evacuated_centres.rs
+++ b/crates/foxledge-flows/tests/evacuated_centres.rs
@@ -1,4 +1,4 @@
-//! Data centres that operators evacuate and take back.
+//! Begin and end of the evacuation of data centres.
 
 mod common;
 
@@ -9,7 +9,7 @@
 
 const THIRD: &str = "duluth";
 
-/// Two backend servers near, two in each of two other data centres.
+/// Two backend servers in the local data centre and two in each of two others.
 fn rows() -> Vec<ListRow> {
     let centres = [LOCAL_CENTRE, LOCAL_CENTRE, REMOTE_CENTRE, REMOTE_CENTRE, THIRD, THIRD];
     let numbers = 1..=centres.len() as u64;
@@ -26,10 +26,9 @@
     centre_of(router, &decision)
 }
 
-// Symptom: callers' flows go on reaching a data centre on which operators are about to work.
-// Cause: nothing reads the operators' wish.
+// Guards against new flows to a data centre that operators evacuate before maintenance.
 #[test]
-fn new_flows_move() {
+fn new_flows_avoid_evacuated_centre() {
     let mut router = listed_router(&rows());
     assert_eq!(place(&mut router, 100, 1).as_deref(), Some(LOCAL_CENTRE));
     router.apply_rows(clock_at(200), &[evacuation_row(LOCAL_CENTRE, 10)]);
@@ -39,7 +38,7 @@
         let centre = place(&mut router, 300 + u64::from(port), port).expect("is served");
         assert_ne!(centre, LOCAL_CENTRE);
     }
-    // All others take them, not one alone.
+    // All other backend servers get flows, not only one.
     let used = |centre: &str| {
         let of = router.backends().filter(|one| one.data_centre.as_str() == centre);
         of.filter(|one| one.last_placement > 0).count()
@@ -52,7 +51,7 @@
 }
 
 #[test]
-fn open_flows_stay() {
+fn open_flows_stay_in_evacuated_centre() {
     let mut router = listed_router(&rows());
     let number = open_flow(&mut router, 100, flow_key(1, 1)).expect("is served");
     router.apply_rows(clock_at(200), &[evacuation_row(LOCAL_CENTRE, 10)]);
@@ -61,11 +60,10 @@
     assert_eq!(decided_backend(&router, &decision), Some(number));
 }
 
-// Symptom: an evacuated data centre gets new flows again before it is taken back.
-// Sequence: the wish is repeated; an older row of it comes late.
-// Cause: an older state counts as news.
+// Guards against new flows to an evacuated data centre after the request was repeated and an older
+// row of it arrived late.
 #[test]
-fn wish_stays() {
+fn repeated_and_late_rows_keep_the_evacuation() {
     let mut router = listed_router(&rows());
     router.apply_rows(
         clock_at(100),
@@ -78,7 +76,7 @@
 }
 
 #[test]
-fn all_evacuated_refused() {
+fn refuses_when_all_centres_are_evacuated() {
     let mut router = listed_router(&rows());
     let all = [
         evacuation_row(LOCAL_CENTRE, 10),
@@ -90,7 +88,7 @@
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::Evacuated));
 }
 
-/// Lets callers open flows that nobody answers; returns the last decision.
+/// Opens flows that stay unanswered, with two retransmissions each.
 fn open_in_vain(router: &mut FlowRouter, from: u64, ports: std::ops::Range<u16>) {
     for port in ports {
         for (copy, wait) in [(0, 0), (1, 200), (2, 600)] {
@@ -99,28 +97,26 @@
     }
 }
 
-// Symptom: callers of an evacuated data centre that is cut off are all failed, though its own
-//   backend servers run.
-// Sequence: it is evacuated, then loses its ways to the other data centres and the store.
-// Cause: its instances obey a wish of which they can't hear any more, where nobody else is left.
+// Guards against refusals in an evacuated data centre that is then partitioned from the others and
+// from the store. Its backend servers run, no others are reachable, and an end of the evacuation
+// couldn't be received.
 #[test]
-fn cut_off_serves_near() {
+fn partitioned_instance_serves_evacuated_local_centre() {
     let mut router = listed_router(&rows());
     router.apply_rows(clock_at(100), &[evacuation_row(LOCAL_CENTRE, 10)]);
     router.set_confirmed_at(clock_at(500));
     open_in_vain(&mut router, 1_000, 1..4);
-    // As long as the store confirms the list, the wish holds.
+    // The evacuation applies while the store confirms the list.
     assert_ne!(place(&mut router, 1_700, 10).as_deref(), Some(LOCAL_CENTRE));
     assert_eq!(place(&mut router, 3_100, 11).as_deref(), Some(LOCAL_CENTRE));
     router.set_confirmed_at(clock_at(3_200));
     assert_ne!(place(&mut router, 3_300, 12).as_deref(), Some(LOCAL_CENTRE));
 }
 
-// Symptom: during an outage of the store new flows go to an evacuated data centre.
-// Sequence: some backend servers elsewhere are dead, others answer.
-// Cause: an outage and silences were taken for a cut, though somebody answers from elsewhere.
+// Guards against new flows to an evacuated data centre during a store outage: some backend servers
+// elsewhere are dead, but others respond, so this isn't a partition.
 #[test]
-fn outage_obeys() {
+fn store_outage_keeps_the_evacuation() {
     let mut router = listed_router(&rows());
     router.apply_rows(clock_at(100), &[evacuation_row(LOCAL_CENTRE, 10)]);
     open_in_vain(&mut router, 1_000, 1..4);
@@ -136,7 +132,7 @@
 }
 
 #[test]
-fn unknown_centre_harmless() {
+fn evacuation_of_unknown_centre_changes_nothing() {
     let mut router = listed_router(&rows());
     router.apply_rows(clock_at(100), &[evacuation_row("nowhere", 10)]);
     assert_eq!(router.drain_evacuation_events().len(), 1);
--- a/crates/foxledge-flows/tests/lapsed_entries.rs
+++ b/crates/foxledge-flows/tests/expired_entries.rs
@@ -1,16 +1,14 @@
-//! Backend servers whose entries vanish.
+//! Backend servers whose entries are removed.
 
 mod common;
 
 use common::*;
 use foxledge_flows::{DropReason, FlowDecision, RefuseReason};
 
-// Symptom: after the store was away, every new flow is refused for two seconds.
-// Sequence: the store loses the entries of live backend servers while it is down;
-//   with its return they are gone, and back two seconds later.
-// Cause: an entry that is missing is taken for a backend server that is gone.
+// Guards against refusals for two seconds after a store outage: the store loses the entries of live
+// backend servers while it is down, and they return two seconds after it.
 #[test]
-fn lapse_bridged() {
+fn serves_during_grace_after_entry_expired() {
     let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
     let mut router = listed_router(std::slice::from_ref(&one));
     router.apply_rows(clock_at(100), &[removed_row(&one, 3, 0)]);
@@ -20,7 +18,7 @@
 }
 
 #[test]
-fn missing_means_gone() {
+fn refuses_after_grace_period() {
     let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
     let mut router = listed_router(std::slice::from_ref(&one));
     router.apply_rows(clock_at(100), &[removed_row(&one, 3, 0)]);
@@ -30,8 +28,8 @@
 }
 
 #[test]
-fn age_counts() {
-    // A peer tells of a removal that happened two seconds ago.
+fn grace_starts_at_the_removal() {
+    // A peer reports a removal that happened two seconds ago.
     let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
     let mut router = listed_router(std::slice::from_ref(&one));
     router.apply_rows(clock_at(100), &[removed_row(&one, 3, 2_000)]);
@@ -40,7 +38,7 @@
 }
 
 #[test]
-fn planned_leave_final() {
+fn draining_backend_gets_no_grace() {
     let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
     let mut router = listed_router(std::slice::from_ref(&one));
     router.apply_rows(clock_at(100), &[removed_row(&draining_row(&one, 3), 4, 0)]);
@@ -49,7 +47,7 @@
 }
 
 #[test]
-fn taken_address_ends_grace() {
+fn reused_address_ends_grace() {
     let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
     let mut router = listed_router(std::slice::from_ref(&one));
     let mut newer = backend_spec(2, "other", LOCAL_CENTRE);
@@ -59,19 +57,17 @@
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
 }
 
-// Symptom: while the store is away, every new flow is refused although all backend
-//   servers live.
-// Sequence: the store removes their entries as it goes down; the removals arrive, the
-//   store is away for longer than the grace.
-// Cause: the grace ran out while no entry could come back.
+// Guards against refusals during a store outage that is longer than the grace period: the store
+// removes the entries of live backend servers as it goes down, and they can't return before it
+// does.
 #[test]
-fn lapse_while_store_away() {
+fn grace_lasts_while_store_is_unreachable() {
     let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
     let mut router = listed_router(std::slice::from_ref(&one));
     router.set_confirmed_at(clock_at(100));
     router.apply_rows(clock_at(110), &[removed_row(&one, 3, 0)]);
     assert_eq!(open_flow(&mut router, 8_000, flow_key(1, 1)), Some(1));
-    // The store is back; the entry may come back for two seconds more, then it is gone.
+    // The store is back. The entry may return for two more seconds; afterwards it is gone.
     router.set_confirmed_at(clock_at(9_000));
     assert_eq!(open_flow(&mut router, 11_000, flow_key(1, 2)), Some(1));
     router.set_confirmed_at(clock_at(11_150));
@@ -79,19 +75,18 @@
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
 }
 
-// Symptom: as the store returns, an instance refuses every flow that others serve.
-// Sequence: entries lapse, and the store goes away; the instance hears nothing while they
-//   come back and lapse once more, and reads the store when they are missing again.
-// Cause: it counts the grace from the first lapse, which was long before the return.
+// Guards against refusals by one instance after an outage: entries expire, return and expire again
+// while the instance has no contact with the store. The grace period must not count from the first
+// expiry, long before the store's return.
 #[test]
-fn second_lapse_bridged() {
+fn grace_restarts_after_store_outage() {
     let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
     let mut router = listed_router(std::slice::from_ref(&one));
     router.apply_rows(clock_at(100), &[removed_row(&one, 3, 0)]);
     router.set_confirmed_at(clock_at(101));
     router.set_confirmed_at(clock_at(7_900));
     assert_eq!(open_flow(&mut router, 7_910, flow_key(1, 1)), Some(1));
-    // What was gone for longer than the grace when the store went away stays gone.
+    // An entry whose grace period was over when the outage began stays removed.
     let mut router = listed_router(std::slice::from_ref(&one));
     router.apply_rows(clock_at(100), &[removed_row(&one, 3, 0)]);
     router.set_confirmed_at(clock_at(2_400));
@@ -100,23 +95,20 @@
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
 }
 
-// Symptom: as the store returns, every new flow of a service is refused for a second.
-// Sequence: the store loses all entries of the service as it goes down, and all instances
-//   are killed meanwhile; they start with its return, a second before the entries are back.
-// Cause: an instance that has just started takes a service of which it knows no entry for
-//   one that has no backend server.
+// Guards against refusals by instances that start together with the store, a second before the lost
+// entries return: a service without known entries may still have backend servers.
 #[test]
-fn start_in_lapse() {
+fn started_instance_drops_openings_until_entries_return() {
     let mut router = listed_router(&[]);
     for now in [50, 2_100] {
         let decision = router.on_packet(clock_at(now), &opening_packet(flow_key(1, 1), 0));
         assert_eq!(decision, FlowDecision::Drop(DropReason::MaybeStale), "after {now} ms");
     }
-    // What is still missing by then is gone.
+    // An entry that is still missing by then is gone.
     router.set_confirmed_at(clock_at(2_200));
     let decision = router.on_packet(clock_at(2_210), &opening_packet(flow_key(1, 2), 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
-    // Nobody has to wait to hear that a route isn't there.
+    // The refusal of a flow without a route isn't delayed.
     let mut router = listed_router(&[]);
     let mut elsewhere = flow_key(1, 1);
     elsewhere.service.set_port(9_999);
@@ -124,13 +116,12 @@
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoRoute));
 }
 
-// Symptom: an open flow is reset although its backend server lives.
-// Sequence: an instance stands still; the opening packet of a caller waits in its
-//   socket, the caller's copies open the flow at another; the first wakes, with a list
-//   by which no backend server is left, and refuses the packet that waited.
-// Cause: it refuses by a list that is as old as its pause.
+// Guards against the reset of an open flow: the opening packet waits in the socket of a paused
+// instance while a retransmission opens the flow at another one. When the instance resumes, its
+// list is as old as the pause and names no backend server, and it must not refuse the waiting
+// packet.
 #[test]
-fn woken_refuses_nothing() {
+fn refuses_nothing_between_pause_and_confirmation() {
     let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
     let mut router = listed_router(std::slice::from_ref(&one));
     router.apply_rows(clock_at(100), &[draining_row(&one, 3)]);
@@ -146,12 +137,10 @@
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
 }
 
-// Symptom: an open flow is reset although its backend server lives.
-// Sequence: as above, but more packets wait than are read at a time; the store's answer
-//   comes between two batches, and the second is refused by a list that is new.
-// Cause: a new list says nothing of what has become of packets that are old.
+// As above, with more waiting packets than are read at once: the store confirms the list between
+// two batches, but a new list doesn't make the packets of the second batch less old.
 #[test]
-fn waiting_packets_unrefused() {
+fn refuses_nothing_until_waiting_packets_are_read() {
     let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
     let mut router = listed_router(std::slice::from_ref(&one));
     router.apply_rows(clock_at(100), &[draining_row(&one, 3)]);
@@ -161,7 +150,7 @@
     router.set_confirmed_at(clock_at(4_010));
     let decision = router.on_packet(clock_at(4_020), &opening_packet(flow_key(1, 2), 0));
     assert_eq!(decision, FlowDecision::Drop(DropReason::MaybeStale));
-    // All that waited has been read.
+    // All waiting packets have been read.
     router.report_overdue_openings(clock_at(4_020));
     let decision = router.on_packet(clock_at(4_030), &opening_packet(flow_key(1, 3), 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
--- a/crates/foxledge-flows/tests/flow_sweep.rs
+++ b/crates/foxledge-flows/tests/flow_sweep.rs
@@ -48,11 +48,11 @@
     Confirm {
         router: usize,
     },
-    /// The instance starts anew and reads the list of the moment.
+    /// The instance restarts and reads the current list.
     Start {
         router: usize,
     },
-    /// The backend server ends for good, and its entry with it.
+    /// The backend server stops for good, and its entry is removed.
     Vanish {
         backend: u64,
     },
@@ -88,28 +88,28 @@
     routers: Vec<FlowRouter>,
     revisions: [u64; 2],
     drained: [Vec<u64>; 2],
-    /// The backend server that each open flow's caller acknowledged.
+    /// The backend server of each open flow, as its caller knows it.
     holders: HashMap<u16, u64>,
-    /// When and where each flow's opening packet was sent last.
+    /// When and where each flow's opening packet was last sent.
     openings: HashMap<u16, (u64, u64)>,
-    /// The same of each instance: where it sends a copy that comes soon after.
+    /// The same for each instance, which sends an early retransmission to the same backend server.
     own_openings: HashMap<(usize, u16), (u64, u64)>,
-    /// What was last sent on each open flow.
+    /// The last packet sent on each open flow.
     last_data: HashMap<u16, FlowPacket>,
-    /// When backend servers first left an opening unanswered until its caller asked again,
-    /// or a flow's data for half a second.
+    /// When backend servers first left an opening unanswered until its retransmission, or a flow's
+    /// data for half a second.
     unanswered: HashMap<u64, u64>,
-    /// Backend servers that ended for good.
+    /// The backend servers that stopped for good.
     vanished: HashSet<u64>,
-    /// Entries that lapsed though their backend servers live, as each instance knows it.
+    /// For each instance, the expired entries of live backend servers.
     lapsed: [HashSet<u64>; 2],
-    /// When each instance that started has back what had lapsed: some two seconds after the
-    /// store confirms its list.
+    /// When each restarted instance has the expired entries back: about two seconds after the store
+    /// confirms its list.
     back_at: [Option<u64>; 2],
     now: u64,
 }
 
-/// Time from the store's return until entries that lapsed are back, in milliseconds.
+/// The time, in milliseconds, between the store's return and that of expired entries.
 const BACK_MS: u64 = 2_000;
 
 impl Run {
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Starts an instance anew: it knows what is listed now, and nothing of what lapsed.
+    /// Restarts an instance, which then knows the listed entries but not the expired ones.
     fn start(&mut self, router: usize) {
         self.drained[router].clear();
         self.back_at[router] = None;
@@ -233,16 +233,16 @@
 
     fn open(&mut self, index: usize, flow: u16, copy: u32) {
         if self.holders.contains_key(&flow) {
-            // Callers whose flow is open send no opening packet.
+            // A caller sends no opening packet on an open flow.
             return;
         }
         let router = &mut self.routers[index];
         let decision =
             router.on_packet(clock_at(self.now), &opening_packet(flow_key(1, flow), copy));
         let Some(number) = decided_backend(router, &decision) else { return };
-        // A copy that comes within 150 ms of the packet before it goes where that
-        // went, also when that backend server has begun to leave in between: it may
-        // have taken the flow already, and another would take it a second time.
+        // A retransmission within 150 ms of the packet before it goes to the same backend server,
+        // even if that began to drain in between: it may have accepted the flow already, and
+        // another one would accept it a second time.
         let last = self.own_openings.insert((index, flow), (self.now, number));
         if let Some((_, to)) = last.filter(|(sent, _)| self.now >= sent + 150) {
             self.unanswered.entry(to).or_insert(self.now);
@@ -258,7 +258,7 @@
         let Some(holder) = self.holders.get(&flow).copied().or(opened) else { return };
         self.holders.insert(flow, holder);
         if self.vanished.contains(&holder) && kind == PacketKind::Finish {
-            // Nobody answers it; the caller gives up.
+            // The packet stays unanswered, and the caller gives up.
             self.holders.remove(&flow);
             self.openings.remove(&flow);
             return;
@@ -272,7 +272,7 @@
         }
     }
 
-    /// Sends once more what the flow's caller sent last.
+    /// Retransmits the last packet of the flow.
     fn resend(&mut self, index: usize, flow: u16) {
         let Some(holder) = self.holders.get(&flow).copied() else { return };
         let Some(sent) = self.last_data.get(&flow).copied() else { return };
@@ -290,7 +290,7 @@
         if matches!(decision, FlowDecision::Reset { .. }) {
             let first_sent = u64::from(sent.sequence);
             let silent_since = self.unanswered.get(&holder).expect("other evidence");
-            // Long known silence and one copy, or two copies.
+            // One retransmission suffices after 500 ms of evidence, otherwise two are needed.
             let wait = if silent_since + 500 <= first_sent { 150 } else { 500 };
             assert!(self.now >= first_sent + wait, "ended while its caller may get an answer");
             self.holders.remove(&flow);
@@ -309,16 +309,15 @@
     #![proptest_config(ProptestConfig {
         cases: 1_000,
         failure_persistence: None,
-        // The same sequences in every run, so that a failure is a change's doing.
+        // The sequences are the same in every run, so that a failure is caused by a change.
         ..ProptestConfig::default()
     })]
 
-    /// Whatever the two instances know and in whatever order packets come: an open
-    /// flow's packets reach the backend server that holds it or none, it is reset only
-    /// when that answers neither it nor new flows, and a leaving backend server gets no
-    /// new flow.
+    /// Whatever the two instances know and in whatever order packets arrive: the packets of an open
+    /// flow reach its backend server or none, the flow is reset only if its backend server answers
+    /// neither it nor new flows, and a draining backend server gets no new flow.
     #[test]
-    fn one_flow_one_backend(steps in prop::collection::vec(any_step(), 1..120)) {
+    fn flows_reach_only_their_backend(steps in prop::collection::vec(any_step(), 1..120)) {
         let mut run = Run::new();
         for step in &steps {
             run.step(step);
