--- a/crates/foxledge-flows/tests/idle_flows.rs
+++ b/crates/foxledge-flows/tests/idle_flows.rs
@@ -1,4 +1,4 @@
-//! Flows at rest whose backend server is dead, and everything that looks like it.
+//! Idle flows of a dead backend server, and situations that look alike.
 
 mod common;
 
@@ -10,20 +10,20 @@
     rows::RowValue,
 };
 
-/// Backend servers of these tests.
+/// The number of backend servers.
 const BACKENDS: u64 = 3;
-/// Flows that callers keep open, spread over them.
+/// The number of flows that callers keep open.
 const FLOWS: u16 = 30;
-/// When the first of them dies.
+/// When backend server 1 dies.
 const DEATH: u64 = 2_000;
-/// Time until a death shows: two copies of data, sent after 200 and 600 ms.
+/// When the death shows: after two retransmissions, at 200 and 600 ms.
 const SHOWN: u64 = DEATH + 610;
 
 fn flow(port: u16) -> FlowKey {
     common::flow_key(1 + (port % 5) as u8, port)
 }
 
-/// Callers keep flows for requests that may not be repeated.
+/// Returns a router whose route's requests aren't idempotent.
 fn bids_router() -> FlowRouter {
     let rows: Vec<_> =
         (1..=BACKENDS).map(|number| listed_backend(number, "desk", LOCAL_CENTRE, 2)).collect();
@@ -36,16 +36,16 @@
     router
 }
 
-/// What callers do on their kept flows, and which backend servers answer.
+/// Callers with open flows, and what they sent and received.
 struct Callers {
     router: FlowRouter,
-    /// Flow, its backend server, and the sequence and acknowledgement numbers that come next.
+    /// Each flow with its backend server and its next sequence and acknowledgement numbers.
     kept: Vec<(FlowKey, u64, u32, u32)>,
     ended: Vec<FlowReset>,
 }
 
 impl Callers {
-    /// Opens all flows and asks once on each.
+    /// Opens all flows and sends one request on each.
     fn new(router: FlowRouter) -> Callers {
         let mut callers = Callers { router, kept: Vec::new(), ended: Vec::new() };
         for port in 1..=FLOWS {
@@ -57,7 +57,7 @@
         callers
     }
 
-    /// Asks on a kept flow, and acknowledges the answer 20 ms later.
+    /// Sends a request on an open flow and acknowledges the response 20 ms later.
     fn ask(&mut self, index: usize, now: u64) {
         self.send(index, now);
         self.acknowledge(index, now + 20);
@@ -77,7 +77,7 @@
         self.router.on_packet(clock_at(now), &packet);
     }
 
-    /// Indexes of the flows that backend server 1 holds.
+    /// Returns the indexes of the flows of backend server 1.
     fn at_first(&self) -> Vec<usize> {
         (0..self.kept.len()).filter(|index| self.kept[*index].1 == 1).collect()
     }
@@ -86,7 +86,7 @@
         (0..self.kept.len()).filter(|index| self.kept[*index].1 != 1).collect()
     }
 
-    /// Asks on some flows at `now` and twice more, as no answer comes.
+    /// Sends a request on some flows at `now`, and two retransmissions of each.
     fn stall(&mut self, flows: &[usize], now: u64) {
         for wait in [0, 200, 600] {
             for index in flows {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Looks for flows to end, as often as in this span.
+    /// Runs the check for flows to reset regularly during `span`.
     fn look(&mut self, span: std::ops::Range<u64>) {
         for now in span.step_by(25) {
             self.ended.extend(self.router.drain_flow_resets(clock_at(now)));
@@ -107,7 +107,8 @@
     }
 }
 
-/// Two flows at backend server 1 have shown that it is dead; all others are at rest.
+/// Returns callers of which two have found backend server 1 dead while all other flows are idle,
+/// and the flows of that backend server.
 fn dead_first() -> (Callers, Vec<usize>) {
     let mut callers = Callers::new(bids_router());
     let held = callers.at_first();
@@ -118,13 +119,11 @@
     (callers, held)
 }
 
-// Symptom: for many seconds after a backend server died, each submission on a flow that
-//   was kept open there fails.
-// Sequence: callers keep flows for requests that may not be repeated, and ask every few
-//   seconds; the backend server dies while most of the flows are at rest.
-// Cause: the flows are left open, though their instance has long placed nothing there.
+// Guards against requests that fail for many seconds after a death: callers keep flows open for
+// requests that aren't idempotent and send one every few seconds, and most of the flows are idle
+// when the backend server dies.
 #[test]
-fn idle_flows_ended() {
+fn resets_idle_flows_of_dead_backend() {
     let (mut callers, held) = dead_first();
     callers.look(SHOWN..SHOWN + 100);
     let at_rest: BTreeSet<_> = held[2..].iter().map(|index| callers.kept[*index].0).collect();
@@ -132,35 +131,33 @@
     for end in &callers.ended {
         let ResetReason::IdleAtDead { idle_ms, silent_ms } = end.reason else { panic!("{end:?}") };
         assert!(idle_ms > 2_000 && (0..200).contains(&silent_ms), "{end:?}");
-        // Callers take a reset near what they have received.
+        // Callers accept a reset only near what they have received.
         assert_eq!(end.received, 601);
     }
     let tracked: usize = callers.router.backends().map(|one| one.open_flows as usize).sum();
     assert_eq!(callers.router.tracked_flow_count(), tracked);
-    // Each once, and never those of the others.
+    // Each flow is reset once, and no flow of another backend server.
     callers.look(SHOWN + 100..SHOWN + 500);
     assert_eq!(callers.ended.len(), at_rest.len());
 }
 
-// Symptom: a request is broken off to which the answer would have come.
-// Cause: a flow counts as at rest though its caller waits.
+// Guards against the reset of a flow whose caller waits for a response that may be in transit.
 #[test]
-fn waiting_flow_kept() {
+fn keeps_flow_while_caller_waits() {
     let (mut callers, held) = dead_first();
     let waiting = held[3];
     callers.send(waiting, SHOWN - 100);
     callers.look(SHOWN..SHOWN + 1_000);
     assert!(!callers.ended_keys().contains(&callers.kept[waiting].0));
-    // Its caller has given up; the next request would be lost as well.
+    // Its caller has given up, so the flow is idle; the next request would be lost as well.
     callers.stall(&held[..1], SHOWN + 500);
     callers.look(SHOWN + 1_110..SHOWN + 1_400);
     assert!(callers.ended_keys().contains(&callers.kept[waiting].0));
 }
 
-// Symptom: the end of a long answer is cut off.
-// Sequence: its first parts are acknowledged, the rest is on its way.
+// Guards against a truncated response: its first part is acknowledged, and the rest is in transit.
 #[test]
-fn answer_under_way_kept() {
+fn keeps_flow_while_response_is_in_transit() {
     let (mut callers, held) = dead_first();
     let receiving = held[3];
     callers.acknowledge(receiving, SHOWN - 20);
@@ -170,10 +167,10 @@
     assert!(callers.ended_keys().contains(&callers.kept[receiving].0));
 }
 
-// Symptom: flows end at a backend server that answers.
-// Sequence: data of one flow is lost again and again, others there are answered.
+// Guards against the reset of idle flows at a backend server that responds to other flows while the
+// data of one is lost repeatedly.
 #[test]
-fn any_answer_keeps() {
+fn any_response_prevents_resets() {
     for alive_at in [DEATH + 100, DEATH + 590, SHOWN + 1] {
         let mut callers = Callers::new(bids_router());
         let held = callers.at_first();
@@ -194,9 +191,9 @@
     }
 }
 
-// Symptom: the same, after one flow's packets were lost on their way to the instance.
+// Guards against resets after the packets of a single flow were lost on their way to the instance.
 #[test]
-fn one_witness_keeps() {
+fn one_unanswered_flow_resets_nothing() {
     let mut callers = Callers::new(bids_router());
     let held = callers.at_first();
     callers.stall(&held[..1], DEATH);
@@ -207,11 +204,10 @@
     assert_eq!(callers.ended, []);
 }
 
-// Symptom: flows end at a backend server that holds as many as it may.
-// Sequence: it answers no opening; its flows are at rest.
-// Cause: a full backend server is silent to new flows as a dead one is.
+// Guards against the reset of idle flows at a full backend server, which leaves openings unanswered
+// like a dead one.
 #[test]
-fn full_one_keeps() {
+fn keeps_idle_flows_of_full_backend() {
     let mut callers = Callers::new(bids_router());
     for port in 200..230 {
         callers.router.on_packet(clock_at(DEATH), &opening_packet(flow(port), 0));
@@ -226,17 +222,15 @@
     assert_eq!(callers.ended, []);
 }
 
-// Symptom: flows end at backend servers that live.
-// Sequence: three packets in ten are lost on all ways of an instance; two flows to one
-//   backend server stay unanswered through two copies.
-// Cause: the silence is taken for a death, though requests elsewhere are answered only
-//   after copies as well.
+// Guards against resets when three packets in ten are lost on all paths of an instance: two flows
+// to one backend server stay unanswered through two retransmissions, while requests elsewhere are
+// answered only after retransmissions too.
 #[test]
-fn lossy_ways_keep() {
+fn packet_loss_on_all_paths_resets_nothing() {
     for (copied, ends) in [(3, false), (1, true)] {
         let mut callers = Callers::new(bids_router());
         let (held, others) = (callers.at_first(), callers.at_others());
-        // Some requests at the others are answered only after a copy.
+        // Some requests to the other backend servers are answered only after a retransmission.
         for (step, index) in others[..10].iter().enumerate() {
             let now = DEATH - 800 + step as u64 * 40;
             callers.send(*index, now);
@@ -252,11 +246,10 @@
     }
 }
 
-// Symptom: an instance whose link is down ends flows that live.
-// Sequence: nothing that it sends arrives; all backend servers look dead.
-// Cause: its own link's silence is taken for that of each backend server.
+// Guards against resets by an instance whose own link is down, so that all backend servers look
+// dead.
 #[test]
-fn cut_off_ends_nothing() {
+fn partitioned_instance_resets_nothing() {
     let mut callers = Callers::new(bids_router());
     let all: Vec<_> = (0..callers.kept.len()).step_by(2).collect();
     callers.stall(&all, DEATH);
@@ -264,11 +257,10 @@
     assert_eq!(callers.ended, []);
 }
 
-// Symptom: as an instance goes on after a pause, it ends flows that live.
-// Sequence: a backend server was out of reach before; it answered while the instance
-//   stood still, and the notes of that are gone.
+// Guards against resets after a pause: the backend server was unreachable before and responded
+// during the pause, and the observations of that are lost.
 #[test]
-fn pause_forgets() {
+fn pause_clears_evidence() {
     let (mut callers, _) = dead_first();
     callers.router.record_pause();
     callers.look(SHOWN + 5_000..SHOWN + 5_100);
@@ -281,8 +273,8 @@
 }
 
 #[test]
-fn waiting_packets_first() {
-    // What waited during the pause may hold a sign of life, and so may the next list.
+fn resets_nothing_before_waiting_packets_are_read() {
+    // Packets that waited during the pause may prove life, and so may the next list.
     let (mut callers, held) = dead_first();
     callers.router.record_pause();
     callers.stall(&held[..2], SHOWN + 10);
@@ -290,11 +282,10 @@
     assert_eq!(callers.ended, []);
 }
 
-// Symptom: flows end that are answered again.
-// Sequence: a backend server was cut off for a while; nobody asked there since.
-// Cause: evidence counts for ever.
+// Guards against the reset of flows that work again: a backend server was unreachable for a while,
+// and no packet was sent there since.
 #[test]
-fn old_evidence_keeps() {
+fn old_evidence_resets_nothing() {
     let (mut callers, _) = dead_first();
     let other = callers.at_others()[0];
     callers.ask(other, SHOWN + 3_000);
@@ -302,9 +293,9 @@
     assert_eq!(callers.ended, []);
 }
 
-// Symptom: flows of a backend server that has just started under its id end.
+// Guards against the reset of flows of a backend server that has just restarted under its id.
 #[test]
-fn new_start_keeps() {
+fn restart_clears_evidence() {
     let (mut callers, _) = dead_first();
     let mut spec = backend_spec(1, "desk", LOCAL_CENTRE);
     spec.incarnation = 77;
@@ -315,7 +306,7 @@
 }
 
 #[test]
-fn peers_words_count() {
+fn peer_observations_prove_the_death() {
     // Two flows at other instances suffice, or one and an opening; openings alone don't.
     use ObservationKind::{Alive, DataUnanswered, Ejected, OpeningUnanswered, Suspect};
     let cases: [(&[ObservationKind], bool); 6] = [
@@ -346,7 +337,7 @@
 }
 
 #[test]
-fn ends_bounded() {
+fn limits_resets_per_check() {
     let rows: Vec<_> =
         (1..=2).map(|number| listed_backend(number, "desk", LOCAL_CENTRE, 2)).collect();
     let mut router = listed_router(&rows);
--- a/crates/foxledge-flows/tests/idle_sweep.rs
+++ b/crates/foxledge-flows/tests/idle_sweep.rs
@@ -1,5 +1,5 @@
-//! Random sequences of requests, losses, pauses and deaths before two instances that tell
-//! each other what they observe: flows end only where the backend server is dead.
+//! Random sequences of requests, packet losses, pauses and deaths at two instances that exchange
+//! their observations: only flows of dead backend servers are reset.
 
 mod common;
 
@@ -17,27 +17,27 @@
 const BACKENDS: u64 = 4;
 const FLOWS: usize = 24;
 const ROUTERS: usize = 2;
-/// Ways and times in milliseconds.
+/// The delays of packets, responses and retransmissions, in milliseconds.
 const WAY: u64 = 2;
 const WORK: u64 = 20;
 const SLOW_WORK: u64 = 1_900;
 const RESENDS: [u64; 3] = [200, 600, 1_400];
 const DEADLINE: u64 = 1_200;
-/// Packets that are lost at most within a span, in milliseconds: two. The silence of a
-/// backend server that answers nobody counts for as long. A false alarm takes four, or three of two flows at a backend server
-/// that is so slow that it answers nobody for 0.7 s.
+/// The maximum number of packets lost within `LOSS_SPAN` milliseconds, which is also how long the
+/// missing responses of a backend server count. A false alarm takes four losses, or three of two
+/// flows at a backend server that is so slow that it sends no response for 0.7 s.
 const MOST_LOST: usize = 2;
 const LOSS_SPAN: u64 = 10_000;
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A caller asks on its flow.
+    /// A caller sends a request on its flow.
     Ask {
         flow: usize,
     },
-    /// All callers ask, one after the other.
+    /// All callers send a request, one after the other.
     AskAll,
-    /// The next packet that an instance sends on is lost.
+    /// The next packet that an instance forwards is lost.
     Lose,
     Pause {
         router: usize,
@@ -69,17 +69,17 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A caller sends its data, or again.
+    /// A caller sends or retransmits its data.
     Send { flow: usize, request: u32, copy: usize },
-    /// What a caller sends reaches its instance: data, or nothing but an acknowledgement.
+    /// A caller's packet reaches its instance: data, or only an acknowledgement.
     Arrive { flow: usize, request: u32, length: u16, acknowledged: u32 },
-    /// A backend server has answered.
+    /// A backend server has responded.
     Answer { flow: usize, request: u32 },
-    /// An instance goes on after a pause.
+    /// An instance resumes after a pause.
     Wake { router: usize },
-    /// An instance hears of what the other observed.
+    /// An instance receives an observation of the other one.
     Hear { router: usize, note: usize },
-    /// Instances look for what is overdue and for flows to end.
+    /// The instances check for overdue openings and for flows to reset.
     Tick,
 }
 
@@ -89,7 +89,7 @@
     backend: u64,
     request: u32,
     asked_at: u64,
-    /// The backend server has the data, so that its caller sends it no more.
+    /// True if the backend server has the data, so that the caller doesn't retransmit it.
     is_delivered: bool,
     is_waiting: bool,
 }
@@ -107,9 +107,10 @@
     slow: Vec<u64>,
     to_lose: usize,
     lost_at: Vec<u64>,
-    /// Requests may be repeated.
+    /// True if requests may be repeated.
     repeatable: bool,
-    /// Flows that were ended by a packet of theirs, at rest, and while their callers waited.
+    /// The numbers of flows reset by a packet of their own, while idle, and while their callers
+    /// waited.
     ended: [usize; 3],
 }
 
@@ -148,7 +149,7 @@
         run
     }
 
-    /// Opens a flow at its instance; openings themselves are always answered here.
+    /// Opens a flow at its instance; openings are always answered in this model.
     fn opened(&mut self, flow: usize) -> CallerFlow {
         let key = flow_key(flow as u8, self.next_port);
         self.next_port += 1;
@@ -213,7 +214,7 @@
             }
             Event::Answer { flow, request } => self.answer(flow, request),
             Event::Wake { router } if self.paused_until[router] <= self.now => {
-                // What waited is read at the same moment, before it is judged.
+                // Packets that waited are read at the same moment, before the next check.
                 self.routers[router].record_pause();
             }
             Event::Wake { .. } => {}
@@ -259,7 +260,7 @@
         }
     }
 
-    /// A packet on its way from an instance to the flow's backend server.
+    /// Delivers a packet from an instance to the flow's backend server, unless it is lost.
     fn deliver(&mut self, flow: usize, request: u32, length: u16) {
         let caller = self.flows[flow];
         self.lost_at.retain(|lost| lost + LOSS_SPAN > self.now);
@@ -306,7 +307,7 @@
     fn take_end(&mut self, end: &FlowReset) {
         let Some(flow) = self.flows.iter().position(|caller| caller.key == end.key) else { return };
         let caller = self.flows[flow];
-        // What its caller sends while the reset is on its way is lost in any case.
+        // What the caller sends while the reset is in transit is lost in any case.
         let is_seen = caller.asked_at + WAY < self.now && self.now < caller.asked_at + DEADLINE;
         let is_under_way = caller.is_waiting && is_seen;
         match end.reason {
@@ -315,7 +316,7 @@
                 self.end(flow, 1);
             }
             ResetReason::WaitingAtDead { .. } => {
-                // The caller may have its answer, where its word of that was lost.
+                // The caller may have its response if its acknowledgement was lost.
                 assert!(self.repeatable, "a bid was under way on {}", caller.key);
                 self.end(flow, 2);
             }
@@ -356,11 +357,11 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever some lost packets, pauses and slow backend servers do: no flow ends whose
-    /// backend server lives, none as one at rest on which its caller waits, and none at all on
-    /// which a request waits that may not be repeated.
+    /// Whatever some lost packets, pauses and slow backend servers do: no flow of a live backend
+    /// server is reset, none counts as idle while its caller waits, and none is reset at all while
+    /// a request waits that may not be repeated.
     #[test]
-    fn ends_only_dead(
+    fn resets_only_flows_of_dead_backends(
         repeatable in any::<bool>(),
         steps in prop::collection::vec(any_step(), 1..150),
     ) {
@@ -373,8 +374,9 @@
 }
 
 #[test]
-fn dead_ones_end() {
-    // The same world, without luck: a backend server dies, callers go on to ask.
+fn resets_flows_of_dead_backend() {
+    // The same model without randomness: a backend server dies, and callers continue to send
+    // requests.
     for repeatable in [true, false] {
         let mut run = Run::new(repeatable);
         for round in 0..6 {
--- a/crates/foxledge-flows/tests/refused_entries.rs
+++ b/crates/foxledge-flows/tests/invalid_entries.rs
@@ -1,4 +1,4 @@
-//! Entries of backend servers that another writer spoiled.
+//! Entries of backend servers that another writer overwrote.
 
 mod common;
 
@@ -19,7 +19,7 @@
     ItemChange::Backend { revision, id: format!("i-{number:x}"), backend }
 }
 
-/// A list with backend servers 1 and 2, up to revision 20.
+/// Returns a list with backend servers 1 and 2, complete up to revision 20.
 fn list() -> FleetList {
     let mut list = FleetList::new();
     let config = ItemChange::Config { revision: 3, config: ConfigReading::default() };
@@ -32,11 +32,10 @@
     list.rows().cloned().collect()
 }
 
-// Symptom: callers wait for answers from an address where no backend server is.
-// Sequence: another writer overwrites the entry of a backend server that lives.
-// Cause: the entry before it stays in force, though nobody may know what holds now.
+// Guards against new flows to an address where no backend server may be any more: another writer
+// overwrites the entry of a live backend server, and the previous entry must not stay in force.
 #[test]
-fn overwritten_gets_none() {
+fn overwritten_entry_gets_no_new_flows() {
     let mut list = list();
     let mut router = listed_router(&all_rows(&list));
     let held = open_flow(&mut router, 10, flow_key(1, 1)).expect("is placed");
@@ -46,22 +45,22 @@
         let number = open_flow(&mut router, 110, flow_key(1, port)).expect("is placed");
         assert_ne!(number, held, "a new flow went to the backend server of the spoiled entry");
     }
-    // Its open flow goes on.
+    // Its open flow continues.
     let decision =
         router.on_packet(clock_at(150), &data_packet(flow_key(1, 1), held as u32, 1_000, 1));
     assert_eq!(decided_backend(&router, &decision), Some(held));
     router.on_packet(clock_at(160), &flow_packet(flow_key(1, 1), PacketKind::Finish, held as u32));
-    // Its own next entry makes it one of the others again.
+    // Its own next entry makes it available again.
     let rows = list.apply_watch(clock_at(200), ListReading::complete(vec![good(22, held)], 22));
     router.apply_rows(clock_at(200), &rows);
-    // By then the flow that has ended there counts no more.
+    // By then the flow that ended there no longer counts.
     let placed = (20..40).filter_map(|port| open_flow(&mut router, 1_200, flow_key(1, port)));
     assert!(placed.collect::<Vec<_>>().contains(&held));
 }
 
 #[test]
-fn spoiled_entry_refuses() {
-    // Nobody else serves: a caller is told at once.
+fn refuses_when_all_entries_are_invalid() {
+    // No other backend server exists: the caller is refused at once.
     let mut list = list();
     let mut router = listed_router(&all_rows(&list));
     let spoiled = vec![refused(21, 1), refused(22, 2)];
@@ -71,11 +70,10 @@
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
 }
 
-// Symptom: some instances place flows by a spoiled entry, others don't.
-// Sequence: one watches, another reads everything, a third has its list from a peer.
-// Cause: the ways to learn of an entry differ in what they make of it.
+// Guards against instances that disagree on an invalid entry, depending on whether they watched the
+// store, read all of it or got the list from a peer.
 #[test]
-fn every_way_agrees() {
+fn watch_reading_and_snapshot_agree_on_invalid_entry() {
     let mut watching = list();
     watching.apply_watch(clock_at(100), ListReading::complete(vec![refused(21, 1)], 21));
     let mut reading = list();
@@ -91,18 +89,16 @@
         assert!(removed.backend.as_ref().is_some_and(|backend| backend.draining));
         assert_eq!(row.revision, 21);
     }
-    // One that never knew the good entry knows nothing of it.
+    // An instance that never knew the valid entry lists no backend server.
     let mut late = FleetList::new();
     late.apply_reading(clock_at(100), ListReading::complete(items, 21));
     assert!(!late.contains("backend/i-1"));
 }
 
-// Symptom: open flows of a live backend server reach a stranger.
-// Sequence: another writer puts a whole entry with another address under its key, which
-//   tells of the same start.
-// Cause: the newer address is taken for that of the flows' holder.
+// Guards against open flows of a live backend server that reach another process: another writer
+// puts a complete entry with another address and the same start under its key.
 #[test]
-fn moved_entry_doubted() {
+fn entry_with_another_address_is_not_followed() {
     let mut router = listed_router(&[
         listed_backend(1, "desk", LOCAL_CENTRE, 2),
         listed_backend(2, "desk", LOCAL_CENTRE, 2),
@@ -121,11 +117,10 @@
     }
 }
 
-// Symptom: open flows break as an entry with a strange key appears.
-// Sequence: two entries name the same number; packets of flows name it by that number.
-// Cause: the newer one is taken for the holder of all these flows.
+// Guards against broken open flows when a second entry with the same number appears: packets of
+// open flows identify their backend server by number only.
 #[test]
-fn one_number_twice() {
+fn first_entry_of_a_number_keeps_its_flows() {
     let own = listed_backend(1, "desk", LOCAL_CENTRE, 2);
     let mut spec = backend_spec(1, "desk", LOCAL_CENTRE);
     spec.ip = u32::from(std::net::Ipv4Addr::new(10, 9, 9, 9));
@@ -149,12 +144,10 @@
     }
 }
 
-// Symptom: open flows break as the entry with a strange key tells of another start.
-// Sequence: two entries name the same number, the second has no say; it is written again
-//   with another time of its start.
-// Cause: the start makes it an entry like any other.
+// Guards against broken open flows when the second entry with a number is rewritten with another
+// start time, which must not give it the number.
 #[test]
-fn second_stays_second() {
+fn rewritten_duplicate_number_stays_without_flows() {
     let own = listed_backend(1, "desk", LOCAL_CENTRE, 2);
     let other = |incarnation, revision| {
         let mut spec = backend_spec(1, "desk", LOCAL_CENTRE);
--- a/crates/foxledge-flows/tests/late_life.rs
+++ b/crates/foxledge-flows/tests/late_observations.rs
@@ -1,4 +1,4 @@
-//! Signs of life that come late refute what is older than they, and nothing newer.
+//! Responses observed late refute older evidence only.
 
 mod common;
 
@@ -11,18 +11,17 @@
     HealthObservation { number: 1, incarnation: 0, kind, observed_at: clock_at(millis) }
 }
 
-// Symptom: a backend server that is known to be dead gets nearly all new flows.
-// Sequence: it is seen alive, dies, and is found silent; the sign of life comes last.
-// Cause: a sign of life made everything forgotten, whatever its age.
+// Guards against a dead backend server that gets nearly all new flows: a response observed before
+// its death is received after the evidence of the death, and must not clear it.
 #[test]
-fn newer_silence_stands() {
+fn late_response_keeps_newer_evidence() {
     let mut state = HealthState::default();
     state.on_observation(clock_at(510), &note(500, ObservationKind::DataUnanswered), 0);
     state.on_observation(clock_at(530), &note(520, ObservationKind::OpeningUnanswered), 0);
     state.on_observation(clock_at(540), &note(100, ObservationKind::Alive), 0);
     assert!(state.is_dead(clock_at(550)));
     assert_eq!(state.class(clock_at(550)), HealthClass::Ejected);
-    // What is older than the sign of life counts no more.
+    // Evidence older than the response doesn't count any more.
     let mut state = HealthState::default();
     state.on_observation(clock_at(530), &note(520, ObservationKind::Suspect), 0);
     state.on_observation(clock_at(540), &note(100, ObservationKind::Alive), 0);
@@ -31,7 +30,7 @@
 }
 
 #[test]
-fn newer_life_counts() {
+fn newer_response_clears_evidence() {
     let mut state = HealthState::default();
     state.on_observation(clock_at(510), &note(500, ObservationKind::DataUnanswered), 0);
     state.on_observation(clock_at(530), &note(520, ObservationKind::OpeningUnanswered), 0);
@@ -40,12 +39,10 @@
     assert_eq!(state.class(clock_at(550)), HealthClass::Healthy);
 }
 
-// Symptom: backend servers behind a cut look healthy again, one after the other, and all new
-//   flows go there.
-// Sequence: a caller's data stays unanswered there; the caller gives its flow up with a reset.
-// Cause: the reset's acknowledgement, which holds nothing, was taken for that of an answer.
+// Guards against unreachable backend servers that look healthy again: a caller gives up its flow
+// with an abort, whose acknowledgement field is empty and must not count as a response.
 #[test]
-fn giving_up_is_no_life() {
+fn abort_counts_as_no_response() {
     let mut router = listed_router(&[
         listed_backend(1, "desk", LOCAL_CENTRE, 2),
         listed_backend(2, "desk", LOCAL_CENTRE, 2),
@@ -64,12 +61,11 @@
     assert_eq!(health.class(clock_at(900)), HealthClass::Ejected);
 }
 
-// Symptom and effect as above.
-// Sequence: backend servers are cut off and start again behind the cut. The end of the former
-//   process ends its flows, and their callers acknowledge that, or end them too.
-// Cause: the acknowledged end, which counts like one byte, was taken for an answer.
+// Guards against the same after backend servers restarted behind a partition: the end of the
+// previous process ends its flows, and callers acknowledge that or end them too. The acknowledged
+// end counts like one byte and must not count as a response.
 #[test]
-fn flow_end_is_no_life() {
+fn acknowledged_flow_end_counts_as_no_response() {
     for kind in [PacketKind::Continue, PacketKind::Finish] {
         let mut router = listed_router(&[
             listed_backend(1, "desk", LOCAL_CENTRE, 2),
--- a/crates/foxledge-flows/tests/list_order.rs
+++ b/crates/foxledge-flows/tests/list_order.rs
@@ -44,10 +44,10 @@
 }
 
 #[test]
-fn only_changes_pass() {
+fn new_list_yields_changed_rows_only() {
     let mut list = FleetList::new();
     assert_eq!(read(&mut list, vec![config(1, 5, &["a", "b", "c"])], 5), 4);
-    // One route goes, one comes, and the version is another.
+    // One route is removed, one is added, and the version changes.
     let items = vec![config(2, 9, &["a", "b", "d"])];
     let taken = list.apply_watch(clock_at(10), ListReading::complete(items, 9));
     let mut keys: Vec<_> = taken.iter().map(|row| row.key.as_str()).collect();
@@ -57,11 +57,10 @@
     assert_eq!((list.head(), list.version()), (9, 2));
 }
 
-// Symptom: flows are treated by a list that had been replaced.
-// Sequence: the store's cheap reading, a peer or a late answer brings an older state.
-// Cause: what arrived last is taken for the newest.
+// Guards against decisions by a replaced list: the store's stale reads, a peer or a late response
+// may bring an older state.
 #[test]
-fn never_back() {
+fn older_revisions_are_ignored() {
     let mut list = FleetList::new();
     read(&mut list, vec![config(1, 5, &["a"]), server(1, 4)], 5);
     read(&mut list, vec![config(2, 9, &["b"]), server(1, 8)], 9);
@@ -75,7 +74,7 @@
 }
 
 #[test]
-fn whole_reading_removes() {
+fn whole_reading_removes_missing_rows() {
     // The history was dropped, and with it the removal of a backend server.
     let mut list = FleetList::new();
     read(&mut list, vec![config(1, 5, &["a"]), server(1, 3), server(2, 4)], 5);
@@ -83,30 +82,28 @@
     assert_eq!(live_keys(&list), ["backend/i-2", "limits", "route/a"]);
 }
 
-// Symptom: an instance serves a route that was removed long ago, and says that it
-//   knows the newest list.
-// Sequence: it falls behind; the route is removed; another instance starts and reads
-//   the whole list, in which the route no longer is; the first asks it for changes.
-// Cause: who has read a whole list knows what is there, not what went before.
+// Guards against an instance that serves a route that was removed long ago and takes its list for
+// the newest. It falls behind, the route is removed, and it requests the changes from an instance
+// that has read the whole list since: that one knows the present rows, but not the removal.
 #[test]
-fn whole_reading_is_floor() {
+fn whole_reading_raises_the_floor() {
     let mut list = FleetList::new();
     read(&mut list, vec![config(3, 40, &["b"]), server(1, 30)], 50);
     assert_eq!(list.floor(), 50, "changes before the reading can't be told");
-    // Changes that are seen one by one don't raise it.
+    // Changes from a watch don't raise the floor.
     let items = vec![config(4, 55, &["c"])];
     list.apply_watch(clock_at(10), ListReading::complete(items, 56));
     assert_eq!(list.floor(), 50);
-    // A copy of a peer's list tells what the peer could tell.
+    // A snapshot of a peer's list has the peer's floor.
     let mut copy = FleetList::new();
     copy.apply_snapshot(clock_at(20), list.rows().cloned().collect(), list.head(), list.floor());
     assert_eq!((copy.head(), copy.floor()), (56, 50));
 }
 
 #[test]
-fn malformed_keeps_former() {
-    // A list of routes that can't be understood leaves the last good one in force; an
-    // entry that can't be names no backend server any more.
+fn malformed_list_keeps_former_routes() {
+    // A list of routes that can't be decoded leaves the last valid one in force; an entry that
+    // can't be decoded no longer names a backend server.
     let mut list = FleetList::new();
     read(&mut list, vec![config(1, 5, &["a"]), server(1, 3), server(2, 4)], 5);
     let (revision, fault) = (8, "no JSON".to_owned());
@@ -121,7 +118,7 @@
 }
 
 #[test]
-fn pages_hold_everything() {
+fn pages_contain_every_row() {
     let mut list = FleetList::new();
     let names: Vec<String> = (0..300).map(|index| format!("route-{index}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
@@ -146,7 +143,7 @@
 }
 
 #[test]
-fn old_removals_forgotten() {
+fn old_removals_are_dropped() {
     let mut list = FleetList::new();
     read(&mut list, vec![config(1, 5, &["a"]), server(1, 3)], 5);
     read(&mut list, vec![config(1, 5, &["a"])], 8);
@@ -165,17 +162,16 @@
     assert_eq!((list.len(), list.floor()), (2, 12));
 }
 
-// Symptom: of 1,400 routes a thousand rows are sent between instances for one new
-//   route, and slow instances fall behind in a storm of lists.
-// Cause: each route carried its place among all, which changes for all behind it.
+// Guards against a thousand changed rows, of 1,400 routes, for one new route, which makes slow
+// instances fall behind: a position among all routes would change for every later route.
 #[test]
-fn insertion_changes_one() {
+fn inserted_route_changes_one_row() {
     let mut list = FleetList::new();
     let mut names: Vec<String> = (0..100).map(|index| format!("r-{index}")).collect();
     let spread = |version: u64, revision: u64, names: &[String]| {
         let routes = names.iter().map(|name| RouteRow {
             name: name.clone(),
-            // Each route has an address of its own.
+            // Each route has its own address.
             ip: name.bytes().fold(0, |sum: u32, byte| sum.wrapping_mul(31) + u32::from(byte)),
             port: 443,
             ..RouteRow::default()
@@ -194,7 +190,7 @@
 }
 
 #[test]
-fn same_address_in_order() {
+fn routes_of_one_address_keep_their_order() {
     let mut list = FleetList::new();
     read(&mut list, vec![config(1, 5, &["a", "b", "c"])], 5);
     let place = |list: &FleetList, name: &str| {
@@ -209,25 +205,24 @@
     assert_eq!(["c", "a"].map(|name| place(&list, name)), [0, 1]);
 }
 
-// Symptom: flows are refused though their route is published, for as long as the list
-//   doesn't change again.
-// Sequence: a route is removed and comes back as it was; one watch brings both lists.
-// Cause: the second list is compared with what was known before the first.
+// Guards against refusals although the route is published: it is removed and restored unchanged
+// within one response of a watch. The second list must be compared with the first, not with what
+// was known before.
 #[test]
-fn two_lists_in_one_answer() {
+fn route_restored_within_one_response_is_in_force() {
     let mut list = FleetList::new();
     read(&mut list, vec![config(1, 5, &["a", "b"])], 5);
     let items = vec![config(2, 7, &["a"]), config(3, 9, &["a", "b"])];
     let taken = list.apply_watch(clock_at(10), ListReading::complete(items, 9));
     assert_eq!(live_keys(&list), ["limits", "route/a", "route/b"]);
-    // Who takes the rows in order ends with the route in force.
+    // The rows, applied in order, end with the route in force.
     let last = taken.iter().rfind(|row| row.key == "route/b").expect("has changed");
     assert!(matches!(last.value, Some(RowValue::Route(_))));
     assert_eq!(last.revision, 9);
 }
 
 #[test]
-fn entry_back_in_one_answer() {
+fn entry_restored_within_one_response_is_listed() {
     let mut list = FleetList::new();
     read(&mut list, vec![config(1, 5, &["a"]), server(1, 3)], 5);
     let gone = ItemChange::BackendRemoved { revision: 7, id: "i-1".to_owned() };
@@ -235,12 +230,11 @@
     assert_eq!(live_keys(&list), ["backend/i-1", "limits", "route/a"]);
 }
 
-// Symptom: as before, at an instance that got a whole copy from a peer.
-// Sequence: it saw the route go; the peer read the whole store once the route was back,
-//   and never saw it go, so its row is as old as the route.
-// Cause: the older row of the newer copy is passed over.
+// Guards against the same at an instance that saw the removal and then gets a snapshot from a peer
+// that read the store after the route was restored: the peer's row is as old as the route, but its
+// list is newer.
 #[test]
-fn copy_over_removal() {
+fn snapshot_overrides_newer_removal() {
     let mut peer = FleetList::new();
     read(&mut peer, vec![config(1, 5, &["a", "b"])], 5);
     read(&mut peer, vec![config(3, 9, &["a", "b"])], 9);
@@ -252,16 +246,14 @@
     let rows = peer.rows().cloned().collect();
     let taken = list.apply_snapshot(clock_at(20), rows, peer.head(), peer.floor());
     assert_eq!(live_keys(&list), ["limits", "route/a", "route/b"]);
-    // Whoever asks for what is new after the removal is told of it.
+    // A peer that requests the changes since the removal gets the row.
     assert!(taken.iter().any(|row| row.key == "route/b" && row.revision > 8));
 }
 
-// Symptom: an instance goes back to a former list at the revision of the newest.
-// Sequence: it gets a copy in pages; a row changes at the peer between two of them, so
-//   that the copy holds the row twice, as it was and as it is.
-// Cause: the first of the two is taken for what the copy says.
+// Guards against a return to a former list at the newest revision: a row changes at the peer
+// between two pages of a snapshot, which then contains the row both as it was and as it is.
 #[test]
-fn row_twice_in_copy() {
+fn newest_of_duplicate_snapshot_rows_counts() {
     let mut list = FleetList::new();
     read(&mut list, vec![config(1, 5, &["a"]), server(1, 3)], 5);
     list.apply_watch(clock_at(10), ListReading::complete(vec![config(3, 9, &["a"])], 9));
@@ -269,14 +261,14 @@
         vec![limits_row(1, 5), route_row("a", 443, "desk", 5), limits_row(3, 9), limits_row(4, 11)];
     list.apply_snapshot(clock_at(20), copy, 12, 2);
     assert_eq!((list.version(), list.head()), (4, 12));
-    // A copy of the same revision brings nothing.
+    // A snapshot of the same revision changes nothing.
     assert!(list.apply_snapshot(clock_at(30), vec![limits_row(1, 5)], 12, 2).is_empty());
     assert_eq!(list.version(), 4);
 }
 
-// Guards against a fleet that copies the whole list whenever the store forgets its history.
+// Guards against full transfers in the whole fleet whenever the store loses its history.
 #[test]
-fn changes_over_gap() {
+fn applies_changes_across_gap() {
     let mut list = FleetList::new();
     read(&mut list, vec![config(1, 5, &["a", "b"]), server(1, 3), server(2, 4)], 5);
     let mut peer = FleetList::new();
@@ -291,9 +283,10 @@
     assert_eq!(peer.coverage_since(5), ChangeCoverage::AcrossGap);
 }
 
-// Guards against a backend server kept for ever that came and went while the history was lost.
+// Guards against a backend server that is kept for ever because it was added and removed while the
+// history was lost.
 #[test]
-fn gap_told_to_none_within() {
+fn changes_are_unavailable_within_gap() {
     let mut list = FleetList::new();
     read(&mut list, vec![config(1, 5, &["a"]), server(1, 3)], 5);
     let mut ahead = list.clone();
@@ -310,9 +303,9 @@
     assert_eq!(live_keys(&ahead), live_keys(&list));
 }
 
-// Guards against changes told over a restore: its revisions stand for other changes.
+// Guards against incremental changes across a restore, whose revisions stand for other changes.
 #[test]
-fn no_gap_over_restore() {
+fn changes_are_unavailable_across_restore() {
     let mut list = FleetList::new();
     read(&mut list, vec![config(1, 5, &["a"]), server(1, 3)], 5);
     let restored = ListReading::complete(vec![config(1, 4, &["a"])], 4).with_epoch(1);
@@ -321,9 +314,10 @@
     assert_eq!(list.floor(), list.head());
 }
 
-// Guards against gaps without end, and against changes told that are forgotten.
+// Guards against an unlimited number of gaps, and against changes that are offered although their
+// rows were dropped.
 #[test]
-fn gaps_bounded() {
+fn number_of_gaps_is_limited() {
     let mut list = FleetList::new();
     for round in 1..=20 {
         read(&mut list, vec![config(1, 1, &["a"])], round * 10);
@@ -336,9 +330,9 @@
     assert_eq!(list.coverage_since(210), ChangeCoverage::Unavailable);
 }
 
-// Guards against a copy in pages that is taken for complete where later pages are newer.
+// Guards against a paged reading that is taken for complete although later pages are newer.
 #[test]
-fn uneven_until_caught_up() {
+fn rows_past_head_until_watch_catches_up() {
     let mut list = FleetList::new();
     read(&mut list, vec![config(1, 5, &["a"]), server(1, 9)], 6);
     assert!(list.has_rows_past_head());
--- a/crates/foxledge-flows/tests/same_id.rs
+++ b/crates/foxledge-flows/tests/restarted_backends.rs
@@ -1,4 +1,4 @@
-//! A backend server that starts again under the id that it had.
+//! Backend servers that restart under the same id.
 
 mod common;
 
@@ -17,7 +17,7 @@
     BackendRow { incarnation, ..backend_spec(1, "desk", LOCAL_CENTRE) }
 }
 
-/// A router that knows backend server 1 by its first start, and one far away.
+/// Returns a router that knows the first start of backend server 1, and a remote one.
 fn first_router() -> FlowRouter {
     listed_router(&[backend_row(spec(FIRST), 2), listed_backend(2, "desk", REMOTE_CENTRE, 2)])
 }
@@ -30,7 +30,7 @@
     HealthObservation { number: 1, incarnation, kind, observed_at: clock_at(when) }
 }
 
-/// Leaves the opening packets of callers unanswered at backend server 1.
+/// Leaves an opening packet to backend server 1 unanswered.
 fn silence(router: &mut FlowRouter, sent: u64) {
     let flow = flow_key(7, 100);
     let decision = router.on_packet(clock_at(sent), &opening_packet(flow, 0));
@@ -39,11 +39,10 @@
     router.on_packet(clock_at(sent + 200), &opening_packet(flow, 1));
 }
 
-// Symptom: a backend server that starts again under its id gets no packets.
-// Sequence: it crashes and starts elsewhere, with other slots; its entry changes.
-// Cause: of a known id only the state is read.
+// Guards against a restarted backend server that gets no packets: it starts at another address with
+// other slots, and its entry changes.
 #[test]
-fn all_taken_anew() {
+fn restart_replaces_all_fields() {
     let mut router = first_router();
     let again = BackendRow {
         ip: u32::from(Ipv4Addr::new(10, 128, 7, 7)),
@@ -60,11 +59,10 @@
     assert_eq!((backend.incarnation, backend.revision), (SECOND, 9));
 }
 
-// Symptom: a backend server that has just started gets no new flows for seconds.
-// Sequence: it was ejected for its silence, and starts again under its id.
-// Cause: what was seen of the former process counts against the new one.
+// Guards against a restarted backend server that gets no new flows for seconds because its previous
+// process was ejected.
 #[test]
-fn former_silence_forgotten() {
+fn restart_clears_ejection() {
     let mut router = first_router();
     silence(&mut router, 1_000);
     assert_eq!(health_of(&router, 1_300), HealthClass::Ejected);
@@ -74,8 +72,8 @@
 }
 
 #[test]
-fn late_silence_forgotten() {
-    // Sent to the former process, and found unanswered after the news of the new one.
+fn packets_to_previous_process_prove_nothing() {
+    // An opening sent to the previous process is found unanswered after the restart became known.
     let mut router = first_router();
     let flow = flow_key(7, 100);
     router.on_packet(clock_at(1_000), &opening_packet(flow, 0));
@@ -85,11 +83,10 @@
     assert_eq!(health_of(&router, 1_201), HealthClass::Healthy);
 }
 
-// Symptom: the same, at an instance that has seen nothing itself.
-// Sequence: peers that don't know of the start yet tell of the former process's silence.
-// Cause: an observation names the id and not the start.
+// Guards against the same at an instance without observations of its own: peers that don't know the
+// restart yet report the previous process as unresponsive.
 #[test]
-fn former_notes_ignored() {
+fn peer_observations_of_previous_process_are_ignored() {
     let mut router = first_router();
     router.apply_rows(clock_at(1_000), &[backend_row(spec(SECOND), 9)]);
     for kind in
@@ -103,17 +100,17 @@
         &note(SECOND, ObservationKind::OpeningUnanswered, 1_190),
     );
     assert_eq!(health_of(&router, 1_201), HealthClass::Ejected);
-    // Nor does a sign of life of the former one speak for the other.
+    // A response of the previous process doesn't count for the new one either.
     router.apply_observation(clock_at(1_300), &note(FIRST, ObservationKind::Alive, 1_290));
     assert_eq!(health_of(&router, 1_301), HealthClass::Ejected);
-    // What this instance tells names the start that it saw.
+    // This instance's own observations name the start that it observed.
     silence(&mut router, 4_000);
     assert!(router.drain_observations().iter().all(|note| note.incarnation == SECOND));
 }
 
 #[test]
-fn former_life_ignored() {
-    // A caller goes on with a flow that the former process opened: says nothing of this one.
+fn flows_of_previous_process_prove_no_response() {
+    // A caller continues a flow of the previous process, which proves nothing of the new one.
     let mut router = first_router();
     let flow = flow_key(1, 1);
     router.on_packet(clock_at(1_000), &opening_packet(flow, 0));
@@ -126,11 +123,11 @@
     assert_eq!(health_of(&router, 1_021), HealthClass::Ejected);
 }
 
-// Symptom: a backend server that has just started gets hardly any new flows.
-// Sequence: callers go on asking on flows of the former process, which the new one resets.
-// Cause: those requests are counted as running there.
+// Guards against a restarted backend server that gets hardly any new flows: callers continue to
+// send requests on flows of the previous process, which the new one resets, and those must not
+// count as running.
 #[test]
-fn former_flows_uncounted() {
+fn flows_of_previous_process_are_not_counted() {
     let mut router = first_router();
     let flows: Vec<FlowKey> = (1..4).map(|port| flow_key(1, port)).collect();
     for flow in &flows {
@@ -150,7 +147,7 @@
         router.backend_by_number(1).map(|one| (one.open_flows, one.running_requests)),
         Some((0, 0))
     );
-    // A later flow of the new process is one of its own.
+    // A later flow belongs to the new process.
     open_flow(&mut router, 700, flow_key(1, 9));
     router.on_packet(clock_at(710), &data_packet(flow_key(1, 9), 1, 1_000, 1));
     assert_eq!(
@@ -159,11 +156,10 @@
     );
 }
 
-// Symptom: an old answer of the store sends flows to a process that is gone.
-// Sequence: the clock of a backend server's machine jumps back between two starts.
-// Cause: the start with the later time is taken for the newer.
+// Guards against flows to a stopped process: the clock of the machine jumps back between two
+// starts, so that the later start time belongs to the older start.
 #[test]
-fn revision_decides() {
+fn later_revision_decides_over_start_time() {
     let mut router = first_router();
     router.apply_rows(clock_at(100), &[backend_row(spec(FIRST - 60_000), 9)]);
     assert_eq!(router.backend_by_number(1).map(|one| one.incarnation), Some(FIRST - 60_000));
@@ -172,8 +168,8 @@
 }
 
 #[test]
-fn leave_of_former_ends() {
-    // Drained, left, and back; lapsed, and back.
+fn restart_ends_draining_and_removal() {
+    // Drained, removed and restarted; drained and restarted; removed and restarted.
     for (drains, gone) in [(true, true), (true, false), (false, true)] {
         let mut router = first_router();
         let first = backend_row(spec(FIRST), 2);
@@ -189,8 +185,8 @@
 }
 
 #[test]
-fn taken_address_of_former() {
-    // Another has the former's address; the new process has its own.
+fn reused_address_of_previous_process_changes_nothing() {
+    // Another backend server has the previous address; the new process has its own.
     let mut router = first_router();
     let first = backend_row(spec(FIRST), 2);
     router.apply_rows(clock_at(100), &[removed_row(&first, 3, 0)]);
@@ -200,18 +196,17 @@
     let again = BackendRow { ip: u32::from(Ipv4Addr::new(10, 128, 7, 7)), ..spec(SECOND) };
     router.apply_rows(clock_at(3_000), &[backend_row(again, 5)]);
     assert_eq!(open_flow(&mut router, 3_010, flow_key(1, 1)), Some(1));
-    // Its own former address, taken by it once more, ends nothing.
+    // Its own previous address, used by it again, doesn't make it replaced.
     router.apply_rows(clock_at(4_000), &[removed_row(&backend_row(spec(SECOND), 5), 6, 0)]);
     router.apply_rows(clock_at(4_100), &[backend_row(spec(SECOND + 5), 7)]);
     assert_eq!(open_flow(&mut router, 4_110, flow_key(1, 2)), Some(1));
 }
 
-// Symptom: flows of a backend server that has just started are reset.
-// Sequence: an instance learns late of the new start; flows opened since by others'
-//   knowledge pass it, with the same token as the former's.
-// Cause: the token doesn't tell the start, so that no flow is surely the former's.
+// Guards against the reset of flows of a restarted backend server: an instance learns of the
+// restart late, and flows opened since by other instances carry the same token as those of the
+// previous process.
 #[test]
-fn no_flow_is_surely_formers() {
+fn keeps_flows_after_restart() {
     let mut router = first_router();
     let flow = flow_key(1, 1);
     router.on_packet(clock_at(900), &data_packet(flow, 1, 1_000, 1));
--- a/crates/foxledge-flows/tests/restored_entries.rs
+++ b/crates/foxledge-flows/tests/restored_entries.rs
@@ -1,4 +1,4 @@
-//! Entries and operators' wishes of a store that came back from an older copy.
+//! Entries and evacuations of a store that was restored from an older backup.
 
 mod common;
 
@@ -7,28 +7,29 @@
 
 const REFUSED: FlowDecision = FlowDecision::Refuse(RefuseReason::NoBackend);
 
-/// A row of the restored store, under the number that it had before.
+/// Returns the row as part of the restored store, with the number that it had before.
 fn restored(row: &foxledge_flows::rows::ListRow) -> foxledge_flows::rows::ListRow {
     foxledge_flows::rows::ListRow { revision: revision_of(1, row.revision), ..row.clone() }
 }
 
-// Guards against new flows to a leaving backend server whose entry is the one from before.
+// Guards against new flows to a draining backend server whose restored entry is from before the
+// draining.
 #[test]
-fn leave_outlives_restore() {
+fn draining_survives_restore() {
     let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
     let mut router = listed_router(std::slice::from_ref(&one));
     router.apply_rows(clock_at(100), &[draining_row(&one, 5)]);
     router.apply_rows(clock_at(200), &[restored(&one)]);
     assert_eq!(router.on_packet(clock_at(210), &opening_packet(flow_key(1, 1), 0)), REFUSED);
-    // It has exited, and its entry lapses.
+    // It has stopped, and its entry expires.
     router.apply_rows(clock_at(300), &[removed_row(&restored(&one), revision_of(1, 9), 0)]);
     router.set_confirmed_at(clock_at(305));
     assert_eq!(router.on_packet(clock_at(310), &opening_packet(flow_key(1, 2), 0)), REFUSED);
 }
 
-// Guards against a start that is taken for the one that left.
+// Guards against a new start that is taken for the one that drained.
 #[test]
-fn start_after_leave_served() {
+fn restarted_backend_serves_after_restore() {
     let start =
         |incarnation: u64| BackendRow { incarnation, ..backend_spec(1, "desk", LOCAL_CENTRE) };
     let one = backend_row(start(7), 2);
@@ -38,10 +39,10 @@
     assert_eq!(open_flow(&mut router, 210, flow_key(1, 1)), Some(1));
 }
 
-// Guards against a backend server that never gets flows again, as another writer had spoiled
-// its entry before the restore.
+// Guards against a backend server that never gets flows again because another writer had
+// overwritten its entry before the restore.
 #[test]
-fn spoiled_before_restore_served() {
+fn entry_invalid_before_restore_serves_again() {
     let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
     let mut router = listed_router(std::slice::from_ref(&one));
     router.apply_rows(clock_at(100), &[removed_row(&draining_row(&one, 4), 5, 0)]);
@@ -49,28 +50,28 @@
     assert_eq!(open_flow(&mut router, 210, flow_key(1, 1)), Some(1));
 }
 
-// Guards against a leave that can't be taken back within one epoch.
+// Guards against draining that can't be withdrawn within one epoch.
 #[test]
-fn leave_withdrawn() {
+fn draining_can_be_withdrawn_within_epoch() {
     let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
     let mut router = listed_router(std::slice::from_ref(&one));
     router.apply_rows(clock_at(100), &[draining_row(&one, 5)]);
     router.apply_rows(clock_at(200), &[listed_backend(1, "desk", LOCAL_CENTRE, 6)]);
     assert_eq!(open_flow(&mut router, 210, flow_key(1, 1)), Some(1));
-    // Said again after the restore, it can be withdrawn there as well.
+    // Announced again after the restore, draining can be withdrawn there as well.
     router.apply_rows(clock_at(300), &[restored(&draining_row(&one, 7))]);
     router.apply_rows(clock_at(400), &[restored(&listed_backend(1, "desk", LOCAL_CENTRE, 8))]);
     assert_eq!(open_flow(&mut router, 410, flow_key(1, 2)), Some(1));
 }
 
-// Guards against refusals while entries that were lost are written again, after an outage too
-// short for the store to count as away.
+// Guards against refusals while lost entries are written again, after an outage too short for the
+// store to count as unreachable.
 #[test]
-fn lost_entries_bridged() {
+fn grace_restarts_after_restore() {
     let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
     let mut router = listed_router(std::slice::from_ref(&one));
     router.set_confirmed_at(clock_at(900));
-    // Its entry had lapsed a while before the store came back without it.
+    // Its entry had expired a while before the store was restored without it.
     router.apply_rows(clock_at(1_000), &[removed_row(&one, 6, 0)]);
     router.set_confirmed_at(clock_at(1_500));
     router.apply_restored_rows(clock_at(3_000), &[limits_row(1, revision_of(1, 1))]);
@@ -80,10 +81,10 @@
     assert_eq!(router.on_packet(clock_at(5_260), &opening_packet(flow_key(1, 2), 0)), REFUSED);
 }
 
-// Guards against the reset of a live flow whose backend server's entry was lost: an instance
-// that never knew it must wait until entries can be back.
+// Guards against the reset of a live flow whose backend server's entry was lost: an instance that
+// never knew the entry must wait until it can be back.
 #[test]
-fn lost_entry_resets_nothing() {
+fn resets_nothing_until_lost_entries_can_return() {
     let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
     let mut router = listed_router(std::slice::from_ref(&one));
     for now in (1_000..=10_000).step_by(1_000) {
@@ -100,11 +101,11 @@
         .collect();
     let is_reset = |decision: &FlowDecision| matches!(decision, FlowDecision::Refuse(_));
     let first = decisions.iter().position(is_reset).expect("is reset once it is surely gone");
-    // 2.2 s from the first confirmation after the restore.
+    // 2.2 s after the first confirmation since the restore.
     assert_eq!(first, 12 - 1, "{decisions:?}");
 }
 
-/// A router with backend servers near and far.
+/// A router with a local and a remote backend server.
 fn two_centres() -> foxledge_flows::FlowRouter {
     listed_router(&[
         listed_backend(1, "desk", LOCAL_CENTRE, 2),
@@ -112,9 +113,10 @@
     ])
 }
 
-// Guards against new flows to an evacuated data centre while the store lacks the wish.
+// Guards against new flows to an evacuated data centre while the restored store lacks the
+// evacuation.
 #[test]
-fn lost_wish_kept() {
+fn lost_evacuation_stays_for_grace_period() {
     let mut router = two_centres();
     router.apply_rows(clock_at(100), &[evacuation_row(LOCAL_CENTRE, 5)]);
     router.apply_restored_rows(
@@ -123,11 +125,11 @@
     );
     router.set_confirmed_at(clock_at(1_900));
     assert_eq!(open_flow(&mut router, 1_910, flow_key(1, 1)), Some(2));
-    // Written again, it holds for good.
+    // Written again, the evacuation applies for good.
     router.apply_rows(clock_at(2_000), &[restored(&evacuation_row(LOCAL_CENTRE, 6))]);
     router.set_confirmed_at(clock_at(9_000));
     assert_eq!(open_flow(&mut router, 9_010, flow_key(1, 2)), Some(2));
-    // One that isn't written again ends.
+    // An evacuation that isn't written again ends.
     let mut router = two_centres();
     router.apply_rows(clock_at(100), &[evacuation_row(LOCAL_CENTRE, 5)]);
     router.apply_restored_rows(
@@ -138,10 +140,10 @@
     assert_eq!(open_flow(&mut router, 3_310, flow_key(1, 3)), Some(1));
 }
 
-// Guards against refusals as a data centre that was taken back is evacuated once more, by a
-// wish that operators have withdrawn since.
+// Guards against refusals in a data centre whose evacuation had ended: the restored store contains
+// the evacuation again until operators withdraw it once more.
 #[test]
-fn withdrawn_wish_waits() {
+fn restored_evacuation_is_deferred() {
     let mut router = two_centres();
     router.apply_rows(clock_at(100), &[evacuation_row(REMOTE_CENTRE, 8)]);
     let rows = [
@@ -158,29 +160,30 @@
     );
     router.set_confirmed_at(clock_at(9_000));
     assert_eq!(open_flow(&mut router, 9_010, flow_key(1, 2)), Some(1));
-    // A wish that comes after the restore counts at once.
+    // An evacuation requested after the restore applies at once.
     router.apply_rows(clock_at(9_100), &[restored(&evacuation_row(LOCAL_CENTRE, 11))]);
     assert!(router.evacuations().any(|(centre, _)| centre.as_str() == LOCAL_CENTRE));
 }
 
-// Guards against the reset of a live flow, as the entry that had the address before its backend
-// server's is back with the copy.
+// Guards against the reset of a live flow because the restored store contains the entry that had
+// the address before its backend server.
 #[test]
-fn former_entry_replaces_nobody() {
+fn restored_entry_ends_no_grace() {
     let former = listed_backend(2, "desk", LOCAL_CENTRE, 1);
     let mut spec = backend_spec(1, "desk", LOCAL_CENTRE);
     spec.ip = backend_spec(2, "desk", LOCAL_CENTRE).ip;
     let one = backend_row(spec, 5);
     let mut router = listed_router(std::slice::from_ref(&one));
     let number = open_flow(&mut router, 50, flow_key(1, 1)).expect("is served");
-    // Its entry lapses, and the store comes back without it.
+    // Its entry expires, and the store is restored without it.
     router.apply_rows(clock_at(100), &[removed_row(&one, 6, 0)]);
     router.apply_restored_rows(clock_at(200), &[restored(&former)]);
     router.set_confirmed_at(clock_at(201));
     let decision =
         router.on_packet(clock_at(210), &data_packet(flow_key(1, 1), number as u32, 500, 1));
     assert!(matches!(decision, FlowDecision::Forward { .. }), "{decision:?}");
-    // It is within its grace, as nobody has taken its address since.
+    // It is within its grace period, as no other backend server has registered at its address
+    // since.
     assert!(
         router
             .backends()
--- a/crates/foxledge-flows/tests/later_rows.rs
+++ b/crates/foxledge-flows/tests/unknown_row_kinds.rs
@@ -1,4 +1,4 @@
-//! Rows of kinds that a build doesn't know: it keeps them and hands them on as they are.
+//! Rows of kinds that a build doesn't know are kept and passed on unchanged.
 
 mod common;
 
@@ -23,12 +23,11 @@
     list.page(clock_at(0), &ListCursor::start(), PAGE).rows
 }
 
-// Symptom: after a rolling restart to a newer build, some of its instances lack rows of a kind
-//   that is new, for good.
-// Sequence: an instance of the older build is among them; it takes such a row and hands it on
-//   without what it says, under the right revision.
+// Guards against rows of a new kind that instances lack for good after a rolling restart: an
+// instance of the older build must not pass on such a row without its content at the right
+// revision.
 #[test]
-fn unknown_kept() {
+fn passes_on_unknown_rows_unchanged() {
     let mut older = FleetList::new();
     older.apply_changes(clock_at(0), vec![limits_row(1, 1), later(2)], 2);
     let mut newer = FleetList::new();
@@ -39,16 +38,16 @@
 }
 
 #[test]
-fn unknown_changes_nothing() {
+fn router_ignores_unknown_rows() {
     let mut router = listed_router(&[listed_backend(1, "desk", LOCAL_CENTRE, 2)]);
     router.apply_rows(clock_at(10), &[later(9)]);
     let decision = router.on_packet(clock_at(20), &opening_packet(flow_key(1, 1), 0));
     assert_eq!(decided_backend(&router, &decision), Some(1));
 }
 
-// A body that can't be read says nothing, and doesn't harm either.
+// Guards against a crash or a change of behaviour by a body that can't be decoded.
 #[test]
-fn garbled_body_ignored() {
+fn ignores_undecodable_extension_body() {
     let mut row = evacuation_row(LOCAL_CENTRE, 9);
     if let Some(RowValue::Extension(extension)) = &mut row.value {
         extension.body = vec![0xff; 5];
@@ -58,7 +57,7 @@
     assert_eq!(router.drain_evacuation_events(), []);
 }
 
-/// A route as builds from before `aim_ms` read it.
+/// A route as decoded by builds without `aim_ms`.
 #[derive(Clone, PartialEq, Message)]
 struct OlderRoute {
     #[prost(string, tag = "1")]
@@ -67,9 +66,10 @@
     timeout_ms: u32,
 }
 
-// A build that doesn't know the latency target can't read the route, or the reverse.
+// Guards against routes that builds with and without the latency target can't decode from each
+// other.
 #[test]
-fn aim_optional() {
+fn routes_decode_with_and_without_latency_target() {
     let newer =
         RouteRow { name: "r".to_owned(), timeout_ms: 900, aim_ms: 400, ..RouteRow::default() };
     let older = OlderRoute::decode(newer.encode_to_vec().as_slice()).expect("is read");
--- a/crates/foxledge-flows/tests/vanished_backends.rs
+++ b/crates/foxledge-flows/tests/unknown_tokens.rs
@@ -1,4 +1,4 @@
-//! Packets whose token names no backend server of the list.
+//! Packets whose token matches no listed backend server.
 
 mod common;
 
@@ -12,7 +12,7 @@
 const UNKNOWN: FlowDecision = FlowDecision::Drop(DropReason::UnknownToken);
 const RESET: FlowDecision = FlowDecision::Refuse(RefuseReason::BackendVanished);
 
-/// An instance that has just started: its list was confirmed at these times.
+/// Returns the router of an instance that has just started, with list confirmations at these times.
 fn started(confirmed: &[u64]) -> FlowRouter {
     let mut router = empty_router();
     let rows = [
@@ -39,26 +39,23 @@
     row
 }
 
-// Symptom: feeds hang until their callers' deadline, for seconds after a data centre is back.
-// Sequence: a data centre loses power; its backend servers come back under other ids, its
-//   instances start anew, and callers go on with the flows that they hold open.
-// Cause: the instances have never heard of the former ids and drop each such packet unsaid.
+// Guards against requests that wait until their deadline after a data centre has lost power: its
+// backend servers restart under other ids and its instances start anew. The instances don't know
+// the former ids, and callers continue with their open flows.
 #[test]
-fn sure_absence_resets() {
+fn resets_flow_of_backend_missing_in_confirmed_list() {
     let mut router = started(&[0, 1_000, 2_000, 3_000]);
     assert_eq!(ask(&mut router, 3_100, 1), UNKNOWN);
     router.set_confirmed_at(clock_at(3_500));
     assert_eq!(ask(&mut router, 3_600, 1), RESET);
-    // Others with the same token need not wait.
+    // Other flows with the same token are reset at once.
     assert_eq!(ask(&mut router, 3_700, 2), RESET);
 }
 
-// Symptom: an open flow is reset though its backend server lives.
-// Sequence: it registers, a peer opens a flow there, and the next packet comes to an instance
-//   that hasn't heard of it yet.
-// Cause: the list was confirmed before the backend server registered.
+// Guards against the reset of a live flow: its backend server registers, a peer opens the flow, and
+// the next packet arrives at an instance whose list was confirmed before the registration.
 #[test]
-fn newer_than_list() {
+fn keeps_flow_of_backend_newer_than_list() {
     let mut router = started(&[0, 1_000, 2_000, 3_000]);
     assert_eq!(ask(&mut router, 3_100, 1), UNKNOWN);
     router.set_confirmed_at(clock_at(3_150));
@@ -72,17 +69,15 @@
     assert_eq!(decided_backend(&router, &decision), Some(u64::from(VANISHED)));
 }
 
-// Symptom: flows of backend servers that live are reset after an outage of the store.
-// Sequence: entries lapse as the store is away; an instance starts meanwhile; the store comes
-//   back, and the entries some two seconds later.
-// Cause: the first list after the outage lacks them.
+// Guards against resets after a store outage: entries of live backend servers expire during the
+// outage, an instance starts meanwhile, and the entries return two seconds after the store.
 #[test]
-fn lapsed_entries_come_back() {
+fn keeps_flow_until_expired_entries_can_return() {
     let mut router = started(&[0]);
     assert_eq!(ask(&mut router, 100, 1), UNKNOWN);
     router.set_confirmed_at(clock_at(1_500));
     assert_eq!(ask(&mut router, 1_600, 1), UNKNOWN);
-    // The store was away between: what lapsed meanwhile has its time anew.
+    // The store was unreachable in between: entries that expired meanwhile get the full time again.
     router.set_confirmed_at(clock_at(5_000));
     assert_eq!(ask(&mut router, 5_100, 1), UNKNOWN);
     router.set_confirmed_at(clock_at(7_000));
@@ -92,8 +87,8 @@
 }
 
 #[test]
-fn doubt_resets_nothing() {
-    // Nothing was confirmed: another instance knows better.
+fn uncertain_list_resets_nothing() {
+    // The list was never confirmed: another instance knows better.
     let mut router = started(&[]);
     assert_eq!(ask(&mut router, 100, 1), FlowDecision::Relay);
     assert_eq!(ask(&mut router, 5_000, 1), FlowDecision::Relay);
@@ -101,28 +96,28 @@
     let mut router = started(&[0, 1_000, 2_000, 3_000]);
     assert_eq!(ask(&mut router, 500, 1), UNKNOWN);
     assert_eq!(ask(&mut router, 5_100, 1), UNKNOWN);
-    // The instance stood still.
+    // The instance was paused.
     router.set_confirmed_at(clock_at(5_200));
     router.record_pause();
     assert_eq!(ask(&mut router, 5_250, 1), UNKNOWN);
 }
 
 #[test]
-fn others_wait() {
+fn drops_other_packets_with_unknown_token() {
     let mut router = started(&[0, 1_000, 2_000, 3_000]);
     ask(&mut router, 500, 1);
-    // Nobody waits for an answer to what has no data.
+    // A caller that sends no data awaits no response.
     let bare = flow_packet(flow_key(1, 1), foxledge_flows::PacketKind::Continue, VANISHED);
     assert_eq!(router.on_packet(clock_at(3_100), &bare), UNKNOWN);
     // A flow without a token was never open.
     let decision = router.on_packet(clock_at(3_100), &data_packet(flow_key(1, 3), 0, 500, 1));
     assert_eq!(decision, UNKNOWN);
-    // The caller of a request that can't be repeated could do nothing else.
+    // The caller of a request that can't be repeated couldn't do anything else.
     router.apply_rows(clock_at(3_100), &[unrepeatable()]);
     assert_eq!(ask(&mut router, 3_200, 1), UNKNOWN);
 }
 
-/// The row of a backend server that vanished, and that of one that has its address now.
+/// Returns the row of a removed backend server and that of another one at its address.
 fn replaced_rows() -> [ListRow; 2] {
     let old = backend_spec(u64::from(VANISHED), "desk", LOCAL_CENTRE);
     let mut new = backend_spec(200, "desk", LOCAL_CENTRE);
@@ -130,11 +125,11 @@
     [removed_row(&backend_row(old, 3), 4, 5_000), backend_row(new, 5)]
 }
 
-// Symptom: after a data centre's return of power, feeds hang for the two seconds in which their
-//   instances can't be sure of the list.
-// Sequence: a peer tells which backend server the token named; another has its address now.
+// Guards against requests that wait for two seconds after a power failure until the list is
+// certain: a peer reports the removed backend server of the token, whose address another one has by
+// now.
 #[test]
-fn replaced_ends_at_once() {
+fn resets_flow_of_replaced_backend_at_once() {
     let mut router = started(&[0, 1_000]);
     assert_eq!(ask(&mut router, 1_100, 1), UNKNOWN);
     assert_eq!(router.drain_token_queries(), [VANISHED]);
@@ -146,9 +141,9 @@
     assert_eq!(gone_ms, 5_190);
 }
 
-// Others are asked for a token now and then, not with each packet.
+// Guards against a query to peers for each packet with an unknown token.
 #[test]
-fn asked_now_and_then() {
+fn limits_rate_of_token_queries() {
     let mut router = started(&[0]);
     let asked = (0..30).filter(|step| {
         ask(&mut router, 100 + step * 50, *step as u16);
@@ -157,10 +152,10 @@
     assert_eq!(asked.count(), 3);
 }
 
-// Symptom: a flow is reset though its backend server lives.
-// Sequence: its entry lapsed, and nobody has its address; or an older entry names the address.
+// Guards against the reset of a live flow whose backend server's entry expired while no other has
+// its address, or while only an older entry names it.
 #[test]
-fn vanished_may_live() {
+fn keeps_flow_of_removed_backend_without_successor() {
     let [gone, mut other] = replaced_rows();
     other.revision = 2;
     for rows in [vec![gone.clone()], vec![gone, other]] {
@@ -172,7 +167,7 @@
 }
 
 #[test]
-fn replaced_bid_kept() {
+fn keeps_replaced_flow_with_non_idempotent_request() {
     let mut router = started(&[0, 1_000]);
     router.apply_rows(clock_at(1_100), &replaced_rows());
     router.apply_rows(clock_at(1_100), &[unrepeatable()]);
@@ -180,16 +175,15 @@
     assert_eq!(decided_backend(&router, &decision), Some(u64::from(VANISHED)));
 }
 
-// Symptom: for a second after each start of an instance, open flows that come its way hang.
-// Sequence: it serves on a part of a long list; their backend servers are in the rest.
-// Cause: what names nobody that is known is dropped.
+// Guards against open flows that stall for a second after each start of an instance: it serves with
+// a part of a long list, and the backend servers of these flows are in the rest.
 #[test]
-fn part_relays() {
+fn relays_unknown_tokens_while_list_is_partial() {
     let mut router = started(&[]);
     let bare = flow_packet(flow_key(1, 1), foxledge_flows::PacketKind::Continue, VANISHED);
     assert_eq!(router.on_packet(clock_at(50), &bare), FlowDecision::Relay);
     let known = router.on_packet(clock_at(50), &data_packet(flow_key(1, 2), 1, 500, 1));
     assert_eq!(decided_backend(&router, &known), Some(1));
-    // What was never opened belongs nowhere.
+    // A packet of a flow that was never opened isn't relayed.
     assert_eq!(router.on_packet(clock_at(50), &data_packet(flow_key(1, 3), 0, 500, 1)), UNKNOWN);
 }
--- a/crates/foxledge-flows/tests/silent_backend.rs
+++ b/crates/foxledge-flows/tests/unresponsive_backend.rs
@@ -1,4 +1,4 @@
-//! Backend servers that fall silent.
+//! Backend servers that become unresponsive.
 
 mod common;
 
@@ -16,18 +16,17 @@
     router.backend_by_number(number).expect("is known").health.class(clock_at(now))
 }
 
-/// Opens a flow that nobody answers; returns the number of its backend server.
+/// Opens a flow that stays unanswered; returns the number of its backend server.
 fn lost_opening(router: &mut foxledge_flows::FlowRouter, now: u64, port: u16) -> u64 {
     let decision = router.on_packet(clock_at(now), &opening_packet(flow_key(9, port), 0));
     decided_backend(router, &decision).expect("is placed")
 }
 
-// Symptom: callers wait for 200 ms although other backend servers are idle.
-// Sequence: a backend server dies; flows keep being placed there until its entry
-//   lapses after 3.6 s.
-// Cause: nobody takes the callers' silence after an opening packet for a sign.
+// Guards against waits of 200 ms while other backend servers are idle: a backend server dies, and
+// without the evidence of unanswered openings it would get flows until its entry expires after 3.6
+// s.
 #[test]
-fn unanswered_avoided() {
+fn unanswered_opening_keeps_new_flows_away() {
     let mut router = two_backends();
     let dead = lost_opening(&mut router, 0, 1);
     router.report_overdue_openings(clock_at(41));
@@ -41,7 +40,7 @@
 }
 
 #[test]
-fn copy_goes_elsewhere() {
+fn retransmitted_opening_goes_elsewhere() {
     let mut router = two_backends();
     let dead = lost_opening(&mut router, 0, 1);
     let decision = router.on_packet(clock_at(200), &opening_packet(flow_key(9, 1), 1));
@@ -49,13 +48,11 @@
     assert_eq!(class_of(&router, dead, 201), HealthClass::Ejected);
 }
 
-// Symptom: a caller mixes the token of one backend server with the sequence
-//   numbers of another, and its flow breaks.
-// Sequence: this process freezes; the opening packet and its copies wait in the
-//   socket and are read within a millisecond of each other.
-// Cause: each copy is taken for a sign of silence and sent elsewhere.
+// Guards against a broken flow after a pause: the opening packet and its retransmissions are read
+// within a millisecond of each other. Forwarded to several backend servers, they would make the
+// caller mix the token of one with the sequence numbers of another.
 #[test]
-fn copies_after_freeze() {
+fn openings_read_together_go_to_one_backend() {
     let mut router = two_backends();
     let first = lost_opening(&mut router, 5_000, 1);
     for copy in 1..3 {
@@ -65,15 +62,13 @@
     assert_eq!(class_of(&router, first, 5_002), HealthClass::Healthy);
 }
 
-// Symptom: after each pause of an instance, live backend servers get no flows.
-// Sequence: an opening packet is sent on, the caller's next packet arrives while
-//   the process stands still, and both the clock and that packet wait for it.
-// Cause: the opening is judged before the packet that answers it has been read.
+// Guards against live backend servers without flows after a pause: an opening must not count as
+// unanswered before the caller's next packet, which waited in the socket, has been read.
 #[test]
-fn pause_accuses_nobody() {
+fn pause_counts_against_no_backend() {
     let mut router = two_backends();
     let alive = lost_opening(&mut router, 0, 1);
-    // The pause ends at 300: the socket is read first, then openings are judged.
+    // The pause ends at 300 ms: the socket is read first, then openings are checked.
     router.on_packet(
         clock_at(300),
         &flow_packet(flow_key(9, 1), foxledge_flows::PacketKind::Continue, alive as u32),
@@ -84,24 +79,24 @@
 }
 
 #[test]
-fn probation_by_one() {
+fn one_flow_tries_ejected_backend() {
     let mut router = two_backends();
     let dead = lost_opening(&mut router, 0, 1);
     router.on_packet(clock_at(200), &opening_packet(flow_key(9, 1), 1));
     assert_eq!(class_of(&router, dead, 1_100), HealthClass::Ejected);
     assert_eq!(class_of(&router, dead, 1_300), HealthClass::Probation);
-    // One flow tries it; while that waits, no other does.
+    // One flow tries it; while that flow waits, no other does.
     let tries = (0..20).filter(|port| lost_opening(&mut router, 1_300, 100 + port) == dead);
     assert_eq!(tries.count(), 1);
     router.report_overdue_openings(clock_at(1_345));
     assert_eq!(class_of(&router, dead, 1_346), HealthClass::Ejected);
-    // The second time is twice as long.
+    // The second ejection lasts twice as long.
     assert_eq!(class_of(&router, dead, 3_300), HealthClass::Ejected);
     assert_eq!(class_of(&router, dead, 3_400), HealthClass::Probation);
 }
 
 #[test]
-fn alive_comes_back() {
+fn response_ends_probation() {
     let mut router = two_backends();
     let dead = lost_opening(&mut router, 0, 1);
     router.on_packet(clock_at(200), &opening_packet(flow_key(9, 1), 1));
@@ -117,7 +112,7 @@
 }
 
 #[test]
-fn peers_word_counts() {
+fn peer_observations_count() {
     let mut router = two_backends();
     router.apply_observation(
         clock_at(10),
@@ -141,7 +136,7 @@
         },
     );
     assert_eq!(class_of(&router, 1, 500), HealthClass::Healthy);
-    // What was observed before the sign of life doesn't count any more.
+    // An observation from before the response doesn't count any more.
     router.apply_observation(
         clock_at(510),
         &HealthObservation {
@@ -155,9 +150,9 @@
 }
 
 #[test]
-fn all_silent_still_placed() {
-    // With every backend server under suspicion, flows are placed all the same:
-    // the suspicion may be this instance's own fault.
+fn places_flows_when_all_backends_are_ejected() {
+    // If all backend servers are ejected, flows are placed nevertheless: the fault may be this
+    // instance's own.
     let mut router = two_backends();
     for number in [1, 2] {
         router.apply_observation(
@@ -173,26 +168,20 @@
     assert!(open_flow(&mut router, 20, flow_key(1, 1)).is_some());
 }
 
-// Symptom: a caller whose flow was reset by a backend server that isn't listening
-//   tries again at once and meets the same backend server.
-// Sequence: the reset goes from the backend server to the caller directly; the
-//   second flow arrives before the first counts as unanswered.
-// Cause: the two flows aren't seen to be of one caller.
+// Guards against a retry that goes to the same backend server: one that isn't listening resets the
+// flow directly to the caller, whose second flow arrives before the first counts as unanswered.
 #[test]
-fn retry_avoids_reset() {
+fn retry_of_caller_avoids_same_backend() {
     let mut router = two_backends();
     let refusing = lost_opening(&mut router, 0, 1);
     let decision = router.on_packet(clock_at(14), &opening_packet(flow_key(9, 2), 0));
     assert_ne!(decided_backend(&router, &decision), Some(refusing));
 }
 
-// Symptom: an operator finds a flow's opening in the log, and nothing of the request
-//   that was lost on it a minute later.
-// Sequence: the flow's backend server falls silent while the flow is open; the caller
-//   sends its request again.
-// Cause: packets of open flows are sent on without a word.
+// Guards against a log that shows a flow's opening but nothing of the request that was lost on it a
+// minute later: the decision must report the stall.
 #[test]
-fn stalled_flow_told() {
+fn reports_stalled_flow() {
     let mut router = two_backends();
     let number = open_flow(&mut router, 0, flow_key(1, 1)).expect("is placed");
     let asked = data_packet(flow_key(1, 1), number as u32, 1_000, 0);
@@ -204,7 +193,7 @@
     };
     assert_eq!(stall.waited_ms, 200);
     assert_eq!(stall.health, HealthClass::Suspect);
-    // The network's own copy says nothing.
+    // A copy made by the network isn't reported.
     let decision =
         router.on_packet(clock_at(100), &data_packet(flow_key(2, 1), number as u32, 1_000, 0));
     assert!(matches!(decision, FlowDecision::Forward { stall: None, .. }));
@@ -213,13 +202,11 @@
     assert!(matches!(decision, FlowDecision::Forward { stall: None, .. }));
 }
 
-// Symptom: an instance that wakes accuses backend servers that answered in time.
-// Sequence: it stands still for two seconds; opening packets wait in its socket, and
-//   some of their callers give up meanwhile; it wakes and sends them on.
-// Cause: the backend server's answer finds nobody, so no caller goes on, and that is
-//   taken for the backend server's silence.
+// Guards against ejections of live backend servers after a pause of two seconds: opening packets
+// that waited in the socket are forwarded after some of their callers have given up, so that no
+// caller continues although the backend server responds.
 #[test]
-fn late_openings_unjudged() {
+fn openings_read_after_pause_count_against_no_backend() {
     let mut router = two_backends();
     router.record_pause();
     let backend = lost_opening(&mut router, 7_000, 1);
@@ -233,13 +220,11 @@
     assert_eq!(class_of(&router, backend, 7_120), HealthClass::Suspect);
 }
 
-// Symptom: an instance that stood still while the store was away notices dead backend
-//   servers only by callers' copies, for as long as the store is away.
-// Sequence: it wakes; no confirmation of the list comes for minutes.
-// Cause: openings count as late until the list is confirmed, though what had waited was
-//   read long ago.
+// Guards against dead backend servers that are detected only by retransmissions for as long as the
+// store is unreachable after a pause: once all waiting packets were read, openings must count even
+// without a list confirmation.
 #[test]
-fn read_up_judges_again() {
+fn openings_count_again_once_socket_is_empty() {
     let mut router = two_backends();
     router.record_pause();
     lost_opening(&mut router, 7_000, 1);
@@ -250,13 +235,11 @@
     assert_eq!(class_of(&router, backend, 7_150), HealthClass::Suspect);
 }
 
-// Symptom: for two seconds after backend servers crash, callers' new flows are reset again
-//   and again.
-// Sequence: crashed backend servers reset openings, so that no copies follow; each of many
-//   instances sees one opening unanswered now and then.
-// Cause: each waits for a second unanswered opening of its own.
+// Guards against new flows that are reset for two seconds after a crash: crashed backend servers
+// reset openings, so that no retransmissions follow, and each of many instances sees only an
+// occasional unanswered opening.
 #[test]
-fn two_observers_suffice() {
+fn suspicions_of_two_instances_eject() {
     let note = |at_ms| HealthObservation {
         number: 1,
         incarnation: 0,
@@ -269,7 +252,7 @@
     assert_eq!(class(&router, 46), HealthClass::Suspect);
     router.apply_observation(clock_at(60), &note(55));
     assert_eq!(class(&router, 61), HealthClass::Ejected);
-    // A sign of life between refutes the first.
+    // A response in between refutes the first suspicion.
     let mut router = two_backends();
     router.apply_observation(clock_at(45), &note(40));
     router.apply_observation(
@@ -278,7 +261,7 @@
     );
     router.apply_observation(clock_at(60), &note(55));
     assert_eq!(class(&router, 61), HealthClass::Suspect);
-    // An old one is none: most are packets that were lost.
+    // An old suspicion doesn't count: most are lost packets.
     let mut router = two_backends();
     router.apply_observation(clock_at(45), &note(40));
     router.apply_observation(clock_at(2_000), &note(1_995));
--- a/crates/foxledge-flows/tests/silent_centre.rs
+++ b/crates/foxledge-flows/tests/unresponsive_centre.rs
@@ -1,14 +1,14 @@
-//! Flows that are each alone with their backend server, in a data centre that answers nobody.
+//! Flows that are the only ones of their backend servers, in an unresponsive data centre.
 //!
-//! The load: a data centre of hundreds of backend servers loses its power under callers that hold
-//! one flow each; what instances of others see of it is one request here and there.
+//! A data centre of hundreds of backend servers loses power while callers elsewhere hold one flow
+//! to each. Each instance sees only a few of their requests.
 
 mod common;
 
 use common::*;
 use foxledge_flows::{FlowDecision, FlowRouter, HealthObservation, ObservationKind, ResetReason};
 
-/// Backend servers elsewhere, from 11 on; one more lives nearby.
+/// The number of remote backend servers, numbered from 11; number 1 is local.
 const FAR_BACKENDS: u64 = 8;
 
 fn far_router() -> FlowRouter {
@@ -18,7 +18,7 @@
     listed_router(&rows)
 }
 
-/// What peers tell of a backend server elsewhere.
+/// Applies a peer's observation of a remote backend server.
 fn tell(router: &mut FlowRouter, number: u64, kind: ObservationKind, now: u64) {
     router.apply_observation(
         clock_at(now),
@@ -26,16 +26,17 @@
     );
 }
 
-/// A request on a flow that is alone with backend server 11, and what is done with its copies.
+/// Sends a request and two retransmissions on the only flow of backend server 11; returns the
+/// decisions.
 fn wait_in_vain(router: &mut FlowRouter) -> Vec<FlowDecision> {
     let request = data_packet(flow_key(1, 1), 11, 2_000, 1);
     [1_000, 1_200, 1_600].map(|now| router.on_packet(clock_at(now), &request)).to_vec()
 }
 
-// Symptom: feeds to a data centre without power hang for 1.4 s, and many to their deadline.
-// Cause: each is the only flow at its backend server, and nothing else speaks for its death.
+// Guards against requests to a data centre without power that wait for 1.4 s, and many until their
+// deadline, as no other packet proves the death of their backend server.
 #[test]
-fn lone_flow_ended() {
+fn resets_only_flow_in_unresponsive_centre() {
     let mut router = far_router();
     for number in 12..16 {
         tell(&mut router, number, ObservationKind::DataUnanswered, 1_100);
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn few_silences_keep() {
+fn keeps_flow_with_few_unresponsive_backends() {
     let mut router = far_router();
     for number in 12..15 {
         tell(&mut router, number, ObservationKind::DataUnanswered, 1_100);
@@ -55,16 +56,15 @@
     assert!(matches!(wait_in_vain(&mut router)[2], FlowDecision::Forward { .. }));
 }
 
-// Symptom: a flow is reset though its backend server lives.
-// Sequence: some of the data centre are dead, and others answer; three of the flow's packets
-//   are lost.
+// Guards against the reset of a flow of a live backend server when some others of its data centre
+// are dead but one responds, and three of the flow's packets are lost.
 #[test]
-fn answers_from_there_keep() {
+fn keeps_flow_when_centre_responds() {
     let mut router = far_router();
     for number in 12..16 {
         tell(&mut router, number, ObservationKind::DataUnanswered, 1_050);
     }
-    // A caller goes on at another one there.
+    // A caller receives a response from another backend server there.
     let other = data_packet(flow_key(2, 2), 18, 500, 1);
     router.on_packet(clock_at(1_060), &other);
     let answered = foxledge_flows::FlowPacket { acknowledged: 900, ..other };
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn old_silence_keeps() {
+fn keeps_flow_when_evidence_is_old() {
     let mut router = far_router();
     for number in 12..16 {
         router.apply_observation(
