--- a/crates/foxledge-flows/src/backend_table.rs
+++ b/crates/foxledge-flows/src/backend_table.rs
@@ -90,19 +90,21 @@
     pub fn by_token(&self, token: u32, fits: impl Fn(&Backend) -> bool) -> Option<usize> {
         match self.by_token.get(&token)?.as_slice() {
             [index] => Some(*index),
-            several => several
+            indexes => indexes
                 .iter()
                 .copied()
-                .find(|index| self.get(*index).is_some_and(|one| !one.is_shadowed && fits(one)))
-                .or(several.last().copied()),
+                .find(|index| {
+                    self.get(*index).is_some_and(|backend| !backend.is_shadowed && fits(backend))
+                })
+                .or(indexes.last().copied()),
         }
     }
 
     /// Returns the index of the backend server with a number.
     pub fn by_number(&self, number: u64) -> Option<usize> {
         let indexes = self.by_token.get(&token_of(number))?;
-        let is_it = |backend: &Backend| backend.number == number && !backend.is_shadowed;
-        indexes.iter().copied().find(|index| self.get(*index).is_some_and(is_it))
+        let is_match = |backend: &Backend| backend.number == number && !backend.is_shadowed;
+        indexes.iter().copied().find(|index| self.get(*index).is_some_and(is_match))
     }
 
     /// Applies a list row. Rows of other kinds are ignored.
@@ -110,12 +112,12 @@
         match &row.value {
             Some(RowValue::Backend(spec)) => self.apply_backend(now, row, spec, None),
             Some(RowValue::Removed(removed)) => {
-                let age = u64::from(removed.age_ms) * 1_000;
-                let gone = ClockTime::from_micros(now.as_micros().saturating_sub(age));
+                let age_us = u64::from(removed.age_ms) * 1_000;
+                let removed_at = ClockTime::from_micros(now.as_micros().saturating_sub(age_us));
                 match &removed.backend {
-                    Some(spec) => self.apply_backend(now, row, spec, Some(gone)),
+                    Some(spec) => self.apply_backend(now, row, spec, Some(removed_at)),
                     None => {
-                        self.mark_invalid(&row.key, gone);
+                        self.mark_invalid(&row.key, removed_at);
                         None
                     }
                 }
@@ -128,12 +130,13 @@
     /// after it. Revisions of different epochs aren't compared: a restored store may list the
     /// previous owner of the address.
     pub fn is_replaced(&self, index: usize) -> bool {
-        let Some(gone) = self.get(index) else { return false };
-        let Some(indexes) = self.by_address.get(&gone.address) else { return false };
+        let Some(removed) = self.get(index) else { return false };
+        let Some(indexes) = self.by_address.get(&removed.address) else { return false };
         let others = indexes.iter().filter(|other| **other != index);
         let mut others = others.filter_map(|other| self.get(*other));
         let is_later = |other: &Backend| {
-            other.revision > gone.revision && epoch_of(other.revision) == epoch_of(gone.revision)
+            other.revision > removed.revision
+                && epoch_of(other.revision) == epoch_of(removed.revision)
         };
         others.any(|other| other.removed_at.is_none() && is_later(other))
     }
@@ -141,14 +144,15 @@
     /// Drops the backend servers that were removed longer ago than flows last, and returns their
     /// indexes.
     pub fn remove_expired(&mut self, now: ClockTime) -> Vec<usize> {
-        let is_old = |backend: &Backend| {
-            backend
-                .removed_at
-                .is_some_and(|gone| gone.after_millis(REMOVED_BACKEND_TTL_MS).is_past(now))
+        let is_expired = |backend: &Backend| {
+            backend.removed_at.is_some_and(|removed_at| {
+                removed_at.after_millis(REMOVED_BACKEND_TTL_MS).is_past(now)
+            })
         };
-        let old: Vec<_> =
-            (0..self.slots.len()).filter(|index| self.get(*index).is_some_and(is_old)).collect();
-        for index in &old {
+        let expired: Vec<_> = (0..self.slots.len())
+            .filter(|index| self.get(*index).is_some_and(is_expired))
+            .collect();
+        for index in &expired {
             let Some(backend) = self.unlink(*index) else { continue };
             self.by_key.remove(&backend.key);
             if let Some(indexes) = self.by_token.get_mut(&backend.token) {
@@ -157,7 +161,7 @@
             self.resolve_number(backend.number);
             self.free_slots.push(*index);
         }
-        old
+        expired
     }
 
     /// Restarts the grace period of removed entries after an outage or a restore of the store
@@ -166,22 +170,23 @@
     /// Entries that expire as the store goes down are back about two seconds after its return.
     /// Counted from the expiry, the grace period would be over at the return, and an instance that
     /// missed what happened in between would refuse flows that all others serve.
-    pub fn restart_grace(&mut self, former: ClockTime, confirmed: ClockTime) {
+    pub fn restart_grace(&mut self, former_confirmed_at: ClockTime, confirmed_at: ClockTime) {
         for backend in self.slots.iter_mut().flatten() {
-            let is_in_grace =
-                |gone: &ClockTime| !gone.after_millis(REMOVAL_GRACE_MS).is_past(former);
+            let is_in_grace = |removed_at: &ClockTime| {
+                !removed_at.after_millis(REMOVAL_GRACE_MS).is_past(former_confirmed_at)
+            };
             if backend.removed_at.as_ref().is_some_and(is_in_grace) {
-                backend.removed_at = Some(confirmed);
+                backend.removed_at = Some(confirmed_at);
             }
         }
     }
 
     /// Marks the backend server of a key as removed and draining because its entry can't be
     /// decoded.
-    fn mark_invalid(&mut self, key: &str, gone: ClockTime) {
+    fn mark_invalid(&mut self, key: &str, removed_at: ClockTime) {
         let Some(index) = self.by_key.get(key).copied() else { return };
         if let Some(backend) = self.get_mut(index) {
-            (backend.removed_at, backend.is_draining) = (Some(gone), true);
+            (backend.removed_at, backend.is_draining) = (Some(removed_at), true);
         }
     }
 
@@ -190,11 +195,11 @@
         now: ClockTime,
         row: &ListRow,
         spec: &BackendRow,
-        gone: Option<ClockTime>,
+        removed_at: Option<ClockTime>,
     ) -> Option<BackendEvent> {
         let address = spec.address()?;
         self.end_grace_at_address(address, row, now);
-        let mut newer = Backend::new(now, row, spec, address, gone);
+        let mut newer = Backend::new(now, row, spec, address, removed_at);
         newer.apply_draining(row, spec);
         let Some(index) = self.by_key.get(row.key.as_str()).copied() else {
             self.insert(newer);
@@ -214,7 +219,7 @@
             self.resolve_number(spec.number);
             return Some(BackendEvent::Restarted { index, former });
         }
-        known.removed_at = gone;
+        known.removed_at = removed_at;
         known.revision = row.revision;
         known.apply_draining(row, spec);
         if known.is_same_process(&newer) {
@@ -236,7 +241,7 @@
             let Some(backend) = self.slots[*index].as_mut() else { continue };
             let is_other =
                 *backend.key != *row.key && epoch_of(backend.revision) == epoch_of(row.revision);
-            if is_other && backend.removed_at.is_some_and(|gone| gone <= now) {
+            if is_other && backend.removed_at.is_some_and(|removed_at| removed_at <= now) {
                 backend.is_draining = true;
             }
         }
--- a/crates/foxledge-flows/src/backends.rs
+++ b/crates/foxledge-flows/src/backends.rs
@@ -95,7 +95,7 @@
         row: &ListRow,
         spec: &BackendRow,
         address: SocketAddrV4,
-        gone_at: Option<ClockTime>,
+        removed_at: Option<ClockTime>,
     ) -> Backend {
         Backend {
             key: Arc::from(row.key.as_str()),
@@ -111,7 +111,7 @@
             draining_revision: None,
             warm_at: now.after_millis(u64::from(spec.warm_in_ms)),
             cold_flows: FlowWindow::default(),
-            removed_at: gone_at,
+            removed_at,
             revision: row.revision,
             created_revision: spec.created_revision,
             discovered_at: now,
@@ -134,8 +134,8 @@
 
     /// Returns the number of open flows, or the recent peak while that counts.
     pub fn recent_flows(&self, now: ClockTime) -> u32 {
-        let (former, until) = self.recent_peak;
-        if until.is_past(now) { self.open_flows } else { self.open_flows.max(former) }
+        let (peak, until) = self.recent_peak;
+        if until.is_past(now) { self.open_flows } else { self.open_flows.max(peak) }
     }
 
     /// Returns true during the warm-up after its start.
@@ -152,9 +152,10 @@
         if is_own_entry && spec.draining {
             self.draining_revision = Some(row.revision);
         }
-        let has_left =
-            self.draining_revision.is_some_and(|at| epoch_of(at) < epoch_of(row.revision));
-        self.is_draining = spec.draining || has_left;
+        let has_drained = self
+            .draining_revision
+            .is_some_and(|revision| epoch_of(revision) < epoch_of(row.revision));
+        self.is_draining = spec.draining || has_drained;
     }
 
     /// Returns true if the entry of `other` can belong to the same process.
@@ -170,15 +171,16 @@
     /// [`REMOVAL_GRACE_MS`]. The period doesn't run out while the store is unreachable (`confirmed`
     /// is the last list confirmation): the entry can't come back before the store does, and the
     /// full period starts then (`BackendTable::restart_grace`).
-    pub fn accepts_new_flows(&self, now: ClockTime, confirmed: Option<ClockTime>) -> bool {
+    pub fn accepts_new_flows(&self, now: ClockTime, confirmed_at: Option<ClockTime>) -> bool {
         if self.is_draining || self.is_shadowed {
             return false;
         }
-        let Some(gone) = self.removed_at else { return true };
-        let until = gone.after_millis(REMOVAL_GRACE_MS);
-        let is_store_away =
-            confirmed.is_some_and(|at| is_store_unreachable(at, now) && !until.is_past(at));
-        is_store_away || !until.is_past(now)
+        let Some(removed_at) = self.removed_at else { return true };
+        let grace_end = removed_at.after_millis(REMOVAL_GRACE_MS);
+        let is_store_away = confirmed_at.is_some_and(|confirmed_at| {
+            is_store_unreachable(confirmed_at, now) && !grace_end.is_past(confirmed_at)
+        });
+        is_store_away || !grace_end.is_past(now)
     }
 }
 
@@ -204,8 +206,8 @@
 
 /// Returns true if, at `now`, the last list confirmation is so old that the store counts as
 /// unreachable.
-pub(crate) fn is_store_unreachable(confirmed: ClockTime, now: ClockTime) -> bool {
-    confirmed.after_millis(STORE_TIMEOUT_MS).is_past(now)
+pub(crate) fn is_store_unreachable(confirmed_at: ClockTime, now: ClockTime) -> bool {
+    confirmed_at.after_millis(STORE_TIMEOUT_MS).is_past(now)
 }
 
 /// Returns the token of a backend server's number. It is never 0, which stands for no backend
--- a/crates/foxledge-flows/src/evacuations.rs
+++ b/crates/foxledge-flows/src/evacuations.rs
@@ -64,25 +64,31 @@
     /// Defers a row of a restored store until `until`, unless a newer row for its key comes first.
     /// Returns false for rows of other kinds.
     pub fn defer_row(&mut self, until: ClockTime, row: &ListRow) -> bool {
-        let is_wish = row.key.starts_with(&evacuation_key(""));
-        if is_wish {
+        let is_evacuation = row.key.starts_with(&evacuation_key(""));
+        if is_evacuation {
             self.deferred.insert(row.key.clone(), (until, row.clone()));
         }
-        is_wish
+        is_evacuation
     }
 
     /// Applies the deferred rows that are due.
     pub fn apply_deferred(&mut self, now: ClockTime) -> Vec<EvacuationEvent> {
         let is_due = |(until, _): &(ClockTime, ListRow)| until.is_past(now);
-        let due: Vec<_> =
-            self.deferred.values().filter(|one| is_due(one)).map(|(_, row)| row.clone()).collect();
+        let due: Vec<_> = self
+            .deferred
+            .values()
+            .filter(|entry| is_due(entry))
+            .map(|(_, row)| row.clone())
+            .collect();
         due.iter().filter_map(|row| self.apply_row(now, row)).collect()
     }
 
     fn apply_value(&mut self, now: ClockTime, row: &ListRow) -> Option<EvacuationEvent> {
         match &row.value {
             Some(RowValue::Extension(extension)) => match extension.decode()? {
-                ExtensionValue::Evacuation(wish) => self.begin(now, row, &wish.data_centre),
+                ExtensionValue::Evacuation(evacuation) => {
+                    self.begin(now, row, &evacuation.data_centre)
+                }
                 ExtensionValue::Service(_) => None,
             },
             Some(RowValue::Removed(_)) => self.end(now, row),
@@ -97,8 +103,8 @@
 
     /// Counts a new flow to a backend server of a data centre if that is evacuated.
     pub fn record_flow(&mut self, data_centre: &CentreName) {
-        if let Some(known) = self.active.get_mut(data_centre) {
-            known.late_flows += 1;
+        if let Some(evacuation) = self.active.get_mut(data_centre) {
+            evacuation.late_flows += 1;
         }
     }
 
@@ -114,23 +120,21 @@
         data_centre: &str,
     ) -> Option<EvacuationEvent> {
         let data_centre = CentreName::new(data_centre);
-        let (revision, known_at) = (row.revision, now);
-        if let Some(known) = self.active.get_mut(&data_centre) {
-            known.revision = revision;
+        let (revision, received_at) = (row.revision, now);
+        if let Some(evacuation) = self.active.get_mut(&data_centre) {
+            evacuation.revision = revision;
             return None;
         }
-        self.active.insert(
-            data_centre.clone(),
-            Evacuation { revision, received_at: known_at, late_flows: 0 },
-        );
+        self.active
+            .insert(data_centre.clone(), Evacuation { revision, received_at, late_flows: 0 });
         Some(EvacuationEvent { data_centre, change: EvacuationChange::Begun, revision })
     }
 
     fn end(&mut self, now: ClockTime, row: &ListRow) -> Option<EvacuationEvent> {
         let name = row.key.strip_prefix(&evacuation_key(""))?;
         let data_centre = CentreName::new(name);
-        let known = self.active.remove(&data_centre)?;
-        let after_ms = now.since(known.received_at).as_millis() as u64;
+        let evacuation = self.active.remove(&data_centre)?;
+        let after_ms = now.since(evacuation.received_at).as_millis() as u64;
         let change = EvacuationChange::Ended { after_ms };
         Some(EvacuationEvent { data_centre, change, revision: row.revision })
     }
--- a/crates/foxledge-flows/src/flow_resets.rs
+++ b/crates/foxledge-flows/src/flow_resets.rs
@@ -54,21 +54,26 @@
     /// that had been idle. Callers that wait there with an idempotent request can repeat it 0.2 to
     /// 0.8 s sooner than by a reset at their next retransmission.
     pub fn drain_flow_resets(&mut self, now: ClockTime) -> Vec<FlowReset> {
-        let mut dying = self.dead_backends.drain_due(now);
-        dying.retain(|index| self.unanswered_state(now, *index).is_some_and(|known| known.is_dead));
+        let mut dead_backends = self.dead_backends.drain_due(now);
+        dead_backends
+            .retain(|index| self.unanswered_state(now, *index).is_some_and(|state| state.is_dead));
         // Packets that arrived during a pause may still prove that the backend server is alive.
-        let is_sure = !self.is_catching_up && !self.is_awaiting_confirmation;
-        let is_sure =
-            is_sure && !self.is_lossy() && self.has_mechanism(RouterMechanism::IdleResets);
-        let mut ends = Vec::new();
-        for index in dying.iter().filter(|_| is_sure) {
-            ends.extend(self.dead_backend_resets(now, *index, MAX_RESETS_PER_CHECK - ends.len()));
+        let is_certain = !self.is_catching_up && !self.is_awaiting_confirmation;
+        let is_certain =
+            is_certain && !self.is_lossy() && self.has_mechanism(RouterMechanism::IdleResets);
+        let mut resets = Vec::new();
+        for index in dead_backends.iter().filter(|_| is_certain) {
+            resets.extend(self.dead_backend_resets(
+                now,
+                *index,
+                MAX_RESETS_PER_CHECK - resets.len(),
+            ));
         }
-        dying.into_iter().for_each(|index| self.dead_backends.add(index));
-        for end in &ends {
-            self.end_track(now, &end.key);
+        dead_backends.into_iter().for_each(|index| self.dead_backends.add(index));
+        for reset in &resets {
+            self.end_track(now, &reset.key);
         }
-        ends
+        resets
     }
 
     /// Returns why a stalled flow is reset, if it is; `state` tells what else stayed unanswered at
@@ -78,7 +83,7 @@
         now: ClockTime,
         index: usize,
         stall: FlowStall,
-        known: Option<UnansweredState>,
+        state: Option<UnansweredState>,
     ) -> Option<ResetReason> {
         // It is unknown when packets that are read after a pause were sent.
         if self.is_catching_up || !self.has_mechanism(RouterMechanism::StalledResets) {
@@ -87,9 +92,9 @@
         if self.is_lossy() && stall.retransmissions < MIN_LOSSY_RETRANSMISSIONS {
             return None;
         }
-        let Some(mut known) = known else { return self.centre_reset_reason(now, index, stall) };
-        known.is_dead &= self.has_answer_elsewhere(index, known.unanswered_since);
-        unresponsive_reset_reason(now, stall, known)
+        let Some(mut state) = state else { return self.centre_reset_reason(now, index, stall) };
+        state.is_dead &= self.has_answer_elsewhere(index, state.unanswered_since);
+        unresponsive_reset_reason(now, stall, state)
     }
 
     /// Returns why the only flow of a backend server is reset: no other packet was sent there, but
@@ -117,42 +122,45 @@
     /// Returns the number of other backend servers of a data centre that were recently found
     /// unresponsive, by this instance or by peers; 0 if one of them has responded since.
     fn unresponsive_neighbours(&self, now: ClockTime, index: usize) -> usize {
-        let Some(own) = self.backends.get(index) else { return 0 };
-        let is_around =
-            |other: &&Backend| other.data_centre == own.data_centre && other.number != own.number;
-        let around = || self.backends.iter().filter(is_around);
-        let silences = around().filter_map(|other| other.health.recent_unanswered_since(now));
-        let (count, first) = silences
-            .fold((0, ClockTime::MAX), |(count, first), silent| (count + 1, first.min(silent)));
-        let is_alive = around().any(|other| other.answered_at.is_some_and(|seen| seen > first));
+        let Some(backend) = self.backends.get(index) else { return 0 };
+        let is_neighbour = |other: &&Backend| {
+            other.data_centre == backend.data_centre && other.number != backend.number
+        };
+        let neighbours = || self.backends.iter().filter(is_neighbour);
+        let unanswered = neighbours().filter_map(|other| other.health.recent_unanswered_since(now));
+        let (count, first) = unanswered
+            .fold((0, ClockTime::MAX), |(count, first), since| (count + 1, first.min(since)));
+        let is_alive = neighbours()
+            .any(|other| other.answered_at.is_some_and(|answered_at| answered_at > first));
         if is_alive { 0 } else { count }
     }
 
-    fn dead_backend_resets(&self, now: ClockTime, index: usize, most: usize) -> Vec<FlowReset> {
-        let Some(silent_at) = self.unanswered_state(now, index).map(|known| known.unanswered_since)
+    fn dead_backend_resets(&self, now: ClockTime, index: usize, limit: usize) -> Vec<FlowReset> {
+        let Some(unanswered_since) =
+            self.unanswered_state(now, index).map(|state| state.unanswered_since)
         else {
             return Vec::new();
         };
-        if !self.has_answer_elsewhere(index, silent_at) {
+        if !self.has_answer_elsewhere(index, unanswered_since) {
             return Vec::new();
         }
-        let time_of = |key: &FlowKey| self.request_timeout_ms(key);
-        let held = self.tracks.backend_flows(now, index, time_of);
-        let may_end = |flow: &OpenFlow| match flow.state {
+        let timeout_of = |key: &FlowKey| self.request_timeout_ms(key);
+        let flows = self.tracks.backend_flows(now, index, timeout_of);
+        let may_reset = |flow: &OpenFlow| match flow.state {
             FlowState::Idle => true,
             FlowState::Waiting => {
                 self.has_mechanism(RouterMechanism::WaitingResets) && self.is_repeatable(&flow.key)
             }
         };
-        let mut flows: Vec<OpenFlow> = held.filter(may_end).collect();
+        let mut flows: Vec<OpenFlow> = flows.filter(may_reset).collect();
         // Callers without idempotent requests lose most, followed by those that wait.
         let rank = |flow: &OpenFlow| {
             (self.is_repeatable(&flow.key), flow.state == FlowState::Idle, flow.since)
         };
         flows.sort_by_key(rank);
-        flows.truncate(most);
+        flows.truncate(limit);
         let millis = |at: ClockTime| now.since(at).as_millis() as u64;
-        let (silent_ms, end) = (millis(silent_at), |flow: OpenFlow, reason| FlowReset {
+        let (silent_ms, reset) = (millis(unanswered_since), |flow: OpenFlow, reason| FlowReset {
             key: flow.key,
             received: flow.acknowledged,
             backend: index,
@@ -164,22 +172,23 @@
                 ResetReason::WaitingAtDead { waited_ms: millis(flow.since), silent_ms }
             }
         };
-        flows.into_iter().map(|flow| end(flow, reason(&flow))).collect()
+        flows.into_iter().map(|flow| reset(flow, reason(&flow))).collect()
     }
 
     /// Returns true if another backend server has responded to this instance after
     /// `unanswered_since`, which excludes a failure of this instance's own link.
-    fn has_answer_elsewhere(&self, index: usize, silent_at: ClockTime) -> bool {
-        let silent = self.backends.get(index).map(|backend| backend.number);
+    fn has_answer_elsewhere(&self, index: usize, unanswered_since: ClockTime) -> bool {
+        let number = self.backends.get(index).map(|backend| backend.number);
         self.backends.iter().any(|other| {
-            Some(other.number) != silent && other.answered_at.is_some_and(|seen| seen > silent_at)
+            Some(other.number) != number
+                && other.answered_at.is_some_and(|answered_at| answered_at > unanswered_since)
         })
     }
 
     /// Returns the time, in milliseconds, after which a caller gives up a request on a flow.
     fn request_timeout_ms(&self, key: &FlowKey) -> u64 {
-        let told = self.routes.find(&key.service).map(|route| route.timeout_ms);
-        told.filter(|millis| *millis > 0).unwrap_or(self.idle_timeout_ms)
+        let timeout_ms = self.routes.find(&key.service).map(|route| route.timeout_ms);
+        timeout_ms.filter(|millis| *millis > 0).unwrap_or(self.idle_timeout_ms)
     }
 
     fn is_repeatable(&self, key: &FlowKey) -> bool {
@@ -189,8 +198,8 @@
     /// Returns since when packets to a backend server stay unanswered, if any do.
     pub(crate) fn unanswered_state(&self, now: ClockTime, index: usize) -> Option<UnansweredState> {
         let health = &self.backends.get(index)?.health;
-        let silent_at = health.unanswered_since()?;
-        Some(UnansweredState { unanswered_since: silent_at, is_dead: health.is_dead(now) })
+        let unanswered_since = health.unanswered_since()?;
+        Some(UnansweredState { unanswered_since, is_dead: health.is_dead(now) })
     }
 }
 
@@ -207,11 +216,11 @@
 fn unresponsive_reset_reason(
     now: ClockTime,
     stall: FlowStall,
-    known: UnansweredState,
+    state: UnansweredState,
 ) -> Option<ResetReason> {
-    let silent_ms = now.since(known.unanswered_since).as_millis() as u64;
-    let is_old_silence = silent_ms >= stall.waited_ms + DATA_LOSS_MS;
-    if !stall.is_lost && !is_old_silence && !known.is_dead {
+    let silent_ms = now.since(state.unanswered_since).as_millis() as u64;
+    let is_old_evidence = silent_ms >= stall.waited_ms + DATA_LOSS_MS;
+    if !stall.is_lost && !is_old_evidence && !state.is_dead {
         return None;
     }
     Some(ResetReason::BackendSilent { waited_ms: stall.waited_ms, silent_ms })
--- a/crates/foxledge-flows/src/health.rs
+++ b/crates/foxledge-flows/src/health.rs
@@ -158,8 +158,8 @@
     }
 
     /// Records the response to a request sent at `asked` when the time of the response is unknown.
-    pub fn on_answer_since(&mut self, asked: ClockTime) {
-        if self.unanswered_since.is_some_and(|silent| silent < asked) {
+    pub fn on_answer_since(&mut self, sent_at: ClockTime) {
+        if self.unanswered_since.is_some_and(|since| since < sent_at) {
             self.clear_unanswered();
         }
     }
@@ -194,16 +194,16 @@
     pub fn on_suspicion(
         &mut self,
         now: ClockTime,
-        sent: ClockTime,
-        turn_ms: u64,
+        sent_at: ClockTime,
+        trial_delay_ms: u64,
     ) -> Option<ObservationKind> {
-        if self.last_alive_at > sent {
+        if self.last_alive_at > sent_at {
             return None;
         }
         self.last_negative_at = now;
         self.suspicion_count += 1;
         if self.suspicion_count > 1 || self.ejection_count > 0 || self.is_suspect(now) {
-            return self.eject_if_due(now, turn_ms);
+            return self.eject_if_due(now, trial_delay_ms);
         }
         self.suspect_until = now.after_millis(SUSPICION_TIMEOUT_MS);
         Some(ObservationKind::Suspect)
@@ -213,18 +213,18 @@
     pub fn on_unanswered(
         &mut self,
         now: ClockTime,
-        sent: ClockTime,
-        witness: UnansweredPacket,
-        turn_ms: u64,
+        sent_at: ClockTime,
+        packet: UnansweredPacket,
+        trial_delay_ms: u64,
     ) -> Option<ObservationKind> {
-        if self.last_alive_at > sent {
+        if self.last_alive_at > sent_at {
             return None;
         }
-        let is_news = self.unanswered_since.is_none();
-        let is_ejected = self.eject_if_due(now, turn_ms).is_some();
+        let is_first = self.unanswered_since.is_none();
+        let is_ejected = self.eject_if_due(now, trial_delay_ms).is_some();
         self.unanswered_since.get_or_insert(now);
         (self.last_unanswered_at, self.last_negative_at) = (now, now);
-        match witness {
+        match packet {
             UnansweredPacket::Opening => {
                 self.unanswered_openings += 1;
                 (self.unanswered_openings == 1 || is_ejected)
@@ -236,7 +236,7 @@
                 (self.unanswered_flows <= 2 || is_ejected)
                     .then_some(ObservationKind::DataUnanswered)
             }
-            UnansweredPacket::UncertainData if is_news => Some(ObservationKind::OpeningUnanswered),
+            UnansweredPacket::UncertainData if is_first => Some(ObservationKind::OpeningUnanswered),
             UnansweredPacket::UncertainData => is_ejected.then_some(ObservationKind::Ejected),
         }
     }
@@ -258,11 +258,11 @@
     }
 
     /// Ejects the backend server unless it is ejected, and again after any instance's failed trial.
-    fn eject_if_due(&mut self, now: ClockTime, turn_ms: u64) -> Option<ObservationKind> {
+    fn eject_if_due(&mut self, now: ClockTime, trial_delay_ms: u64) -> Option<ObservationKind> {
         if !self.first_trial_at.is_past(now) {
             return None;
         }
-        self.eject(now, turn_ms);
+        self.eject(now, trial_delay_ms);
         Some(ObservationKind::Ejected)
     }
 
@@ -272,48 +272,55 @@
     /// refutes only what is older than itself. Otherwise, an observation still in transit when a
     /// backend server died would make the dead one look healthy and idle, and all new flows would
     /// go there.
-    pub fn on_observation(&mut self, now: ClockTime, note: &HealthObservation, turn_ms: u64) {
-        if note.observed_at <= self.last_alive_at {
+    pub fn on_observation(
+        &mut self,
+        now: ClockTime,
+        observation: &HealthObservation,
+        trial_delay_ms: u64,
+    ) {
+        if observation.observed_at <= self.last_alive_at {
             return;
         }
-        if note.kind != ObservationKind::Alive {
-            self.last_negative_at = self.last_negative_at.max(note.observed_at);
+        if observation.kind != ObservationKind::Alive {
+            self.last_negative_at = self.last_negative_at.max(observation.observed_at);
         }
-        match note.kind {
-            ObservationKind::Alive if note.observed_at < self.last_negative_at => {
-                self.last_alive_at = note.observed_at
+        match observation.kind {
+            ObservationKind::Alive if observation.observed_at < self.last_negative_at => {
+                self.last_alive_at = observation.observed_at
             }
-            ObservationKind::Alive => *self = HealthState::started_at(note.observed_at),
+            ObservationKind::Alive => *self = HealthState::started_at(observation.observed_at),
             ObservationKind::Suspect => {
-                let is_second = self.is_suspect(note.observed_at);
-                self.suspect_until =
-                    self.suspect_until.max(note.observed_at.after_millis(SUSPICION_TIMEOUT_MS));
+                let is_second = self.is_suspect(observation.observed_at);
+                self.suspect_until = self
+                    .suspect_until
+                    .max(observation.observed_at.after_millis(SUSPICION_TIMEOUT_MS));
                 if is_second {
-                    self.eject_if_due(now, turn_ms);
+                    self.eject_if_due(now, trial_delay_ms);
                 }
             }
             ObservationKind::OpeningUnanswered => {
                 self.unanswered_openings += 1;
-                self.on_peer_unanswered(now, note.observed_at, turn_ms);
+                self.on_peer_unanswered(now, observation.observed_at, trial_delay_ms);
             }
             ObservationKind::DataUnanswered => {
                 self.unanswered_flows += 1;
-                self.on_peer_unanswered(now, note.observed_at, turn_ms);
+                self.on_peer_unanswered(now, observation.observed_at, trial_delay_ms);
             }
-            ObservationKind::Ejected => drop(self.eject_if_due(now, turn_ms)),
+            ObservationKind::Ejected => drop(self.eject_if_due(now, trial_delay_ms)),
         }
     }
 
-    fn on_peer_unanswered(&mut self, now: ClockTime, at: ClockTime, turn_ms: u64) {
-        self.unanswered_since = Some(self.unanswered_since.map_or(at, |known| known.min(at)));
-        self.last_unanswered_at = self.last_unanswered_at.max(at);
-        self.eject_if_due(now, turn_ms);
+    fn on_peer_unanswered(&mut self, now: ClockTime, observed_at: ClockTime, trial_delay_ms: u64) {
+        self.unanswered_since =
+            Some(self.unanswered_since.map_or(observed_at, |since| since.min(observed_at)));
+        self.last_unanswered_at = self.last_unanswered_at.max(observed_at);
+        self.eject_if_due(now, trial_delay_ms);
     }
 
-    fn eject(&mut self, now: ClockTime, turn_ms: u64) {
-        let doubled = MIN_EJECTION_MS << self.ejection_count.min(8);
+    fn eject(&mut self, now: ClockTime, trial_delay_ms: u64) {
+        let duration_ms = MIN_EJECTION_MS << self.ejection_count.min(8);
         self.ejection_count += 1;
-        self.first_trial_at = now.after_millis(doubled.min(MAX_EJECTION_MS));
-        self.own_trial_at = self.first_trial_at.after_millis(turn_ms);
+        self.first_trial_at = now.after_millis(duration_ms.min(MAX_EJECTION_MS));
+        self.own_trial_at = self.first_trial_at.after_millis(trial_delay_ms);
     }
 }
--- a/crates/foxledge-flows/src/list.rs
+++ b/crates/foxledge-flows/src/list.rs
@@ -171,11 +171,11 @@
 
     /// Applies the changes up to `head`. Returns the rows that were new to this list.
     pub fn apply_changes(&mut self, now: ClockTime, rows: Vec<ListRow>, head: u64) -> Vec<ListRow> {
-        let known = self.head;
-        let news: Vec<_> = rows.into_iter().filter(|row| row.revision > known).collect();
-        let taken = news.into_iter().filter_map(|row| self.insert_row(now, row)).collect();
+        let former_head = self.head;
+        let changed: Vec<_> = rows.into_iter().filter(|row| row.revision > former_head).collect();
+        let applied = changed.into_iter().filter_map(|row| self.insert_row(now, row)).collect();
         self.head = self.head.max(head);
-        taken
+        applied
     }
 
     /// Applies the changes up to `head` from an instance that read the whole list, across the
@@ -186,10 +186,10 @@
         rows: Vec<ListRow>,
         head: u64,
     ) -> Vec<ListRow> {
-        let former = self.head;
-        let taken = self.apply_changes(now, rows, head);
-        self.record_gap(former);
-        taken
+        let former_head = self.head;
+        let applied = self.apply_changes(now, rows, head);
+        self.record_gap(former_head);
+        applied
     }
 
     /// Applies a full transfer and removes rows that it lacks.
@@ -208,7 +208,7 @@
         }
         let rows = newest_by_key(rows);
         let listed: BTreeSet<&str> = rows.iter().map(|row| row.key.as_str()).collect();
-        let gone: Vec<_> = self
+        let removals: Vec<_> = self
             .rows
             .values()
             .filter(|row| !is_removed(row) && row.revision <= head)
@@ -217,12 +217,12 @@
             .collect();
         let rows: Vec<_> =
             rows.into_iter().map(|row| self.with_effective_revision(row, head)).collect();
-        let mut taken: Vec<_> =
+        let mut applied: Vec<_> =
             rows.into_iter().filter_map(|row| self.insert_row(now, row)).collect();
-        taken.extend(gone.into_iter().filter_map(|row| self.insert_row(now, row)));
+        applied.extend(removals.into_iter().filter_map(|row| self.insert_row(now, row)));
         self.head = head;
         self.raise_floor(floor);
-        taken
+        applied
     }
 
     /// Converts a whole reading of the store into rows and applies them.
@@ -238,21 +238,21 @@
         let has_lost_config =
             epoch_of(head) > epoch_of(self.head) && !reading.items.iter().any(is_config);
         let is_lost = |row: &ListRow| has_lost_config && is_config_key(&row.key);
-        let gone: Vec<_> = self
+        let removals: Vec<_> = self
             .rows
             .values()
             .filter(|row| is_item_row(row) || is_lost(row) && !is_removed(row))
             .filter(|row| row.revision <= head && !listed.contains(&row.key))
             .map(|row| removal_row(row, head))
             .collect();
-        let mut taken = self.apply_items(now, reading.items);
-        taken.extend(gone.into_iter().filter_map(|row| self.insert_row(now, row)));
-        let former = std::mem::replace(&mut self.head, head);
+        let mut applied = self.apply_items(now, reading.items);
+        applied.extend(removals.into_iter().filter_map(|row| self.insert_row(now, row)));
+        let former_head = std::mem::replace(&mut self.head, head);
         // Rows that were added and removed since this list was last complete aren't in the reading.
         // An instance that knows the list up to a revision in between may know such a row, and
         // would keep it for ever if it got only the changes known here.
-        self.record_gap(former);
-        taken
+        self.record_gap(former_head);
+        applied
     }
 
     /// Converts a part of a reading into rows without applying them.
@@ -267,19 +267,19 @@
 
     /// Converts changes from the store into rows and applies them.
     pub fn apply_watch(&mut self, now: ClockTime, reading: ListReading) -> Vec<ListRow> {
-        let known = self.head;
-        let is_news = |item: &ItemChange| item.revision() > known;
-        let news = reading.items.into_iter().filter(is_news).collect();
-        let taken = self.apply_items(now, news);
+        let former_head = self.head;
+        let is_new = |item: &ItemChange| item.revision() > former_head;
+        let changes = reading.items.into_iter().filter(is_new).collect();
+        let applied = self.apply_items(now, changes);
         self.head = self.head.max(reading.head);
-        taken
+        applied
     }
 
     /// Returns the remembered removed backend servers whose number satisfies `is_meant`.
     pub fn removed_backends(&self, now: ClockTime, is_meant: impl Fn(u64) -> bool) -> Vec<ListRow> {
-        let known = self.removal_times.keys().filter_map(|key| self.rows.get(key));
-        let meant = known.filter(|row| removed_backend_number(row).is_some_and(&is_meant));
-        let mut rows: Vec<_> = meant.map(|row| self.with_age(now, row)).collect();
+        let removed = self.removal_times.keys().filter_map(|key| self.rows.get(key));
+        let matching = removed.filter(|row| removed_backend_number(row).is_some_and(&is_meant));
+        let mut rows: Vec<_> = matching.map(|row| self.with_age(now, row)).collect();
         rows.sort_unstable_by(|one, other| one.key.cmp(&other.key));
         rows
     }
@@ -287,9 +287,10 @@
     /// Adds backend servers that were removed before this list knew them, and returns those. Keys
     /// that the list knows are skipped, so that older rows don't override them.
     pub fn apply_removed_backends(&mut self, now: ClockTime, rows: Vec<ListRow>) -> Vec<ListRow> {
-        let news = rows.into_iter().filter(|row| removed_backend_number(row).is_some());
-        let news: Vec<_> = news.filter(|row| !self.rows.contains_key(row.key.as_str())).collect();
-        news.into_iter().filter_map(|row| self.insert_row(now, row)).collect()
+        let removed = rows.into_iter().filter(|row| removed_backend_number(row).is_some());
+        let removed: Vec<_> =
+            removed.filter(|row| !self.rows.contains_key(row.key.as_str())).collect();
+        removed.into_iter().filter_map(|row| self.insert_row(now, row)).collect()
     }
 
     /// Returns the rows after a cursor in the order of changes, up to `budget` encoded bytes but at
@@ -327,13 +328,13 @@
 
     /// Drops removed rows that are older than any open flow.
     pub fn remove_expired(&mut self, now: ClockTime) {
-        let old: Vec<_> = self
+        let expired: Vec<_> = self
             .removal_times
             .iter()
-            .filter(|(_, at)| at.after_millis(REMOVED_ROW_TTL_MS).is_past(now))
+            .filter(|(_, removed_at)| removed_at.after_millis(REMOVED_ROW_TTL_MS).is_past(now))
             .map(|(key, _)| key.clone())
             .collect();
-        for key in old {
+        for key in expired {
             self.removal_times.remove(&key);
             let Some(row) = self.rows.remove(&key) else { continue };
             self.by_revision.remove(&(row.revision, key));
@@ -342,12 +343,12 @@
     }
 
     /// Records a gap: the list was complete up to `former` and is again up to its head.
-    fn record_gap(&mut self, former: u64) {
-        if former == 0 || epoch_of(former) < epoch_of(self.head) {
+    fn record_gap(&mut self, former_head: u64) {
+        if former_head == 0 || epoch_of(former_head) < epoch_of(self.head) {
             return self.raise_floor(self.head);
         }
-        if former < self.head {
-            self.gaps.push(ListGap { after: former, until: self.head });
+        if former_head < self.head {
+            self.gaps.push(ListGap { after: former_head, until: self.head });
         }
         if self.gaps.len() > MAX_GAPS {
             let oldest = self.gaps.remove(0);
@@ -368,9 +369,9 @@
     /// snapshot is right, as it is newer as a whole.
     fn with_effective_revision(&self, mut row: ListRow, head: u64) -> ListRow {
         let Some(known) = self.rows.get(row.key.as_str()) else { return row };
-        let is_passed_over = known.revision >= row.revision && known.revision < head;
+        let is_ignored = known.revision >= row.revision && known.revision < head;
         let are_removed = is_removed(known) && is_removed(&row);
-        if is_passed_over && !are_removed && known.value != row.value {
+        if is_ignored && !are_removed && known.value != row.value {
             row.revision = head;
         }
         row
@@ -382,12 +383,12 @@
     /// compared with the one before it: otherwise a route that is removed and restored within one
     /// response would stay removed, as it returns just as it was known before.
     fn apply_items(&mut self, now: ClockTime, items: Vec<ItemChange>) -> Vec<ListRow> {
-        let mut taken = Vec::new();
+        let mut applied = Vec::new();
         for item in items {
             let rows = self.rows_from_item(item);
-            taken.extend(rows.into_iter().filter_map(|row| self.insert_row(now, row)));
+            applied.extend(rows.into_iter().filter_map(|row| self.insert_row(now, row)));
         }
-        taken
+        applied
     }
 
     fn rows_from_item(&self, item: ItemChange) -> Vec<ListRow> {
@@ -446,13 +447,13 @@
             }
             listed.insert(key);
         }
-        let gone = self
+        let removed = self
             .rows
             .values()
             .filter(|row| is_config_row(row))
             .filter(|row| row.revision < revision && !listed.contains(&row.key))
             .map(|row| removal_row(row, revision));
-        rows.extend(gone);
+        rows.extend(removed);
         rows
     }
 
@@ -468,9 +469,9 @@
         }
         match &row.value {
             Some(RowValue::Removed(removed)) => {
-                let age = u64::from(removed.age_ms) * 1_000;
-                let at = ClockTime::from_micros(now.as_micros().saturating_sub(age));
-                self.removal_times.insert(key.clone(), at);
+                let age_us = u64::from(removed.age_ms) * 1_000;
+                let removed_at = ClockTime::from_micros(now.as_micros().saturating_sub(age_us));
+                self.removal_times.insert(key.clone(), removed_at);
             }
             _ => {
                 self.removal_times.remove(&key);
@@ -485,8 +486,8 @@
     fn with_age(&self, now: ClockTime, row: &ListRow) -> ListRow {
         let mut row = row.clone();
         if let Some(RowValue::Removed(removed)) = &mut row.value {
-            let at = self.removal_times.get(row.key.as_str()).copied().unwrap_or(now);
-            removed.age_ms = u32::try_from(now.since(at).as_millis()).unwrap_or(u32::MAX);
+            let removed_at = self.removal_times.get(row.key.as_str()).copied().unwrap_or(now);
+            removed.age_ms = u32::try_from(now.since(removed_at).as_millis()).unwrap_or(u32::MAX);
         }
         row
     }
--- a/crates/foxledge-flows/src/list_updates.rs
+++ b/crates/foxledge-flows/src/list_updates.rs
@@ -24,11 +24,11 @@
             }
             self.routes.apply_row(row);
             self.services.apply_row(row);
-            if let Some(news) = self.evacuations.apply_row(now, row) {
-                self.apply_evacuation(now, news);
+            if let Some(event) = self.evacuations.apply_row(now, row) {
+                self.apply_evacuation(now, event);
             }
-            if let Some(news) = self.backends.apply_row(now, row) {
-                self.record_backend_event(news);
+            if let Some(event) = self.backends.apply_row(now, row) {
+                self.record_backend_event(event);
             }
         }
         self.backends.remove_expired(now);
@@ -40,9 +40,9 @@
     pub fn apply_restored_rows(&mut self, now: ClockTime, rows: &[ListRow]) {
         self.record_confirmation_gap(self.confirmed_at.unwrap_or(now), now);
         let until = now.after_millis(REMOVAL_GRACE_MS);
-        let is_other = |row: &&ListRow| !self.evacuations.defer_row(until, row);
-        let others: Vec<_> = rows.iter().filter(is_other).cloned().collect();
-        self.apply_rows(now, &others);
+        let is_effective = |row: &&ListRow| !self.evacuations.defer_row(until, row);
+        let effective: Vec<_> = rows.iter().filter(is_effective).cloned().collect();
+        self.apply_rows(now, &effective);
     }
 
     /// Returns the changes of backend servers' entries since the last call.
@@ -79,22 +79,25 @@
     }
 
     /// Records when the store last confirmed that the list is the newest.
-    pub fn set_confirmed_at(&mut self, at: ClockTime) {
-        if let Some(former) = self.confirmed_at.filter(|former| is_store_unreachable(*former, at)) {
-            self.record_confirmation_gap(former, at);
+    pub fn set_confirmed_at(&mut self, confirmed_at: ClockTime) {
+        if let Some(former_confirmed_at) = self
+            .confirmed_at
+            .filter(|former_confirmed_at| is_store_unreachable(*former_confirmed_at, confirmed_at))
+        {
+            self.record_confirmation_gap(former_confirmed_at, confirmed_at);
         }
-        self.confirmed_at = Some(at);
-        for news in self.evacuations.apply_deferred(at) {
-            self.apply_evacuation(at, news);
+        self.confirmed_at = Some(confirmed_at);
+        for event in self.evacuations.apply_deferred(confirmed_at) {
+            self.apply_evacuation(confirmed_at, event);
         }
-        self.confirmed_since.get_or_insert(at);
-        self.first_confirmed_at.get_or_insert(at);
+        self.confirmed_since.get_or_insert(confirmed_at);
+        self.first_confirmed_at.get_or_insert(confirmed_at);
         self.is_awaiting_confirmation = false;
     }
 
     /// Records that entries may have been lost between two moments and will be written again.
-    fn record_confirmation_gap(&mut self, from: ClockTime, until: ClockTime) {
-        self.backends.restart_grace(from, until);
+    fn record_confirmation_gap(&mut self, former_confirmed_at: ClockTime, confirmed_at: ClockTime) {
+        self.backends.restart_grace(former_confirmed_at, confirmed_at);
         self.confirmed_since = None;
     }
 
@@ -112,9 +115,9 @@
     }
 
     /// Sets the number of other instances known here.
-    pub fn set_peer_count(&mut self, others: usize) {
+    pub fn set_peer_count(&mut self, peers: usize) {
         if self.has_mechanism(RouterMechanism::TrialDelays) {
-            self.trial_delays.set_peer_count(others);
+            self.trial_delays.set_peer_count(peers);
         }
     }
 
@@ -122,29 +125,29 @@
     ///
     /// Backend servers of a data centre may be cold when its evacuation ends, and the entries that
     /// say so may arrive after the end: until then they count as cold.
-    fn apply_evacuation(&mut self, now: ClockTime, news: EvacuationEvent) {
-        if let EvacuationChange::Ended { .. } = news.change {
+    fn apply_evacuation(&mut self, now: ClockTime, event: EvacuationEvent) {
+        if let EvacuationChange::Ended { .. } = event.change {
             let services = &self.services;
             let warm_up_of = |service: &ServiceName| {
                 services.get(service).map_or(0, |limits| u64::from(limits.warm_up_ms))
             };
-            self.backends.mark_cold(now, &news.data_centre, news.revision, warm_up_of);
+            self.backends.mark_cold(now, &event.data_centre, event.revision, warm_up_of);
         }
-        self.evacuation_events.push(news);
+        self.evacuation_events.push(event);
         self.load.invalidate_slots();
     }
 
-    fn record_backend_event(&mut self, news: BackendEvent) {
-        if let BackendEvent::Restarted { index, .. } = news {
+    fn record_backend_event(&mut self, event: BackendEvent) {
+        if let BackendEvent::Restarted { index, .. } = event {
             self.tracks.retire_backend(index);
             self.dead_backends.remove(index);
         }
-        self.backend_events.push(news);
+        self.backend_events.push(event);
     }
 
     /// Returns true if the last list confirmation is older than an instance in contact with the
     /// store ever sees.
     pub(crate) fn is_store_unreachable(&self, now: ClockTime) -> bool {
-        self.confirmed_at.is_some_and(|at| is_store_unreachable(at, now))
+        self.confirmed_at.is_some_and(|confirmed_at| is_store_unreachable(confirmed_at, now))
     }
 }
--- a/crates/foxledge-flows/src/observations.rs
+++ b/crates/foxledge-flows/src/observations.rs
@@ -30,25 +30,25 @@
             if !self.has_mechanism(RouterMechanism::Suspicion) {
                 continue;
             }
-            self.observe_health(read_at, opening.backend, |health, turn_ms| {
-                health.on_suspicion(read_at, opening.sent_at, turn_ms)
+            self.observe_health(read_at, opening.backend, |health, trial_delay_ms| {
+                health.on_suspicion(read_at, opening.sent_at, trial_delay_ms)
             });
         }
     }
 
     /// Applies another instance's observation of a backend server.
-    pub fn apply_observation(&mut self, now: ClockTime, note: &HealthObservation) {
+    pub fn apply_observation(&mut self, now: ClockTime, observation: &HealthObservation) {
         if !self.has_mechanism(RouterMechanism::PeerObservations) {
             return;
         }
-        let Some(index) = self.backends.by_number(note.number) else { return };
-        let turns = self.trial_delays;
+        let Some(index) = self.backends.by_number(observation.number) else { return };
+        let delays = self.trial_delays;
         let Some(backend) = self.backends.get_mut(index) else { return };
         // A peer that doesn't know the new start yet observed the previous process.
-        if backend.incarnation != note.incarnation {
+        if backend.incarnation != observation.incarnation {
             return;
         }
-        backend.health.on_observation(now, note, turns.delay_ms(backend.number));
+        backend.health.on_observation(now, observation, delays.delay_ms(backend.number));
         if backend.health.is_dead(now) {
             self.dead_backends.add(index);
         }
@@ -90,18 +90,20 @@
         }
         let before = self.tracks.len();
         let group = self.backends.get(index)?.group;
-        let news = self.tracks.record_packet(now, packet, (index, group));
-        if matches!(news, TrackEvent::RequestStarted | TrackEvent::NextRequestStarted(_)) {
+        let event = self.tracks.record_packet(now, packet, (index, group));
+        if matches!(event, TrackEvent::RequestStarted | TrackEvent::NextRequestStarted(_)) {
             self.record_arrival(now, index, priority);
         }
         let backend = self.backends.get_mut(index)?;
         if self.tracks.len() > before {
             backend.open_flows += 1;
         }
-        match news {
+        match event {
             TrackEvent::NoChange => {}
             TrackEvent::RequestStarted => backend.running_requests += 1,
-            TrackEvent::NextRequestStarted(asked) => backend.health.on_answer_since(asked),
+            TrackEvent::NextRequestStarted(requested_at) => {
+                backend.health.on_answer_since(requested_at)
+            }
             TrackEvent::RequestAnswered(answer) => {
                 backend.running_requests = backend.running_requests.saturating_sub(1);
                 self.record_answer(now, index, answer, priority);
@@ -118,24 +120,24 @@
         &mut self,
         now: ClockTime,
         index: usize,
-        DataRetransmission { sent_at: sent, retransmissions: copies, evidence: meaning }: DataRetransmission,
+        DataRetransmission { sent_at, retransmissions, evidence }: DataRetransmission,
     ) -> FlowStall {
         self.counters.retransmitted_data += 1;
-        let waited_ms = now.since(sent).as_millis() as u64;
-        // It is unknown when retransmissions that are read after a pause were sent; the backend
+        let waited_ms = now.since(sent_at).as_millis() as u64;
+        // It is unknown when retransmissions that are read after a pause were sent_at; the backend
         // server may not have received the first transmission before the last one arrived.
-        let meaning = if self.is_catching_up { LossEvidence::Suspected } else { meaning };
-        let witness = match meaning {
+        let evidence = if self.is_catching_up { LossEvidence::Suspected } else { evidence };
+        let witness = match evidence {
             LossEvidence::Confirmed if !self.is_lossy() => UnansweredPacket::Data,
             _ => UnansweredPacket::UncertainData,
         };
-        self.observe_health(now, index, |health, turn_ms| match meaning {
-            LossEvidence::Suspected => health.on_suspicion(now, sent, turn_ms),
-            _ => health.on_unanswered(now, sent, witness, turn_ms),
+        self.observe_health(now, index, |health, trial_delay_ms| match evidence {
+            LossEvidence::Suspected => health.on_suspicion(now, sent_at, trial_delay_ms),
+            _ => health.on_unanswered(now, sent_at, witness, trial_delay_ms),
         });
         let health = self.backends.get(index).map(|backend| backend.health).unwrap_or_default();
-        let is_lost = meaning != LossEvidence::Suspected;
-        FlowStall { waited_ms, retransmissions: copies, health: health.class(now), is_lost }
+        let is_lost = evidence != LossEvidence::Suspected;
+        FlowStall { waited_ms, retransmissions, health: health.class(now), is_lost }
     }
 
     /// Returns true if packets are lost on all paths of this instance, so that missing responses
@@ -148,11 +150,11 @@
         &mut self,
         now: ClockTime,
         index: usize,
-        RequestAnswer { latency, retransmissions: copies }: RequestAnswer,
+        RequestAnswer { latency, retransmissions }: RequestAnswer,
         priority: Option<u32>,
     ) {
         self.latencies.push(latency);
-        self.losses.record_request(copies);
+        self.losses.record_request(retransmissions);
         if let Some(backend) = self.backends.get_mut(index) {
             backend.latency.record_answer(now, latency);
         }
@@ -193,9 +195,9 @@
         index: usize,
         observe: impl FnOnce(&mut HealthState, u64) -> Option<ObservationKind>,
     ) {
-        let turns = self.trial_delays;
+        let delays = self.trial_delays;
         let Some(backend) = self.backends.get_mut(index) else { return };
-        let kind = observe(&mut backend.health, turns.delay_ms(backend.number));
+        let kind = observe(&mut backend.health, delays.delay_ms(backend.number));
         if backend.health.is_dead(now) {
             self.dead_backends.add(index);
         }
--- a/crates/foxledge-flows/src/retained_config.rs
+++ b/crates/foxledge-flows/src/retained_config.rs
@@ -65,8 +65,8 @@
         let is_new =
             |row: &&ListRow| self.rows.get(&row.key).is_none_or(|known| known.value != row.value);
         let mut changes: Vec<_> = other.rows().filter(is_new).cloned().collect();
-        let gone = self.rows().filter(|row| !other.rows.contains_key(&row.key));
-        changes.extend(gone.map(|row| removal_row(row, revision)));
+        let removed = self.rows().filter(|row| !other.rows.contains_key(&row.key));
+        changes.extend(removed.map(|row| removal_row(row, revision)));
         changes
     }
 }
--- a/crates/foxledge-flows/src/tracks.rs
+++ b/crates/foxledge-flows/src/tracks.rs
@@ -191,7 +191,7 @@
         if track.request_at.is_some() && !is_answered {
             return TrackEvent::NoChange;
         }
-        let last_asked = track.request_at.replace(now);
+        let former_request_at = track.request_at.replace(now);
         track.stop_counting(&mut self.running_requests);
         if self.is_counting_requests {
             track.counted_in = Some(group);
@@ -201,7 +201,7 @@
         track.request_acknowledged = packet.acknowledged;
         // The previous response is noticed only now, with the next request: one ends as the other
         // starts.
-        last_asked.map_or(TrackEvent::RequestStarted, TrackEvent::NextRequestStarted)
+        former_request_at.map_or(TrackEvent::RequestStarted, TrackEvent::NextRequestStarted)
     }
 
     /// Returns what the last packet of a flow shows: callers often acknowledge a response with the
@@ -209,8 +209,8 @@
     pub fn final_event(&self, now: ClockTime, packet: &FlowPacket) -> TrackEvent {
         let Some(track) = self.tracks.get(&packet.key) else { return TrackEvent::NoChange };
         match track.request_at {
-            Some(asked) if track.is_answer(packet.acknowledged) => {
-                TrackEvent::RequestAnswered(track.request_answer(now, asked))
+            Some(request_at) if track.is_answer(packet.acknowledged) => {
+                TrackEvent::RequestAnswered(track.request_answer(now, request_at))
             }
             _ => TrackEvent::NoChange,
         }
@@ -227,8 +227,8 @@
     /// The new process resets flows that it doesn't know. Their requests, if still counted as
     /// running, would keep new flows away from it.
     pub fn retire_backend(&mut self, backend: usize) {
-        let own = self.tracks.values_mut().filter(|track| track.backend == backend);
-        for track in own {
+        let tracks = self.tracks.values_mut().filter(|track| track.backend == backend);
+        for track in tracks {
             track.stop_counting(&mut self.running_requests);
             (track.is_retired, track.request_at) = (true, None);
         }
@@ -244,14 +244,14 @@
         let mut ended = Vec::new();
         let running = &mut self.running_requests;
         self.tracks.retain(|_, track| {
-            let is_old = track.last_packet_at.after_millis(idle_ms).is_past(now);
-            if is_old {
+            let is_expired = track.last_packet_at.after_millis(idle_ms).is_past(now);
+            if is_expired {
                 track.stop_counting(running);
             }
-            if is_old && !track.is_retired {
+            if is_expired && !track.is_retired {
                 ended.push((track.backend, track.request_at.is_some()));
             }
-            !is_old
+            !is_expired
         });
         ended
     }
@@ -262,11 +262,11 @@
         &'a self,
         now: ClockTime,
         backend: usize,
-        time_of: impl Fn(&FlowKey) -> u64 + 'a,
+        timeout_of: impl Fn(&FlowKey) -> u64 + 'a,
     ) -> impl Iterator<Item = OpenFlow> + 'a {
-        let own = self.tracks.iter().filter(move |(_, track)| track.backend == backend);
-        own.filter_map(move |(key, track)| {
-            let (state, since) = track.state(now, time_of(key))?;
+        let tracks = self.tracks.iter().filter(move |(_, track)| track.backend == backend);
+        tracks.filter_map(move |(key, track)| {
+            let (state, since) = track.state(now, timeout_of(key))?;
             Some(OpenFlow { key: *key, state, acknowledged: track.latest_acknowledged, since })
         })
     }
@@ -274,13 +274,13 @@
     /// Stops counting requests that started more than `limit_ms` ago: their callers have given up,
     /// and the packet that showed it was lost or went to another instance.
     pub fn expire_requests(&mut self, now: ClockTime, limit_ms: u64) {
-        while let Some((begun, key)) = self.started_requests.front().copied() {
-            if !begun.after_millis(limit_ms).is_past(now) {
+        while let Some((started_at, key)) = self.started_requests.front().copied() {
+            if !started_at.after_millis(limit_ms).is_past(now) {
                 return;
             }
             self.started_requests.pop_front();
             if let Some(track) = self.tracks.get_mut(&key)
-                && track.request_at == Some(begun)
+                && track.request_at == Some(started_at)
             {
                 track.stop_counting(&mut self.running_requests);
             }
@@ -337,18 +337,18 @@
 
 impl FlowTrack {
     /// Returns the state of the flow and since when it lasts, or `None` if it isn't known yet.
-    fn state(&self, now: ClockTime, time_ms: u64) -> Option<(FlowState, ClockTime)> {
+    fn state(&self, now: ClockTime, timeout_ms: u64) -> Option<(FlowState, ClockTime)> {
         if self.is_retired {
             return None;
         }
-        let is_asking =
-            self.request_at.is_some() && !self.sent_at.after_millis(time_ms).is_past(now);
-        if is_asking {
+        let is_waiting =
+            self.request_at.is_some() && !self.sent_at.after_millis(timeout_ms).is_past(now);
+        if is_waiting {
             let has_waited = self.sent_at.after_millis(MIN_WAIT_MS).is_past(now);
             return has_waited.then_some((FlowState::Waiting, self.sent_at));
         }
-        let is_at_rest = self.last_packet_at.after_millis(IDLE_AFTER_MS).is_past(now);
-        is_at_rest.then_some((FlowState::Idle, self.last_packet_at))
+        let is_idle = self.last_packet_at.after_millis(IDLE_AFTER_MS).is_past(now);
+        is_idle.then_some((FlowState::Idle, self.last_packet_at))
     }
 
     /// Stops counting the running request.
@@ -360,14 +360,14 @@
 
     /// Records data that was forwarded before.
     fn record_retransmission(&mut self, now: ClockTime) -> TrackEvent {
-        let is_soon = !self.last_sent_at.after_millis(MIN_RETRANSMISSION_INTERVAL_MS).is_past(now);
-        if is_soon || self.request_at.is_none() {
+        let is_early = !self.last_sent_at.after_millis(MIN_RETRANSMISSION_INTERVAL_MS).is_past(now);
+        if is_early || self.request_at.is_none() {
             return TrackEvent::NoChange;
         }
         self.last_sent_at = now;
         self.retransmissions += 1;
         let waited_ms = now.since(self.sent_at).as_millis() as u64;
-        let meaning = match (
+        let evidence = match (
             waited_ms >= DATA_LOSS_MS && self.retransmissions >= MIN_LOSS_RETRANSMISSIONS,
             self.is_loss_counted,
         ) {
@@ -375,11 +375,11 @@
             (true, false) => LossEvidence::Confirmed,
             (true, true) => LossEvidence::Repeated,
         };
-        self.is_loss_counted |= meaning == LossEvidence::Confirmed;
+        self.is_loss_counted |= evidence == LossEvidence::Confirmed;
         TrackEvent::DataRetransmitted(DataRetransmission {
             sent_at: self.sent_at,
             retransmissions: self.retransmissions,
-            evidence: meaning,
+            evidence,
         })
     }
 
@@ -394,13 +394,13 @@
 
     fn finish_request(&mut self, now: ClockTime) -> TrackEvent {
         match self.request_at.take() {
-            Some(asked) => TrackEvent::RequestAnswered(self.request_answer(now, asked)),
+            Some(request_at) => TrackEvent::RequestAnswered(self.request_answer(now, request_at)),
             None => TrackEvent::NoChange,
         }
     }
 
-    fn request_answer(&self, now: ClockTime, asked: ClockTime) -> RequestAnswer {
-        RequestAnswer { latency: now.since(asked), retransmissions: self.retransmissions }
+    fn request_answer(&self, now: ClockTime, request_at: ClockTime) -> RequestAnswer {
+        RequestAnswer { latency: now.since(request_at), retransmissions: self.retransmissions }
     }
 }
 
--- a/crates/foxledge-flows/src/unknown_tokens.rs
+++ b/crates/foxledge-flows/src/unknown_tokens.rs
@@ -50,22 +50,22 @@
     /// is full.
     fn record_token(&mut self, now: ClockTime, token: u32) -> Option<ClockTime> {
         if self.records.len() >= MAX_TOKENS && !self.records.contains_key(&token) {
-            self.records.retain(|_, known| !known.is_expired(now));
+            self.records.retain(|_, record| !record.is_expired(now));
             if self.records.len() >= MAX_TOKENS {
                 return None;
             }
         }
-        let new = TokenRecord { first_seen_at: now, last_seen_at: now, next_query_at: now };
-        let known = self.records.entry(token).or_insert(new);
-        if known.is_expired(now) {
-            *known = new;
+        let new_record = TokenRecord { first_seen_at: now, last_seen_at: now, next_query_at: now };
+        let record = self.records.entry(token).or_insert(new_record);
+        if record.is_expired(now) {
+            *record = new_record;
         }
-        known.last_seen_at = now;
-        if known.next_query_at.is_past(now) {
-            known.next_query_at = now.after_millis(QUERY_INTERVAL_MS);
+        record.last_seen_at = now;
+        if record.next_query_at.is_past(now) {
+            record.next_query_at = now.after_millis(QUERY_INTERVAL_MS);
             self.pending_queries.push(token);
         }
-        Some(known.first_seen_at)
+        Some(record.first_seen_at)
     }
 }
 
@@ -90,11 +90,11 @@
         now: ClockTime,
         index: usize,
     ) -> Option<ResetReason> {
-        let gone = self.backends.get(index)?.removed_at?;
+        let removed_at = self.backends.get(index)?.removed_at?;
         if !self.backends.is_replaced(index) || self.list_doubt(now).is_some() {
             return None;
         }
-        Some(ResetReason::AddressTaken { gone_ms: now.since(gone).as_millis() as u64 })
+        Some(ResetReason::AddressTaken { gone_ms: now.since(removed_at).as_millis() as u64 })
     }
 
     /// Decides on a packet with an unknown token; `may_repeat` is true if requests of its route are
@@ -121,24 +121,27 @@
         packet: &FlowPacket,
         may_repeat: bool,
     ) -> FlowDecision {
-        let unknown = FlowDecision::Drop(DropReason::UnknownToken);
+        let drop_packet = FlowDecision::Drop(DropReason::UnknownToken);
         if packet.token == 0 {
-            return unknown;
+            return drop_packet;
         }
         if self.confirmed_at.is_none() && self.has_mechanism(RouterMechanism::Relays) {
             return FlowDecision::Relay;
         }
         if packet.length == 0 {
-            return unknown;
+            return drop_packet;
         }
-        let first = self.unknown_tokens.record_token(now, packet.token);
-        let is_absent = first.zip(self.confirmed_at).is_some_and(|(first, confirmed)| {
-            first.after_millis(MIN_CONFIRMATION_GAP_MS).is_past(confirmed)
-        });
-        let is_list_sure =
-            self.confirmed_since.is_some_and(|at| at.after_millis(REMOVAL_GRACE_MS).is_past(now));
-        if !may_repeat || !is_absent || !is_list_sure || self.list_doubt(now).is_some() {
-            return unknown;
+        let first_seen_at = self.unknown_tokens.record_token(now, packet.token);
+        let is_missing_in_list =
+            first_seen_at.zip(self.confirmed_at).is_some_and(|(first_seen_at, confirmed_at)| {
+                first_seen_at.after_millis(MIN_CONFIRMATION_GAP_MS).is_past(confirmed_at)
+            });
+        let is_list_complete = self
+            .confirmed_since
+            .is_some_and(|since| since.after_millis(REMOVAL_GRACE_MS).is_past(now));
+        if !may_repeat || !is_missing_in_list || !is_list_complete || self.list_doubt(now).is_some()
+        {
+            return drop_packet;
         }
         FlowDecision::Refuse(RefuseReason::BackendVanished)
     }
