--- a/crates/foxledge-flows/src/backends.rs
+++ b/crates/foxledge-flows/src/backends.rs
@@ -152,10 +152,10 @@
         if is_own_entry && spec.draining {
             self.draining_revision = Some(row.revision);
         }
-        let has_drained = self
+        let was_draining = self
             .draining_revision
             .is_some_and(|revision| epoch_of(revision) < epoch_of(row.revision));
-        self.is_draining = spec.draining || has_drained;
+        self.is_draining = spec.draining || was_draining;
     }
 
     /// Returns true if the entry of `other` can belong to the same process.
@@ -168,7 +168,7 @@
     /// Returns true if new flows may be placed there.
     ///
     /// A backend server whose entry was removed without notice gets new flows for
-    /// [`REMOVAL_GRACE_MS`]. The period doesn't run out while the store is unreachable (`confirmed`
+    /// [`REMOVAL_GRACE_MS`]. The period doesn't run out while the store is unreachable (`confirmed_at`
     /// is the last list confirmation): the entry can't come back before the store does, and the
     /// full period starts then (`BackendTable::restart_grace`).
     pub fn accepts_new_flows(&self, now: ClockTime, confirmed_at: Option<ClockTime>) -> bool {
@@ -177,10 +177,10 @@
         }
         let Some(removed_at) = self.removed_at else { return true };
         let grace_end = removed_at.after_millis(REMOVAL_GRACE_MS);
-        let is_store_away = confirmed_at.is_some_and(|confirmed_at| {
+        let is_grace_extended = confirmed_at.is_some_and(|confirmed_at| {
             is_store_unreachable(confirmed_at, now) && !grace_end.is_past(confirmed_at)
         });
-        is_store_away || !grace_end.is_past(now)
+        is_grace_extended || !grace_end.is_past(now)
     }
 }
 
--- a/crates/foxledge-flows/src/evacuations.rs
+++ b/crates/foxledge-flows/src/evacuations.rs
@@ -23,7 +23,7 @@
     pub late_flows: u64,
 }
 
-/// The begin or end of a data centre's evacuation.
+/// The start or end of a data centre's evacuation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EvacuationEvent {
     /// The data centre.
@@ -61,19 +61,19 @@
         self.apply_value(now, row)
     }
 
-    /// Defers a row of a restored store until `until`, unless a newer row for its key comes first.
+    /// Defers a row of a restored store until `effective_at`, unless a newer row for its key comes first.
     /// Returns false for rows of other kinds.
-    pub fn defer_row(&mut self, until: ClockTime, row: &ListRow) -> bool {
+    pub fn defer_row(&mut self, effective_at: ClockTime, row: &ListRow) -> bool {
         let is_evacuation = row.key.starts_with(&evacuation_key(""));
         if is_evacuation {
-            self.deferred.insert(row.key.clone(), (until, row.clone()));
+            self.deferred.insert(row.key.clone(), (effective_at, row.clone()));
         }
         is_evacuation
     }
 
     /// Applies the deferred rows that are due.
     pub fn apply_deferred(&mut self, now: ClockTime) -> Vec<EvacuationEvent> {
-        let is_due = |(until, _): &(ClockTime, ListRow)| until.is_past(now);
+        let is_due = |(effective_at, _): &(ClockTime, ListRow)| effective_at.is_past(now);
         let due: Vec<_> = self
             .deferred
             .values()
--- a/crates/foxledge-flows/src/flow_resets.rs
+++ b/crates/foxledge-flows/src/flow_resets.rs
@@ -93,7 +93,7 @@
             return None;
         }
         let Some(mut state) = state else { return self.centre_reset_reason(now, index, stall) };
-        state.is_dead &= self.has_answer_elsewhere(index, state.unanswered_since);
+        state.is_dead &= self.has_response_elsewhere(index, state.unanswered_since);
         unresponsive_reset_reason(now, stall, state)
     }
 
@@ -141,7 +141,7 @@
         else {
             return Vec::new();
         };
-        if !self.has_answer_elsewhere(index, unanswered_since) {
+        if !self.has_response_elsewhere(index, unanswered_since) {
             return Vec::new();
         }
         let timeout_of = |key: &FlowKey| self.request_timeout_ms(key);
@@ -177,7 +177,7 @@
 
     /// Returns true if another backend server has responded to this instance after
     /// `unanswered_since`, which excludes a failure of this instance's own link.
-    fn has_answer_elsewhere(&self, index: usize, unanswered_since: ClockTime) -> bool {
+    fn has_response_elsewhere(&self, index: usize, unanswered_since: ClockTime) -> bool {
         let number = self.backends.get(index).map(|backend| backend.number);
         self.backends.iter().any(|other| {
             Some(other.number) != number
--- a/crates/foxledge-flows/src/health.rs
+++ b/crates/foxledge-flows/src/health.rs
@@ -37,7 +37,8 @@
     Suspect,
     /// The backend server was ejected after several unanswered packets.
     Ejected,
-    /// A new flow stayed unanswered although the caller retransmitted its opening packet.
+    /// A new flow stayed unanswered although the caller retransmitted its opening packet, or data
+    /// did so that is uncertain evidence ([`UnansweredPacket::UncertainData`]).
     #[serde(rename = "silent")]
     OpeningUnanswered,
     /// Data of an open flow stayed unanswered although the caller retransmitted it repeatedly.
@@ -157,8 +158,8 @@
         was_ejected.then_some(ObservationKind::Alive)
     }
 
-    /// Records the response to a request sent at `asked` when the time of the response is unknown.
-    pub fn on_answer_since(&mut self, sent_at: ClockTime) {
+    /// Records the response to a request sent at `sent_at` when the time of the response is unknown.
+    pub fn on_response_since(&mut self, sent_at: ClockTime) {
         if self.unanswered_since.is_some_and(|since| since < sent_at) {
             self.clear_unanswered();
         }
@@ -182,7 +183,7 @@
             && self.unanswered_flows + self.unanswered_openings > 1
     }
 
-    /// Records the first timeout of a packet sent at `sent`.
+    /// Records the first timeout of a packet sent at `sent_at`.
     ///
     /// A second timeout in a row, or one during probation, confirms the suspicion. So does a
     /// timeout at another instance soon after: if each instance waited for a second timeout of its
@@ -209,7 +210,7 @@
         Some(ObservationKind::Suspect)
     }
 
-    /// Records a packet sent at `sent` that stayed unanswered although its caller retransmitted it.
+    /// Records a packet sent at `sent_at` that stayed unanswered although its caller retransmitted it.
     pub fn on_unanswered(
         &mut self,
         now: ClockTime,
--- a/crates/foxledge-flows/src/list.rs
+++ b/crates/foxledge-flows/src/list.rs
@@ -275,10 +275,14 @@
         applied
     }
 
-    /// Returns the remembered removed backend servers whose number satisfies `is_meant`.
-    pub fn removed_backends(&self, now: ClockTime, is_meant: impl Fn(u64) -> bool) -> Vec<ListRow> {
+    /// Returns the remembered removed backend servers whose number satisfies `is_requested`.
+    pub fn removed_backends(
+        &self,
+        now: ClockTime,
+        is_requested: impl Fn(u64) -> bool,
+    ) -> Vec<ListRow> {
         let removed = self.removal_times.keys().filter_map(|key| self.rows.get(key));
-        let matching = removed.filter(|row| removed_backend_number(row).is_some_and(&is_meant));
+        let matching = removed.filter(|row| removed_backend_number(row).is_some_and(&is_requested));
         let mut rows: Vec<_> = matching.map(|row| self.with_age(now, row)).collect();
         rows.sort_unstable_by(|one, other| one.key.cmp(&other.key));
         rows
@@ -342,7 +346,7 @@
         }
     }
 
-    /// Records a gap: the list was complete up to `former` and is again up to its head.
+    /// Records a gap: the list was complete up to `former_head` and is again up to its head.
     fn record_gap(&mut self, former_head: u64) {
         if former_head == 0 || epoch_of(former_head) < epoch_of(self.head) {
             return self.raise_floor(self.head);
@@ -438,8 +442,8 @@
                 RowValue::from_extension(&ExtensionValue::Service(service)),
             )
         });
-        let refused = config.invalid_services.iter();
-        listed.extend(refused.map(|service| service_key(&service.name)));
+        let invalid = config.invalid_services.iter();
+        listed.extend(invalid.map(|service| service_key(&service.name)));
         for (key, value) in routes.chain(services).chain([limits]) {
             let known = self.rows.get(key.as_str()).and_then(|row| row.value.as_ref());
             if known != Some(&value) {
--- a/crates/foxledge-flows/src/list_updates.rs
+++ b/crates/foxledge-flows/src/list_updates.rs
@@ -39,8 +39,8 @@
     /// what it lost will be written again.
     pub fn apply_restored_rows(&mut self, now: ClockTime, rows: &[ListRow]) {
         self.record_confirmation_gap(self.confirmed_at.unwrap_or(now), now);
-        let until = now.after_millis(REMOVAL_GRACE_MS);
-        let is_effective = |row: &&ListRow| !self.evacuations.defer_row(until, row);
+        let effective_at = now.after_millis(REMOVAL_GRACE_MS);
+        let is_effective = |row: &&ListRow| !self.evacuations.defer_row(effective_at, row);
         let effective: Vec<_> = rows.iter().filter(is_effective).cloned().collect();
         self.apply_rows(now, &effective);
     }
@@ -62,8 +62,8 @@
 
     /// Sets the known other instances of the local data centre, including those that recently
     /// became unresponsive.
-    pub fn set_neighbours(&mut self, now: ClockTime, others: Vec<SocketAddrV4>) {
-        self.centre_peers.set_peers(now, others);
+    pub fn set_neighbours(&mut self, now: ClockTime, peers: Vec<SocketAddrV4>) {
+        self.centre_peers.set_peers(now, peers);
     }
 
     /// Sets the region of each data centre after a change of the settings.
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Applies the begin or end of an evacuation.
+    /// Applies the start or end of an evacuation.
     ///
     /// Backend servers of a data centre may be cold when its evacuation ends, and the entries that
     /// say so may arrive after the end: until then they count as cold.
--- a/crates/foxledge-flows/src/observations.rs
+++ b/crates/foxledge-flows/src/observations.rs
@@ -14,7 +14,7 @@
     mechanisms::RouterMechanism,
     packet::{FlowKey, FlowPacket, PacketKind},
     router::FlowRouter,
-    tracks::{DataRetransmission, LossEvidence, RequestAnswer, TrackEvent},
+    tracks::{DataRetransmission, LossEvidence, ResponseTiming, TrackEvent},
 };
 
 impl FlowRouter {
@@ -81,35 +81,35 @@
             // field holds. Treated as a response, each caller that leaves a dead backend server
             // would revive it.
             if packet.kind == PacketKind::Finish
-                && let TrackEvent::RequestAnswered(answer) = self.tracks.final_event(now, packet)
+                && let TrackEvent::RequestAnswered(timing) = self.tracks.final_event(now, packet)
             {
-                self.record_answer(now, index, answer, priority);
+                self.record_response(now, index, timing, priority);
             }
             self.end_track(now, &packet.key);
             return None;
         }
-        let before = self.tracks.len();
+        let former_count = self.tracks.len();
         let group = self.backends.get(index)?.group;
         let event = self.tracks.record_packet(now, packet, (index, group));
         if matches!(event, TrackEvent::RequestStarted | TrackEvent::NextRequestStarted(_)) {
             self.record_arrival(now, index, priority);
         }
         let backend = self.backends.get_mut(index)?;
-        if self.tracks.len() > before {
+        if self.tracks.len() > former_count {
             backend.open_flows += 1;
         }
         match event {
             TrackEvent::NoChange => {}
             TrackEvent::RequestStarted => backend.running_requests += 1,
             TrackEvent::NextRequestStarted(requested_at) => {
-                backend.health.on_answer_since(requested_at)
+                backend.health.on_response_since(requested_at)
             }
-            TrackEvent::RequestAnswered(answer) => {
+            TrackEvent::RequestAnswered(timing) => {
                 backend.running_requests = backend.running_requests.saturating_sub(1);
-                self.record_answer(now, index, answer, priority);
+                self.record_response(now, index, timing, priority);
             }
-            TrackEvent::DataRetransmitted(resend) => {
-                return Some(self.record_stall(now, index, resend));
+            TrackEvent::DataRetransmitted(retransmission) => {
+                return Some(self.record_stall(now, index, retransmission));
             }
         }
         None
@@ -124,16 +124,16 @@
     ) -> FlowStall {
         self.counters.retransmitted_data += 1;
         let waited_ms = now.since(sent_at).as_millis() as u64;
-        // It is unknown when retransmissions that are read after a pause were sent_at; the backend
+        // It is unknown when retransmissions that are read after a pause were sent; the backend
         // server may not have received the first transmission before the last one arrived.
         let evidence = if self.is_catching_up { LossEvidence::Suspected } else { evidence };
-        let witness = match evidence {
+        let packet = match evidence {
             LossEvidence::Confirmed if !self.is_lossy() => UnansweredPacket::Data,
             _ => UnansweredPacket::UncertainData,
         };
         self.observe_health(now, index, |health, trial_delay_ms| match evidence {
             LossEvidence::Suspected => health.on_suspicion(now, sent_at, trial_delay_ms),
-            _ => health.on_unanswered(now, sent_at, witness, trial_delay_ms),
+            _ => health.on_unanswered(now, sent_at, packet, trial_delay_ms),
         });
         let health = self.backends.get(index).map(|backend| backend.health).unwrap_or_default();
         let is_lost = evidence != LossEvidence::Suspected;
@@ -146,11 +146,11 @@
         self.losses.is_lossy() && self.has_mechanism(RouterMechanism::LossDoubt)
     }
 
-    fn record_answer(
+    fn record_response(
         &mut self,
         now: ClockTime,
         index: usize,
-        RequestAnswer { latency, retransmissions }: RequestAnswer,
+        ResponseTiming { latency, retransmissions }: ResponseTiming,
         priority: Option<u32>,
     ) {
         self.latencies.push(latency);
--- a/crates/foxledge-flows/src/tracks.rs
+++ b/crates/foxledge-flows/src/tracks.rs
@@ -51,7 +51,7 @@
     counted_in: Option<usize>,
     last_packet_at: ClockTime,
     /// When the running request was forwarded; `None` if none is running.
-    request_at: Option<ClockTime>,
+    requested_at: Option<ClockTime>,
     /// The end of the data forwarded so far, as a sequence number.
     sent_end: u32,
     /// When the last part of that data was first forwarded.
@@ -79,16 +79,16 @@
     /// A request started.
     RequestStarted,
     /// The response to a request has begun to arrive.
-    RequestAnswered(RequestAnswer),
+    RequestAnswered(ResponseTiming),
     /// A request started, and the previous one, sent at this time, had been answered.
     NextRequestStarted(ClockTime),
     /// Data was retransmitted.
     DataRetransmitted(DataRetransmission),
 }
 
-/// The response to a request.
+/// The time and effort that a response took.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RequestAnswer {
+pub struct ResponseTiming {
     /// The time between the request and the response.
     pub latency: Duration,
     /// The number of retransmissions of the request's data.
@@ -174,7 +174,7 @@
         if is_after(packet.acknowledged, track.latest_acknowledged) {
             track.latest_acknowledged = packet.acknowledged;
         }
-        let is_answered = track.request_at.is_some() && track.is_answer(packet.acknowledged);
+        let is_answered = track.requested_at.is_some() && track.is_response(packet.acknowledged);
         if packet.length == 0 {
             if !is_answered {
                 return TrackEvent::NoChange;
@@ -188,10 +188,10 @@
         }
         (track.sent_end, track.sent_at) = (end, now);
         (track.last_sent_at, track.retransmissions, track.is_loss_counted) = (now, 0, false);
-        if track.request_at.is_some() && !is_answered {
+        if track.requested_at.is_some() && !is_answered {
             return TrackEvent::NoChange;
         }
-        let former_request_at = track.request_at.replace(now);
+        let former_requested_at = track.requested_at.replace(now);
         track.stop_counting(&mut self.running_requests);
         if self.is_counting_requests {
             track.counted_in = Some(group);
@@ -201,16 +201,16 @@
         track.request_acknowledged = packet.acknowledged;
         // The previous response is noticed only now, with the next request: one ends as the other
         // starts.
-        former_request_at.map_or(TrackEvent::RequestStarted, TrackEvent::NextRequestStarted)
+        former_requested_at.map_or(TrackEvent::RequestStarted, TrackEvent::NextRequestStarted)
     }
 
     /// Returns what the last packet of a flow shows: callers often acknowledge a response with the
     /// packet that ends the flow.
     pub fn final_event(&self, now: ClockTime, packet: &FlowPacket) -> TrackEvent {
         let Some(track) = self.tracks.get(&packet.key) else { return TrackEvent::NoChange };
-        match track.request_at {
-            Some(request_at) if track.is_answer(packet.acknowledged) => {
-                TrackEvent::RequestAnswered(track.request_answer(now, request_at))
+        match track.requested_at {
+            Some(requested_at) if track.is_response(packet.acknowledged) => {
+                TrackEvent::RequestAnswered(track.response_timing(now, requested_at))
             }
             _ => TrackEvent::NoChange,
         }
@@ -220,7 +220,7 @@
     pub fn remove(&mut self, key: &FlowKey) -> Option<(usize, bool)> {
         let mut track = self.tracks.remove(key)?;
         track.stop_counting(&mut self.running_requests);
-        (!track.is_retired).then_some((track.backend, track.request_at.is_some()))
+        (!track.is_retired).then_some((track.backend, track.requested_at.is_some()))
     }
 
     /// Makes the tracks of a backend server prove nothing more, as it started again under its id.
@@ -230,7 +230,7 @@
         let tracks = self.tracks.values_mut().filter(|track| track.backend == backend);
         for track in tracks {
             track.stop_counting(&mut self.running_requests);
-            (track.is_retired, track.request_at) = (true, None);
+            (track.is_retired, track.requested_at) = (true, None);
         }
     }
 
@@ -249,7 +249,7 @@
                 track.stop_counting(running);
             }
             if is_expired && !track.is_retired {
-                ended.push((track.backend, track.request_at.is_some()));
+                ended.push((track.backend, track.requested_at.is_some()));
             }
             !is_expired
         });
@@ -280,7 +280,7 @@
             }
             self.started_requests.pop_front();
             if let Some(track) = self.tracks.get_mut(&key)
-                && track.request_at == Some(started_at)
+                && track.requested_at == Some(started_at)
             {
                 track.stop_counting(&mut self.running_requests);
             }
@@ -316,7 +316,7 @@
             backend,
             counted_in: self.is_counting_requests.then_some(group),
             last_packet_at: now,
-            request_at: Some(now),
+            requested_at: Some(now),
             sent_end: packet.sequence.wrapping_add(u32::from(packet.length)),
             sent_at: now,
             last_sent_at: now,
@@ -342,7 +342,7 @@
             return None;
         }
         let is_waiting =
-            self.request_at.is_some() && !self.sent_at.after_millis(timeout_ms).is_past(now);
+            self.requested_at.is_some() && !self.sent_at.after_millis(timeout_ms).is_past(now);
         if is_waiting {
             let has_waited = self.sent_at.after_millis(MIN_WAIT_MS).is_past(now);
             return has_waited.then_some((FlowState::Waiting, self.sent_at));
@@ -361,7 +361,7 @@
     /// Records data that was forwarded before.
     fn record_retransmission(&mut self, now: ClockTime) -> TrackEvent {
         let is_early = !self.last_sent_at.after_millis(MIN_RETRANSMISSION_INTERVAL_MS).is_past(now);
-        if is_early || self.request_at.is_none() {
+        if is_early || self.requested_at.is_none() {
             return TrackEvent::NoChange;
         }
         self.last_sent_at = now;
@@ -388,19 +388,21 @@
     /// The end of a flow counts like one byte. A backend server that stops ends its flows, and
     /// their callers acknowledge that. Treated as responses, these ends would make a stopped
     /// process look alive, and new flows would go to a start of it that is unreachable.
-    fn is_answer(&self, acknowledged: u32) -> bool {
+    fn is_response(&self, acknowledged: u32) -> bool {
         is_after(acknowledged, self.request_acknowledged.wrapping_add(FIN_SEQUENCE_LENGTH))
     }
 
     fn finish_request(&mut self, now: ClockTime) -> TrackEvent {
-        match self.request_at.take() {
-            Some(request_at) => TrackEvent::RequestAnswered(self.request_answer(now, request_at)),
+        match self.requested_at.take() {
+            Some(requested_at) => {
+                TrackEvent::RequestAnswered(self.response_timing(now, requested_at))
+            }
             None => TrackEvent::NoChange,
         }
     }
 
-    fn request_answer(&self, now: ClockTime, request_at: ClockTime) -> RequestAnswer {
-        RequestAnswer { latency: now.since(request_at), retransmissions: self.retransmissions }
+    fn response_timing(&self, now: ClockTime, requested_at: ClockTime) -> ResponseTiming {
+        ResponseTiming { latency: now.since(requested_at), retransmissions: self.retransmissions }
     }
 }
 
