--- a/crates/foxledge-flows/tests/crashed_backends.rs
+++ b/crates/foxledge-flows/tests/crashed_backends.rs
@@ -29,31 +29,32 @@
         (1..=BACKENDS).map(|number| listed_backend(number, "desk", LOCAL_CENTRE, 2)).collect();
     let mut router = listed_router(&rows);
     // Two idle open flows at each backend server.
-    let mut held = Vec::new();
+    let mut open_flows = Vec::new();
     for port in 0..2 * BACKENDS as u16 {
         let number =
             open_flow(&mut router, 10 * u64::from(port), flow_key(1, port)).expect("placed");
-        let asked = data_packet(flow_key(1, port), number as u32, 500, 1);
-        router.on_packet(clock_at(10 * u64::from(port) + 8), &asked);
-        let answered = FlowPacket { acknowledged: 300, length: 0, ..asked };
-        router.on_packet(clock_at(10 * u64::from(port) + 9), &answered);
-        held.push((port, number));
+        let request = data_packet(flow_key(1, port), number as u32, 500, 1);
+        router.on_packet(clock_at(10 * u64::from(port) + 8), &request);
+        let response = FlowPacket { acknowledged: 300, length: 0, ..request };
+        router.on_packet(clock_at(10 * u64::from(port) + 9), &response);
+        open_flows.push((port, number));
     }
-    let crash = 2_000;
-    router.set_confirmed_at(clock_at(crash));
-    for (port, number) in held.iter().filter(|(_, number)| is_dead(*number)) {
-        finish(&mut router, crash, 1, *port, *number);
+    let crashed_at = 2_000;
+    router.set_confirmed_at(clock_at(crashed_at));
+    for (port, number) in open_flows.iter().filter(|(_, number)| is_dead(*number)) {
+        finish(&mut router, crashed_at, 1, *port, *number);
     }
     let mut failed = 0;
     for caller in 2..14_u8 {
-        let asked = crash + 3 * u64::from(caller);
+        let retried_at = crashed_at + 3 * u64::from(caller);
         let is_served = (0..3).any(|attempt| {
             let flow = flow_key(caller, 1_000 + attempt as u16);
-            let decision = router.on_packet(clock_at(asked + attempt), &opening_packet(flow, 0));
+            let decision =
+                router.on_packet(clock_at(retried_at + attempt), &opening_packet(flow, 0));
             let number = decided_backend(&router, &decision).expect("is placed");
             if !is_dead(number) {
                 let request = data_packet(flow, number as u32, 500, 1);
-                router.on_packet(clock_at(asked + attempt + 1), &request);
+                router.on_packet(clock_at(retried_at + attempt + 1), &request);
             }
             !is_dead(number)
         });
--- a/crates/foxledge-flows/tests/dead_backend.rs
+++ b/crates/foxledge-flows/tests/dead_backend.rs
@@ -9,10 +9,10 @@
 };
 
 /// When the callers of these tests send their request.
-const ASKED: u64 = 1_010;
+const REQUESTED_AT: u64 = 1_010;
 
 /// Returns a router and an open flow at backend server 1 of two.
-fn flow_at_first() -> (FlowRouter, FlowKey) {
+fn flow_at_first_backend() -> (FlowRouter, FlowKey) {
     let mut router = listed_router(&[
         listed_backend(1, "desk", LOCAL_CENTRE, 2),
         listed_backend(2, "desk", LOCAL_CENTRE, 2),
@@ -47,30 +47,33 @@
 /// the last one.
 fn unanswered_request(router: &mut FlowRouter, key: FlowKey) -> FlowDecision {
     let request = data_packet(key, 1, 2_000, 1);
-    let mut last = router.on_packet(clock_at(ASKED), &request);
+    let mut last_decision = router.on_packet(clock_at(REQUESTED_AT), &request);
     for wait in [200, 600] {
-        assert!(matches!(last, FlowDecision::Forward { .. }), "ended too early: {last:?}");
-        last = router.on_packet(clock_at(ASKED + wait), &request);
+        assert!(
+            matches!(last_decision, FlowDecision::Forward { .. }),
+            "reset too early: {last_decision:?}"
+        );
+        last_decision = router.on_packet(clock_at(REQUESTED_AT + wait), &request);
     }
-    last
+    last_decision
 }
 
 // Guards against requests that fail at their deadline while other backend servers are idle: the
 // packets of open flows would be forwarded to the dead backend server in any case.
 #[test]
 fn resets_stalled_flow_after_unanswered_opening() {
-    let (mut router, key) = flow_at_first();
+    let (mut router, key) = flow_at_first_backend();
     unanswered_opening(&mut router, 1_000);
     let decision = unanswered_request(&mut router, key);
     let FlowDecision::Reset { reason: ResetReason::BackendSilent { waited_ms, silent_ms }, .. } =
         decision
     else {
-        panic!("{decision:?} ends no flow");
+        panic!("{decision:?} resets no flow");
     };
     assert_eq!((waited_ms, silent_ms), (600, 410));
     assert_eq!(
         router.tracked_flow_count(),
-        router.backends().map(|one| one.open_flows as usize).sum()
+        router.backends().map(|backend| backend.open_flows as usize).sum()
     );
 }
 
@@ -78,18 +81,21 @@
 // unanswered requests the backend server counts as busy, and only openings would count as evidence.
 #[test]
 fn stalled_flows_alone_prove_the_death() {
-    let (mut router, key) = flow_at_first();
+    let (mut router, key) = flow_at_first_backend();
     let others = [8, 9].map(|caller| FlowKey { caller: common::flow_key(caller, 1).caller, ..key });
-    for (wait, ends) in [(0, [false; 3]), (200, [false; 3]), (600, [false, true, true])] {
+    for (wait, expect_reset) in [(0, [false; 3]), (200, [false; 3]), (600, [false, true, true])] {
         for (index, flow) in [key, others[0], others[1]].into_iter().enumerate() {
-            let now = ASKED + wait + index as u64;
+            let now = REQUESTED_AT + wait + index as u64;
             let decision = router.on_packet(clock_at(now), &data_packet(flow, 1, 2_000, 1));
-            let is_end = matches!(decision, FlowDecision::Reset { .. });
-            assert_eq!(is_end, ends[index], "flow {index} after {wait} ms: {decision:?}");
+            let is_reset = matches!(decision, FlowDecision::Reset { .. });
+            assert_eq!(is_reset, expect_reset[index], "flow {index} after {wait} ms: {decision:?}");
         }
     }
     assert!(
-        router.drain_observations().iter().any(|note| note.kind == ObservationKind::DataUnanswered)
+        router
+            .drain_observations()
+            .iter()
+            .any(|observation| observation.kind == ObservationKind::DataUnanswered)
     );
 }
 
@@ -97,7 +103,7 @@
 // is still processing it.
 #[test]
 fn keeps_flow_of_slow_backend() {
-    let (mut router, key) = flow_at_first();
+    let (mut router, key) = flow_at_first_backend();
     let decision = unanswered_request(&mut router, key);
     assert!(matches!(decision, FlowDecision::Forward { stall: Some(_), .. }));
 }
@@ -106,7 +112,7 @@
 // and the responses since must clear that evidence.
 #[test]
 fn response_clears_unanswered_opening() {
-    let (mut router, key) = flow_at_first();
+    let (mut router, key) = flow_at_first_backend();
     let other = FlowKey { caller: common::flow_key(2, 1).caller, ..key };
     router.on_packet(clock_at(990), &data_packet(other, 1, 1_000, 1));
     unanswered_opening(&mut router, 1_000);
@@ -123,7 +129,7 @@
 // repeat it after a reset.
 #[test]
 fn keeps_stalled_flow_with_non_idempotent_request() {
-    let (mut router, key) = flow_at_first();
+    let (mut router, key) = flow_at_first_backend();
     let mut row = route_row("r", 443, "desk", 9);
     if let Some(RowValue::Route(route)) = &mut row.value {
         route.idempotent = false;
@@ -138,7 +144,7 @@
 // response from before the death.
 #[test]
 fn acknowledged_earlier_response_proves_nothing() {
-    let (mut router, key) = flow_at_first();
+    let (mut router, key) = flow_at_first_backend();
     let other = FlowKey { caller: common::flow_key(2, 1).caller, ..key };
     router.on_packet(clock_at(990), &data_packet(other, 1, 1_000, 1));
     unanswered_opening(&mut router, 1_000);
@@ -150,18 +156,22 @@
 #[test]
 fn counts_unanswered_packets_reported_by_peers() {
     // Packets that another instance found unanswered count; its ejections don't.
-    for (kind, ends) in [
+    for (kind, expect_reset) in [
         (ObservationKind::OpeningUnanswered, true),
         (ObservationKind::DataUnanswered, true),
         (ObservationKind::Ejected, false),
     ] {
-        let (mut router, key) = flow_at_first();
+        let (mut router, key) = flow_at_first_backend();
         router.apply_observation(
             clock_at(1_205),
             &HealthObservation { number: 1, incarnation: 0, kind, observed_at: clock_at(1_200) },
         );
         let decision = unanswered_request(&mut router, key);
-        assert_eq!(matches!(decision, FlowDecision::Reset { .. }), ends, "{kind:?}: {decision:?}");
+        assert_eq!(
+            matches!(decision, FlowDecision::Reset { .. }),
+            expect_reset,
+            "{kind:?}: {decision:?}"
+        );
     }
 }
 
@@ -169,7 +179,7 @@
 // after the death. With evidence that old, one retransmission suffices.
 #[test]
 fn resets_sooner_when_unresponsive_for_long() {
-    let (mut router, key) = flow_at_first();
+    let (mut router, key) = flow_at_first_backend();
     unanswered_opening(&mut router, 1_000);
     let request = data_packet(key, 1, 2_000, 1);
     let decision = router.on_packet(clock_at(1_690), &request);
@@ -186,7 +196,7 @@
 // second, and the wait counts from the last part, not from the first.
 #[test]
 fn measures_stall_from_last_part_of_request() {
-    let (mut router, key) = flow_at_first();
+    let (mut router, key) = flow_at_first_backend();
     unanswered_opening(&mut router, 1_000);
     router.on_packet(clock_at(1_010), &data_packet(key, 1, 2_000, 1));
     let last_part = data_packet(key, 1, 2_100, 1);
@@ -200,7 +210,7 @@
 // within a millisecond, and the times at which they were sent are unknown.
 #[test]
 fn keeps_flows_whose_packets_waited_during_pause() {
-    let (mut router, key) = flow_at_first();
+    let (mut router, key) = flow_at_first_backend();
     unanswered_opening(&mut router, 1_000);
     for step in 0..3 {
         let decision = router.on_packet(clock_at(3_000 + step), &data_packet(key, 1, 2_000, 1));
@@ -212,10 +222,10 @@
 fn resets_only_flow_at_fourth_transmission() {
     // No other flow exists there: the third transmission is the evidence, and the fourth leads to
     // the reset.
-    let (mut router, key) = flow_at_first();
+    let (mut router, key) = flow_at_first_backend();
     let decision = unanswered_request(&mut router, key);
     assert!(matches!(decision, FlowDecision::Forward { .. }), "{decision:?}");
-    let decision = router.on_packet(clock_at(ASKED + 1_400), &data_packet(key, 1, 2_000, 1));
+    let decision = router.on_packet(clock_at(REQUESTED_AT + 1_400), &data_packet(key, 1, 2_000, 1));
     assert!(matches!(decision, FlowDecision::Reset { .. }), "{decision:?}");
 }
 
@@ -223,46 +233,46 @@
 // two flows arrive just before the responses. The time alone must not count as two retransmissions.
 #[test]
 fn delayed_first_retransmissions_reset_nothing() {
-    let (mut router, key) = flow_at_first();
+    let (mut router, key) = flow_at_first_backend();
     let other = FlowKey { caller: common::flow_key(8, 1).caller, ..key };
-    for (now, is_stalled) in [(ASKED, false), (ASKED + 620, true)] {
+    for (now, is_stalled) in [(REQUESTED_AT, false), (REQUESTED_AT + 620, true)] {
         for flow in [key, other] {
             let decision = router.on_packet(clock_at(now), &data_packet(flow, 1, 2_000, 1));
             let FlowDecision::Forward { stall, .. } = decision else {
-                panic!("{decision:?} isn't sent on");
+                panic!("{decision:?} isn't forwarded");
             };
             assert_eq!(stall.is_some(), is_stalled);
         }
     }
-    let is_silence =
+    let is_unanswered =
         |kind| matches!(kind, ObservationKind::OpeningUnanswered | ObservationKind::DataUnanswered);
-    assert!(router.drain_observations().iter().all(|note| !is_silence(note.kind)));
+    assert!(router.drain_observations().iter().all(|observation| !is_unanswered(observation.kind)));
 }
 
 // Guards against resets after a pause: retransmissions that waited in the socket are read together
 // and must not count as sent one after the other.
 #[test]
 fn retransmissions_read_together_count_once() {
-    let (mut router, key) = flow_at_first();
+    let (mut router, key) = flow_at_first_backend();
     unanswered_opening(&mut router, 800);
     let request = data_packet(key, 1, 2_000, 1);
-    router.on_packet(clock_at(ASKED), &request);
+    router.on_packet(clock_at(REQUESTED_AT), &request);
     router.record_pause();
     for _ in 0..3 {
-        let decision = router.on_packet(clock_at(ASKED + 900), &request);
+        let decision = router.on_packet(clock_at(REQUESTED_AT + 900), &request);
         assert!(matches!(decision, FlowDecision::Forward { .. }), "{decision:?}");
     }
 }
 
 /// The observations of two peers that have detected the death of backend server 1.
-fn told_death(at_ms: u64) -> [HealthObservation; 2] {
+fn death_observations(at_ms: u64) -> [HealthObservation; 2] {
     [ObservationKind::OpeningUnanswered, ObservationKind::DataUnanswered].map(|kind| {
         HealthObservation { number: 1, incarnation: 0, kind, observed_at: clock_at(at_ms) }
     })
 }
 
 /// Lets backend server 2 respond to a flow at `now`, which proves that this instance's link works.
-fn answer_elsewhere(router: &mut FlowRouter, now: u64) {
+fn respond_elsewhere(router: &mut FlowRouter, now: u64) {
     let caller = common::flow_key(3, 7);
     router.on_packet(clock_at(now - 20), &data_packet(caller, 2, 5_000, 1));
     let mut packet = data_packet(caller, 2, 5_100, 600);
@@ -274,14 +284,14 @@
 // reported: its caller would have hardly any time left to repeat the request.
 #[test]
 fn resets_only_flow_when_peers_reported_the_death() {
-    let (mut router, key) = flow_at_first();
+    let (mut router, key) = flow_at_first_backend();
     let request = data_packet(key, 1, 2_000, 1);
-    router.on_packet(clock_at(ASKED), &request);
-    told_death(ASKED - 20)
+    router.on_packet(clock_at(REQUESTED_AT), &request);
+    death_observations(REQUESTED_AT - 20)
         .iter()
-        .for_each(|note| router.apply_observation(clock_at(ASKED + 10), note));
-    answer_elsewhere(&mut router, ASKED + 60);
-    let decision = router.on_packet(clock_at(ASKED + 200), &request);
+        .for_each(|observation| router.apply_observation(clock_at(REQUESTED_AT + 10), observation));
+    respond_elsewhere(&mut router, REQUESTED_AT + 60);
+    let decision = router.on_packet(clock_at(REQUESTED_AT + 200), &request);
     let FlowDecision::Reset { reason: ResetReason::BackendSilent { waited_ms, .. }, .. } = decision
     else {
         panic!("{decision:?}");
@@ -292,13 +302,13 @@
 // As above, but no other backend server has responded to this instance: its own link may be down.
 #[test]
 fn keeps_flow_when_own_link_may_be_down() {
-    let (mut router, key) = flow_at_first();
+    let (mut router, key) = flow_at_first_backend();
     let request = data_packet(key, 1, 2_000, 1);
-    router.on_packet(clock_at(ASKED), &request);
-    told_death(ASKED - 20)
+    router.on_packet(clock_at(REQUESTED_AT), &request);
+    death_observations(REQUESTED_AT - 20)
         .iter()
-        .for_each(|note| router.apply_observation(clock_at(ASKED + 10), note));
-    let decision = router.on_packet(clock_at(ASKED + 200), &request);
+        .for_each(|observation| router.apply_observation(clock_at(REQUESTED_AT + 10), observation));
+    let decision = router.on_packet(clock_at(REQUESTED_AT + 200), &request);
     assert!(matches!(decision, FlowDecision::Forward { .. }), "{decision:?}");
 }
 
@@ -306,22 +316,22 @@
 // detected through other flows: their flows must be reset without a packet of their own.
 #[test]
 fn resets_waiting_flow_without_a_packet() {
-    for (asked, ends) in [(ASKED, true), (ASKED + 200, false)] {
-        let (mut router, key) = flow_at_first();
-        router.on_packet(clock_at(asked), &data_packet(key, 1, 2_000, 1));
-        told_death(ASKED + 200)
-            .iter()
-            .for_each(|note| router.apply_observation(clock_at(ASKED + 210), note));
-        answer_elsewhere(&mut router, ASKED + 230);
+    for (requested_at, expect_reset) in [(REQUESTED_AT, true), (REQUESTED_AT + 200, false)] {
+        let (mut router, key) = flow_at_first_backend();
+        router.on_packet(clock_at(requested_at), &data_packet(key, 1, 2_000, 1));
+        death_observations(REQUESTED_AT + 200).iter().for_each(|observation| {
+            router.apply_observation(clock_at(REQUESTED_AT + 210), observation)
+        });
+        respond_elsewhere(&mut router, REQUESTED_AT + 230);
         // A request that was sent just now may still be answered, which would prove life.
-        let ended = router.drain_flow_resets(clock_at(ASKED + 250));
+        let resets = router.drain_flow_resets(clock_at(REQUESTED_AT + 250));
         assert_eq!(
-            ended.iter().map(|end| end.key).collect::<Vec<_>>(),
-            ends.then_some(key).as_slice()
+            resets.iter().map(|reset| reset.key).collect::<Vec<_>>(),
+            expect_reset.then_some(key).as_slice()
         );
-        if let Some(end) = ended.first() {
-            let ResetReason::WaitingAtDead { waited_ms, silent_ms } = end.reason else {
-                panic!("{end:?}");
+        if let Some(reset) = resets.first() {
+            let ResetReason::WaitingAtDead { waited_ms, silent_ms } = reset.reason else {
+                panic!("{reset:?}");
             };
             assert_eq!((waited_ms, silent_ms), (250, 50));
         }
@@ -331,16 +341,16 @@
 // Guards against the loss of a request that can't be repeated and whose response may be in transit.
 #[test]
 fn keeps_waiting_flow_with_non_idempotent_request() {
-    let (mut router, key) = flow_at_first();
+    let (mut router, key) = flow_at_first_backend();
     let mut row = route_row("r", 443, "desk", 9);
     if let Some(RowValue::Route(route)) = &mut row.value {
         route.idempotent = false;
     }
     router.apply_rows(clock_at(500), &[row]);
-    router.on_packet(clock_at(ASKED), &data_packet(key, 1, 2_000, 1));
-    told_death(ASKED + 200)
-        .iter()
-        .for_each(|note| router.apply_observation(clock_at(ASKED + 210), note));
-    answer_elsewhere(&mut router, ASKED + 230);
-    assert!(router.drain_flow_resets(clock_at(ASKED + 250)).is_empty());
+    router.on_packet(clock_at(REQUESTED_AT), &data_packet(key, 1, 2_000, 1));
+    death_observations(REQUESTED_AT + 200).iter().for_each(|observation| {
+        router.apply_observation(clock_at(REQUESTED_AT + 210), observation)
+    });
+    respond_elsewhere(&mut router, REQUESTED_AT + 230);
+    assert!(router.drain_flow_resets(clock_at(REQUESTED_AT + 250)).is_empty());
 }
--- a/crates/foxledge-flows/tests/evacuated_centres.rs
+++ b/crates/foxledge-flows/tests/evacuated_centres.rs
@@ -32,21 +32,22 @@
     let mut router = listed_router(&rows());
     assert_eq!(place(&mut router, 100, 1).as_deref(), Some(LOCAL_CENTRE));
     router.apply_rows(clock_at(200), &[evacuation_row(LOCAL_CENTRE, 10)]);
-    let news = router.drain_evacuation_events();
-    assert_eq!((news.len(), news[0].change), (1, EvacuationChange::Begun));
+    let events = router.drain_evacuation_events();
+    assert_eq!((events.len(), events[0].change), (1, EvacuationChange::Begun));
     for port in 2..40 {
         let centre = place(&mut router, 300 + u64::from(port), port).expect("is served");
         assert_ne!(centre, LOCAL_CENTRE);
     }
     // All other backend servers get flows, not only one.
-    let used = |centre: &str| {
-        let of = router.backends().filter(|one| one.data_centre.as_str() == centre);
-        of.filter(|one| one.last_placement > 0).count()
+    let used_backends = |centre: &str| {
+        let centre_backends =
+            router.backends().filter(|backend| backend.data_centre.as_str() == centre);
+        centre_backends.filter(|backend| backend.last_placement > 0).count()
     };
-    assert_eq!([used(REMOTE_CENTRE), used(THIRD)], [2, 2]);
+    assert_eq!([used_backends(REMOTE_CENTRE), used_backends(THIRD)], [2, 2]);
     router.apply_rows(clock_at(9_200), &[removed_row(&evacuation_row(LOCAL_CENTRE, 10), 20, 0)]);
-    let news = router.drain_evacuation_events();
-    assert_eq!(news[0].change, EvacuationChange::Ended { after_ms: 9_000 });
+    let events = router.drain_evacuation_events();
+    assert_eq!(events[0].change, EvacuationChange::Ended { after_ms: 9_000 });
     assert_eq!(place(&mut router, 9_300, 50).as_deref(), Some(LOCAL_CENTRE));
 }
 
@@ -89,10 +90,10 @@
 }
 
 /// Opens flows that stay unanswered, with two retransmissions each.
-fn open_in_vain(router: &mut FlowRouter, from: u64, ports: std::ops::Range<u16>) {
+fn open_unanswered(router: &mut FlowRouter, from: u64, ports: std::ops::Range<u16>) {
     for port in ports {
-        for (copy, wait) in [(0, 0), (1, 200), (2, 600)] {
-            router.on_packet(clock_at(from + wait), &opening_packet(flow_key(2, port), copy));
+        for (attempt, wait) in [(0, 0), (1, 200), (2, 600)] {
+            router.on_packet(clock_at(from + wait), &opening_packet(flow_key(2, port), attempt));
         }
     }
 }
@@ -105,7 +106,7 @@
     let mut router = listed_router(&rows());
     router.apply_rows(clock_at(100), &[evacuation_row(LOCAL_CENTRE, 10)]);
     router.set_confirmed_at(clock_at(500));
-    open_in_vain(&mut router, 1_000, 1..4);
+    open_unanswered(&mut router, 1_000, 1..4);
     // The evacuation applies while the store confirms the list.
     assert_ne!(place(&mut router, 1_700, 10).as_deref(), Some(LOCAL_CENTRE));
     assert_eq!(place(&mut router, 3_100, 11).as_deref(), Some(LOCAL_CENTRE));
@@ -119,7 +120,7 @@
 fn store_outage_keeps_the_evacuation() {
     let mut router = listed_router(&rows());
     router.apply_rows(clock_at(100), &[evacuation_row(LOCAL_CENTRE, 10)]);
-    open_in_vain(&mut router, 1_000, 1..4);
+    open_unanswered(&mut router, 1_000, 1..4);
     let decision = router.on_packet(clock_at(1_700), &opening_packet(flow_key(1, 1), 0));
     let number = decided_backend(&router, &decision).expect("is served");
     router.on_packet(
--- a/crates/foxledge-flows/tests/expired_entries.rs
+++ b/crates/foxledge-flows/tests/expired_entries.rs
@@ -9,9 +9,9 @@
 // backend servers while it is down, and they return two seconds after it.
 #[test]
 fn serves_during_grace_after_entry_expired() {
-    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
-    let mut router = listed_router(std::slice::from_ref(&one));
-    router.apply_rows(clock_at(100), &[removed_row(&one, 3, 0)]);
+    let row = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&row));
+    router.apply_rows(clock_at(100), &[removed_row(&row, 3, 0)]);
     assert_eq!(open_flow(&mut router, 2_000, flow_key(1, 1)), Some(1));
     router.apply_rows(clock_at(2_100), &[listed_backend(1, "desk", LOCAL_CENTRE, 4)]);
     assert_eq!(open_flow(&mut router, 60_000, flow_key(1, 2)), Some(1));
@@ -19,9 +19,9 @@
 
 #[test]
 fn refuses_after_grace_period() {
-    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
-    let mut router = listed_router(std::slice::from_ref(&one));
-    router.apply_rows(clock_at(100), &[removed_row(&one, 3, 0)]);
+    let row = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&row));
+    router.apply_rows(clock_at(100), &[removed_row(&row, 3, 0)]);
     router.set_confirmed_at(clock_at(2_350));
     let decision = router.on_packet(clock_at(2_400), &opening_packet(flow_key(1, 1), 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
@@ -30,29 +30,29 @@
 #[test]
 fn grace_starts_at_the_removal() {
     // A peer reports a removal that happened two seconds ago.
-    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
-    let mut router = listed_router(std::slice::from_ref(&one));
-    router.apply_rows(clock_at(100), &[removed_row(&one, 3, 2_000)]);
+    let row = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&row));
+    router.apply_rows(clock_at(100), &[removed_row(&row, 3, 2_000)]);
     let decision = router.on_packet(clock_at(400), &opening_packet(flow_key(1, 1), 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
 }
 
 #[test]
 fn draining_backend_gets_no_grace() {
-    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
-    let mut router = listed_router(std::slice::from_ref(&one));
-    router.apply_rows(clock_at(100), &[removed_row(&draining_row(&one, 3), 4, 0)]);
+    let row = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&row));
+    router.apply_rows(clock_at(100), &[removed_row(&draining_row(&row, 3), 4, 0)]);
     let decision = router.on_packet(clock_at(110), &opening_packet(flow_key(1, 1), 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
 }
 
 #[test]
 fn reused_address_ends_grace() {
-    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
-    let mut router = listed_router(std::slice::from_ref(&one));
+    let row = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&row));
     let mut newer = backend_spec(2, "other", LOCAL_CENTRE);
     newer.ip = u32::from(std::net::Ipv4Addr::new(10, 128, 0, 1));
-    router.apply_rows(clock_at(100), &[removed_row(&one, 3, 0), backend_row(newer, 4)]);
+    router.apply_rows(clock_at(100), &[removed_row(&row, 3, 0), backend_row(newer, 4)]);
     let decision = router.on_packet(clock_at(110), &opening_packet(flow_key(1, 1), 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
 }
@@ -62,10 +62,10 @@
 // does.
 #[test]
 fn grace_lasts_while_store_is_unreachable() {
-    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
-    let mut router = listed_router(std::slice::from_ref(&one));
+    let row = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&row));
     router.set_confirmed_at(clock_at(100));
-    router.apply_rows(clock_at(110), &[removed_row(&one, 3, 0)]);
+    router.apply_rows(clock_at(110), &[removed_row(&row, 3, 0)]);
     assert_eq!(open_flow(&mut router, 8_000, flow_key(1, 1)), Some(1));
     // The store is back. The entry may return for two more seconds; afterwards it is gone.
     router.set_confirmed_at(clock_at(9_000));
@@ -80,15 +80,15 @@
 // expiry, long before the store's return.
 #[test]
 fn grace_restarts_after_store_outage() {
-    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
-    let mut router = listed_router(std::slice::from_ref(&one));
-    router.apply_rows(clock_at(100), &[removed_row(&one, 3, 0)]);
+    let row = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&row));
+    router.apply_rows(clock_at(100), &[removed_row(&row, 3, 0)]);
     router.set_confirmed_at(clock_at(101));
     router.set_confirmed_at(clock_at(7_900));
     assert_eq!(open_flow(&mut router, 7_910, flow_key(1, 1)), Some(1));
     // An entry whose grace period was over when the outage began stays removed.
-    let mut router = listed_router(std::slice::from_ref(&one));
-    router.apply_rows(clock_at(100), &[removed_row(&one, 3, 0)]);
+    let mut router = listed_router(std::slice::from_ref(&row));
+    router.apply_rows(clock_at(100), &[removed_row(&row, 3, 0)]);
     router.set_confirmed_at(clock_at(2_400));
     router.set_confirmed_at(clock_at(7_900));
     let decision = router.on_packet(clock_at(7_910), &opening_packet(flow_key(1, 1), 0));
@@ -110,9 +110,9 @@
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
     // The refusal of a flow without a route isn't delayed.
     let mut router = listed_router(&[]);
-    let mut elsewhere = flow_key(1, 1);
-    elsewhere.service.set_port(9_999);
-    let decision = router.on_packet(clock_at(50), &opening_packet(elsewhere, 0));
+    let mut unrouted_key = flow_key(1, 1);
+    unrouted_key.service.set_port(9_999);
+    let decision = router.on_packet(clock_at(50), &opening_packet(unrouted_key, 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoRoute));
 }
 
@@ -122,9 +122,9 @@
 // packet.
 #[test]
 fn refuses_nothing_between_pause_and_confirmation() {
-    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
-    let mut router = listed_router(std::slice::from_ref(&one));
-    router.apply_rows(clock_at(100), &[draining_row(&one, 3)]);
+    let row = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&row));
+    router.apply_rows(clock_at(100), &[draining_row(&row, 3)]);
     router.set_confirmed_at(clock_at(200));
     router.record_pause();
     let decision = router.on_packet(clock_at(900), &opening_packet(flow_key(1, 1), 0));
@@ -141,9 +141,9 @@
 // two batches, but a new list doesn't make the packets of the second batch less old.
 #[test]
 fn refuses_nothing_until_waiting_packets_are_read() {
-    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
-    let mut router = listed_router(std::slice::from_ref(&one));
-    router.apply_rows(clock_at(100), &[draining_row(&one, 3)]);
+    let row = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&row));
+    router.apply_rows(clock_at(100), &[draining_row(&row, 3)]);
     router.record_pause();
     let decision = router.on_packet(clock_at(4_000), &opening_packet(flow_key(1, 1), 0));
     assert_eq!(decision, FlowDecision::Drop(DropReason::MaybeStale));
--- a/crates/foxledge-flows/tests/idle_sweep.rs
+++ b/crates/foxledge-flows/tests/idle_sweep.rs
@@ -18,27 +18,27 @@
 const FLOWS: usize = 24;
 const ROUTERS: usize = 2;
 /// The delays of packets, responses and retransmissions, in milliseconds.
-const WAY: u64 = 2;
-const WORK: u64 = 20;
-const SLOW_WORK: u64 = 1_900;
-const RESENDS: [u64; 3] = [200, 600, 1_400];
+const PACKET_DELAY: u64 = 2;
+const RESPONSE_TIME: u64 = 20;
+const SLOW_RESPONSE_TIME: u64 = 1_900;
+const RETRANSMIT_AFTER: [u64; 3] = [200, 600, 1_400];
 const DEADLINE: u64 = 1_200;
 /// The maximum number of packets lost within `LOSS_SPAN` milliseconds, which is also how long the
 /// missing responses of a backend server count. A false alarm takes four losses, or three of two
 /// flows at a backend server that is so slow that it sends no response for 0.7 s.
-const MOST_LOST: usize = 2;
+const MAX_LOST: usize = 2;
 const LOSS_SPAN: u64 = 10_000;
 
 #[derive(Clone, Debug)]
 enum Step {
     /// A caller sends a request on its flow.
-    Ask {
+    Request {
         flow: usize,
     },
     /// All callers send a request, one after the other.
-    AskAll,
+    RequestAll,
     /// The next packet that an instance forwards is lost.
-    Lose,
+    LosePacket,
     Pause {
         router: usize,
         millis: u64,
@@ -56,9 +56,9 @@
 
 fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        12 => (0..FLOWS).prop_map(|flow| Step::Ask { flow }),
-        1 => Just(Step::AskAll),
-        4 => Just(Step::Lose),
+        12 => (0..FLOWS).prop_map(|flow| Step::Request { flow }),
+        1 => Just(Step::RequestAll),
+        4 => Just(Step::LosePacket),
         2 => (0..ROUTERS, 100..3_000_u64)
             .prop_map(|(router, millis)| Step::Pause { router, millis }),
         1 => (1..=BACKENDS).prop_map(|backend| Step::Slow { backend }),
@@ -70,15 +70,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     /// A caller sends or retransmits its data.
-    Send { flow: usize, request: u32, copy: usize },
+    Send { flow: usize, request: u32, attempt: usize },
     /// A caller's packet reaches its instance: data, or only an acknowledgement.
     Arrive { flow: usize, request: u32, length: u16, acknowledged: u32 },
     /// A backend server has responded.
-    Answer { flow: usize, request: u32 },
+    Response { flow: usize, request: u32 },
     /// An instance resumes after a pause.
-    Wake { router: usize },
+    Resume { router: usize },
     /// An instance receives an observation of the other one.
-    Hear { router: usize, note: usize },
+    ReceiveObservation { router: usize, observation: usize },
     /// The instances check for overdue openings and for flows to reset.
     Tick,
 }
@@ -88,7 +88,7 @@
     key: FlowKey,
     backend: u64,
     request: u32,
-    asked_at: u64,
+    requested_at: u64,
     /// True if the backend server has the data, so that the caller doesn't retransmit it.
     is_delivered: bool,
     is_waiting: bool,
@@ -100,22 +100,22 @@
     count: u64,
     routers: Vec<FlowRouter>,
     paused_until: [u64; ROUTERS],
-    notes: Vec<HealthObservation>,
+    observations: Vec<HealthObservation>,
     flows: Vec<CallerFlow>,
     next_port: u16,
     dead: BTreeMap<u64, u64>,
     slow: Vec<u64>,
-    to_lose: usize,
+    pending_losses: usize,
     lost_at: Vec<u64>,
     /// True if requests may be repeated.
-    repeatable: bool,
+    is_repeatable: bool,
     /// The numbers of flows reset by a packet of their own, while idle, and while their callers
     /// waited.
-    ended: [usize; 3],
+    resets: [usize; 3],
 }
 
 impl Run {
-    fn new(repeatable: bool) -> Run {
+    fn new(is_repeatable: bool) -> Run {
         let rows: Vec<_> =
             (1..=BACKENDS).map(|number| listed_backend(number, "desk", LOCAL_CENTRE, 2)).collect();
         let mut run = Run {
@@ -124,38 +124,46 @@
             count: 0,
             routers: (0..ROUTERS).map(|_| listed_router(&rows)).collect(),
             paused_until: [0; ROUTERS],
-            notes: Vec::new(),
+            observations: Vec::new(),
             flows: Vec::new(),
             next_port: 1,
             dead: BTreeMap::new(),
             slow: Vec::new(),
-            to_lose: 0,
+            pending_losses: 0,
             lost_at: Vec::new(),
-            repeatable,
-            ended: [0; 3],
+            is_repeatable,
+            resets: [0; 3],
         };
         let mut row = route_row("r", 443, "desk", 9);
         if let Some(RowValue::Route(route)) = &mut row.value {
-            (route.timeout_ms, route.idempotent) = (DEADLINE as u32, repeatable);
+            (route.timeout_ms, route.idempotent) = (DEADLINE as u32, is_repeatable);
         }
         for router in &mut run.routers {
             router.apply_rows(clock_at(0), std::slice::from_ref(&row));
         }
         for flow in 0..FLOWS {
-            let opened = run.opened(flow);
-            run.flows.push(opened);
+            let new_flow = run.new_flow(flow);
+            run.flows.push(new_flow);
         }
         run.push(10, Event::Tick);
         run
     }
 
     /// Opens a flow at its instance; openings are always answered in this model.
-    fn opened(&mut self, flow: usize) -> CallerFlow {
+    fn new_flow(&mut self, flow: usize) -> CallerFlow {
         let key = flow_key(flow as u8, self.next_port);
         self.next_port += 1;
         let alive = |number: &u64| !self.dead.contains_key(number);
-        let backend = (1..=BACKENDS).cycle().skip(flow).find(alive).expect("one lives");
-        CallerFlow { key, backend, request: 0, asked_at: 0, is_delivered: false, is_waiting: false }
+        let backend =
+            (1..=BACKENDS).cycle().skip(flow).find(alive).expect("a backend server is alive");
+        CallerFlow {
+            key,
+            backend,
+            request: 0,
+            requested_at: 0,
+            is_delivered: false,
+            is_waiting: false,
+        }
     }
 
     fn push(&mut self, wait: u64, event: Event) {
@@ -163,14 +171,14 @@
         self.events.push(Reverse((self.now + wait, self.count, event)));
     }
 
-    fn take(&mut self, step: &Step) {
+    fn run_step(&mut self, step: &Step) {
         match *step {
-            Step::Ask { flow } => self.ask(flow),
-            Step::AskAll => (0..FLOWS).for_each(|flow| self.ask(flow)),
-            Step::Lose => self.to_lose = 1,
+            Step::Request { flow } => self.send_request(flow),
+            Step::RequestAll => (0..FLOWS).for_each(|flow| self.send_request(flow)),
+            Step::LosePacket => self.pending_losses = 1,
             Step::Pause { router, millis } => {
                 self.paused_until[router] = self.paused_until[router].max(self.now + millis);
-                self.push(millis, Event::Wake { router });
+                self.push(millis, Event::Resume { router });
             }
             Step::Slow { backend } => self.slow.push(backend),
             Step::Die { backend } => {
@@ -192,53 +200,53 @@
         self.now = end;
     }
 
-    fn ask(&mut self, flow: usize) {
+    fn send_request(&mut self, flow: usize) {
         let caller = &mut self.flows[flow];
-        if caller.is_waiting && self.now < caller.asked_at + DEADLINE {
+        if caller.is_waiting && self.now < caller.requested_at + DEADLINE {
             return;
         }
         caller.request += 1;
-        (caller.asked_at, caller.is_waiting, caller.is_delivered) = (self.now, true, false);
+        (caller.requested_at, caller.is_waiting, caller.is_delivered) = (self.now, true, false);
         let request = caller.request;
-        self.push(0, Event::Send { flow, request, copy: 0 });
-        for (index, wait) in RESENDS.into_iter().enumerate() {
-            self.push(wait, Event::Send { flow, request, copy: index + 1 });
+        self.push(0, Event::Send { flow, request, attempt: 0 });
+        for (index, wait) in RETRANSMIT_AFTER.into_iter().enumerate() {
+            self.push(wait, Event::Send { flow, request, attempt: index + 1 });
         }
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Send { flow, request, copy } => self.send(flow, request, copy),
+            Event::Send { flow, request, attempt } => self.transmit(flow, request, attempt),
             Event::Arrive { flow, request, length, acknowledged } => {
                 self.arrive(event, flow, request, length, acknowledged);
             }
-            Event::Answer { flow, request } => self.answer(flow, request),
-            Event::Wake { router } if self.paused_until[router] <= self.now => {
+            Event::Response { flow, request } => self.respond(flow, request),
+            Event::Resume { router } if self.paused_until[router] <= self.now => {
                 // Packets that waited are read at the same moment, before the next check.
                 self.routers[router].record_pause();
             }
-            Event::Wake { .. } => {}
-            Event::Hear { router, note } => {
-                let note = self.notes[note];
+            Event::Resume { .. } => {}
+            Event::ReceiveObservation { router, observation } => {
+                let observation = self.observations[observation];
                 if self.paused_until[router] <= self.now {
-                    self.routers[router].apply_observation(clock_at(self.now), &note);
+                    self.routers[router].apply_observation(clock_at(self.now), &observation);
                 }
             }
             Event::Tick => self.tick(),
         }
     }
 
-    fn send(&mut self, flow: usize, request: u32, copy: usize) {
+    fn transmit(&mut self, flow: usize, request: u32, attempt: usize) {
         let caller = self.flows[flow];
-        if caller.request != request || !caller.is_waiting || (copy > 0 && caller.is_delivered) {
+        if caller.request != request || !caller.is_waiting || (attempt > 0 && caller.is_delivered) {
             return;
         }
-        if self.now >= caller.asked_at + DEADLINE {
+        if self.now >= caller.requested_at + DEADLINE {
             self.flows[flow].is_waiting = false;
             return;
         }
         let acknowledged = 1 + (request - 1) * 600;
-        self.push(WAY, Event::Arrive { flow, request, length: 100, acknowledged });
+        self.push(PACKET_DELAY, Event::Arrive { flow, request, length: 100, acknowledged });
     }
 
     fn arrive(&mut self, event: Event, flow: usize, request: u32, length: u16, acknowledged: u32) {
@@ -252,10 +260,10 @@
         let mut packet = data_packet(caller.key, caller.backend as u32, sequence, acknowledged);
         packet.length = length;
         let decision = self.routers[router].on_packet(clock_at(self.now), &packet);
-        self.share(router);
+        self.exchange_observations(router);
         match decision {
             FlowDecision::Forward { .. } => self.deliver(flow, request, length),
-            FlowDecision::Reset { .. } => self.end(flow, 0),
+            FlowDecision::Reset { .. } => self.record_reset(flow, 0),
             other => panic!("{other:?}"),
         }
     }
@@ -263,9 +271,9 @@
     /// Delivers a packet from an instance to the flow's backend server, unless it is lost.
     fn deliver(&mut self, flow: usize, request: u32, length: u16) {
         let caller = self.flows[flow];
-        self.lost_at.retain(|lost| lost + LOSS_SPAN > self.now);
-        if self.to_lose > 0 && self.lost_at.len() < MOST_LOST {
-            self.to_lose = 0;
+        self.lost_at.retain(|lost_at| lost_at + LOSS_SPAN > self.now);
+        if self.pending_losses > 0 && self.lost_at.len() < MAX_LOST {
+            self.pending_losses = 0;
             self.lost_at.push(self.now);
             return;
         }
@@ -274,20 +282,24 @@
         }
         if !caller.is_delivered {
             self.flows[flow].is_delivered = true;
-            let work = if self.slow.contains(&caller.backend) { SLOW_WORK } else { WORK };
-            self.push(work + WAY, Event::Answer { flow, request });
+            let response_time = if self.slow.contains(&caller.backend) {
+                SLOW_RESPONSE_TIME
+            } else {
+                RESPONSE_TIME
+            };
+            self.push(response_time + PACKET_DELAY, Event::Response { flow, request });
         }
     }
 
-    fn answer(&mut self, flow: usize, request: u32) {
+    fn respond(&mut self, flow: usize, request: u32) {
         let caller = self.flows[flow];
-        let died = self.dead.get(&caller.backend).is_some_and(|died| *died <= self.now);
-        if caller.request != request || !caller.is_delivered || died {
+        let died_at = self.dead.get(&caller.backend).is_some_and(|died_at| *died_at <= self.now);
+        if caller.request != request || !caller.is_delivered || died_at {
             return;
         }
         self.flows[flow].is_waiting = false;
         let acknowledged = 1 + request * 600;
-        self.push(WAY, Event::Arrive { flow, request, length: 0, acknowledged });
+        self.push(PACKET_DELAY, Event::Arrive { flow, request, length: 0, acknowledged });
     }
 
     fn tick(&mut self) {
@@ -297,54 +309,61 @@
             }
             self.routers[router].report_overdue_openings(clock_at(self.now));
             self.routers[router].set_confirmed_at(clock_at(self.now));
-            for end in self.routers[router].drain_flow_resets(clock_at(self.now)) {
-                self.take_end(&end);
+            for reset in self.routers[router].drain_flow_resets(clock_at(self.now)) {
+                self.check_reset(&reset);
             }
         }
         self.push(10, Event::Tick);
     }
 
-    fn take_end(&mut self, end: &FlowReset) {
-        let Some(flow) = self.flows.iter().position(|caller| caller.key == end.key) else { return };
+    fn check_reset(&mut self, reset: &FlowReset) {
+        let Some(flow) = self.flows.iter().position(|caller| caller.key == reset.key) else {
+            return;
+        };
         let caller = self.flows[flow];
         // What the caller sends while the reset is in transit is lost in any case.
-        let is_seen = caller.asked_at + WAY < self.now && self.now < caller.asked_at + DEADLINE;
-        let is_under_way = caller.is_waiting && is_seen;
-        match end.reason {
+        let is_visible = caller.requested_at + PACKET_DELAY < self.now
+            && self.now < caller.requested_at + DEADLINE;
+        let is_in_progress = caller.is_waiting && is_visible;
+        match reset.reason {
             ResetReason::IdleAtDead { .. } => {
-                assert!(!is_under_way, "a request was under way on {}", caller.key);
-                self.end(flow, 1);
+                assert!(!is_in_progress, "a request was in progress on {}", caller.key);
+                self.record_reset(flow, 1);
             }
             ResetReason::WaitingAtDead { .. } => {
                 // The caller may have its response if its acknowledgement was lost.
-                assert!(self.repeatable, "a bid was under way on {}", caller.key);
-                self.end(flow, 2);
+                assert!(
+                    self.is_repeatable,
+                    "a non-idempotent request was in progress on {}",
+                    caller.key
+                );
+                self.record_reset(flow, 2);
             }
             ResetReason::BackendSilent { .. }
             | ResetReason::AddressTaken { .. }
-            | ResetReason::CentreSilent { .. } => panic!("{end:?} without a packet"),
+            | ResetReason::CentreSilent { .. } => panic!("{reset:?} without a packet"),
         }
     }
 
-    fn end(&mut self, flow: usize, kind: usize) {
+    fn record_reset(&mut self, flow: usize, kind: usize) {
         let caller = self.flows[flow];
         assert!(
             self.dead.contains_key(&caller.backend),
-            "{} ended at {} while {} lives",
+            "{} was reset at {} while {} is alive",
             caller.key,
             self.now,
             caller.backend
         );
-        self.ended[kind] += 1;
-        self.flows[flow] = self.opened(flow);
+        self.resets[kind] += 1;
+        self.flows[flow] = self.new_flow(flow);
     }
 
-    fn share(&mut self, router: usize) {
-        for note in self.routers[router].drain_observations() {
-            self.notes.push(note);
-            let note = self.notes.len() - 1;
+    fn exchange_observations(&mut self, router: usize) {
+        for observation in self.routers[router].drain_observations() {
+            self.observations.push(observation);
+            let observation = self.observations.len() - 1;
             for other in (0..ROUTERS).filter(|other| *other != router) {
-                self.push(5, Event::Hear { router: other, note });
+                self.push(5, Event::ReceiveObservation { router: other, observation });
             }
         }
     }
@@ -362,12 +381,12 @@
     /// a request waits that may not be repeated.
     #[test]
     fn resets_only_flows_of_dead_backends(
-        repeatable in any::<bool>(),
+        is_repeatable in any::<bool>(),
         steps in prop::collection::vec(any_step(), 1..150),
     ) {
-        let mut run = Run::new(repeatable);
+        let mut run = Run::new(is_repeatable);
         for step in &steps {
-            run.take(step);
+            run.run_step(step);
         }
         run.run_until(run.now + 4_000);
     }
@@ -377,19 +396,19 @@
 fn resets_flows_of_dead_backend() {
     // The same model without randomness: a backend server dies, and callers continue to send
     // requests.
-    for repeatable in [true, false] {
-        let mut run = Run::new(repeatable);
+    for is_repeatable in [true, false] {
+        let mut run = Run::new(is_repeatable);
         for round in 0..6 {
             for flow in 0..FLOWS {
-                run.take(&Step::Ask { flow });
-                run.take(&Step::Wait { millis: 100 });
+                run.run_step(&Step::Request { flow });
+                run.run_step(&Step::Wait { millis: 100 });
             }
             if round == 2 {
-                run.take(&Step::Die { backend: 2 });
+                run.run_step(&Step::Die { backend: 2 });
             }
         }
-        assert!(run.ended[1] >= 2, "{:?} flows were ended", run.ended);
-        assert_eq!(run.ended[2] > 0, repeatable, "{:?} flows were ended", run.ended);
+        assert!(run.resets[1] >= 2, "flows reset: {:?}", run.resets);
+        assert_eq!(run.resets[2] > 0, is_repeatable, "flows reset: {:?}", run.resets);
         assert!(run.flows.iter().all(|caller| caller.backend != 2), "{:?}", run.flows);
     }
 }
--- a/crates/foxledge-flows/tests/invalid_entries.rs
+++ b/crates/foxledge-flows/tests/invalid_entries.rs
@@ -9,21 +9,21 @@
     source::ConfigReading,
 };
 
-fn refused(revision: u64, number: u64) -> ItemChange {
+fn invalid_item(revision: u64, number: u64) -> ItemChange {
     let fault = "no JSON".to_owned();
     ItemChange::BackendInvalid { revision, id: format!("i-{number:x}"), fault }
 }
 
-fn good(revision: u64, number: u64) -> ItemChange {
+fn valid_item(revision: u64, number: u64) -> ItemChange {
     let backend = backend_spec(number, "desk", LOCAL_CENTRE);
     ItemChange::Backend { revision, id: format!("i-{number:x}"), backend }
 }
 
 /// Returns a list with backend servers 1 and 2, complete up to revision 20.
-fn list() -> FleetList {
+fn initial_list() -> FleetList {
     let mut list = FleetList::new();
     let config = ItemChange::Config { revision: 3, config: ConfigReading::default() };
-    let items = vec![config, good(10, 1), good(11, 2)];
+    let items = vec![config, valid_item(10, 1), valid_item(11, 2)];
     list.apply_reading(clock_at(0), ListReading::complete(items, 20));
     list
 }
@@ -36,35 +36,45 @@
 // overwrites the entry of a live backend server, and the previous entry must not stay in force.
 #[test]
 fn overwritten_entry_gets_no_new_flows() {
-    let mut list = list();
+    let mut list = initial_list();
     let mut router = listed_router(&all_rows(&list));
-    let held = open_flow(&mut router, 10, flow_key(1, 1)).expect("is placed");
-    let rows = list.apply_watch(clock_at(100), ListReading::complete(vec![refused(21, held)], 21));
+    let first_number = open_flow(&mut router, 10, flow_key(1, 1)).expect("is placed");
+    let rows = list.apply_watch(
+        clock_at(100),
+        ListReading::complete(vec![invalid_item(21, first_number)], 21),
+    );
     router.apply_rows(clock_at(100), &rows);
     for port in 2..20 {
         let number = open_flow(&mut router, 110, flow_key(1, port)).expect("is placed");
-        assert_ne!(number, held, "a new flow went to the backend server of the spoiled entry");
+        assert_ne!(
+            number, first_number,
+            "a new flow went to the backend server of the invalid entry"
+        );
     }
     // Its open flow continues.
-    let decision =
-        router.on_packet(clock_at(150), &data_packet(flow_key(1, 1), held as u32, 1_000, 1));
-    assert_eq!(decided_backend(&router, &decision), Some(held));
-    router.on_packet(clock_at(160), &flow_packet(flow_key(1, 1), PacketKind::Finish, held as u32));
+    let decision = router
+        .on_packet(clock_at(150), &data_packet(flow_key(1, 1), first_number as u32, 1_000, 1));
+    assert_eq!(decided_backend(&router, &decision), Some(first_number));
+    router.on_packet(
+        clock_at(160),
+        &flow_packet(flow_key(1, 1), PacketKind::Finish, first_number as u32),
+    );
     // Its own next entry makes it available again.
-    let rows = list.apply_watch(clock_at(200), ListReading::complete(vec![good(22, held)], 22));
+    let rows = list
+        .apply_watch(clock_at(200), ListReading::complete(vec![valid_item(22, first_number)], 22));
     router.apply_rows(clock_at(200), &rows);
     // By then the flow that ended there no longer counts.
-    let placed = (20..40).filter_map(|port| open_flow(&mut router, 1_200, flow_key(1, port)));
-    assert!(placed.collect::<Vec<_>>().contains(&held));
+    let numbers = (20..40).filter_map(|port| open_flow(&mut router, 1_200, flow_key(1, port)));
+    assert!(numbers.collect::<Vec<_>>().contains(&first_number));
 }
 
 #[test]
 fn refuses_when_all_entries_are_invalid() {
     // No other backend server exists: the caller is refused at once.
-    let mut list = list();
+    let mut list = initial_list();
     let mut router = listed_router(&all_rows(&list));
-    let spoiled = vec![refused(21, 1), refused(22, 2)];
-    let rows = list.apply_watch(clock_at(100), ListReading::complete(spoiled, 22));
+    let invalid_items = vec![invalid_item(21, 1), invalid_item(22, 2)];
+    let rows = list.apply_watch(clock_at(100), ListReading::complete(invalid_items, 22));
     router.apply_rows(clock_at(100), &rows);
     let decision = router.on_packet(clock_at(110), &opening_packet(flow_key(1, 1), 0));
     assert_eq!(decision, FlowDecision::Refuse(RefuseReason::NoBackend));
@@ -74,15 +84,15 @@
 // store, read all of it or got the list from a peer.
 #[test]
 fn watch_reading_and_snapshot_agree_on_invalid_entry() {
-    let mut watching = list();
-    watching.apply_watch(clock_at(100), ListReading::complete(vec![refused(21, 1)], 21));
-    let mut reading = list();
+    let mut watching = initial_list();
+    watching.apply_watch(clock_at(100), ListReading::complete(vec![invalid_item(21, 1)], 21));
+    let mut reading = initial_list();
     let config = ItemChange::Config { revision: 3, config: ConfigReading::default() };
-    let items = vec![config, refused(21, 1), good(11, 2)];
+    let items = vec![config, invalid_item(21, 1), valid_item(11, 2)];
     reading.apply_reading(clock_at(100), ListReading::complete(items.clone(), 21));
-    let mut told = FleetList::new();
-    told.apply_snapshot(clock_at(100), all_rows(&watching), 21, 0);
-    for list in [&watching, &reading, &told] {
+    let mut copied = FleetList::new();
+    copied.apply_snapshot(clock_at(100), all_rows(&watching), 21, 0);
+    for list in [&watching, &reading, &copied] {
         let rows = all_rows(list);
         let row = rows.iter().find(|row| row.key == "backend/i-1").expect("its flows go on");
         let Some(RowValue::Removed(removed)) = &row.value else { panic!("{row:?}") };
--- a/crates/foxledge-flows/tests/late_observations.rs
+++ b/crates/foxledge-flows/tests/late_observations.rs
@@ -7,7 +7,7 @@
     FlowPacket, HealthClass, HealthObservation, HealthState, ObservationKind, PacketKind,
 };
 
-fn note(millis: u64, kind: ObservationKind) -> HealthObservation {
+fn peer_observation(millis: u64, kind: ObservationKind) -> HealthObservation {
     HealthObservation { number: 1, incarnation: 0, kind, observed_at: clock_at(millis) }
 }
 
@@ -16,25 +16,33 @@
 #[test]
 fn late_response_keeps_newer_evidence() {
     let mut state = HealthState::default();
-    state.on_observation(clock_at(510), &note(500, ObservationKind::DataUnanswered), 0);
-    state.on_observation(clock_at(530), &note(520, ObservationKind::OpeningUnanswered), 0);
-    state.on_observation(clock_at(540), &note(100, ObservationKind::Alive), 0);
+    state.on_observation(clock_at(510), &peer_observation(500, ObservationKind::DataUnanswered), 0);
+    state.on_observation(
+        clock_at(530),
+        &peer_observation(520, ObservationKind::OpeningUnanswered),
+        0,
+    );
+    state.on_observation(clock_at(540), &peer_observation(100, ObservationKind::Alive), 0);
     assert!(state.is_dead(clock_at(550)));
     assert_eq!(state.class(clock_at(550)), HealthClass::Ejected);
     // Evidence older than the response doesn't count any more.
     let mut state = HealthState::default();
-    state.on_observation(clock_at(530), &note(520, ObservationKind::Suspect), 0);
-    state.on_observation(clock_at(540), &note(100, ObservationKind::Alive), 0);
-    state.on_observation(clock_at(550), &note(90, ObservationKind::DataUnanswered), 0);
+    state.on_observation(clock_at(530), &peer_observation(520, ObservationKind::Suspect), 0);
+    state.on_observation(clock_at(540), &peer_observation(100, ObservationKind::Alive), 0);
+    state.on_observation(clock_at(550), &peer_observation(90, ObservationKind::DataUnanswered), 0);
     assert_eq!(state.class(clock_at(560)), HealthClass::Suspect);
 }
 
 #[test]
 fn newer_response_clears_evidence() {
     let mut state = HealthState::default();
-    state.on_observation(clock_at(510), &note(500, ObservationKind::DataUnanswered), 0);
-    state.on_observation(clock_at(530), &note(520, ObservationKind::OpeningUnanswered), 0);
-    state.on_observation(clock_at(540), &note(530, ObservationKind::Alive), 0);
+    state.on_observation(clock_at(510), &peer_observation(500, ObservationKind::DataUnanswered), 0);
+    state.on_observation(
+        clock_at(530),
+        &peer_observation(520, ObservationKind::OpeningUnanswered),
+        0,
+    );
+    state.on_observation(clock_at(540), &peer_observation(530, ObservationKind::Alive), 0);
     assert!(!state.is_dead(clock_at(550)));
     assert_eq!(state.class(clock_at(550)), HealthClass::Healthy);
 }
@@ -53,7 +61,10 @@
         router.on_packet(clock_at(millis), &data_packet(key, 1, 500, 4_000_000_000));
     }
     assert!(
-        router.drain_observations().iter().any(|note| note.kind == ObservationKind::DataUnanswered)
+        router
+            .drain_observations()
+            .iter()
+            .any(|observation| observation.kind == ObservationKind::DataUnanswered)
     );
     router.on_packet(clock_at(900), &flow_packet(key, PacketKind::Abort, 1));
     assert_eq!(router.drain_observations(), []);
--- a/crates/foxledge-flows/tests/list_order.rs
+++ b/crates/foxledge-flows/tests/list_order.rs
@@ -10,7 +10,7 @@
     source::ConfigReading,
 };
 
-fn config(version: u64, revision: u64, names: &[&str]) -> ItemChange {
+fn config_item(version: u64, revision: u64, names: &[&str]) -> ItemChange {
     let routes = names.iter().enumerate().map(|(position, name)| RouteRow {
         name: (*name).to_owned(),
         position: position as u32,
@@ -25,20 +25,20 @@
     ItemChange::Config { revision, config }
 }
 
-fn server(number: u64, revision: u64) -> ItemChange {
+fn backend_item(number: u64, revision: u64) -> ItemChange {
     let backend = backend_spec(number, "desk", LOCAL_CENTRE);
     ItemChange::Backend { revision, id: format!("i-{number:x}"), backend }
 }
 
-fn read(list: &mut FleetList, items: Vec<ItemChange>, head: u64) -> usize {
+fn apply_items(list: &mut FleetList, items: Vec<ItemChange>, head: u64) -> usize {
     list.apply_reading(clock_at(0), ListReading::complete(items, head)).len()
 }
 
-fn live_keys(list: &FleetList) -> Vec<String> {
-    let is_live = |row: &&foxledge_flows::rows::ListRow| {
+fn listed_keys(list: &FleetList) -> Vec<String> {
+    let is_listed = |row: &&foxledge_flows::rows::ListRow| {
         !matches!(row.value, Some(RowValue::Removed(_)) | None)
     };
-    let mut keys: Vec<_> = list.rows().filter(is_live).map(|row| row.key.clone()).collect();
+    let mut keys: Vec<_> = list.rows().filter(is_listed).map(|row| row.key.clone()).collect();
     keys.sort();
     keys
 }
@@ -46,14 +46,14 @@
 #[test]
 fn new_list_yields_changed_rows_only() {
     let mut list = FleetList::new();
-    assert_eq!(read(&mut list, vec![config(1, 5, &["a", "b", "c"])], 5), 4);
+    assert_eq!(apply_items(&mut list, vec![config_item(1, 5, &["a", "b", "c"])], 5), 4);
     // One route is removed, one is added, and the version changes.
-    let items = vec![config(2, 9, &["a", "b", "d"])];
-    let taken = list.apply_watch(clock_at(10), ListReading::complete(items, 9));
-    let mut keys: Vec<_> = taken.iter().map(|row| row.key.as_str()).collect();
+    let items = vec![config_item(2, 9, &["a", "b", "d"])];
+    let applied = list.apply_watch(clock_at(10), ListReading::complete(items, 9));
+    let mut keys: Vec<_> = applied.iter().map(|row| row.key.as_str()).collect();
     keys.sort_unstable();
     assert_eq!(keys, ["limits", "route/c", "route/d"]);
-    assert!(taken.iter().all(|row| row.revision == 9));
+    assert!(applied.iter().all(|row| row.revision == 9));
     assert_eq!((list.head(), list.version()), (9, 2));
 }
 
@@ -62,14 +62,14 @@
 #[test]
 fn older_revisions_are_ignored() {
     let mut list = FleetList::new();
-    read(&mut list, vec![config(1, 5, &["a"]), server(1, 4)], 5);
-    read(&mut list, vec![config(2, 9, &["b"]), server(1, 8)], 9);
-    assert_eq!(read(&mut list, vec![config(1, 5, &["a"]), server(1, 4)], 5), 0);
+    apply_items(&mut list, vec![config_item(1, 5, &["a"]), backend_item(1, 4)], 5);
+    apply_items(&mut list, vec![config_item(2, 9, &["b"]), backend_item(1, 8)], 9);
+    assert_eq!(apply_items(&mut list, vec![config_item(1, 5, &["a"]), backend_item(1, 4)], 5), 0);
     assert!(
         list.apply_snapshot(clock_at(1), vec![route_row("a", 443, "desk", 5)], 6, 0).is_empty()
     );
     assert!(list.apply_changes(clock_at(1), vec![route_row("a", 443, "desk", 7)], 7).is_empty());
-    assert_eq!(live_keys(&list), ["backend/i-1", "limits", "route/b"]);
+    assert_eq!(listed_keys(&list), ["backend/i-1", "limits", "route/b"]);
     assert_eq!(list.head(), 9);
 }
 
@@ -77,9 +77,13 @@
 fn whole_reading_removes_missing_rows() {
     // The history was dropped, and with it the removal of a backend server.
     let mut list = FleetList::new();
-    read(&mut list, vec![config(1, 5, &["a"]), server(1, 3), server(2, 4)], 5);
-    read(&mut list, vec![config(1, 5, &["a"]), server(2, 4)], 30);
-    assert_eq!(live_keys(&list), ["backend/i-2", "limits", "route/a"]);
+    apply_items(
+        &mut list,
+        vec![config_item(1, 5, &["a"]), backend_item(1, 3), backend_item(2, 4)],
+        5,
+    );
+    apply_items(&mut list, vec![config_item(1, 5, &["a"]), backend_item(2, 4)], 30);
+    assert_eq!(listed_keys(&list), ["backend/i-2", "limits", "route/a"]);
 }
 
 // Guards against an instance that serves a route that was removed long ago and takes its list for
@@ -88,10 +92,10 @@
 #[test]
 fn whole_reading_raises_the_floor() {
     let mut list = FleetList::new();
-    read(&mut list, vec![config(3, 40, &["b"]), server(1, 30)], 50);
+    apply_items(&mut list, vec![config_item(3, 40, &["b"]), backend_item(1, 30)], 50);
     assert_eq!(list.floor(), 50, "changes before the reading can't be told");
     // Changes from a watch don't raise the floor.
-    let items = vec![config(4, 55, &["c"])];
+    let items = vec![config_item(4, 55, &["c"])];
     list.apply_watch(clock_at(10), ListReading::complete(items, 56));
     assert_eq!(list.floor(), 50);
     // A snapshot of a peer's list has the peer's floor.
@@ -105,15 +109,19 @@
     // A list of routes that can't be decoded leaves the last valid one in force; an entry that
     // can't be decoded no longer names a backend server.
     let mut list = FleetList::new();
-    read(&mut list, vec![config(1, 5, &["a"]), server(1, 3), server(2, 4)], 5);
+    apply_items(
+        &mut list,
+        vec![config_item(1, 5, &["a"]), backend_item(1, 3), backend_item(2, 4)],
+        5,
+    );
     let (revision, fault) = (8, "no JSON".to_owned());
     let bad = vec![
         ItemChange::Malformed { key: "limits".to_owned(), revision, fault: fault.clone() },
         ItemChange::BackendInvalid { id: "i-1".to_owned(), revision, fault },
-        server(2, 4),
+        backend_item(2, 4),
     ];
-    read(&mut list, bad, 8);
-    assert_eq!(live_keys(&list), ["backend/i-2", "limits", "route/a"]);
+    apply_items(&mut list, bad, 8);
+    assert_eq!(listed_keys(&list), ["backend/i-2", "limits", "route/a"]);
     assert_eq!(list.head(), 8);
 }
 
@@ -122,7 +130,7 @@
     let mut list = FleetList::new();
     let names: Vec<String> = (0..300).map(|index| format!("route-{index}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    read(&mut list, vec![config(1, 7, &names), server(1, 3)], 9);
+    apply_items(&mut list, vec![config_item(1, 7, &names), backend_item(1, 3)], 9);
     let mut copy = FleetList::new();
     let mut rows = Vec::new();
     let mut cursor = ListCursor::start();
@@ -137,7 +145,7 @@
         }
     }
     copy.apply_snapshot(clock_at(0), rows, list.head(), list.floor());
-    assert_eq!(live_keys(&copy), live_keys(&list));
+    assert_eq!(listed_keys(&copy), listed_keys(&list));
     assert!(list.page(clock_at(0), &ListCursor::after_revision(9), 900).rows.is_empty());
     assert_eq!(list.page(clock_at(0), &ListCursor::after_revision(3), 100_000).rows.len(), 301);
 }
@@ -145,8 +153,8 @@
 #[test]
 fn old_removals_are_dropped() {
     let mut list = FleetList::new();
-    read(&mut list, vec![config(1, 5, &["a"]), server(1, 3)], 5);
-    read(&mut list, vec![config(1, 5, &["a"])], 8);
+    apply_items(&mut list, vec![config_item(1, 5, &["a"]), backend_item(1, 3)], 5);
+    apply_items(&mut list, vec![config_item(1, 5, &["a"])], 8);
     list.remove_expired(clock_at(60_000));
     assert_eq!((list.len(), list.floor()), (3, 8));
     list.apply_watch(
@@ -168,7 +176,7 @@
 fn inserted_route_changes_one_row() {
     let mut list = FleetList::new();
     let mut names: Vec<String> = (0..100).map(|index| format!("r-{index}")).collect();
-    let spread = |version: u64, revision: u64, names: &[String]| {
+    let spread_config = |version: u64, revision: u64, names: &[String]| {
         let routes = names.iter().map(|name| RouteRow {
             name: name.clone(),
             // Each route has its own address.
@@ -182,27 +190,27 @@
             config: ConfigReading { limits, routes: routes.collect(), ..ConfigReading::default() },
         }
     };
-    read(&mut list, vec![spread(1, 5, &names)], 5);
+    apply_items(&mut list, vec![spread_config(1, 5, &names)], 5);
     names.insert(0, "first".to_owned());
-    let items = vec![spread(2, 6, &names)];
-    let taken = list.apply_watch(clock_at(1), ListReading::complete(items, 6));
-    assert_eq!(taken.len(), 2, "the route and the version");
+    let items = vec![spread_config(2, 6, &names)];
+    let applied = list.apply_watch(clock_at(1), ListReading::complete(items, 6));
+    assert_eq!(applied.len(), 2, "the route and the version");
 }
 
 #[test]
 fn routes_of_one_address_keep_their_order() {
     let mut list = FleetList::new();
-    read(&mut list, vec![config(1, 5, &["a", "b", "c"])], 5);
-    let place = |list: &FleetList, name: &str| {
+    apply_items(&mut list, vec![config_item(1, 5, &["a", "b", "c"])], 5);
+    let position_of = |list: &FleetList, name: &str| {
         let row = list.rows().find(|row| row.key == format!("route/{name}")).expect("is there");
         match &row.value {
             Some(RowValue::Route(route)) => route.position,
             _ => panic!("{name} is no route"),
         }
     };
-    assert_eq!(["a", "b", "c"].map(|name| place(&list, name)), [0, 1, 2]);
-    read(&mut list, vec![config(2, 9, &["c", "a"])], 9);
-    assert_eq!(["c", "a"].map(|name| place(&list, name)), [0, 1]);
+    assert_eq!(["a", "b", "c"].map(|name| position_of(&list, name)), [0, 1, 2]);
+    apply_items(&mut list, vec![config_item(2, 9, &["c", "a"])], 9);
+    assert_eq!(["c", "a"].map(|name| position_of(&list, name)), [0, 1]);
 }
 
 // Guards against refusals although the route is published: it is removed and restored unchanged
@@ -211,12 +219,12 @@
 #[test]
 fn route_restored_within_one_response_is_in_force() {
     let mut list = FleetList::new();
-    read(&mut list, vec![config(1, 5, &["a", "b"])], 5);
-    let items = vec![config(2, 7, &["a"]), config(3, 9, &["a", "b"])];
-    let taken = list.apply_watch(clock_at(10), ListReading::complete(items, 9));
-    assert_eq!(live_keys(&list), ["limits", "route/a", "route/b"]);
+    apply_items(&mut list, vec![config_item(1, 5, &["a", "b"])], 5);
+    let items = vec![config_item(2, 7, &["a"]), config_item(3, 9, &["a", "b"])];
+    let applied = list.apply_watch(clock_at(10), ListReading::complete(items, 9));
+    assert_eq!(listed_keys(&list), ["limits", "route/a", "route/b"]);
     // The rows, applied in order, end with the route in force.
-    let last = taken.iter().rfind(|row| row.key == "route/b").expect("has changed");
+    let last = applied.iter().rfind(|row| row.key == "route/b").expect("has changed");
     assert!(matches!(last.value, Some(RowValue::Route(_))));
     assert_eq!(last.revision, 9);
 }
@@ -224,10 +232,10 @@
 #[test]
 fn entry_restored_within_one_response_is_listed() {
     let mut list = FleetList::new();
-    read(&mut list, vec![config(1, 5, &["a"]), server(1, 3)], 5);
+    apply_items(&mut list, vec![config_item(1, 5, &["a"]), backend_item(1, 3)], 5);
     let gone = ItemChange::BackendRemoved { revision: 7, id: "i-1".to_owned() };
-    list.apply_watch(clock_at(10), ListReading::complete(vec![gone, server(1, 8)], 8));
-    assert_eq!(live_keys(&list), ["backend/i-1", "limits", "route/a"]);
+    list.apply_watch(clock_at(10), ListReading::complete(vec![gone, backend_item(1, 8)], 8));
+    assert_eq!(listed_keys(&list), ["backend/i-1", "limits", "route/a"]);
 }
 
 // Guards against the same at an instance that saw the removal and then gets a snapshot from a peer
@@ -236,18 +244,18 @@
 #[test]
 fn snapshot_overrides_newer_removal() {
     let mut peer = FleetList::new();
-    read(&mut peer, vec![config(1, 5, &["a", "b"])], 5);
-    read(&mut peer, vec![config(3, 9, &["a", "b"])], 9);
+    apply_items(&mut peer, vec![config_item(1, 5, &["a", "b"])], 5);
+    apply_items(&mut peer, vec![config_item(3, 9, &["a", "b"])], 9);
     let mut list = FleetList::new();
-    read(&mut list, vec![config(1, 5, &["a", "b"])], 5);
-    let items = vec![config(2, 7, &["a"])];
+    apply_items(&mut list, vec![config_item(1, 5, &["a", "b"])], 5);
+    let items = vec![config_item(2, 7, &["a"])];
     list.apply_watch(clock_at(10), ListReading::complete(items, 8));
-    assert_eq!(live_keys(&list), ["limits", "route/a"]);
+    assert_eq!(listed_keys(&list), ["limits", "route/a"]);
     let rows = peer.rows().cloned().collect();
-    let taken = list.apply_snapshot(clock_at(20), rows, peer.head(), peer.floor());
-    assert_eq!(live_keys(&list), ["limits", "route/a", "route/b"]);
+    let applied = list.apply_snapshot(clock_at(20), rows, peer.head(), peer.floor());
+    assert_eq!(listed_keys(&list), ["limits", "route/a", "route/b"]);
     // A peer that requests the changes since the removal gets the row.
-    assert!(taken.iter().any(|row| row.key == "route/b" && row.revision > 8));
+    assert!(applied.iter().any(|row| row.key == "route/b" && row.revision > 8));
 }
 
 // Guards against a return to a former list at the newest revision: a row changes at the peer
@@ -255,8 +263,8 @@
 #[test]
 fn newest_of_duplicate_snapshot_rows_counts() {
     let mut list = FleetList::new();
-    read(&mut list, vec![config(1, 5, &["a"]), server(1, 3)], 5);
-    list.apply_watch(clock_at(10), ListReading::complete(vec![config(3, 9, &["a"])], 9));
+    apply_items(&mut list, vec![config_item(1, 5, &["a"]), backend_item(1, 3)], 5);
+    list.apply_watch(clock_at(10), ListReading::complete(vec![config_item(3, 9, &["a"])], 9));
     let copy =
         vec![limits_row(1, 5), route_row("a", 443, "desk", 5), limits_row(3, 9), limits_row(4, 11)];
     list.apply_snapshot(clock_at(20), copy, 12, 2);
@@ -270,15 +278,23 @@
 #[test]
 fn applies_changes_across_gap() {
     let mut list = FleetList::new();
-    read(&mut list, vec![config(1, 5, &["a", "b"]), server(1, 3), server(2, 4)], 5);
+    apply_items(
+        &mut list,
+        vec![config_item(1, 5, &["a", "b"]), backend_item(1, 3), backend_item(2, 4)],
+        5,
+    );
     let mut peer = FleetList::new();
     peer.apply_snapshot(clock_at(0), list.rows().cloned().collect(), 5, list.floor());
-    read(&mut list, vec![config(3, 20, &["a", "c"]), server(2, 4), server(3, 22)], 30);
+    apply_items(
+        &mut list,
+        vec![config_item(3, 20, &["a", "c"]), backend_item(2, 4), backend_item(3, 22)],
+        30,
+    );
     assert_eq!(list.coverage_since(5), ChangeCoverage::AcrossGap);
     let rows = list.page(clock_at(0), &ListCursor::after_revision(5), 100_000).rows;
     assert!(!rows.iter().any(|row| row.key == "backend/i-2"), "didn't change");
     peer.apply_changes_across_gap(clock_at(10), rows, list.head());
-    assert_eq!(live_keys(&peer), live_keys(&list));
+    assert_eq!(listed_keys(&peer), listed_keys(&list));
     assert_eq!((peer.head(), peer.version()), (30, 3));
     assert_eq!(peer.coverage_since(5), ChangeCoverage::AcrossGap);
 }
@@ -288,27 +304,27 @@
 #[test]
 fn changes_are_unavailable_within_gap() {
     let mut list = FleetList::new();
-    read(&mut list, vec![config(1, 5, &["a"]), server(1, 3)], 5);
+    apply_items(&mut list, vec![config_item(1, 5, &["a"]), backend_item(1, 3)], 5);
     let mut ahead = list.clone();
-    ahead.apply_watch(clock_at(5), ListReading::complete(vec![server(9, 12)], 12));
-    read(&mut list, vec![config(1, 5, &["a"]), server(1, 3)], 30);
-    let reaches = [4, 5, 6, 12, 29, 30, 31].map(|revision| list.coverage_since(revision));
+    ahead.apply_watch(clock_at(5), ListReading::complete(vec![backend_item(9, 12)], 12));
+    apply_items(&mut list, vec![config_item(1, 5, &["a"]), backend_item(1, 3)], 30);
+    let coverages = [4, 5, 6, 12, 29, 30, 31].map(|revision| list.coverage_since(revision));
     use ChangeCoverage::{AcrossGap, Complete, Unavailable};
     assert_eq!(
-        reaches,
+        coverages,
         [Unavailable, AcrossGap, Unavailable, Unavailable, Unavailable, Complete, Complete]
     );
     assert_eq!(list.floor(), 30);
     ahead.apply_snapshot(clock_at(10), list.rows().cloned().collect(), list.head(), list.floor());
-    assert_eq!(live_keys(&ahead), live_keys(&list));
+    assert_eq!(listed_keys(&ahead), listed_keys(&list));
 }
 
 // Guards against incremental changes across a restore, whose revisions stand for other changes.
 #[test]
 fn changes_are_unavailable_across_restore() {
     let mut list = FleetList::new();
-    read(&mut list, vec![config(1, 5, &["a"]), server(1, 3)], 5);
-    let restored = ListReading::complete(vec![config(1, 4, &["a"])], 4).with_epoch(1);
+    apply_items(&mut list, vec![config_item(1, 5, &["a"]), backend_item(1, 3)], 5);
+    let restored = ListReading::complete(vec![config_item(1, 4, &["a"])], 4).with_epoch(1);
     list.apply_reading(clock_at(0), restored);
     assert_eq!(list.coverage_since(5), ChangeCoverage::Unavailable);
     assert_eq!(list.floor(), list.head());
@@ -320,12 +336,12 @@
 fn number_of_gaps_is_limited() {
     let mut list = FleetList::new();
     for round in 1..=20 {
-        read(&mut list, vec![config(1, 1, &["a"])], round * 10);
+        apply_items(&mut list, vec![config_item(1, 1, &["a"])], round * 10);
     }
     assert_eq!(list.coverage_since(100), ChangeCoverage::Unavailable);
     assert_eq!(list.coverage_since(190), ChangeCoverage::AcrossGap);
-    read(&mut list, vec![config(1, 1, &["a"]), server(1, 205)], 210);
-    read(&mut list, vec![config(1, 1, &["a"])], 220);
+    apply_items(&mut list, vec![config_item(1, 1, &["a"]), backend_item(1, 205)], 210);
+    apply_items(&mut list, vec![config_item(1, 1, &["a"])], 220);
     list.remove_expired(clock_at(200_000));
     assert_eq!(list.coverage_since(210), ChangeCoverage::Unavailable);
 }
@@ -334,8 +350,8 @@
 #[test]
 fn rows_past_head_until_watch_catches_up() {
     let mut list = FleetList::new();
-    read(&mut list, vec![config(1, 5, &["a"]), server(1, 9)], 6);
+    apply_items(&mut list, vec![config_item(1, 5, &["a"]), backend_item(1, 9)], 6);
     assert!(list.has_rows_past_head());
-    list.apply_watch(clock_at(0), ListReading::complete(vec![server(1, 9)], 10));
+    list.apply_watch(clock_at(0), ListReading::complete(vec![backend_item(1, 9)], 10));
     assert!(!list.has_rows_past_head());
 }
--- a/crates/foxledge-flows/tests/restarted_backends.rs
+++ b/crates/foxledge-flows/tests/restarted_backends.rs
@@ -10,28 +10,31 @@
     rows::BackendRow,
 };
 
-const FIRST: u64 = 1_792_453_826_049;
-const SECOND: u64 = 1_792_453_829_000;
+const FIRST_START: u64 = 1_792_453_826_049;
+const SECOND_START: u64 = 1_792_453_829_000;
 
-fn spec(incarnation: u64) -> BackendRow {
+fn backend_start(incarnation: u64) -> BackendRow {
     BackendRow { incarnation, ..backend_spec(1, "desk", LOCAL_CENTRE) }
 }
 
 /// Returns a router that knows the first start of backend server 1, and a remote one.
 fn first_router() -> FlowRouter {
-    listed_router(&[backend_row(spec(FIRST), 2), listed_backend(2, "desk", REMOTE_CENTRE, 2)])
+    listed_router(&[
+        backend_row(backend_start(FIRST_START), 2),
+        listed_backend(2, "desk", REMOTE_CENTRE, 2),
+    ])
 }
 
 fn health_of(router: &FlowRouter, now: u64) -> HealthClass {
     router.backend_by_number(1).expect("is known").health.class(clock_at(now))
 }
 
-fn note(incarnation: u64, kind: ObservationKind, when: u64) -> HealthObservation {
+fn peer_observation(incarnation: u64, kind: ObservationKind, when: u64) -> HealthObservation {
     HealthObservation { number: 1, incarnation, kind, observed_at: clock_at(when) }
 }
 
 /// Leaves an opening packet to backend server 1 unanswered.
-fn silence(router: &mut FlowRouter, sent: u64) {
+fn leave_opening_unanswered(router: &mut FlowRouter, sent: u64) {
     let flow = flow_key(7, 100);
     let decision = router.on_packet(clock_at(sent), &opening_packet(flow, 0));
     assert_eq!(decided_backend(router, &decision), Some(1));
@@ -44,19 +47,19 @@
 #[test]
 fn restart_replaces_all_fields() {
     let mut router = first_router();
-    let again = BackendRow {
+    let restarted = BackendRow {
         ip: u32::from(Ipv4Addr::new(10, 128, 7, 7)),
         data_centre: REMOTE_CENTRE.to_owned(),
         slots: 5,
         warm_in_ms: 2_000,
-        ..spec(SECOND)
+        ..backend_start(SECOND_START)
     };
-    router.apply_rows(clock_at(3_000), &[backend_row(again, 9)]);
+    router.apply_rows(clock_at(3_000), &[backend_row(restarted, 9)]);
     let backend = router.backend_by_number(1).expect("is known");
     assert_eq!(backend.address.to_string(), "10.128.7.7:8080");
     assert_eq!((&*backend.data_centre, backend.slots), (REMOTE_CENTRE, 5));
     assert!(!backend.warm_at.is_past(clock_at(4_900)) && backend.warm_at.is_past(clock_at(5_001)));
-    assert_eq!((backend.incarnation, backend.revision), (SECOND, 9));
+    assert_eq!((backend.incarnation, backend.revision), (SECOND_START, 9));
 }
 
 // Guards against a restarted backend server that gets no new flows for seconds because its previous
@@ -64,9 +67,9 @@
 #[test]
 fn restart_clears_ejection() {
     let mut router = first_router();
-    silence(&mut router, 1_000);
+    leave_opening_unanswered(&mut router, 1_000);
     assert_eq!(health_of(&router, 1_300), HealthClass::Ejected);
-    router.apply_rows(clock_at(1_400), &[backend_row(spec(SECOND), 9)]);
+    router.apply_rows(clock_at(1_400), &[backend_row(backend_start(SECOND_START), 9)]);
     assert_eq!(health_of(&router, 1_401), HealthClass::Healthy);
     assert_eq!(open_flow(&mut router, 1_410, flow_key(1, 1)), Some(1));
 }
@@ -77,7 +80,7 @@
     let mut router = first_router();
     let flow = flow_key(7, 100);
     router.on_packet(clock_at(1_000), &opening_packet(flow, 0));
-    router.apply_rows(clock_at(1_020), &[backend_row(spec(SECOND), 9)]);
+    router.apply_rows(clock_at(1_020), &[backend_row(backend_start(SECOND_START), 9)]);
     router.report_overdue_openings(clock_at(1_100));
     router.on_packet(clock_at(1_200), &opening_packet(flow, 1));
     assert_eq!(health_of(&router, 1_201), HealthClass::Healthy);
@@ -88,24 +91,32 @@
 #[test]
 fn peer_observations_of_previous_process_are_ignored() {
     let mut router = first_router();
-    router.apply_rows(clock_at(1_000), &[backend_row(spec(SECOND), 9)]);
+    router.apply_rows(clock_at(1_000), &[backend_row(backend_start(SECOND_START), 9)]);
     for kind in
         [ObservationKind::Suspect, ObservationKind::Ejected, ObservationKind::OpeningUnanswered]
     {
-        router.apply_observation(clock_at(1_100), &note(FIRST, kind, 1_090));
+        router.apply_observation(clock_at(1_100), &peer_observation(FIRST_START, kind, 1_090));
         assert_eq!(health_of(&router, 1_101), HealthClass::Healthy, "{kind:?}");
     }
     router.apply_observation(
         clock_at(1_200),
-        &note(SECOND, ObservationKind::OpeningUnanswered, 1_190),
+        &peer_observation(SECOND_START, ObservationKind::OpeningUnanswered, 1_190),
     );
     assert_eq!(health_of(&router, 1_201), HealthClass::Ejected);
     // A response of the previous process doesn't count for the new one either.
-    router.apply_observation(clock_at(1_300), &note(FIRST, ObservationKind::Alive, 1_290));
+    router.apply_observation(
+        clock_at(1_300),
+        &peer_observation(FIRST_START, ObservationKind::Alive, 1_290),
+    );
     assert_eq!(health_of(&router, 1_301), HealthClass::Ejected);
     // This instance's own observations name the start that it observed.
-    silence(&mut router, 4_000);
-    assert!(router.drain_observations().iter().all(|note| note.incarnation == SECOND));
+    leave_opening_unanswered(&mut router, 4_000);
+    assert!(
+        router
+            .drain_observations()
+            .iter()
+            .all(|observation| observation.incarnation == SECOND_START)
+    );
 }
 
 #[test]
@@ -114,10 +125,10 @@
     let mut router = first_router();
     let flow = flow_key(1, 1);
     router.on_packet(clock_at(1_000), &opening_packet(flow, 0));
-    router.apply_rows(clock_at(1_010), &[backend_row(spec(SECOND), 9)]);
+    router.apply_rows(clock_at(1_010), &[backend_row(backend_start(SECOND_START), 9)]);
     router.apply_observation(
         clock_at(1_015),
-        &note(SECOND, ObservationKind::OpeningUnanswered, 1_012),
+        &peer_observation(SECOND_START, ObservationKind::OpeningUnanswered, 1_012),
     );
     router.on_packet(clock_at(1_020), &data_packet(flow, 1, 1_000, 1));
     assert_eq!(health_of(&router, 1_021), HealthClass::Ejected);
@@ -138,7 +149,7 @@
         router.backend_by_number(1).map(|one| (one.open_flows, one.running_requests)),
         Some((3, 3))
     );
-    router.apply_rows(clock_at(500), &[backend_row(spec(SECOND), 9)]);
+    router.apply_rows(clock_at(500), &[backend_row(backend_start(SECOND_START), 9)]);
     for flow in &flows {
         let decision = router.on_packet(clock_at(600), &data_packet(*flow, 1, 1_100, 1));
         assert_eq!(decided_backend(&router, &decision), Some(1), "its own reset tells the caller");
@@ -161,26 +172,30 @@
 #[test]
 fn later_revision_decides_over_start_time() {
     let mut router = first_router();
-    router.apply_rows(clock_at(100), &[backend_row(spec(FIRST - 60_000), 9)]);
-    assert_eq!(router.backend_by_number(1).map(|one| one.incarnation), Some(FIRST - 60_000));
-    router.apply_rows(clock_at(200), &[backend_row(spec(FIRST), 8)]);
-    assert_eq!(router.backend_by_number(1).map(|one| one.incarnation), Some(FIRST - 60_000));
+    router.apply_rows(clock_at(100), &[backend_row(backend_start(FIRST_START - 60_000), 9)]);
+    assert_eq!(router.backend_by_number(1).map(|one| one.incarnation), Some(FIRST_START - 60_000));
+    router.apply_rows(clock_at(200), &[backend_row(backend_start(FIRST_START), 8)]);
+    assert_eq!(router.backend_by_number(1).map(|one| one.incarnation), Some(FIRST_START - 60_000));
 }
 
 #[test]
 fn restart_ends_draining_and_removal() {
     // Drained, removed and restarted; drained and restarted; removed and restarted.
-    for (drains, gone) in [(true, true), (true, false), (false, true)] {
+    for (is_drained, is_removed) in [(true, true), (true, false), (false, true)] {
         let mut router = first_router();
-        let first = backend_row(spec(FIRST), 2);
-        let mut row = if drains { draining_row(&first, 3) } else { first.clone() };
+        let first = backend_row(backend_start(FIRST_START), 2);
+        let mut row = if is_drained { draining_row(&first, 3) } else { first.clone() };
         router.apply_rows(clock_at(100), std::slice::from_ref(&row));
-        if gone {
+        if is_removed {
             row = removed_row(&row, 4, 0);
             router.apply_rows(clock_at(5_000), &[row]);
         }
-        router.apply_rows(clock_at(9_000), &[backend_row(spec(SECOND), 9)]);
-        assert_eq!(open_flow(&mut router, 9_010, flow_key(1, 1)), Some(1), "{drains} {gone}");
+        router.apply_rows(clock_at(9_000), &[backend_row(backend_start(SECOND_START), 9)]);
+        assert_eq!(
+            open_flow(&mut router, 9_010, flow_key(1, 1)),
+            Some(1),
+            "{is_drained} {is_removed}"
+        );
     }
 }
 
@@ -188,17 +203,21 @@
 fn reused_address_of_previous_process_changes_nothing() {
     // Another backend server has the previous address; the new process has its own.
     let mut router = first_router();
-    let first = backend_row(spec(FIRST), 2);
+    let first = backend_row(backend_start(FIRST_START), 2);
     router.apply_rows(clock_at(100), &[removed_row(&first, 3, 0)]);
     let mut other = backend_spec(5, "desk", REMOTE_CENTRE);
     other.ip = u32::from(Ipv4Addr::new(10, 128, 0, 1));
     router.apply_rows(clock_at(2_000), &[backend_row(other, 4)]);
-    let again = BackendRow { ip: u32::from(Ipv4Addr::new(10, 128, 7, 7)), ..spec(SECOND) };
-    router.apply_rows(clock_at(3_000), &[backend_row(again, 5)]);
+    let restarted =
+        BackendRow { ip: u32::from(Ipv4Addr::new(10, 128, 7, 7)), ..backend_start(SECOND_START) };
+    router.apply_rows(clock_at(3_000), &[backend_row(restarted, 5)]);
     assert_eq!(open_flow(&mut router, 3_010, flow_key(1, 1)), Some(1));
     // Its own previous address, used by it again, doesn't make it replaced.
-    router.apply_rows(clock_at(4_000), &[removed_row(&backend_row(spec(SECOND), 5), 6, 0)]);
-    router.apply_rows(clock_at(4_100), &[backend_row(spec(SECOND + 5), 7)]);
+    router.apply_rows(
+        clock_at(4_000),
+        &[removed_row(&backend_row(backend_start(SECOND_START), 5), 6, 0)],
+    );
+    router.apply_rows(clock_at(4_100), &[backend_row(backend_start(SECOND_START + 5), 7)]);
     assert_eq!(open_flow(&mut router, 4_110, flow_key(1, 2)), Some(1));
 }
 
@@ -210,7 +229,7 @@
     let mut router = first_router();
     let flow = flow_key(1, 1);
     router.on_packet(clock_at(900), &data_packet(flow, 1, 1_000, 1));
-    router.apply_rows(clock_at(1_000), &[backend_row(spec(SECOND), 9)]);
+    router.apply_rows(clock_at(1_000), &[backend_row(backend_start(SECOND_START), 9)]);
     for now in [1_010, 1_210, 1_610, 2_410] {
         let decision = router.on_packet(clock_at(now), &data_packet(flow, 1, 1_000, 1));
         assert!(matches!(decision, FlowDecision::Forward { .. }), "{decision:?}");
--- a/crates/foxledge-flows/tests/restored_entries.rs
+++ b/crates/foxledge-flows/tests/restored_entries.rs
@@ -8,7 +8,7 @@
 const REFUSED: FlowDecision = FlowDecision::Refuse(RefuseReason::NoBackend);
 
 /// Returns the row as part of the restored store, with the number that it had before.
-fn restored(row: &foxledge_flows::rows::ListRow) -> foxledge_flows::rows::ListRow {
+fn restored_row(row: &foxledge_flows::rows::ListRow) -> foxledge_flows::rows::ListRow {
     foxledge_flows::rows::ListRow { revision: revision_of(1, row.revision), ..row.clone() }
 }
 
@@ -16,13 +16,13 @@
 // draining.
 #[test]
 fn draining_survives_restore() {
-    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
-    let mut router = listed_router(std::slice::from_ref(&one));
-    router.apply_rows(clock_at(100), &[draining_row(&one, 5)]);
-    router.apply_rows(clock_at(200), &[restored(&one)]);
+    let row = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&row));
+    router.apply_rows(clock_at(100), &[draining_row(&row, 5)]);
+    router.apply_rows(clock_at(200), &[restored_row(&row)]);
     assert_eq!(router.on_packet(clock_at(210), &opening_packet(flow_key(1, 1), 0)), REFUSED);
     // It has stopped, and its entry expires.
-    router.apply_rows(clock_at(300), &[removed_row(&restored(&one), revision_of(1, 9), 0)]);
+    router.apply_rows(clock_at(300), &[removed_row(&restored_row(&row), revision_of(1, 9), 0)]);
     router.set_confirmed_at(clock_at(305));
     assert_eq!(router.on_packet(clock_at(310), &opening_packet(flow_key(1, 2), 0)), REFUSED);
 }
@@ -32,10 +32,10 @@
 fn restarted_backend_serves_after_restore() {
     let start =
         |incarnation: u64| BackendRow { incarnation, ..backend_spec(1, "desk", LOCAL_CENTRE) };
-    let one = backend_row(start(7), 2);
-    let mut router = listed_router(std::slice::from_ref(&one));
-    router.apply_rows(clock_at(100), &[draining_row(&one, 5)]);
-    router.apply_rows(clock_at(200), &[restored(&backend_row(start(8), 3))]);
+    let row = backend_row(start(7), 2);
+    let mut router = listed_router(std::slice::from_ref(&row));
+    router.apply_rows(clock_at(100), &[draining_row(&row, 5)]);
+    router.apply_rows(clock_at(200), &[restored_row(&backend_row(start(8), 3))]);
     assert_eq!(open_flow(&mut router, 210, flow_key(1, 1)), Some(1));
 }
 
@@ -43,24 +43,24 @@
 // overwritten its entry before the restore.
 #[test]
 fn entry_invalid_before_restore_serves_again() {
-    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
-    let mut router = listed_router(std::slice::from_ref(&one));
-    router.apply_rows(clock_at(100), &[removed_row(&draining_row(&one, 4), 5, 0)]);
-    router.apply_rows(clock_at(200), &[restored(&one)]);
+    let row = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&row));
+    router.apply_rows(clock_at(100), &[removed_row(&draining_row(&row, 4), 5, 0)]);
+    router.apply_rows(clock_at(200), &[restored_row(&row)]);
     assert_eq!(open_flow(&mut router, 210, flow_key(1, 1)), Some(1));
 }
 
 // Guards against draining that can't be withdrawn within one epoch.
 #[test]
 fn draining_can_be_withdrawn_within_epoch() {
-    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
-    let mut router = listed_router(std::slice::from_ref(&one));
-    router.apply_rows(clock_at(100), &[draining_row(&one, 5)]);
+    let row = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&row));
+    router.apply_rows(clock_at(100), &[draining_row(&row, 5)]);
     router.apply_rows(clock_at(200), &[listed_backend(1, "desk", LOCAL_CENTRE, 6)]);
     assert_eq!(open_flow(&mut router, 210, flow_key(1, 1)), Some(1));
     // Announced again after the restore, draining can be withdrawn there as well.
-    router.apply_rows(clock_at(300), &[restored(&draining_row(&one, 7))]);
-    router.apply_rows(clock_at(400), &[restored(&listed_backend(1, "desk", LOCAL_CENTRE, 8))]);
+    router.apply_rows(clock_at(300), &[restored_row(&draining_row(&row, 7))]);
+    router.apply_rows(clock_at(400), &[restored_row(&listed_backend(1, "desk", LOCAL_CENTRE, 8))]);
     assert_eq!(open_flow(&mut router, 410, flow_key(1, 2)), Some(1));
 }
 
@@ -68,11 +68,11 @@
 // store to count as unreachable.
 #[test]
 fn grace_restarts_after_restore() {
-    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
-    let mut router = listed_router(std::slice::from_ref(&one));
+    let row = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&row));
     router.set_confirmed_at(clock_at(900));
     // Its entry had expired a while before the store was restored without it.
-    router.apply_rows(clock_at(1_000), &[removed_row(&one, 6, 0)]);
+    router.apply_rows(clock_at(1_000), &[removed_row(&row, 6, 0)]);
     router.set_confirmed_at(clock_at(1_500));
     router.apply_restored_rows(clock_at(3_000), &[limits_row(1, revision_of(1, 1))]);
     router.set_confirmed_at(clock_at(3_000));
@@ -85,12 +85,12 @@
 // never knew the entry must wait until it can be back.
 #[test]
 fn resets_nothing_until_lost_entries_can_return() {
-    let one = listed_backend(1, "desk", LOCAL_CENTRE, 2);
-    let mut router = listed_router(std::slice::from_ref(&one));
+    let row = listed_backend(1, "desk", LOCAL_CENTRE, 2);
+    let mut router = listed_router(std::slice::from_ref(&row));
     for now in (1_000..=10_000).step_by(1_000) {
         router.set_confirmed_at(clock_at(now));
     }
-    router.apply_restored_rows(clock_at(10_100), &[restored(&one)]);
+    router.apply_restored_rows(clock_at(10_100), &[restored_row(&row)]);
     let unknown = data_packet(flow_key(1, 1), 77, 500, 1);
     let decisions: Vec<_> = (0..12)
         .map(|count| {
@@ -126,7 +126,7 @@
     router.set_confirmed_at(clock_at(1_900));
     assert_eq!(open_flow(&mut router, 1_910, flow_key(1, 1)), Some(2));
     // Written again, the evacuation applies for good.
-    router.apply_rows(clock_at(2_000), &[restored(&evacuation_row(LOCAL_CENTRE, 6))]);
+    router.apply_rows(clock_at(2_000), &[restored_row(&evacuation_row(LOCAL_CENTRE, 6))]);
     router.set_confirmed_at(clock_at(9_000));
     assert_eq!(open_flow(&mut router, 9_010, flow_key(1, 2)), Some(2));
     // An evacuation that isn't written again ends.
@@ -147,13 +147,13 @@
     let mut router = two_centres();
     router.apply_rows(clock_at(100), &[evacuation_row(REMOTE_CENTRE, 8)]);
     let rows = [
-        restored(&evacuation_row(LOCAL_CENTRE, 4)),
+        restored_row(&evacuation_row(LOCAL_CENTRE, 4)),
         removed_row(&evacuation_row(REMOTE_CENTRE, 8), revision_of(1, 6), 0),
     ];
     router.apply_restored_rows(clock_at(1_000), &rows);
     router.set_confirmed_at(clock_at(1_900));
     assert_eq!(open_flow(&mut router, 1_910, flow_key(1, 1)), Some(1));
-    router.apply_rows(clock_at(2_000), &[restored(&evacuation_row(REMOTE_CENTRE, 9))]);
+    router.apply_rows(clock_at(2_000), &[restored_row(&evacuation_row(REMOTE_CENTRE, 9))]);
     router.apply_rows(
         clock_at(2_010),
         &[removed_row(&evacuation_row(LOCAL_CENTRE, 4), revision_of(1, 10), 0)],
@@ -161,7 +161,7 @@
     router.set_confirmed_at(clock_at(9_000));
     assert_eq!(open_flow(&mut router, 9_010, flow_key(1, 2)), Some(1));
     // An evacuation requested after the restore applies at once.
-    router.apply_rows(clock_at(9_100), &[restored(&evacuation_row(LOCAL_CENTRE, 11))]);
+    router.apply_rows(clock_at(9_100), &[restored_row(&evacuation_row(LOCAL_CENTRE, 11))]);
     assert!(router.evacuations().any(|(centre, _)| centre.as_str() == LOCAL_CENTRE));
 }
 
@@ -172,12 +172,12 @@
     let former = listed_backend(2, "desk", LOCAL_CENTRE, 1);
     let mut spec = backend_spec(1, "desk", LOCAL_CENTRE);
     spec.ip = backend_spec(2, "desk", LOCAL_CENTRE).ip;
-    let one = backend_row(spec, 5);
-    let mut router = listed_router(std::slice::from_ref(&one));
+    let row = backend_row(spec, 5);
+    let mut router = listed_router(std::slice::from_ref(&row));
     let number = open_flow(&mut router, 50, flow_key(1, 1)).expect("is served");
     // Its entry expires, and the store is restored without it.
-    router.apply_rows(clock_at(100), &[removed_row(&one, 6, 0)]);
-    router.apply_restored_rows(clock_at(200), &[restored(&former)]);
+    router.apply_rows(clock_at(100), &[removed_row(&row, 6, 0)]);
+    router.apply_restored_rows(clock_at(200), &[restored_row(&former)]);
     router.set_confirmed_at(clock_at(201));
     let decision =
         router.on_packet(clock_at(210), &data_packet(flow_key(1, 1), number as u32, 500, 1));
@@ -187,6 +187,6 @@
     assert!(
         router
             .backends()
-            .any(|one| one.number == 1 && router.accepts_new_flows(clock_at(220), one))
+            .any(|row| row.number == 1 && router.accepts_new_flows(clock_at(220), row))
     );
 }
--- a/crates/foxledge-flows/tests/unknown_row_kinds.rs
+++ b/crates/foxledge-flows/tests/unknown_row_kinds.rs
@@ -11,11 +11,11 @@
 use prost::Message;
 
 /// A kind that no build knows yet.
-const LATER_KIND: u32 = 4_000;
+const UNKNOWN_KIND: u32 = 4_000;
 const PAGE: usize = 10_000;
 
-fn later(revision: u64) -> ListRow {
-    let row = ExtensionRow { kind: LATER_KIND, body: vec![9, 8, 7] };
+fn unknown_row(revision: u64) -> ListRow {
+    let row = ExtensionRow { kind: UNKNOWN_KIND, body: vec![9, 8, 7] };
     ListRow { key: "later/x".to_owned(), revision, value: Some(RowValue::Extension(row)) }
 }
 
@@ -29,18 +29,18 @@
 #[test]
 fn passes_on_unknown_rows_unchanged() {
     let mut older = FleetList::new();
-    older.apply_changes(clock_at(0), vec![limits_row(1, 1), later(2)], 2);
+    older.apply_changes(clock_at(0), vec![limits_row(1, 1), unknown_row(2)], 2);
     let mut newer = FleetList::new();
     newer.apply_snapshot(clock_at(0), rows_of(&older), older.head(), older.floor());
-    assert!(rows_of(&newer).contains(&later(2)));
-    newer.apply_changes(clock_at(0), vec![later(5)], 5);
-    assert!(rows_of(&newer).contains(&later(5)));
+    assert!(rows_of(&newer).contains(&unknown_row(2)));
+    newer.apply_changes(clock_at(0), vec![unknown_row(5)], 5);
+    assert!(rows_of(&newer).contains(&unknown_row(5)));
 }
 
 #[test]
 fn router_ignores_unknown_rows() {
     let mut router = listed_router(&[listed_backend(1, "desk", LOCAL_CENTRE, 2)]);
-    router.apply_rows(clock_at(10), &[later(9)]);
+    router.apply_rows(clock_at(10), &[unknown_row(9)]);
     let decision = router.on_packet(clock_at(20), &opening_packet(flow_key(1, 1), 0));
     assert_eq!(decided_backend(&router, &decision), Some(1));
 }
--- a/crates/foxledge-flows/tests/unresponsive_backend.rs
+++ b/crates/foxledge-flows/tests/unresponsive_backend.rs
@@ -17,7 +17,7 @@
 }
 
 /// Opens a flow that stays unanswered; returns the number of its backend server.
-fn lost_opening(router: &mut foxledge_flows::FlowRouter, now: u64, port: u16) -> u64 {
+fn unanswered_opening(router: &mut foxledge_flows::FlowRouter, now: u64, port: u16) -> u64 {
     let decision = router.on_packet(clock_at(now), &opening_packet(flow_key(9, port), 0));
     decided_backend(router, &decision).expect("is placed")
 }
@@ -28,21 +28,21 @@
 #[test]
 fn unanswered_opening_keeps_new_flows_away() {
     let mut router = two_backends();
-    let dead = lost_opening(&mut router, 0, 1);
+    let dead = unanswered_opening(&mut router, 0, 1);
     router.report_overdue_openings(clock_at(41));
     assert_eq!(class_of(&router, dead, 41), HealthClass::Suspect);
     for port in 10..30 {
         assert_ne!(open_flow(&mut router, 42, flow_key(1, port)), Some(dead));
     }
-    let notes = router.drain_observations();
-    assert_eq!(notes[0].number, dead);
-    assert_eq!(notes[0].kind, ObservationKind::Suspect);
+    let observations = router.drain_observations();
+    assert_eq!(observations[0].number, dead);
+    assert_eq!(observations[0].kind, ObservationKind::Suspect);
 }
 
 #[test]
 fn retransmitted_opening_goes_elsewhere() {
     let mut router = two_backends();
-    let dead = lost_opening(&mut router, 0, 1);
+    let dead = unanswered_opening(&mut router, 0, 1);
     let decision = router.on_packet(clock_at(200), &opening_packet(flow_key(9, 1), 1));
     assert_ne!(decided_backend(&router, &decision), Some(dead));
     assert_eq!(class_of(&router, dead, 201), HealthClass::Ejected);
@@ -54,7 +54,7 @@
 #[test]
 fn openings_read_together_go_to_one_backend() {
     let mut router = two_backends();
-    let first = lost_opening(&mut router, 5_000, 1);
+    let first = unanswered_opening(&mut router, 5_000, 1);
     for copy in 1..3 {
         let decision = router.on_packet(clock_at(5_001), &opening_packet(flow_key(9, 1), copy));
         assert_eq!(decided_backend(&router, &decision), Some(first));
@@ -67,7 +67,7 @@
 #[test]
 fn pause_counts_against_no_backend() {
     let mut router = two_backends();
-    let alive = lost_opening(&mut router, 0, 1);
+    let alive = unanswered_opening(&mut router, 0, 1);
     // The pause ends at 300 ms: the socket is read first, then openings are checked.
     router.on_packet(
         clock_at(300),
@@ -81,13 +81,13 @@
 #[test]
 fn one_flow_tries_ejected_backend() {
     let mut router = two_backends();
-    let dead = lost_opening(&mut router, 0, 1);
+    let dead = unanswered_opening(&mut router, 0, 1);
     router.on_packet(clock_at(200), &opening_packet(flow_key(9, 1), 1));
     assert_eq!(class_of(&router, dead, 1_100), HealthClass::Ejected);
     assert_eq!(class_of(&router, dead, 1_300), HealthClass::Probation);
     // One flow tries it; while that flow waits, no other does.
-    let tries = (0..20).filter(|port| lost_opening(&mut router, 1_300, 100 + port) == dead);
-    assert_eq!(tries.count(), 1);
+    let trials = (0..20).filter(|port| unanswered_opening(&mut router, 1_300, 100 + port) == dead);
+    assert_eq!(trials.count(), 1);
     router.report_overdue_openings(clock_at(1_345));
     assert_eq!(class_of(&router, dead, 1_346), HealthClass::Ejected);
     // The second ejection lasts twice as long.
@@ -98,7 +98,7 @@
 #[test]
 fn response_ends_probation() {
     let mut router = two_backends();
-    let dead = lost_opening(&mut router, 0, 1);
+    let dead = unanswered_opening(&mut router, 0, 1);
     router.on_packet(clock_at(200), &opening_packet(flow_key(9, 1), 1));
     router.drain_observations();
     router.on_packet(clock_at(1_300), &opening_packet(flow_key(9, 2), 0));
@@ -173,7 +173,7 @@
 #[test]
 fn retry_of_caller_avoids_same_backend() {
     let mut router = two_backends();
-    let refusing = lost_opening(&mut router, 0, 1);
+    let refusing = unanswered_opening(&mut router, 0, 1);
     let decision = router.on_packet(clock_at(14), &opening_packet(flow_key(9, 2), 0));
     assert_ne!(decided_backend(&router, &decision), Some(refusing));
 }
@@ -189,7 +189,7 @@
     assert!(matches!(decision, FlowDecision::Forward { stall: None, .. }));
     let decision = router.on_packet(clock_at(300), &asked);
     let FlowDecision::Forward { stall: Some(stall), .. } = decision else {
-        panic!("{decision:?} tells no stall");
+        panic!("{decision:?} reports no stall");
     };
     assert_eq!(stall.waited_ms, 200);
     assert_eq!(stall.health, HealthClass::Suspect);
@@ -209,13 +209,13 @@
 fn openings_read_after_pause_count_against_no_backend() {
     let mut router = two_backends();
     router.record_pause();
-    let backend = lost_opening(&mut router, 7_000, 1);
+    let backend = unanswered_opening(&mut router, 7_000, 1);
     router.report_overdue_openings(clock_at(7_050));
     assert_eq!(class_of(&router, backend, 7_050), HealthClass::Healthy);
     assert!(router.drain_observations().is_empty());
     // Once the list is confirmed again, the pause is over.
     router.set_confirmed_at(clock_at(7_060));
-    let backend = lost_opening(&mut router, 7_070, 2);
+    let backend = unanswered_opening(&mut router, 7_070, 2);
     router.report_overdue_openings(clock_at(7_120));
     assert_eq!(class_of(&router, backend, 7_120), HealthClass::Suspect);
 }
@@ -227,10 +227,10 @@
 fn openings_count_again_once_socket_is_empty() {
     let mut router = two_backends();
     router.record_pause();
-    lost_opening(&mut router, 7_000, 1);
+    unanswered_opening(&mut router, 7_000, 1);
     // The socket is empty now.
     router.report_overdue_openings(clock_at(7_001));
-    let backend = lost_opening(&mut router, 7_100, 2);
+    let backend = unanswered_opening(&mut router, 7_100, 2);
     router.report_overdue_openings(clock_at(7_150));
     assert_eq!(class_of(&router, backend, 7_150), HealthClass::Suspect);
 }
