--- a/crates/foxledge-flows/tests/dead_backend.rs
+++ b/crates/foxledge-flows/tests/dead_backend.rs
@@ -26,17 +26,17 @@
 }
 
 /// Opens flows at `sent_at` until one goes to backend server 1, and retransmits that opening.
-fn unanswered_opening(router: &mut FlowRouter, sent: u64) {
+fn unanswered_opening(router: &mut FlowRouter, sent_at: u64) {
     for port in 100..120 {
-        let decision = router.on_packet(clock_at(sent), &opening_packet(flow_key(7, port), 0));
+        let decision = router.on_packet(clock_at(sent_at), &opening_packet(flow_key(7, port), 0));
         if decided_backend(router, &decision) == Some(1) {
-            router.report_overdue_openings(clock_at(sent + 41));
-            router.on_packet(clock_at(sent + 200), &opening_packet(flow_key(7, port), 1));
+            router.report_overdue_openings(clock_at(sent_at + 41));
+            router.on_packet(clock_at(sent_at + 200), &opening_packet(flow_key(7, port), 1));
             return;
         }
         let number = decided_backend(router, &decision).expect("is placed");
         router.on_packet(
-            clock_at(sent + 7),
+            clock_at(sent_at + 7),
             &data_packet(flow_key(7, port), number as u32, 1_000, 1),
         );
     }
--- a/crates/foxledge-flows/tests/idle_flows.rs
+++ b/crates/foxledge-flows/tests/idle_flows.rs
@@ -249,7 +249,7 @@
         assert_eq!(
             !callers.resets.is_empty(),
             expect_reset,
-            "{retransmitted} of the last ten were retransmitted"
+            "{retransmitted} of the last ten requests were retransmitted"
         );
     }
 }
@@ -353,9 +353,9 @@
         let now = u64::from(port);
         if let Some(number) = open_flow(&mut router, now, flow(port)) {
             router.on_packet(clock_at(now + 8), &data_packet(flow(port), number as u32, 1_000, 1));
-            let mut answered = data_packet(flow(port), number as u32, 1_100, 601);
-            answered.length = 0;
-            router.on_packet(clock_at(now + 28), &answered);
+            let mut response = data_packet(flow(port), number as u32, 1_100, 601);
+            response.length = 0;
+            router.on_packet(clock_at(now + 28), &response);
         }
     }
     let first_flows = router.backend_by_number(1).map_or(0, |backend| backend.open_flows) as usize;
--- a/crates/foxledge-flows/tests/idle_sweep.rs
+++ b/crates/foxledge-flows/tests/idle_sweep.rs
@@ -153,9 +153,9 @@
     fn new_flow(&mut self, flow: usize) -> CallerFlow {
         let key = flow_key(flow as u8, self.next_port);
         self.next_port += 1;
-        let alive = |number: &u64| !self.dead.contains_key(number);
+        let is_alive = |number: &u64| !self.dead.contains_key(number);
         let backend =
-            (1..=BACKENDS).cycle().skip(flow).find(alive).expect("a backend server is alive");
+            (1..=BACKENDS).cycle().skip(flow).find(is_alive).expect("a backend server is alive");
         CallerFlow {
             key,
             backend,
@@ -293,8 +293,8 @@
 
     fn respond(&mut self, flow: usize, request: u32) {
         let caller = self.flows[flow];
-        let died_at = self.dead.get(&caller.backend).is_some_and(|died_at| *died_at <= self.now);
-        if caller.request != request || !caller.is_delivered || died_at {
+        let has_died = self.dead.get(&caller.backend).is_some_and(|died_at| *died_at <= self.now);
+        if caller.request != request || !caller.is_delivered || has_died {
             return;
         }
         self.flows[flow].is_waiting = false;
--- a/crates/foxledge-flows/tests/invalid_entries.rs
+++ b/crates/foxledge-flows/tests/invalid_entries.rs
@@ -94,7 +94,8 @@
     copied.apply_snapshot(clock_at(100), all_rows(&watching), 21, 0);
     for list in [&watching, &reading, &copied] {
         let rows = all_rows(list);
-        let row = rows.iter().find(|row| row.key == "backend/i-1").expect("its flows go on");
+        let row =
+            rows.iter().find(|row| row.key == "backend/i-1").expect("its open flows continue");
         let Some(RowValue::Removed(removed)) = &row.value else { panic!("{row:?}") };
         assert!(removed.backend.as_ref().is_some_and(|backend| backend.draining));
         assert_eq!(row.revision, 21);
--- a/crates/foxledge-flows/tests/list_order.rs
+++ b/crates/foxledge-flows/tests/list_order.rs
@@ -93,15 +93,20 @@
 fn whole_reading_raises_the_floor() {
     let mut list = FleetList::new();
     apply_items(&mut list, vec![config_item(3, 40, &["b"]), backend_item(1, 30)], 50);
-    assert_eq!(list.floor(), 50, "changes before the reading can't be told");
+    assert_eq!(list.floor(), 50, "changes before the reading aren't available");
     // Changes from a watch don't raise the floor.
     let items = vec![config_item(4, 55, &["c"])];
     list.apply_watch(clock_at(10), ListReading::complete(items, 56));
     assert_eq!(list.floor(), 50);
     // A snapshot of a peer's list has the peer's floor.
-    let mut copy = FleetList::new();
-    copy.apply_snapshot(clock_at(20), list.rows().cloned().collect(), list.head(), list.floor());
-    assert_eq!((copy.head(), copy.floor()), (56, 50));
+    let mut received = FleetList::new();
+    received.apply_snapshot(
+        clock_at(20),
+        list.rows().cloned().collect(),
+        list.head(),
+        list.floor(),
+    );
+    assert_eq!((received.head(), received.floor()), (56, 50));
 }
 
 #[test]
@@ -115,12 +120,12 @@
         5,
     );
     let (revision, fault) = (8, "no JSON".to_owned());
-    let bad = vec![
+    let items = vec![
         ItemChange::Malformed { key: "limits".to_owned(), revision, fault: fault.clone() },
         ItemChange::BackendInvalid { id: "i-1".to_owned(), revision, fault },
         backend_item(2, 4),
     ];
-    apply_items(&mut list, bad, 8);
+    apply_items(&mut list, items, 8);
     assert_eq!(listed_keys(&list), ["backend/i-2", "limits", "route/a"]);
     assert_eq!(list.head(), 8);
 }
@@ -131,7 +136,7 @@
     let names: Vec<String> = (0..300).map(|index| format!("route-{index}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     apply_items(&mut list, vec![config_item(1, 7, &names), backend_item(1, 3)], 9);
-    let mut copy = FleetList::new();
+    let mut received = FleetList::new();
     let mut rows = Vec::new();
     let mut cursor = ListCursor::start();
     loop {
@@ -144,8 +149,8 @@
             None => break,
         }
     }
-    copy.apply_snapshot(clock_at(0), rows, list.head(), list.floor());
-    assert_eq!(listed_keys(&copy), listed_keys(&list));
+    received.apply_snapshot(clock_at(0), rows, list.head(), list.floor());
+    assert_eq!(listed_keys(&received), listed_keys(&list));
     assert!(list.page(clock_at(0), &ListCursor::after_revision(9), 900).rows.is_empty());
     assert_eq!(list.page(clock_at(0), &ListCursor::after_revision(3), 100_000).rows.len(), 301);
 }
@@ -205,7 +210,7 @@
         let row = list.rows().find(|row| row.key == format!("route/{name}")).expect("is there");
         match &row.value {
             Some(RowValue::Route(route)) => route.position,
-            _ => panic!("{name} is no route"),
+            _ => panic!("{name} isn't a route"),
         }
     };
     assert_eq!(["a", "b", "c"].map(|name| position_of(&list, name)), [0, 1, 2]);
@@ -233,8 +238,8 @@
 fn entry_restored_within_one_response_is_listed() {
     let mut list = FleetList::new();
     apply_items(&mut list, vec![config_item(1, 5, &["a"]), backend_item(1, 3)], 5);
-    let gone = ItemChange::BackendRemoved { revision: 7, id: "i-1".to_owned() };
-    list.apply_watch(clock_at(10), ListReading::complete(vec![gone, backend_item(1, 8)], 8));
+    let removal = ItemChange::BackendRemoved { revision: 7, id: "i-1".to_owned() };
+    list.apply_watch(clock_at(10), ListReading::complete(vec![removal, backend_item(1, 8)], 8));
     assert_eq!(listed_keys(&list), ["backend/i-1", "limits", "route/a"]);
 }
 
@@ -265,9 +270,9 @@
     let mut list = FleetList::new();
     apply_items(&mut list, vec![config_item(1, 5, &["a"]), backend_item(1, 3)], 5);
     list.apply_watch(clock_at(10), ListReading::complete(vec![config_item(3, 9, &["a"])], 9));
-    let copy =
+    let snapshot =
         vec![limits_row(1, 5), route_row("a", 443, "desk", 5), limits_row(3, 9), limits_row(4, 11)];
-    list.apply_snapshot(clock_at(20), copy, 12, 2);
+    list.apply_snapshot(clock_at(20), snapshot, 12, 2);
     assert_eq!((list.version(), list.head()), (4, 12));
     // A snapshot of the same revision changes nothing.
     assert!(list.apply_snapshot(clock_at(30), vec![limits_row(1, 5)], 12, 2).is_empty());
--- a/crates/foxledge-flows/tests/restarted_backends.rs
+++ b/crates/foxledge-flows/tests/restarted_backends.rs
@@ -146,7 +146,7 @@
         router.on_packet(clock_at(8), &data_packet(*flow, 1, 1_000, 1));
     }
     assert_eq!(
-        router.backend_by_number(1).map(|one| (one.open_flows, one.running_requests)),
+        router.backend_by_number(1).map(|backend| (backend.open_flows, backend.running_requests)),
         Some((3, 3))
     );
     router.apply_rows(clock_at(500), &[backend_row(backend_start(SECOND_START), 9)]);
@@ -155,14 +155,14 @@
         assert_eq!(decided_backend(&router, &decision), Some(1), "its own reset tells the caller");
     }
     assert_eq!(
-        router.backend_by_number(1).map(|one| (one.open_flows, one.running_requests)),
+        router.backend_by_number(1).map(|backend| (backend.open_flows, backend.running_requests)),
         Some((0, 0))
     );
     // A later flow belongs to the new process.
     open_flow(&mut router, 700, flow_key(1, 9));
     router.on_packet(clock_at(710), &data_packet(flow_key(1, 9), 1, 1_000, 1));
     assert_eq!(
-        router.backend_by_number(1).map(|one| (one.open_flows, one.running_requests)),
+        router.backend_by_number(1).map(|backend| (backend.open_flows, backend.running_requests)),
         Some((1, 1))
     );
 }
@@ -173,9 +173,15 @@
 fn later_revision_decides_over_start_time() {
     let mut router = first_router();
     router.apply_rows(clock_at(100), &[backend_row(backend_start(FIRST_START - 60_000), 9)]);
-    assert_eq!(router.backend_by_number(1).map(|one| one.incarnation), Some(FIRST_START - 60_000));
+    assert_eq!(
+        router.backend_by_number(1).map(|backend| backend.incarnation),
+        Some(FIRST_START - 60_000)
+    );
     router.apply_rows(clock_at(200), &[backend_row(backend_start(FIRST_START), 8)]);
-    assert_eq!(router.backend_by_number(1).map(|one| one.incarnation), Some(FIRST_START - 60_000));
+    assert_eq!(
+        router.backend_by_number(1).map(|backend| backend.incarnation),
+        Some(FIRST_START - 60_000)
+    );
 }
 
 #[test]
--- a/crates/foxledge-flows/tests/restored_entries.rs
+++ b/crates/foxledge-flows/tests/restored_entries.rs
@@ -187,6 +187,6 @@
     assert!(
         router
             .backends()
-            .any(|row| row.number == 1 && router.accepts_new_flows(clock_at(220), row))
+            .any(|backend| backend.number == 1 && router.accepts_new_flows(clock_at(220), backend))
     );
 }
--- a/crates/foxledge-flows/tests/unknown_tokens.rs
+++ b/crates/foxledge-flows/tests/unknown_tokens.rs
@@ -146,20 +146,20 @@
 #[test]
 fn limits_rate_of_token_queries() {
     let mut router = started_router(&[0]);
-    let asked = (0..30).filter(|step| {
+    let queries = (0..30).filter(|step| {
         send_request(&mut router, 100 + step * 50, *step as u16);
         !router.drain_token_queries().is_empty()
     });
-    assert_eq!(asked.count(), 3);
+    assert_eq!(queries.count(), 3);
 }
 
 // Guards against the reset of a live flow whose backend server's entry expired while no other has
 // its address, or while only an older entry names it.
 #[test]
 fn keeps_flow_of_removed_backend_without_successor() {
-    let [gone, mut other] = replaced_rows();
+    let [removed, mut other] = replaced_rows();
     other.revision = 2;
-    for rows in [vec![gone.clone()], vec![gone, other]] {
+    for rows in [vec![removed.clone()], vec![removed, other]] {
         let mut router = started_router(&[0, 1_000]);
         router.apply_rows(clock_at(1_100), &rows);
         let decision = send_request(&mut router, 1_300, 1);
--- a/crates/foxledge-flows/tests/unresponsive_backend.rs
+++ b/crates/foxledge-flows/tests/unresponsive_backend.rs
@@ -22,9 +22,8 @@
     decided_backend(router, &decision).expect("is placed")
 }
 
-// Guards against waits of 200 ms while other backend servers are idle: a backend server dies, and
-// without the evidence of unanswered openings it would get flows until its entry expires after 3.6
-// s.
+// Guards against waits of 200 ms while other backend servers are idle: without the evidence of
+// unanswered openings, a dead backend server would get flows until its entry expires after 3.6 s.
 #[test]
 fn unanswered_opening_keeps_new_flows_away() {
     let mut router = two_backends();
@@ -55,8 +54,8 @@
 fn openings_read_together_go_to_one_backend() {
     let mut router = two_backends();
     let first = unanswered_opening(&mut router, 5_000, 1);
-    for copy in 1..3 {
-        let decision = router.on_packet(clock_at(5_001), &opening_packet(flow_key(9, 1), copy));
+    for attempt in 1..3 {
+        let decision = router.on_packet(clock_at(5_001), &opening_packet(flow_key(9, 1), attempt));
         assert_eq!(decided_backend(&router, &decision), Some(first));
     }
     assert_eq!(class_of(&router, first, 5_002), HealthClass::Healthy);
@@ -107,7 +106,8 @@
         &flow_packet(flow_key(9, 2), foxledge_flows::PacketKind::Continue, dead as u32),
     );
     assert_eq!(class_of(&router, dead, 1_308), HealthClass::Healthy);
-    let kinds: Vec<_> = router.drain_observations().iter().map(|note| note.kind).collect();
+    let kinds: Vec<_> =
+        router.drain_observations().iter().map(|observation| observation.kind).collect();
     assert_eq!(kinds, [ObservationKind::Alive]);
 }
 
@@ -184,10 +184,10 @@
 fn reports_stalled_flow() {
     let mut router = two_backends();
     let number = open_flow(&mut router, 0, flow_key(1, 1)).expect("is placed");
-    let asked = data_packet(flow_key(1, 1), number as u32, 1_000, 0);
-    let decision = router.on_packet(clock_at(100), &asked);
+    let request = data_packet(flow_key(1, 1), number as u32, 1_000, 0);
+    let decision = router.on_packet(clock_at(100), &request);
     assert!(matches!(decision, FlowDecision::Forward { stall: None, .. }));
-    let decision = router.on_packet(clock_at(300), &asked);
+    let decision = router.on_packet(clock_at(300), &request);
     let FlowDecision::Forward { stall: Some(stall), .. } = decision else {
         panic!("{decision:?} reports no stall");
     };
@@ -240,7 +240,7 @@
 // occasional unanswered opening.
 #[test]
 fn suspicions_of_two_instances_eject() {
-    let note = |at_ms| HealthObservation {
+    let observation = |at_ms| HealthObservation {
         number: 1,
         incarnation: 0,
         kind: ObservationKind::Suspect,
@@ -248,22 +248,22 @@
     };
     let class = |router: &foxledge_flows::FlowRouter, now| class_of(router, 1, now);
     let mut router = two_backends();
-    router.apply_observation(clock_at(45), &note(40));
+    router.apply_observation(clock_at(45), &observation(40));
     assert_eq!(class(&router, 46), HealthClass::Suspect);
-    router.apply_observation(clock_at(60), &note(55));
+    router.apply_observation(clock_at(60), &observation(55));
     assert_eq!(class(&router, 61), HealthClass::Ejected);
     // A response in between refutes the first suspicion.
     let mut router = two_backends();
-    router.apply_observation(clock_at(45), &note(40));
+    router.apply_observation(clock_at(45), &observation(40));
     router.apply_observation(
         clock_at(50),
-        &HealthObservation { kind: ObservationKind::Alive, ..note(48) },
+        &HealthObservation { kind: ObservationKind::Alive, ..observation(48) },
     );
-    router.apply_observation(clock_at(60), &note(55));
+    router.apply_observation(clock_at(60), &observation(55));
     assert_eq!(class(&router, 61), HealthClass::Suspect);
     // An old suspicion doesn't count: most are lost packets.
     let mut router = two_backends();
-    router.apply_observation(clock_at(45), &note(40));
-    router.apply_observation(clock_at(2_000), &note(1_995));
+    router.apply_observation(clock_at(45), &observation(40));
+    router.apply_observation(clock_at(2_000), &observation(1_995));
     assert_eq!(class(&router, 2_001), HealthClass::Suspect);
 }
--- a/crates/foxledge-flows/tests/unresponsive_centre.rs
+++ b/crates/foxledge-flows/tests/unresponsive_centre.rs
@@ -67,8 +67,8 @@
     // A caller receives a response from another backend server there.
     let other = data_packet(flow_key(2, 2), 18, 500, 1);
     router.on_packet(clock_at(1_060), &other);
-    let answered = foxledge_flows::FlowPacket { acknowledged: 900, ..other };
-    router.on_packet(clock_at(1_110), &foxledge_flows::FlowPacket { length: 0, ..answered });
+    let response = foxledge_flows::FlowPacket { acknowledged: 900, ..other };
+    router.on_packet(clock_at(1_110), &foxledge_flows::FlowPacket { length: 0, ..response });
     assert!(matches!(unanswered_request(&mut router)[2], FlowDecision::Forward { .. }));
 }
 
