--- a/crates/foxledge-flows/src/backend_table.rs
+++ b/crates/foxledge-flows/src/backend_table.rs
@@ -82,8 +82,8 @@
         self.slots.iter().flatten()
     }
 
-    /// Returns the index of the backend server with a token. If several share the token, the one that satisfies
-    /// `fits` is preferred.
+    /// Returns the index of the backend server with a token. If several share the token, the one
+    /// that satisfies `fits` is preferred.
     ///
     /// A backend server refuses packets that carry another one's number, so a wrong choice breaks
     /// the flow.
--- a/crates/foxledge-flows/src/backends.rs
+++ b/crates/foxledge-flows/src/backends.rs
@@ -74,7 +74,7 @@
     /// True if an older entry has the same number, so that this one must get no new flows.
     pub is_shadowed: bool,
     /// When this instance last saw a response of its own flows from it.
-    pub answered_at: Option<ClockTime>,
+    pub last_response_at: Option<ClockTime>,
     /// Its health.
     pub health: HealthState,
     /// Its response times, as observed by this instance.
@@ -116,7 +116,7 @@
             created_revision: spec.created_revision,
             discovered_at: now,
             is_shadowed: false,
-            answered_at: None,
+            last_response_at: None,
             health: HealthState::started_at(now),
             latency: LatencyGauge::default(),
             running_requests: 0,
@@ -168,9 +168,9 @@
     /// Returns true if new flows may be placed there.
     ///
     /// A backend server whose entry was removed without notice gets new flows for
-    /// [`REMOVAL_GRACE_MS`]. The period doesn't run out while the store is unreachable (`confirmed_at`
-    /// is the last list confirmation): the entry can't come back before the store does, and the
-    /// full period starts then (`BackendTable::restart_grace`).
+    /// [`REMOVAL_GRACE_MS`]. The period doesn't run out while the store is unreachable
+    /// (`confirmed_at` is the last list confirmation): the entry can't come back before the store
+    /// does, and the full period starts then (`BackendTable::restart_grace`).
     pub fn accepts_new_flows(&self, now: ClockTime, confirmed_at: Option<ClockTime>) -> bool {
         if self.is_draining || self.is_shadowed {
             return false;
--- a/crates/foxledge-flows/src/cold.rs
+++ b/crates/foxledge-flows/src/cold.rs
@@ -85,7 +85,7 @@
     pub fn apply_row(&mut self, row: &ListRow) {
         match &row.value {
             Some(RowValue::Extension(extension)) => {
-                if let Some(ExtensionValue::Service(service)) = extension.decode() {
+                if let Some(ExtensionValue::Service(service)) = extension.decode_value() {
                     self.services.insert(ServiceName::new(&service.name), service);
                 }
             }
--- a/crates/foxledge-flows/src/evacuations.rs
+++ b/crates/foxledge-flows/src/evacuations.rs
@@ -61,8 +61,8 @@
         self.apply_value(now, row)
     }
 
-    /// Defers a row of a restored store until `effective_at`, unless a newer row for its key comes first.
-    /// Returns false for rows of other kinds.
+    /// Defers a row of a restored store until `effective_at`, unless a newer row for its key comes
+    /// first. Returns false for rows of other kinds.
     pub fn defer_row(&mut self, effective_at: ClockTime, row: &ListRow) -> bool {
         let is_evacuation = row.key.starts_with(&evacuation_key(""));
         if is_evacuation {
@@ -85,7 +85,7 @@
 
     fn apply_value(&mut self, now: ClockTime, row: &ListRow) -> Option<EvacuationEvent> {
         match &row.value {
-            Some(RowValue::Extension(extension)) => match extension.decode()? {
+            Some(RowValue::Extension(extension)) => match extension.decode_value()? {
                 ExtensionValue::Evacuation(evacuation) => {
                     self.begin(now, row, &evacuation.data_centre)
                 }
--- a/crates/foxledge-flows/src/flow_resets.rs
+++ b/crates/foxledge-flows/src/flow_resets.rs
@@ -130,8 +130,9 @@
         let unanswered = neighbours().filter_map(|other| other.health.recent_unanswered_since(now));
         let (count, first) = unanswered
             .fold((0, ClockTime::MAX), |(count, first), since| (count + 1, first.min(since)));
-        let is_alive = neighbours()
-            .any(|other| other.answered_at.is_some_and(|answered_at| answered_at > first));
+        let is_alive = neighbours().any(|other| {
+            other.last_response_at.is_some_and(|last_response_at| last_response_at > first)
+        });
         if is_alive { 0 } else { count }
     }
 
@@ -181,7 +182,9 @@
         let number = self.backends.get(index).map(|backend| backend.number);
         self.backends.iter().any(|other| {
             Some(other.number) != number
-                && other.answered_at.is_some_and(|answered_at| answered_at > unanswered_since)
+                && other
+                    .last_response_at
+                    .is_some_and(|last_response_at| last_response_at > unanswered_since)
         })
     }
 
--- a/crates/foxledge-flows/src/health.rs
+++ b/crates/foxledge-flows/src/health.rs
@@ -158,7 +158,8 @@
         was_ejected.then_some(ObservationKind::Alive)
     }
 
-    /// Records the response to a request sent at `sent_at` when the time of the response is unknown.
+    /// Records the response to a request sent at `sent_at` when the time of the response is
+    /// unknown.
     pub fn on_response_since(&mut self, sent_at: ClockTime) {
         if self.unanswered_since.is_some_and(|since| since < sent_at) {
             self.clear_unanswered();
@@ -210,7 +211,8 @@
         Some(ObservationKind::Suspect)
     }
 
-    /// Records a packet sent at `sent_at` that stayed unanswered although its caller retransmitted it.
+    /// Records a packet sent at `sent_at` that stayed unanswered although its caller retransmitted
+    /// it.
     pub fn on_unanswered(
         &mut self,
         now: ClockTime,
--- a/crates/foxledge-flows/src/list_rows.rs
+++ b/crates/foxledge-flows/src/list_rows.rs
@@ -37,8 +37,8 @@
     newest.into_values().collect()
 }
 
-/// Returns the key of an item's row, or `None` for the operators' list, which yields many rows, and
-/// for removals.
+/// Returns the key of an item's row, or `None` for the operators' list, which yields many rows, for
+/// removals and for other malformed items.
 pub(crate) fn item_row_key(item: &ItemChange) -> Option<String> {
     match item {
         ItemChange::Backend { id, .. } => Some(backend_key(id)),
@@ -57,7 +57,7 @@
     match &row.value {
         Some(RowValue::Backend(_)) => true,
         Some(RowValue::Extension(row)) => {
-            matches!(row.decode(), Some(ExtensionValue::Evacuation(_)))
+            matches!(row.decode_value(), Some(ExtensionValue::Evacuation(_)))
         }
         _ => false,
     }
@@ -68,7 +68,9 @@
 pub(crate) fn is_config_row(row: &ListRow) -> bool {
     match &row.value {
         Some(RowValue::Route(_)) => true,
-        Some(RowValue::Extension(row)) => matches!(row.decode(), Some(ExtensionValue::Service(_))),
+        Some(RowValue::Extension(row)) => {
+            matches!(row.decode_value(), Some(ExtensionValue::Service(_)))
+        }
         _ => false,
     }
 }
--- a/crates/foxledge-flows/src/observations.rs
+++ b/crates/foxledge-flows/src/observations.rs
@@ -165,7 +165,7 @@
     /// Records a response that this instance observed itself.
     pub(crate) fn record_alive(&mut self, now: ClockTime, index: usize) {
         if let Some(backend) = self.backends.get_mut(index) {
-            backend.answered_at = Some(now);
+            backend.last_response_at = Some(now);
             if backend.data_centre != self.options.data_centre {
                 self.remote_timeouts = 0;
             }
--- a/crates/foxledge-flows/src/rows.rs
+++ b/crates/foxledge-flows/src/rows.rs
@@ -81,7 +81,7 @@
 
 impl ExtensionRow {
     /// Returns the content of the row, or `None` for a kind that this build doesn't know.
-    pub fn decode(&self) -> Option<ExtensionValue> {
+    pub fn decode_value(&self) -> Option<ExtensionValue> {
         match self.kind {
             EVACUATION_KIND => {
                 EvacuationRow::decode(&*self.body).ok().map(ExtensionValue::Evacuation)
--- a/crates/foxledge-flows/src/tracks.rs
+++ b/crates/foxledge-flows/src/tracks.rs
@@ -234,17 +234,18 @@
         }
     }
 
-    /// Removes and returns flows without packets for longer than `idle_ms`.
-    pub fn sweep(&mut self, now: ClockTime, idle_ms: u64) -> Vec<(usize, bool)> {
+    /// Removes the tracks of flows without packets for longer than `idle_timeout_ms`. Returns the
+    /// backend server of each, and true if a request was running.
+    pub fn sweep(&mut self, now: ClockTime, idle_timeout_ms: u64) -> Vec<(usize, bool)> {
         if !self.next_sweep_at.is_past(now) {
             return Vec::new();
         }
         self.next_sweep_at = now.after_millis(SWEEP_INTERVAL_MS);
-        self.expire_requests(now, idle_ms);
+        self.expire_requests(now, idle_timeout_ms);
         let mut ended = Vec::new();
         let running = &mut self.running_requests;
         self.tracks.retain(|_, track| {
-            let is_expired = track.last_packet_at.after_millis(idle_ms).is_past(now);
+            let is_expired = track.last_packet_at.after_millis(idle_timeout_ms).is_past(now);
             if is_expired {
                 track.stop_counting(running);
             }
--- a/crates/foxledge-flows/src/unknown_tokens.rs
+++ b/crates/foxledge-flows/src/unknown_tokens.rs
@@ -97,8 +97,8 @@
         Some(ResetReason::AddressTaken { gone_ms: now.since(removed_at).as_millis() as u64 })
     }
 
-    /// Decides on a packet with an unknown token; `may_repeat` is true if requests of its route are
-    /// idempotent.
+    /// Decides on a packet with an unknown token; `is_repeatable` is true if requests of its route
+    /// are idempotent.
     ///
     /// Before the first list confirmation the known list may be partial and lack the backend
     /// servers of most open flows. The packet is then relayed to another instance.
@@ -119,7 +119,7 @@
         &mut self,
         now: ClockTime,
         packet: &FlowPacket,
-        may_repeat: bool,
+        is_repeatable: bool,
     ) -> FlowDecision {
         let drop_packet = FlowDecision::Drop(DropReason::UnknownToken);
         if packet.token == 0 {
@@ -139,7 +139,10 @@
         let is_list_complete = self
             .confirmed_since
             .is_some_and(|since| since.after_millis(REMOVAL_GRACE_MS).is_past(now));
-        if !may_repeat || !is_missing_in_list || !is_list_complete || self.list_doubt(now).is_some()
+        if !is_repeatable
+            || !is_missing_in_list
+            || !is_list_complete
+            || self.list_doubt(now).is_some()
         {
             return drop_packet;
         }
--- a/crates/foxledge-flows/tests/cold_limit.rs
+++ b/crates/foxledge-flows/tests/cold_limit.rs
@@ -243,7 +243,8 @@
     let quota = |flows_per_ks: u64, rules: ColdRules| {
         let row = service_row("desk", 1, 0, 1);
         let Some(RowValue::Extension(row)) = row.value else { panic!("a service") };
-        let Some(foxledge_flows::rows::ExtensionValue::Service(mut limits)) = row.decode() else {
+        let Some(foxledge_flows::rows::ExtensionValue::Service(mut limits)) = row.decode_value()
+        else {
             panic!("a service")
         };
         limits.cold_flows_per_ks = flows_per_ks;
--- a/crates/foxledge-flows/tests/flow_sweep.rs
+++ b/crates/foxledge-flows/tests/flow_sweep.rs
@@ -68,13 +68,15 @@
         4 => (router.clone(), 0..4_u16, 0..3_u32)
             .prop_map(|(router, flow, attempt)| Step::Open { router, flow, attempt }),
         6 => (router.clone(), 0..4_u16).prop_map(|(router, flow)| Step::Data { router, flow }),
-        4 => (router.clone(), 0..4_u16).prop_map(|(router, flow)| Step::Retransmit { router, flow }),
+        4 => (router.clone(), 0..4_u16)
+            .prop_map(|(router, flow)| Step::Retransmit { router, flow }),
         1 => (router.clone(), 0..4_u16).prop_map(|(router, flow)| Step::Finish { router, flow }),
         1 => (router.clone(), backend.clone())
             .prop_map(|(router, backend)| Step::Drain { router, backend }),
         1 => (router.clone(), backend.clone())
             .prop_map(|(router, backend)| Step::Remove { router, backend }),
-        1 => (router.clone(), backend).prop_map(|(router, backend)| Step::Return { router, backend }),
+        1 => (router.clone(), backend)
+            .prop_map(|(router, backend)| Step::Return { router, backend }),
         1 => router.clone().prop_map(|router| Step::RemoveRoute { router }),
         1 => router.clone().prop_map(|router| Step::AddRoute { router }),
         2 => router.clone().prop_map(|router| Step::Confirm { router }),
