--- a/crates/foxledge-flows/tests/cold_limit.rs
+++ b/crates/foxledge-flows/tests/cold_limit.rs
@@ -250,7 +250,8 @@
         let Some(RowValue::Extension(row)) = row.value else {
             panic!("expected a row of a service")
         };
-        let Some(foxledge_flows::rows::ExtensionValue::Service(mut limits)) = row.decode() else {
+        let Some(foxledge_flows::rows::ExtensionValue::Service(mut limits)) = row.decode_value()
+        else {
             panic!("expected a row of a service")
         };
         limits.cold_flows_per_ks = flows_per_ks;
--- a/crates/foxledge-flows/tests/idle_flows.rs
+++ b/crates/foxledge-flows/tests/idle_flows.rs
@@ -1,4 +1,4 @@
-//! Flows at rest whose backend server is dead, and everything that looks like it.
+//! Idle flows of a dead backend server, and situations that look alike.
 
 mod common;
 
@@ -10,21 +10,21 @@
     rows::RowValue,
 };
 
-/// Backend servers of these tests.
+/// The number of backend servers.
 const BACKENDS: u64 = 3;
-/// Flows that callers keep open, spread over them.
+/// The number of flows that callers keep open.
 const FLOWS: u16 = 30;
-/// When the first of them dies.
-const DEATH: u64 = 2_000;
-/// Time until a death shows: two copies of data, sent after 200 and 600 ms.
-const SHOWN: u64 = DEATH + 610;
+/// When backend server 1 dies.
+const DIED_AT: u64 = 2_000;
+/// When the death shows: after two retransmissions, at 200 and 600 ms.
+const DETECTED_AT: u64 = DIED_AT + 610;
 
 fn flow(port: u16) -> FlowKey {
     common::flow_key(1 + (port % 5) as u8, port)
 }
 
-/// Callers keep flows for requests that may not be repeated.
-fn bids_router() -> FlowRouter {
+/// Returns a router whose route's requests aren't idempotent.
+fn non_idempotent_router() -> FlowRouter {
     let rows: Vec<_> =
         (1..=BACKENDS).map(|number| listed_backend(number, "desk", LOCAL_CENTRE, 2)).collect();
     let mut router = listed_router(&rows);
@@ -36,58 +36,58 @@
     router
 }
 
-/// What callers do on their kept flows, and which backend servers answer.
+/// Callers with open flows, and what they sent and received.
 struct Callers {
     router: FlowRouter,
-    /// Flow, its backend server, and the sequence and acknowledgement numbers that come next.
-    kept: Vec<(FlowKey, u64, u32, u32)>,
-    ended: Vec<FlowReset>,
+    /// Each flow with its backend server and its next sequence and acknowledgement numbers.
+    flows: Vec<(FlowKey, u64, u32, u32)>,
+    resets: Vec<FlowReset>,
 }
 
 impl Callers {
-    /// Opens all flows and asks once on each.
+    /// Opens all flows and sends one request on each.
     fn new(router: FlowRouter) -> Callers {
-        let mut callers = Callers { router, kept: Vec::new(), ended: Vec::new() };
+        let mut callers = Callers { router, flows: Vec::new(), resets: Vec::new() };
         for port in 1..=FLOWS {
             let now = u64::from(port) * 10;
             let number = open_flow(&mut callers.router, now, flow(port)).expect("is placed");
-            callers.kept.push((flow(port), number, 1_000, 1));
-            callers.ask(callers.kept.len() - 1, now + 8);
+            callers.flows.push((flow(port), number, 1_000, 1));
+            callers.request(callers.flows.len() - 1, now + 8);
         }
         callers
     }
 
-    /// Asks on a kept flow, and acknowledges the answer 20 ms later.
-    fn ask(&mut self, index: usize, now: u64) {
+    /// Sends a request on an open flow and acknowledges the response 20 ms later.
+    fn request(&mut self, index: usize, now: u64) {
         self.send(index, now);
         self.acknowledge(index, now + 20);
     }
 
     fn send(&mut self, index: usize, now: u64) -> FlowDecision {
-        let (key, number, sequence, acknowledged) = self.kept[index];
+        let (key, number, sequence, acknowledged) = self.flows[index];
         self.router
             .on_packet(clock_at(now), &data_packet(key, number as u32, sequence, acknowledged))
     }
 
     fn acknowledge(&mut self, index: usize, now: u64) {
-        let (key, number, sequence, acknowledged) = &mut self.kept[index];
+        let (key, number, sequence, acknowledged) = &mut self.flows[index];
         (*sequence, *acknowledged) = (*sequence + 100, *acknowledged + 600);
         let mut packet = data_packet(*key, *number as u32, *sequence, *acknowledged);
         packet.length = 0;
         self.router.on_packet(clock_at(now), &packet);
     }
 
-    /// Indexes of the flows that backend server 1 holds.
-    fn at_first(&self) -> Vec<usize> {
-        (0..self.kept.len()).filter(|index| self.kept[*index].1 == 1).collect()
+    /// Returns the indexes of the flows of backend server 1.
+    fn first_backend_flows(&self) -> Vec<usize> {
+        (0..self.flows.len()).filter(|index| self.flows[*index].1 == 1).collect()
     }
 
-    fn at_others(&self) -> Vec<usize> {
-        (0..self.kept.len()).filter(|index| self.kept[*index].1 != 1).collect()
+    fn other_backend_flows(&self) -> Vec<usize> {
+        (0..self.flows.len()).filter(|index| self.flows[*index].1 != 1).collect()
     }
 
-    /// Asks on some flows at `now` and twice more, as no answer comes.
-    fn stall(&mut self, flows: &[usize], now: u64) {
+    /// Sends a request on some flows at `now`, and two retransmissions of each.
+    fn request_unanswered(&mut self, flows: &[usize], now: u64) {
         for wait in [0, 200, 600] {
             for index in flows {
                 self.send(*index, now + wait);
@@ -95,227 +95,226 @@
         }
     }
 
-    /// Looks for flows to end, as often as in this span.
-    fn look(&mut self, span: std::ops::Range<u64>) {
+    /// Runs the check for flows to reset regularly during `span`.
+    fn check_resets(&mut self, span: std::ops::Range<u64>) {
         for now in span.step_by(25) {
-            self.ended.extend(self.router.drain_flow_resets(clock_at(now)));
+            self.resets.extend(self.router.drain_flow_resets(clock_at(now)));
         }
     }
 
-    fn ended_keys(&self) -> BTreeSet<FlowKey> {
-        self.ended.iter().map(|end| end.key).collect()
+    fn reset_keys(&self) -> BTreeSet<FlowKey> {
+        self.resets.iter().map(|reset| reset.key).collect()
     }
 }
 
-/// Two flows at backend server 1 have shown that it is dead; all others are at rest.
-fn dead_first() -> (Callers, Vec<usize>) {
-    let mut callers = Callers::new(bids_router());
-    let held = callers.at_first();
-    assert!(held.len() >= 6, "{} flows there", held.len());
-    callers.stall(&held[..2], DEATH);
-    let other = callers.at_others()[0];
-    callers.ask(other, SHOWN - 5);
-    (callers, held)
+/// Returns callers of which two have found backend server 1 dead while all other flows are idle,
+/// and the flows of that backend server.
+fn callers_at_dead_backend() -> (Callers, Vec<usize>) {
+    let mut callers = Callers::new(non_idempotent_router());
+    let first_flows = callers.first_backend_flows();
+    assert!(first_flows.len() >= 6, "{} flows there", first_flows.len());
+    callers.request_unanswered(&first_flows[..2], DIED_AT);
+    let other = callers.other_backend_flows()[0];
+    callers.request(other, DETECTED_AT - 5);
+    (callers, first_flows)
 }
 
-// Symptom: for many seconds after a backend server died, each submission on a flow that
-//   was kept open there fails.
-// Sequence: callers keep flows for requests that may not be repeated, and ask every few
-//   seconds; the backend server dies while most of the flows are at rest.
-// Cause: the flows are left open, though their instance has long placed nothing there.
+// Guards against requests that fail for many seconds after a death: callers keep flows open for
+// requests that aren't idempotent and send one every few seconds, and most of the flows are idle
+// when the backend server dies.
 #[test]
-fn idle_flows_ended() {
-    let (mut callers, held) = dead_first();
-    callers.look(SHOWN..SHOWN + 100);
-    let at_rest: BTreeSet<_> = held[2..].iter().map(|index| callers.kept[*index].0).collect();
-    assert_eq!(callers.ended_keys(), at_rest);
-    for end in &callers.ended {
-        let ResetReason::IdleAtDead { idle_ms, silent_ms } = end.reason else { panic!("{end:?}") };
-        assert!(idle_ms > 2_000 && (0..200).contains(&silent_ms), "{end:?}");
-        // Callers take a reset near what they have received.
-        assert_eq!(end.received, 601);
+fn resets_idle_flows_of_dead_backend() {
+    let (mut callers, first_flows) = callers_at_dead_backend();
+    callers.check_resets(DETECTED_AT..DETECTED_AT + 100);
+    let idle_keys: BTreeSet<_> =
+        first_flows[2..].iter().map(|index| callers.flows[*index].0).collect();
+    assert_eq!(callers.reset_keys(), idle_keys);
+    for reset in &callers.resets {
+        let ResetReason::IdleAtDead { idle_ms, silent_ms } = reset.reason else {
+            panic!("{reset:?}")
+        };
+        assert!(idle_ms > 2_000 && (0..200).contains(&silent_ms), "{reset:?}");
+        // Callers accept a reset only near what they have received.
+        assert_eq!(reset.received, 601);
     }
-    let tracked: usize = callers.router.backends().map(|one| one.open_flows as usize).sum();
+    let tracked: usize = callers.router.backends().map(|backend| backend.open_flows as usize).sum();
     assert_eq!(callers.router.tracked_flow_count(), tracked);
-    // Each once, and never those of the others.
-    callers.look(SHOWN + 100..SHOWN + 500);
-    assert_eq!(callers.ended.len(), at_rest.len());
+    // Each flow is reset once, and no flow of another backend server.
+    callers.check_resets(DETECTED_AT + 100..DETECTED_AT + 500);
+    assert_eq!(callers.resets.len(), idle_keys.len());
 }
 
-// Symptom: a request is broken off to which the answer would have come.
-// Cause: a flow counts as at rest though its caller waits.
+// Guards against the reset of a flow whose caller waits for a response that may be in transit.
 #[test]
-fn waiting_flow_kept() {
-    let (mut callers, held) = dead_first();
-    let waiting = held[3];
-    callers.send(waiting, SHOWN - 100);
-    callers.look(SHOWN..SHOWN + 1_000);
-    assert!(!callers.ended_keys().contains(&callers.kept[waiting].0));
-    // Its caller has given up; the next request would be lost as well.
-    callers.stall(&held[..1], SHOWN + 500);
-    callers.look(SHOWN + 1_110..SHOWN + 1_400);
-    assert!(callers.ended_keys().contains(&callers.kept[waiting].0));
+fn keeps_flow_while_caller_waits() {
+    let (mut callers, first_flows) = callers_at_dead_backend();
+    let waiting = first_flows[3];
+    callers.send(waiting, DETECTED_AT - 100);
+    callers.check_resets(DETECTED_AT..DETECTED_AT + 1_000);
+    assert!(!callers.reset_keys().contains(&callers.flows[waiting].0));
+    // Its caller has given up, so the flow is idle; the next request would be lost as well.
+    callers.request_unanswered(&first_flows[..1], DETECTED_AT + 500);
+    callers.check_resets(DETECTED_AT + 1_110..DETECTED_AT + 1_400);
+    assert!(callers.reset_keys().contains(&callers.flows[waiting].0));
 }
 
-// Symptom: the end of a long answer is cut off.
-// Sequence: its first parts are acknowledged, the rest is on its way.
+// Guards against a truncated response: its first part is acknowledged, and the rest is in transit.
 #[test]
-fn answer_under_way_kept() {
-    let (mut callers, held) = dead_first();
-    let receiving = held[3];
-    callers.acknowledge(receiving, SHOWN - 20);
-    callers.look(SHOWN..SHOWN + 200);
-    assert!(!callers.ended_keys().contains(&callers.kept[receiving].0));
-    callers.look(SHOWN + 240..SHOWN + 300);
-    assert!(callers.ended_keys().contains(&callers.kept[receiving].0));
+fn keeps_flow_while_response_is_in_transit() {
+    let (mut callers, first_flows) = callers_at_dead_backend();
+    let receiving = first_flows[3];
+    callers.acknowledge(receiving, DETECTED_AT - 20);
+    callers.check_resets(DETECTED_AT..DETECTED_AT + 200);
+    assert!(!callers.reset_keys().contains(&callers.flows[receiving].0));
+    callers.check_resets(DETECTED_AT + 240..DETECTED_AT + 300);
+    assert!(callers.reset_keys().contains(&callers.flows[receiving].0));
 }
 
-// Symptom: flows end at a backend server that answers.
-// Sequence: data of one flow is lost again and again, others there are answered.
+// Guards against the reset of idle flows at a backend server that responds to other flows while the
+// data of one is lost repeatedly.
 #[test]
-fn any_answer_keeps() {
-    for alive_at in [DEATH + 100, DEATH + 590, SHOWN + 1] {
-        let mut callers = Callers::new(bids_router());
-        let held = callers.at_first();
-        let steps = [DEATH, DEATH + 200, DEATH + 600];
+fn any_response_prevents_resets() {
+    for responded_at in [DIED_AT + 100, DIED_AT + 590, DETECTED_AT + 1] {
+        let mut callers = Callers::new(non_idempotent_router());
+        let first_flows = callers.first_backend_flows();
+        let steps = [DIED_AT, DIED_AT + 200, DIED_AT + 600];
         for (step, now) in steps.into_iter().enumerate() {
-            for index in &held[..2] {
+            for index in &first_flows[..2] {
                 callers.send(*index, now);
             }
             let next = steps.get(step + 1).copied().unwrap_or(u64::MAX);
-            if (now..next).contains(&alive_at) {
-                callers.ask(held[4], alive_at - 1);
+            if (now..next).contains(&responded_at) {
+                callers.request(first_flows[4], responded_at - 1);
             }
         }
-        let other = callers.at_others()[0];
-        callers.ask(other, SHOWN + 5);
-        callers.look(SHOWN + 30..SHOWN + 1_000);
-        assert_eq!(callers.ended, [], "alive at {alive_at}");
+        let other = callers.other_backend_flows()[0];
+        callers.request(other, DETECTED_AT + 5);
+        callers.check_resets(DETECTED_AT + 30..DETECTED_AT + 1_000);
+        assert_eq!(callers.resets, [], "response at {responded_at}");
     }
 }
 
-// Symptom: the same, after one flow's packets were lost on their way to the instance.
+// Guards against resets after the packets of a single flow were lost on their way to the instance.
 #[test]
-fn one_witness_keeps() {
-    let mut callers = Callers::new(bids_router());
-    let held = callers.at_first();
-    callers.stall(&held[..1], DEATH);
-    callers.send(held[0], DEATH + 1_400);
-    let other = callers.at_others()[0];
-    callers.ask(other, SHOWN);
-    callers.look(SHOWN..SHOWN + 1_500);
-    assert_eq!(callers.ended, []);
+fn one_unanswered_flow_resets_nothing() {
+    let mut callers = Callers::new(non_idempotent_router());
+    let first_flows = callers.first_backend_flows();
+    callers.request_unanswered(&first_flows[..1], DIED_AT);
+    callers.send(first_flows[0], DIED_AT + 1_400);
+    let other = callers.other_backend_flows()[0];
+    callers.request(other, DETECTED_AT);
+    callers.check_resets(DETECTED_AT..DETECTED_AT + 1_500);
+    assert_eq!(callers.resets, []);
 }
 
-// Symptom: flows end at a backend server that holds as many as it may.
-// Sequence: it answers no opening; its flows are at rest.
-// Cause: a full backend server is silent to new flows as a dead one is.
+// Guards against the reset of idle flows at a full backend server, which leaves openings unanswered
+// like a dead one.
 #[test]
-fn full_one_keeps() {
-    let mut callers = Callers::new(bids_router());
+fn keeps_idle_flows_of_full_backend() {
+    let mut callers = Callers::new(non_idempotent_router());
     for port in 200..230 {
-        callers.router.on_packet(clock_at(DEATH), &opening_packet(flow(port), 0));
+        callers.router.on_packet(clock_at(DIED_AT), &opening_packet(flow(port), 0));
     }
-    callers.router.report_overdue_openings(clock_at(DEATH + 50));
+    callers.router.report_overdue_openings(clock_at(DIED_AT + 50));
     for port in 200..230 {
-        callers.router.on_packet(clock_at(DEATH + 200), &opening_packet(flow(port), 1));
+        callers.router.on_packet(clock_at(DIED_AT + 200), &opening_packet(flow(port), 1));
     }
-    let other = callers.at_others()[0];
-    callers.ask(other, SHOWN);
-    callers.look(DEATH + 200..SHOWN + 1_000);
-    assert_eq!(callers.ended, []);
+    let other = callers.other_backend_flows()[0];
+    callers.request(other, DETECTED_AT);
+    callers.check_resets(DIED_AT + 200..DETECTED_AT + 1_000);
+    assert_eq!(callers.resets, []);
 }
 
-// Symptom: flows end at backend servers that live.
-// Sequence: three packets in ten are lost on all ways of an instance; two flows to one
-//   backend server stay unanswered through two copies.
-// Cause: the silence is taken for a death, though requests elsewhere are answered only
-//   after copies as well.
+// Guards against resets when three packets in ten are lost on all paths of an instance: two flows
+// to one backend server stay unanswered through two retransmissions, while requests elsewhere are
+// answered only after retransmissions too.
 #[test]
-fn lossy_ways_keep() {
-    for (copied, ends) in [(3, false), (1, true)] {
-        let mut callers = Callers::new(bids_router());
-        let (held, others) = (callers.at_first(), callers.at_others());
-        // Some requests at the others are answered only after a copy.
-        for (step, index) in others[..10].iter().enumerate() {
-            let now = DEATH - 800 + step as u64 * 40;
+fn packet_loss_on_all_paths_resets_nothing() {
+    for (retransmitted, expect_reset) in [(3, false), (1, true)] {
+        let mut callers = Callers::new(non_idempotent_router());
+        let (first_flows, other_flows) =
+            (callers.first_backend_flows(), callers.other_backend_flows());
+        // Some requests to the other backend servers are answered only after a retransmission.
+        for (step, index) in other_flows[..10].iter().enumerate() {
+            let now = DIED_AT - 800 + step as u64 * 40;
             callers.send(*index, now);
-            if step >= 10 - copied {
+            if step >= 10 - retransmitted {
                 callers.send(*index, now + 200);
             }
             callers.acknowledge(*index, now + 220);
         }
-        callers.stall(&held[..2], DEATH);
-        callers.ask(others[15], SHOWN - 5);
-        callers.look(SHOWN..SHOWN + 500);
-        assert_eq!(!callers.ended.is_empty(), ends, "{copied} of the last ten were sent again");
+        callers.request_unanswered(&first_flows[..2], DIED_AT);
+        callers.request(other_flows[15], DETECTED_AT - 5);
+        callers.check_resets(DETECTED_AT..DETECTED_AT + 500);
+        assert_eq!(
+            !callers.resets.is_empty(),
+            expect_reset,
+            "{retransmitted} of the last ten requests were retransmitted"
+        );
     }
 }
 
-// Symptom: an instance whose link is down ends flows that live.
-// Sequence: nothing that it sends arrives; all backend servers look dead.
-// Cause: its own link's silence is taken for that of each backend server.
+// Guards against resets by an instance whose own link is down, so that all backend servers look
+// dead.
 #[test]
-fn cut_off_ends_nothing() {
-    let mut callers = Callers::new(bids_router());
-    let all: Vec<_> = (0..callers.kept.len()).step_by(2).collect();
-    callers.stall(&all, DEATH);
-    callers.look(SHOWN..SHOWN + 1_500);
-    assert_eq!(callers.ended, []);
+fn partitioned_instance_resets_nothing() {
+    let mut callers = Callers::new(non_idempotent_router());
+    let all: Vec<_> = (0..callers.flows.len()).step_by(2).collect();
+    callers.request_unanswered(&all, DIED_AT);
+    callers.check_resets(DETECTED_AT..DETECTED_AT + 1_500);
+    assert_eq!(callers.resets, []);
 }
 
-// Symptom: as an instance goes on after a pause, it ends flows that live.
-// Sequence: a backend server was out of reach before; it answered while the instance
-//   stood still, and the notes of that are gone.
+// Guards against resets after a pause: the backend server was unreachable before and responded
+// during the pause, and the observations of that are lost.
 #[test]
-fn pause_forgets() {
-    let (mut callers, _) = dead_first();
+fn pause_clears_evidence() {
+    let (mut callers, _) = callers_at_dead_backend();
     callers.router.record_pause();
-    callers.look(SHOWN + 5_000..SHOWN + 5_100);
-    callers.router.report_overdue_openings(clock_at(SHOWN + 5_100));
-    callers.router.set_confirmed_at(clock_at(SHOWN + 5_110));
-    let other = callers.at_others()[0];
-    callers.ask(other, SHOWN + 5_120);
-    callers.look(SHOWN + 5_150..SHOWN + 6_500);
-    assert_eq!(callers.ended, []);
+    callers.check_resets(DETECTED_AT + 5_000..DETECTED_AT + 5_100);
+    callers.router.report_overdue_openings(clock_at(DETECTED_AT + 5_100));
+    callers.router.set_confirmed_at(clock_at(DETECTED_AT + 5_110));
+    let other = callers.other_backend_flows()[0];
+    callers.request(other, DETECTED_AT + 5_120);
+    callers.check_resets(DETECTED_AT + 5_150..DETECTED_AT + 6_500);
+    assert_eq!(callers.resets, []);
 }
 
 #[test]
-fn waiting_packets_first() {
-    // What waited during the pause may hold a sign of life, and so may the next list.
-    let (mut callers, held) = dead_first();
+fn resets_nothing_before_waiting_packets_are_read() {
+    // Packets that waited during the pause may prove life, and so may the next list.
+    let (mut callers, first_flows) = callers_at_dead_backend();
     callers.router.record_pause();
-    callers.stall(&held[..2], SHOWN + 10);
-    callers.look(SHOWN + 10..SHOWN + 700);
-    assert_eq!(callers.ended, []);
+    callers.request_unanswered(&first_flows[..2], DETECTED_AT + 10);
+    callers.check_resets(DETECTED_AT + 10..DETECTED_AT + 700);
+    assert_eq!(callers.resets, []);
 }
 
-// Symptom: flows end that are answered again.
-// Sequence: a backend server was cut off for a while; nobody asked there since.
-// Cause: evidence counts for ever.
+// Guards against the reset of flows that work again: a backend server was unreachable for a while,
+// and no packet was sent there since.
 #[test]
-fn old_evidence_keeps() {
-    let (mut callers, _) = dead_first();
-    let other = callers.at_others()[0];
-    callers.ask(other, SHOWN + 3_000);
-    callers.look(SHOWN + 3_050..SHOWN + 6_000);
-    assert_eq!(callers.ended, []);
+fn old_evidence_resets_nothing() {
+    let (mut callers, _) = callers_at_dead_backend();
+    let other = callers.other_backend_flows()[0];
+    callers.request(other, DETECTED_AT + 3_000);
+    callers.check_resets(DETECTED_AT + 3_050..DETECTED_AT + 6_000);
+    assert_eq!(callers.resets, []);
 }
 
-// Symptom: flows of a backend server that has just started under its id end.
+// Guards against the reset of flows of a backend server that has just restarted under its id.
 #[test]
-fn new_start_keeps() {
-    let (mut callers, _) = dead_first();
+fn restart_clears_evidence() {
+    let (mut callers, _) = callers_at_dead_backend();
     let mut spec = backend_spec(1, "desk", LOCAL_CENTRE);
     spec.incarnation = 77;
-    callers.router.apply_rows(clock_at(SHOWN), &[backend_row(spec, 20)]);
-    open_flow(&mut callers.router, SHOWN + 1, flow(300));
-    callers.look(SHOWN + 10..SHOWN + 2_000);
-    assert_eq!(callers.ended, []);
+    callers.router.apply_rows(clock_at(DETECTED_AT), &[backend_row(spec, 20)]);
+    open_flow(&mut callers.router, DETECTED_AT + 1, flow(300));
+    callers.check_resets(DETECTED_AT + 10..DETECTED_AT + 2_000);
+    assert_eq!(callers.resets, []);
 }
 
 #[test]
-fn peers_words_count() {
+fn peer_observations_prove_the_death() {
     // Two flows at other instances suffice, or one and an opening; openings alone don't.
     use ObservationKind::{Alive, DataUnanswered, Ejected, OpeningUnanswered, Suspect};
     let cases: [(&[ObservationKind], bool); 6] = [
@@ -326,27 +325,27 @@
         (&[Suspect, Ejected, Ejected, DataUnanswered], false),
         (&[DataUnanswered, DataUnanswered, Alive], false),
     ];
-    for (kinds, ends) in cases {
-        let mut callers = Callers::new(bids_router());
+    for (kinds, expect_reset) in cases {
+        let mut callers = Callers::new(non_idempotent_router());
         for (step, kind) in kinds.iter().enumerate() {
-            let now = DEATH + step as u64;
-            let note = HealthObservation {
+            let now = DIED_AT + step as u64;
+            let observation = HealthObservation {
                 number: 1,
                 incarnation: 0,
                 kind: *kind,
                 observed_at: clock_at(now),
             };
-            callers.router.apply_observation(clock_at(now + 1), &note);
+            callers.router.apply_observation(clock_at(now + 1), &observation);
         }
-        let other = callers.at_others()[0];
-        callers.ask(other, DEATH + 20);
-        callers.look(DEATH + 50..DEATH + 500);
-        assert_eq!(!callers.ended.is_empty(), ends, "{kinds:?}");
+        let other = callers.other_backend_flows()[0];
+        callers.request(other, DIED_AT + 20);
+        callers.check_resets(DIED_AT + 50..DIED_AT + 500);
+        assert_eq!(!callers.resets.is_empty(), expect_reset, "{kinds:?}");
     }
 }
 
 #[test]
-fn ends_bounded() {
+fn limits_resets_per_check() {
     let rows: Vec<_> =
         (1..=2).map(|number| listed_backend(number, "desk", LOCAL_CENTRE, 2)).collect();
     let mut router = listed_router(&rows);
@@ -354,26 +353,26 @@
         let now = u64::from(port);
         if let Some(number) = open_flow(&mut router, now, flow(port)) {
             router.on_packet(clock_at(now + 8), &data_packet(flow(port), number as u32, 1_000, 1));
-            let mut answered = data_packet(flow(port), number as u32, 1_100, 601);
-            answered.length = 0;
-            router.on_packet(clock_at(now + 28), &answered);
+            let mut response = data_packet(flow(port), number as u32, 1_100, 601);
+            response.length = 0;
+            router.on_packet(clock_at(now + 28), &response);
         }
     }
-    let held = router.backend_by_number(1).map_or(0, |one| one.open_flows) as usize;
+    let first_flows = router.backend_by_number(1).map_or(0, |backend| backend.open_flows) as usize;
     for step in 0..2 {
-        let note = HealthObservation {
+        let observation = HealthObservation {
             number: 1,
             incarnation: 0,
             kind: ObservationKind::DataUnanswered,
-            observed_at: clock_at(DEATH + step),
+            observed_at: clock_at(DIED_AT + step),
         };
-        router.apply_observation(clock_at(DEATH + 2), &note);
+        router.apply_observation(clock_at(DIED_AT + 2), &observation);
     }
-    open_flow(&mut router, DEATH + 10, flow(2_000));
+    open_flow(&mut router, DIED_AT + 10, flow(2_000));
     let counts: Vec<usize> =
-        (0..100).map(|ms| router.drain_flow_resets(clock_at(DEATH + 50 + ms)).len()).collect();
+        (0..100).map(|ms| router.drain_flow_resets(clock_at(DIED_AT + 50 + ms)).len()).collect();
     assert!(counts.iter().all(|count| *count <= 50), "{counts:?}");
     assert!(counts.iter().sum::<usize>() <= 50 * 5, "{counts:?}");
-    let rest = (200..2_000).map(|ms| router.drain_flow_resets(clock_at(DEATH + ms)).len());
-    assert_eq!(counts.iter().sum::<usize>() + rest.sum::<usize>(), held);
+    let rest = (200..2_000).map(|ms| router.drain_flow_resets(clock_at(DIED_AT + ms)).len());
+    assert_eq!(counts.iter().sum::<usize>() + rest.sum::<usize>(), first_flows);
 }
