--- a/crates/foxledge-bench/src/callers.rs
+++ b/crates/foxledge-bench/src/callers.rs
@@ -6,7 +6,7 @@
     lists::{FullAction, PaidPriority},
     time::ClockTime,
 };
-use foxledge_policy::{DeskRefusal, RefuseReason, RunState, WorkItem};
+use foxledge_policy::{RefuseReason, RunState, WorkItem, WorkRefusal};
 use rand::Rng;
 
 use crate::{
@@ -125,12 +125,12 @@
             deadline: record.deadline,
             start_deadline: now.after(TICKET_LIFE.max(self.plan.load.patience)),
         };
-        self.on_desk(desk, |home| home.offer(now, item));
+        self.on_desk(desk, |home| home.submit(now, item));
     }
 
-    pub(crate) fn refuse(&mut self, work: u64, refusal: DeskRefusal) {
+    pub(crate) fn refuse(&mut self, work: u64, refusal: WorkRefusal) {
         let record = &mut self.works[work as usize];
-        if refusal.ran == RunState::Unknown {
+        if refusal.run_state == RunState::Unknown {
             self.end_work(work, WorkOutcome::Unknown);
             return;
         }
--- a/crates/foxledge-bench/src/cost.rs
+++ b/crates/foxledge-bench/src/cost.rs
@@ -11,7 +11,9 @@
     time::ClockTime,
     traffic::TrafficKind,
 };
-use foxledge_policy::{DeskEffect, DeskOptions, HomeDesk, TargetSignal, WorkItem, policy_by_name};
+use foxledge_policy::{
+    SchedulerEffect, SchedulerOptions, ShardScheduler, TargetSignal, WorkItem, policy_by_name,
+};
 use serde::Serialize;
 
 const PAGE_BYTES: u64 = 4096;
@@ -108,7 +110,7 @@
 
 /// `CostTrial` is a desk with the dispatches that run.
 struct CostTrial {
-    desk: HomeDesk,
+    desk: ShardScheduler,
     now: ClockTime,
     members: Vec<MemberName>,
     running: VecDeque<u64>,
@@ -147,8 +149,8 @@
 impl CostTrial {
     fn new(targets: usize, members: usize, queued: usize, seed: u64) -> CostTrial {
         let policy = policy_by_name("freest", seed).expect("a known name");
-        let options = DeskOptions::new().queue_limit(queued.max(1) as u32 * 2);
-        let mut desk = HomeDesk::new(options, policy, seed);
+        let options = SchedulerOptions::new().queue_limit(queued.max(1) as u32 * 2);
+        let mut desk = ShardScheduler::new(options, policy, seed);
         let specs = (0..targets).map(|number| Arc::new(target_spec(number))).collect();
         desk.set_targets(ClockTime::ZERO, specs);
         let members = (0..members).map(|number| MemberName::new(&format!("m{number}")));
@@ -190,7 +192,7 @@
             deadline: self.now.after_millis(3_600_000),
             start_deadline: ClockTime::MAX,
         };
-        let effects = self.desk.offer(self.now, item);
+        let effects = self.desk.submit(self.now, item);
         self.note(effects);
     }
 
@@ -199,9 +201,9 @@
         self.note(effects);
     }
 
-    fn note(&mut self, effects: Vec<DeskEffect>) {
+    fn note(&mut self, effects: Vec<SchedulerEffect>) {
         for effect in effects {
-            if let DeskEffect::Dispatch { dispatch, .. } = effect {
+            if let SchedulerEffect::Dispatch { dispatch, .. } = effect {
                 self.running.push_back(dispatch);
             }
         }
--- a/crates/foxledge-bench/src/places.rs
+++ b/crates/foxledge-bench/src/places.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use foxledge_core::{hash::rendezvous_weight, lists::TargetSpec, time::ClockTime};
-use foxledge_policy::{DeskOptions, HomeDesk, policy_by_name};
+use foxledge_policy::{SchedulerOptions, ShardScheduler, policy_by_name};
 use serde::Serialize;
 
 /// Entry instances of a data centre.
@@ -99,7 +99,7 @@
     }
 
     /// Makes a desk with its targets.
-    pub fn make_desk(self, desk: usize, specs: &[TargetSpec], seed: u64) -> HomeDesk {
+    pub fn make_desk(self, desk: usize, specs: &[TargetSpec], seed: u64) -> ShardScheduler {
         let name = match self {
             PlaceKind::HashAlone => "hash",
             PlaceKind::RoundRobin => "round-robin",
@@ -108,20 +108,20 @@
         };
         let desk_seed = seed ^ (desk as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let policy = policy_by_name(name, desk_seed).expect("the names above are known");
-        let mut home = HomeDesk::new(self.options(specs.len()), policy, desk_seed);
+        let mut home = ShardScheduler::new(self.options(specs.len()), policy, desk_seed);
         home.set_targets(ClockTime::ZERO, self.targets_of(desk, specs));
         home
     }
 
     // What is compared is the place: ways without a home go by their own rule
     // alone, without the desk's beliefs about slow or shedding targets.
-    fn options(self, targets: usize) -> DeskOptions {
+    fn options(self, targets: usize) -> SchedulerOptions {
         if self.is_local() {
-            return DeskOptions::new()
+            return SchedulerOptions::new()
                 .queue_limit(QUEUE_LIMIT)
-                .slow_pace(f64::INFINITY)
-                .shed_hold(Duration::ZERO);
+                .slow_run_time_ratio(f64::INFINITY)
+                .shed_backoff(Duration::ZERO);
         }
-        DeskOptions::new().queue_limit(QUEUE_LIMIT / self.desks(targets) as u32)
+        SchedulerOptions::new().queue_limit(QUEUE_LIMIT / self.desks(targets) as u32)
     }
 }
--- a/crates/foxledge-bench/src/tally.rs
+++ b/crates/foxledge-bench/src/tally.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use foxledge_core::time::ClockTime;
-use foxledge_policy::{RefuseReason, status::DeskCounters};
+use foxledge_policy::{RefuseReason, status::SchedulerCounters};
 
 use crate::{arrivals::RequestArrival, run_plan::RunPlan};
 
@@ -74,7 +74,7 @@
     /// Longest time from a deadline to its refusal.
     pub refusal_delay: Duration,
     /// Counters of all desks.
-    pub counters: DeskCounters,
+    pub counters: SchedulerCounters,
     /// When an instance was killed.
     pub killed_at: Option<ClockTime>,
     /// The first start that a stand-in admitted after it.
@@ -129,7 +129,7 @@
             windows: 0,
             refusals: BTreeMap::new(),
             refusal_delay: Duration::ZERO,
-            counters: DeskCounters::default(),
+            counters: SchedulerCounters::default(),
             killed_at: None,
             admitted_at: None,
         }
@@ -169,7 +169,7 @@
     }
 
     /// Adds the counters of a desk.
-    pub fn add_counters(&mut self, counters: &DeskCounters) {
+    pub fn add_counters(&mut self, counters: &SchedulerCounters) {
         self.counters.dispatched += counters.dispatched;
         self.counters.retried += counters.retried;
         self.counters.resent += counters.resent;
--- a/crates/foxledge-bench/src/world.rs
+++ b/crates/foxledge-bench/src/world.rs
@@ -8,7 +8,7 @@
     names::{MemberName, TargetName},
     time::ClockTime,
 };
-use foxledge_policy::{DeskEffect, HomeDesk};
+use foxledge_policy::{SchedulerEffect, ShardScheduler};
 use rand::{SeedableRng, rngs::StdRng};
 
 use crate::{
@@ -64,7 +64,7 @@
 
 /// `SimDesk` is a desk and whether its process lives.
 pub(crate) struct SimDesk {
-    pub(crate) desk: HomeDesk,
+    pub(crate) desk: ShardScheduler,
     pub(crate) instance: usize,
     // The desk whose targets it has: itself, or the one that it stands in for.
     pub(crate) origin: usize,
@@ -168,7 +168,7 @@
             SimEvent::Report { desk, target, load } => {
                 let name = self.specs[target].name.clone();
                 let now = self.now;
-                self.on_desk(desk, |home| home.on_load(now, &name, load));
+                self.on_desk(desk, |home| home.on_load_report(now, &name, load));
             }
             SimEvent::Tick => self.tick(end),
             SimEvent::Window => self.end_window(end),
@@ -180,7 +180,7 @@
     pub(crate) fn on_desk(
         &mut self,
         desk: usize,
-        act: impl FnOnce(&mut HomeDesk) -> Vec<DeskEffect>,
+        act: impl FnOnce(&mut ShardScheduler) -> Vec<SchedulerEffect>,
     ) {
         if !self.desks[desk].is_alive {
             return;
@@ -190,31 +190,33 @@
         }
     }
 
-    pub(crate) fn carry_out(&mut self, desk: usize, effect: DeskEffect) {
+    pub(crate) fn carry_out(&mut self, desk: usize, effect: SchedulerEffect) {
         let at = self.now.after(CENTRE_WAY);
         match effect {
-            DeskEffect::Dispatch { work, dispatch, target }
-            | DeskEffect::Resend { work, dispatch, target } => {
+            SchedulerEffect::Dispatch { work, dispatch, target }
+            | SchedulerEffect::Resend { work, dispatch, target } => {
                 let record = &self.works[work as usize];
                 let (run, deadline) = (record.arrival.run, record.deadline);
                 let job = TargetJob { dispatch, work, run, deadline };
                 let (number, incarnation) = (number_of(&target), target.incarnation);
                 self.events.push(at, SimEvent::Open { desk, target: number, incarnation, job });
             }
-            DeskEffect::Refuse { work, refusal } => self.refuse(work, refusal),
-            DeskEffect::Cancel { dispatch, target } => {
+            SchedulerEffect::Refuse { work, refusal } => self.refuse(work, refusal),
+            SchedulerEffect::Cancel { dispatch, target } => {
                 let (number, incarnation) = (number_of(&target), target.incarnation);
                 let event = SimEvent::Cancel { desk, target: number, incarnation, dispatch };
                 self.events.push(at, event);
             }
-            DeskEffect::Probe { target } => {
+            SchedulerEffect::Probe { target } => {
                 let number = number_of(&target);
                 let load = self.processes[self.current[number]].report();
                 let answered_at = at.after(CENTRE_WAY);
                 self.events.push(answered_at, SimEvent::Report { desk, target: number, load });
             }
             // Nothing is asked about accepted work here, and there are no feeds.
-            DeskEffect::Check { .. } | DeskEffect::Forget { .. } | DeskEffect::Audit(_) => {}
+            SchedulerEffect::Check { .. }
+            | SchedulerEffect::Discard { .. }
+            | SchedulerEffect::Audit(_) => {}
         }
     }
 
--- a/crates/foxledge-daemon/src/choices.rs
+++ b/crates/foxledge-daemon/src/choices.rs
@@ -4,7 +4,7 @@
 
 use foxledge_engine::{EngineOptions, PlacementKind, TrialSwitches};
 use foxledge_members::{ListOptions, StaleLists};
-use foxledge_policy::DeskOptions;
+use foxledge_policy::SchedulerOptions;
 use foxledge_settings::{DaemonSettings, PlacementChoice};
 
 use crate::routes::RouteTable;
@@ -15,24 +15,24 @@
     EngineOptions::default()
         .placement(placement_kind(flow.placement))
         .policy(flow.policy.as_str().to_owned())
-        .ticket_life(Duration::from_millis(flow.ticket_ms))
-        .ticket_count(flow.ticket_count)
-        .forward_wait(Duration::from_millis(flow.forward_wait_ms))
-        .passed_over(Duration::from_millis(flow.passed_over_ms))
-        .desk(desk_options(settings))
+        .ticket_ttl(Duration::from_millis(flow.ticket_ms))
+        .requests_per_ticket(flow.ticket_count)
+        .forward_timeout(Duration::from_millis(flow.forward_wait_ms))
+        .home_backoff(Duration::from_millis(flow.passed_over_ms))
+        .scheduler(desk_options(settings))
         .trial(trial_switches(settings))
 }
 
-fn desk_options(settings: &DaemonSettings) -> DeskOptions {
+fn desk_options(settings: &DaemonSettings) -> SchedulerOptions {
     let desk = &settings.desk;
-    DeskOptions::default()
-        .ack_wait(Duration::from_millis(desk.ack_ms))
-        .resends(desk.resends)
-        .eject_losses(desk.eject_after_losses)
-        .eject_time(Duration::from_millis(desk.eject_ms))
+    SchedulerOptions::default()
+        .ack_timeout(Duration::from_millis(desk.ack_ms))
+        .max_retransmissions(desk.resends)
+        .ejection_threshold(desk.eject_after_losses)
+        .base_ejection_time(Duration::from_millis(desk.eject_ms))
         .slow_start(Duration::from_millis(desk.slow_start_ms))
-        .retry_share(f64::from(desk.retry_budget_percent) / 100.0)
-        .probe_period(Duration::from_millis(desk.probe_ms))
+        .retry_ratio(f64::from(desk.retry_budget_percent) / 100.0)
+        .probe_interval(Duration::from_millis(desk.probe_ms))
 }
 
 fn placement_kind(choice: PlacementChoice) -> PlacementKind {
@@ -48,7 +48,7 @@
     TrialSwitches {
         run_once: trial.run_once,
         check_target_owner: trial.check_target_owner,
-        pass_over_homes: trial.pass_over_homes,
+        skip_unresponsive_homes: trial.pass_over_homes,
         remember_refusals: trial.remember_refusals,
         refuse_stale_lists: trial.refuse_stale_lists,
     }
@@ -56,14 +56,14 @@
 
 /// The list store's options from the settings.
 pub fn list_options(settings: &DaemonSettings) -> ListOptions {
-    ListOptions::default().stale(stale_lists(settings))
+    ListOptions::default().stale_lists(stale_lists(settings))
 }
 
 /// What becomes of older lists, from the settings.
 pub fn stale_lists(settings: &DaemonSettings) -> StaleLists {
     match settings.trial.refuse_stale_lists {
         true => StaleLists::Refuse,
-        false => StaleLists::Take,
+        false => StaleLists::Accept,
     }
 }
 
--- a/crates/foxledge-daemon/src/engine_part.rs
+++ b/crates/foxledge-daemon/src/engine_part.rs
@@ -78,12 +78,12 @@
 
     /// Puts a list in force.
     pub fn take_list(&mut self, cx: CX![], list: Arc<RuleList>) {
-        self.run(cx, |engine, context| engine.on_list(context.clock.now(), list));
+        self.run(cx, |engine, context| engine.apply_list(context.clock.now(), list));
     }
 
     /// Takes a new view of membership.
     pub fn take_view(&mut self, cx: CX![], view: Arc<PeerView>) {
-        self.run(cx, |engine, context| engine.on_view(context.clock.now(), view));
+        self.run(cx, |engine, context| engine.apply_peer_view(context.clock.now(), view));
     }
 
     /// Takes a new phase.
@@ -93,14 +93,14 @@
 
     /// Answers how many requests a planned stop has to wait for.
     pub fn count_unfinished(&mut self, _cx: CX![], answer: Ret<usize>) {
-        ret!([answer], self.engine.unfinished(self.context.clock.now()));
+        ret!([answer], self.engine.unfinished_count(self.context.clock.now()));
     }
 
     /// Brings the metrics up to date.
     pub fn count_metrics(&mut self, _cx: CX![], answer: oneshot::Sender<()>) {
         let metrics = &self.context.metrics;
-        metrics.set_engine_totals(&self.engine.counters().pairs());
-        metrics.unfinished.set(self.engine.unfinished(self.context.clock.now()) as i64);
+        metrics.set_engine_totals(&self.engine.counters().named_values());
+        metrics.unfinished.set(self.engine.unfinished_count(self.context.clock.now()) as i64);
         // The asker may have given up.
         let _ = answer.send(());
     }
@@ -146,7 +146,7 @@
 
     fn tick(&mut self, cx: CX![]) {
         self.run(cx, |engine, context| engine.on_tick(context.clock.now()));
-        self.pace = if self.engine.is_quiet() { TickPace::Quiet } else { TickPace::Busy };
+        self.pace = if self.engine.is_idle() { TickPace::Quiet } else { TickPace::Busy };
         self.tick_key = match self.pace {
             TickPace::Quiet => after!(QUIET_TICK, [cx], tick()),
             TickPace::Busy => after!(BUSY_TICK, [cx], tick()),
@@ -158,7 +158,7 @@
     /// A hundred ticks a second cost an idle daemon more than all its decisions,
     /// but a request that is given up has to be told so within 10 ms.
     fn hasten(&mut self, cx: CX![]) {
-        if self.pace == TickPace::Busy || self.engine.is_quiet() {
+        if self.pace == TickPace::Busy || self.engine.is_idle() {
             return;
         }
         cx.timer_del(self.tick_key);
@@ -196,7 +196,7 @@
                     outgoing.push(OutgoingDatagram { socket: SocketKind::Peer, to, bytes });
                 }
                 EngineEffect::Audit(change) => self.context.record(change),
-                EngineEffect::Observe { kind, wait } => {
+                EngineEffect::RecordWait { kind, wait } => {
                     let admission = &self.context.metrics.admission;
                     admission.with_label_values(&[kind.as_str()]).observe(wait.as_secs_f64());
                 }
--- a/crates/foxledge-daemon/src/list_keeper.rs
+++ b/crates/foxledge-daemon/src/list_keeper.rs
@@ -39,7 +39,7 @@
             None => ListStore::new(options),
         };
         let mut keeper = ListKeeper { context, store, watch: WatchOrder::Pause };
-        if let Some(list) = keeper.store.current() {
+        if let Some(list) = keeper.store.current_list() {
             keeper.accepted(list);
         }
         call!([cx], on_tick());
@@ -105,7 +105,7 @@
 
     /// Answers which list is in force and the newest heard of.
     pub fn newest_heard(&mut self, _cx: CX![], answer: stakker::Ret<(ListVersion, ListVersion)>) {
-        stakker::ret!([answer], self.store.version(), self.store.newest_heard());
+        stakker::ret!([answer], self.store.version(), self.store.newest_known_version());
     }
 
     /// Tells a side thread that was started anew what to watch.
--- a/crates/foxledge-daemon/src/member_keeper.rs
+++ b/crates/foxledge-daemon/src/member_keeper.rs
@@ -41,7 +41,7 @@
         let options = member_options(&context);
         let now = context.clock.now();
         let mut membership = Membership::new(options, me, context.next_seed(), now);
-        membership.set_version(context.list_version());
+        membership.set_list_version(context.list_version());
         let heartbeat = Duration::from_millis(context.settings.peers.heartbeat_ms);
         let tick = (heartbeat / TICKS_PER_BEAT).max(Duration::from_millis(1));
         let keeper = MemberKeeper { context, membership, tick };
@@ -83,14 +83,14 @@
                 if let Some(life) = life {
                     call!([life], peer_answered(to));
                 }
-                self.membership.on_reply(now, &name, reply)
+                self.membership.on_heartbeat_reply(now, &name, reply)
             }
             Err(error) => {
                 debug!("members: no heartbeat with {to}: {error}");
                 if let Some(life) = life {
                     call!([life], peer_failed(to));
                 }
-                self.membership.on_failure(now, to)
+                self.membership.on_heartbeat_failure(now, to)
             }
         };
         self.carry_out(effects);
@@ -105,7 +105,7 @@
 
     /// Takes the platform's list of instances, a hint.
     pub fn listing_read(&mut self, _cx: CX![], listing: MemberListing) {
-        let effects = self.membership.on_platform_list(self.context.clock.now(), &listing);
+        let effects = self.membership.on_platform_listing(self.context.clock.now(), &listing);
         self.carry_out(effects);
     }
 
@@ -117,7 +117,7 @@
 
     /// Sets the version of the list in force.
     pub fn set_version(&mut self, _cx: CX![], version: ListVersion) {
-        self.membership.set_version(version);
+        self.membership.set_list_version(version);
     }
 
     fn on_tick(&mut self, cx: CX![]) {
@@ -130,8 +130,10 @@
     fn carry_out(&self, effects: Vec<MemberEffect>) {
         for effect in effects {
             match effect {
-                MemberEffect::Beat { to, beat } => self.send(LinkCommand::Beat { to, beat }),
-                MemberEffect::ProbeFor { through, probe } => {
+                MemberEffect::SendHeartbeat { to, heartbeat: beat } => {
+                    self.send(LinkCommand::Beat { to, beat })
+                }
+                MemberEffect::SendRelayProbe { relay: through, probe } => {
                     self.send(LinkCommand::ProbeFor { through, probe });
                 }
                 MemberEffect::ViewChanged(_) => self.share_view(),
@@ -176,10 +178,10 @@
     seeds.dedup();
     seeds.retain(|seed| *seed != own);
     MemberOptions::default()
-        .heartbeat(Duration::from_millis(peers.heartbeat_ms))
+        .heartbeat_interval(Duration::from_millis(peers.heartbeat_ms))
         .suspect_after(Duration::from_millis(peers.suspect_after_ms))
         .dead_after(Duration::from_millis(peers.dead_after_ms))
         .readers_per_centre(context.settings.platform.readers_per_centre as usize)
         .seeds(seeds)
-        .stale(stale_lists(&context.settings))
+        .stale_lists(stale_lists(&context.settings))
 }
--- a/crates/foxledge-engine/examples/engine_cost.rs
+++ b/crates/foxledge-engine/examples/engine_cost.rs
@@ -68,8 +68,8 @@
         PeerInfo { name: entry_name, ..me.clone() },
         SEED,
     );
-    entry.on_list(now, Arc::new(list.clone()));
-    entry.on_view(now, view.clone());
+    entry.apply_list(now, Arc::new(list.clone()));
+    entry.apply_peer_view(now, view.clone());
     let bytes = encode_packet(&ticket_request(1));
     let forwarded = entry.on_datagram(now, caller_address(1), &bytes);
     print_size("ticket request", bytes.len());
@@ -77,8 +77,8 @@
     print_size("ticket request forwarded", forward.len());
     let mut home =
         FlowEngine::new(EngineOptions::default(), PeerInfo { name: names[0].clone(), ..me }, SEED);
-    home.on_list(now, Arc::new(list));
-    home.on_view(now, view);
+    home.apply_list(now, Arc::new(list));
+    home.apply_peer_view(now, view);
     home.set_phase(now, EnginePhase::Serving);
     let effects = home.on_peer_datagram(now, address(2001), &forward);
     print_size("acknowledgement of a forwarding", peer_bytes(&effects).len());
@@ -179,12 +179,12 @@
     let first = Arc::new(wide_list(1, targets));
     let second = Arc::new(wide_list(2, targets));
     let mut engine = lone_engine(&RuleList::default());
-    engine.on_view(ClockTime::ZERO, Arc::new(wide_view(437)));
+    engine.apply_peer_view(ClockTime::ZERO, Arc::new(wide_view(437)));
     let before = resident_bytes();
-    engine.on_list(ClockTime::ZERO, first);
+    engine.apply_list(ClockTime::ZERO, first);
     let grown = resident_bytes().saturating_sub(before);
     let started = Instant::now();
-    engine.on_list(ClockTime::ZERO, second);
+    engine.apply_list(ClockTime::ZERO, second);
     println!(
         "{{\"what\":\"list taken into force\",\"targets\":{targets},\"peers\":437,\"millis\":{:.2},\"engine_bytes\":{grown}}}",
         started.elapsed().as_secs_f64() * 1e3,
@@ -194,10 +194,10 @@
 /// Processor time of taking a view into force, at the target's services.
 fn view_costs(peers: usize) {
     let mut engine = lone_engine(&wide_list(1, 38_000));
-    engine.on_view(ClockTime::ZERO, Arc::new(wide_view(peers)));
+    engine.apply_peer_view(ClockTime::ZERO, Arc::new(wide_view(peers)));
     let view = Arc::new(wide_view(peers - 1));
     let started = Instant::now();
-    engine.on_view(ClockTime::ZERO, view);
+    engine.apply_peer_view(ClockTime::ZERO, view);
     let desks = engine.status(ClockTime::ZERO).desks.len();
     println!(
         "{{\"what\":\"view taken into force\",\"peers\":{peers},\"services\":5800,\"millis\":{:.2},\"desks\":{desks}}}",
@@ -218,10 +218,10 @@
 fn lone_engine(list: &RuleList) -> FlowEngine {
     let me = peer(0);
     let mut engine =
-        FlowEngine::new(EngineOptions::default().ledger_limit(1_000_000), me.clone(), SEED);
+        FlowEngine::new(EngineOptions::default().max_ledger_requests(1_000_000), me.clone(), SEED);
     let view = PeerView { peers: vec![me], ..PeerView::default() };
-    engine.on_list(ClockTime::ZERO, Arc::new(list.clone()));
-    engine.on_view(ClockTime::ZERO, Arc::new(view));
+    engine.apply_list(ClockTime::ZERO, Arc::new(list.clone()));
+    engine.apply_peer_view(ClockTime::ZERO, Arc::new(view));
     engine.set_phase(ClockTime::ZERO, EnginePhase::Serving);
     engine
 }
--- a/crates/foxledge-engine/src/answers.rs
+++ b/crates/foxledge-engine/src/answers.rs
@@ -27,7 +27,7 @@
         let Some((key, target)) = self.owners.get(&from).cloned() else { return };
         let Some(load) = &packet.load else { return };
         let Some(desk) = self.desks.find(&key) else { return };
-        let effects = desk.on_load(now, &target.name, target_load(load));
+        let effects = desk.on_load_report(now, &target.name, target_load(load));
         self.carry_out(now, &key, effects);
     }
 
--- a/crates/foxledge-engine/src/counters.rs
+++ b/crates/foxledge-engine/src/counters.rs
@@ -10,7 +10,7 @@
 
         impl EngineCounters {
             /// Names and values, for metrics.
-            pub fn pairs(&self) -> Vec<(&'static str, u64)> {
+            pub fn named_values(&self) -> Vec<(&'static str, u64)> {
                 vec![$((stringify!($name), self.$name)),*]
             }
         }
--- a/crates/foxledge-engine/src/desks.rs
+++ b/crates/foxledge-engine/src/desks.rs
@@ -9,7 +9,7 @@
     peers::PeerView,
     time::ClockTime,
 };
-use foxledge_policy::{DeskEffect, DeskOptions, HomeDesk, policy_by_name};
+use foxledge_policy::{SchedulerEffect, SchedulerOptions, ShardScheduler, policy_by_name};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 use crate::placement::{DeskKey, HomePlacement};
@@ -23,15 +23,15 @@
 
 /// `DeskSet` is the desks of this instance.
 pub struct DeskSet {
-    desks: BTreeMap<DeskKey, HomeDesk>,
-    options: DeskOptions,
+    desks: BTreeMap<DeskKey, ShardScheduler>,
+    options: SchedulerOptions,
     policy: String,
     rng: StdRng,
 }
 
 impl DeskSet {
     /// Makes an empty set; each desk gets the options and a policy of that name.
-    pub fn new(options: DeskOptions, policy: &str, seed: u64) -> DeskSet {
+    pub fn new(options: SchedulerOptions, policy: &str, seed: u64) -> DeskSet {
         DeskSet {
             desks: BTreeMap::new(),
             options,
@@ -52,7 +52,7 @@
         key: &DeskKey,
         targets: Vec<Arc<TargetSpec>>,
         queue_limit: u32,
-    ) -> Vec<DeskEffect> {
+    ) -> Vec<SchedulerEffect> {
         let mut desk = self.make_desk();
         desk.set_queue_limit(queue_limit);
         let effects = desk.set_targets(now, targets);
@@ -61,12 +61,12 @@
     }
 
     /// The desk of that key, if there is one.
-    pub fn find(&mut self, key: &DeskKey) -> Option<&mut HomeDesk> {
+    pub fn find(&mut self, key: &DeskKey) -> Option<&mut ShardScheduler> {
         self.desks.get_mut(key)
     }
 
     /// Every desk with its key.
-    pub fn iter(&self) -> impl Iterator<Item = (&DeskKey, &HomeDesk)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&DeskKey, &ShardScheduler)> {
         self.desks.iter()
     }
 
@@ -84,7 +84,7 @@
 
     /// Drops desks that have no work and belong to others now.
     pub fn drop_idle(&mut self, is_kept: impl Fn(&DeskKey) -> bool) {
-        self.desks.retain(|key, desk| desk.unfinished() > 0 || is_kept(key));
+        self.desks.retain(|key, desk| desk.unfinished_count() > 0 || is_kept(key));
     }
 
     /// Makes a desk with a seed that no desk of this process had before.
@@ -93,12 +93,12 @@
     /// it then drew the same dispatch ids again, a backend server would take a
     /// new request for a copy of an old one and answer without running it; one
     /// would notice answered requests that never ran.
-    fn make_desk(&mut self) -> HomeDesk {
+    fn make_desk(&mut self) -> ShardScheduler {
         let seed = self.rng.random();
         let policy = policy_by_name(&self.policy, seed)
             .or_else(|_| policy_by_name("freest", seed))
             .expect("the default policy exists");
-        HomeDesk::new(self.options.clone(), policy, seed)
+        ShardScheduler::new(self.options.clone(), policy, seed)
     }
 }
 
--- a/crates/foxledge-engine/src/dispatch.rs
+++ b/crates/foxledge-engine/src/dispatch.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use foxledge_core::{audit::AuditChange, lists::TargetSpec, names::ServiceName, time::ClockTime};
-use foxledge_policy::{DeskEffect, DeskRefusal, RefuseReason, RunState};
+use foxledge_policy::{RefuseReason, RunState, SchedulerEffect, WorkRefusal};
 use foxledge_seal::seals::{seal_path, seal_token};
 use foxledge_wire::flow::{FlowToken, Packet, PacketKind, Refusal, ReturnPath, RunOutcome};
 use log::debug;
@@ -22,25 +22,30 @@
 
 impl FlowEngine {
     /// Carries out what a desk decided.
-    pub(crate) fn carry_out(&mut self, now: ClockTime, key: &DeskKey, effects: Vec<DeskEffect>) {
+    pub(crate) fn carry_out(
+        &mut self,
+        now: ClockTime,
+        key: &DeskKey,
+        effects: Vec<SchedulerEffect>,
+    ) {
         for effect in effects {
             match effect {
-                DeskEffect::Dispatch { work, dispatch, target } => {
+                SchedulerEffect::Dispatch { work, dispatch, target } => {
                     self.dispatch_work(now, work, dispatch, &target);
                 }
-                DeskEffect::Resend { work, dispatch, target } => {
+                SchedulerEffect::Resend { work, dispatch, target } => {
                     self.resend_work(now, work, dispatch, &target);
                 }
-                DeskEffect::Check { work, dispatch, target } => {
+                SchedulerEffect::Check { work, dispatch, target } => {
                     self.check_work(work, dispatch, &target);
                 }
-                DeskEffect::Refuse { work, refusal } => self.refuse_work(now, work, &refusal),
-                DeskEffect::Cancel { dispatch, target } => self.send_cancel(dispatch, &target),
-                DeskEffect::Forget { work } => {
+                SchedulerEffect::Refuse { work, refusal } => self.refuse_work(now, work, &refusal),
+                SchedulerEffect::Cancel { dispatch, target } => self.send_cancel(dispatch, &target),
+                SchedulerEffect::Discard { work } => {
                     self.remove_work(work);
                 }
-                DeskEffect::Probe { target } => self.send_probe(key, &target),
-                DeskEffect::Audit(change) => {
+                SchedulerEffect::Probe { target } => self.send_probe(key, &target),
+                SchedulerEffect::Audit(change) => {
                     // A desk knows its targets by their names alone, which
                     // another service's targets may have as well.
                     let subject = target_subject(&key.service, &change.subject);
@@ -67,7 +72,7 @@
         let text = format!("dispatched {dispatch:016x} to {place}");
         debug!("engine: flow {:016x} request {} {text}", key.flow, key.request);
         self.journal.note(key.flow, FlowEvent::new(now, key.request, text).sent_to(place));
-        self.out.push(EngineEffect::Observe { kind, wait });
+        self.out.push(EngineEffect::RecordWait { kind, wait });
         self.send_to_target(now, caller, &packet, dispatch, target);
     }
 
@@ -84,8 +89,8 @@
     /// knows the last item it saw: it opens the feed anew from there.
     fn give_up_feed(&mut self, now: ClockTime, id: u64) {
         let Some(desk) = self.works.get(&id).map(|work| work.desk.clone()) else { return };
-        let lost = DeskRefusal {
-            ran: RunState::Unknown,
+        let lost = WorkRefusal {
+            run_state: RunState::Unknown,
             reason: RefuseReason::TargetLost,
             retry_after: Duration::ZERO,
         };
@@ -166,9 +171,9 @@
     }
 
     /// Gives a work its final refusal at once.
-    pub(crate) fn refuse_work(&mut self, now: ClockTime, id: u64, refusal: &DeskRefusal) {
+    pub(crate) fn refuse_work(&mut self, now: ClockTime, id: u64, refusal: &WorkRefusal) {
         let Some(work) = self.remove_work(id) else { return };
-        let refusal = match (work.tracking, refusal.ran) {
+        let refusal = match (work.tracking, refusal.run_state) {
             (RunTracking::Untracked, RunState::NotRun) => {
                 Refusal { outcome: RunOutcome::Unknown.into(), ..desk_refusal(refusal) }
             }
--- a/crates/foxledge-engine/src/effects.rs
+++ b/crates/foxledge-engine/src/effects.rs
@@ -25,7 +25,7 @@
     /// Record a change in the audit trail.
     Audit(AuditChange),
     /// Record how long admission took at the home.
-    Observe {
+    RecordWait {
         /// Kind of traffic.
         kind: TrafficKind,
         /// From arrival at the home to dispatch.
--- a/crates/foxledge-engine/src/elsewhere.rs
+++ b/crates/foxledge-engine/src/elsewhere.rs
@@ -39,7 +39,7 @@
             caller,
             route: ForwardRoute::OtherCentre,
             tried: vec![contact.name],
-            deadline: now.after(self.options.forward_wait),
+            deadline: now.after(self.options.forward_timeout),
             hops,
         };
         self.send_forward(contact.peer_address, forward);
@@ -49,7 +49,7 @@
     /// Refuses a packet that no contact in the other data centre acknowledged.
     pub(crate) fn give_up_centre(&mut self, now: ClockTime, forward: PendingForward) {
         if let Some(silent) = forward.tried.last() {
-            self.silent.note(silent.clone(), now.after(self.options.passed_over));
+            self.silent.note(silent.clone(), now.after(self.options.home_backoff));
         }
         let refusal = self.untracked_refusal(&forward.packet, RefusalReason::NoTarget);
         self.refuse(now, forward.caller, &forward.packet, refusal);
@@ -64,7 +64,7 @@
     ) -> bool {
         let key = self.desk_key(packet, treatment);
         self.obtain_desk(now, &key);
-        self.desks.find(&key).is_some_and(|desk| desk.can_serve())
+        self.desks.find(&key).is_some_and(|desk| desk.has_responsive_target())
     }
 
     /// The contact for a flow, in a data centre that has published targets of the service.
--- a/crates/foxledge-engine/src/engine.rs
+++ b/crates/foxledge-engine/src/engine.rs
@@ -93,20 +93,24 @@
             placement: placement_of(options.placement),
             // Every desk may ask about accepted work, as the engine sends CHECK for it.
             desks: DeskSet::new(
-                options.desk.clone().run_check(RUN_CHECK).feed_check(FEED_CHECK),
+                options
+                    .scheduler
+                    .clone()
+                    .request_check_interval(RUN_CHECK)
+                    .feed_check_interval(FEED_CHECK),
                 &options.policy,
                 seed,
             ),
             probed: BTreeSet::new(),
             owners: HashMap::new(),
-            ledger: RunLedger::new(options.ledger_limit),
+            ledger: RunLedger::new(options.max_ledger_requests),
             works: HashMap::new(),
             open_requests: 0,
             opening_feeds: 0,
             next_unknown_audit: ClockTime::ZERO,
             dispatches: HashMap::new(),
             last_work: 0,
-            forwards: ForwardTable::new(options.forward_limit),
+            forwards: ForwardTable::new(options.max_pending_forwards),
             silent: SilentHomes::default(),
             tickets_until: ClockTime::ZERO,
             journal: FlowJournal::new(JOURNAL_FLOWS),
@@ -193,13 +197,13 @@
     }
 
     /// Requests, tickets and forwardings that a planned stop has to wait for.
-    pub fn unfinished(&self, now: ClockTime) -> usize {
+    pub fn unfinished_count(&self, now: ClockTime) -> usize {
         let tickets = usize::from(!self.tickets_until.is_past(now));
         self.open_requests + tickets + self.forwards.len()
     }
 
     /// True when no deadline of a request, of a feed's opening or of a forwarding runs.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.open_requests == 0 && self.opening_feeds == 0 && self.forwards.is_empty()
     }
 
--- a/crates/foxledge-engine/src/entry.rs
+++ b/crates/foxledge-engine/src/entry.rs
@@ -186,7 +186,7 @@
             caller: from,
             route: ForwardRoute::ByTicket { home_address },
             tried: vec![home],
-            deadline: now.after(self.options.forward_wait),
+            deadline: now.after(self.options.forward_timeout),
             hops,
         };
         if goes_round {
@@ -258,7 +258,7 @@
                 caller: from,
                 route: ForwardRoute::ByRank,
                 tried: Vec::new(),
-                deadline: now.after(self.options.forward_wait),
+                deadline: now.after(self.options.forward_timeout),
                 hops,
             },
         );
--- a/crates/foxledge-engine/src/home.rs
+++ b/crates/foxledge-engine/src/home.rs
@@ -92,7 +92,7 @@
         let terms = RunTerms {
             tracking: RunTracking::Untracked,
             start_deadline: ClockTime::MAX,
-            forget_at: now.after(self.options.ledger_keep),
+            forget_at: now.after(self.options.ledger_retention),
         };
         self.open_request(now, caller, packet, terms);
     }
@@ -154,7 +154,7 @@
         self.works.insert(id, work);
         self.obtain_desk(now, &desk);
         let Some(home_desk) = self.desks.find(&desk) else { return };
-        let effects = home_desk.offer(now, item);
+        let effects = home_desk.submit(now, item);
         self.carry_out(now, &desk, effects);
     }
 
--- a/crates/foxledge-engine/src/homes.rs
+++ b/crates/foxledge-engine/src/homes.rs
@@ -42,7 +42,7 @@
         let Some(peer) = next else { return };
         let (name, address) = (peer.name.clone(), peer.peer_address);
         forward.tried.push(name);
-        forward.deadline = now.after(self.options.forward_wait);
+        forward.deadline = now.after(self.options.forward_timeout);
         self.send_forward(address, forward);
     }
 
@@ -75,12 +75,12 @@
     }
 
     fn retry_by_rank(&mut self, now: ClockTime, forward: PendingForward) {
-        if !self.options.trial.pass_over_homes {
+        if !self.options.trial.skip_unresponsive_homes {
             let again = PendingForward { tried: Vec::new(), ..forward };
             return self.route_by_rank(now, again.caller, again.packet, again.hops);
         }
         if let Some(silent) = forward.tried.last() {
-            self.silent.note(silent.clone(), now.after(self.options.passed_over));
+            self.silent.note(silent.clone(), now.after(self.options.home_backoff));
         }
         match self.decide(&forward.packet) {
             Ok(treatment) => {
@@ -107,9 +107,9 @@
         home_address: SocketAddr,
     ) {
         if let Some(silent) = forward.tried.last()
-            && self.options.trial.pass_over_homes
+            && self.options.trial.skip_unresponsive_homes
         {
-            self.silent.note(silent.clone(), now.after(self.options.passed_over));
+            self.silent.note(silent.clone(), now.after(self.options.home_backoff));
         }
         if forward.tried.len() >= TICKET_TRIES || forward.hops > 0 {
             return self.give_up_home(now, forward.caller, &forward.packet);
@@ -118,7 +118,7 @@
         let relay = self.find_relay(now, &forward);
         let (name, address) = relay.unwrap_or((home, home_address));
         forward.tried.push(name);
-        forward.deadline = now.after(self.options.forward_wait);
+        forward.deadline = now.after(self.options.forward_timeout);
         self.send_forward(address, forward);
     }
 
--- a/crates/foxledge-engine/src/options.rs
+++ b/crates/foxledge-engine/src/options.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use foxledge_policy::DeskOptions;
+use foxledge_policy::SchedulerOptions;
 
 use crate::placement::PlacementKind;
 
@@ -20,21 +20,21 @@
     /// Name of the target policy.
     pub policy: String,
     /// Life of a ticket.
-    pub ticket_life: Duration,
+    pub ticket_ttl: Duration,
     /// Requests that a ticket is good for.
-    pub ticket_count: u32,
+    pub requests_per_ticket: u32,
     /// How long the entry instance waits for a home's acknowledgement.
-    pub forward_wait: Duration,
+    pub forward_timeout: Duration,
     /// How long a home that didn't acknowledge is passed over.
-    pub passed_over: Duration,
+    pub home_backoff: Duration,
     /// How long the ledger remembers a request beyond its ticket.
-    pub ledger_keep: Duration,
+    pub ledger_retention: Duration,
     /// Most requests that the ledger holds.
-    pub ledger_limit: usize,
+    pub max_ledger_requests: usize,
     /// Most forwardings that wait for an acknowledgement.
-    pub forward_limit: usize,
+    pub max_pending_forwards: usize,
     /// Options of every home desk.
-    pub desk: DeskOptions,
+    pub scheduler: SchedulerOptions,
     /// Mechanisms switched off to prove that they matter.
     pub trial: TrialSwitches,
 }
@@ -47,7 +47,7 @@
     /// A flow token is checked against the published owner of the address.
     pub check_target_owner: bool,
     /// A home that doesn't acknowledge is passed over.
-    pub pass_over_homes: bool,
+    pub skip_unresponsive_homes: bool,
     /// Known refusals are repeated instead of being decided anew.
     pub remember_refusals: bool,
     /// A list older than the one in force is refused.
@@ -59,7 +59,7 @@
         TrialSwitches {
             run_once: true,
             check_target_owner: true,
-            pass_over_homes: true,
+            skip_unresponsive_homes: true,
             remember_refusals: true,
             refuse_stale_lists: true,
         }
@@ -71,14 +71,14 @@
         EngineOptions {
             placement: PlacementKind::ServiceHome,
             policy: "freest".to_owned(),
-            ticket_life: Duration::from_secs(4),
-            ticket_count: 64,
-            forward_wait: Duration::from_millis(150),
-            passed_over: Duration::from_secs(1),
-            ledger_keep: Duration::from_secs(10),
-            ledger_limit: 200_000,
-            forward_limit: 20_000,
-            desk: DeskOptions::default(),
+            ticket_ttl: Duration::from_secs(4),
+            requests_per_ticket: 64,
+            forward_timeout: Duration::from_millis(150),
+            home_backoff: Duration::from_secs(1),
+            ledger_retention: Duration::from_secs(10),
+            max_ledger_requests: 200_000,
+            max_pending_forwards: 20_000,
+            scheduler: SchedulerOptions::default(),
             trial: TrialSwitches::default(),
         }
     }
@@ -102,21 +102,21 @@
     /// Sets the target policy by name.
     policy: String,
     /// Sets the life of a ticket.
-    ticket_life: Duration,
+    ticket_ttl: Duration,
     /// Sets how many requests a ticket is good for.
-    ticket_count: u32,
+    requests_per_ticket: u32,
     /// Sets how long the entry instance waits for an acknowledgement.
-    forward_wait: Duration,
+    forward_timeout: Duration,
     /// Sets how long a silent home is passed over.
-    passed_over: Duration,
+    home_backoff: Duration,
     /// Sets how long the ledger remembers a request beyond its ticket.
-    ledger_keep: Duration,
+    ledger_retention: Duration,
     /// Sets the most requests that the ledger holds.
-    ledger_limit: usize,
+    max_ledger_requests: usize,
     /// Sets the most forwardings that wait for an acknowledgement.
-    forward_limit: usize,
+    max_pending_forwards: usize,
     /// Sets the options of every home desk.
-    desk: DeskOptions,
+    scheduler: SchedulerOptions,
     /// Sets which mechanisms are on.
     trial: TrialSwitches,
 }
--- a/crates/foxledge-engine/src/packets.rs
+++ b/crates/foxledge-engine/src/packets.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use foxledge_policy::{DeskRefusal, RefuseReason, RunState, TargetLoad};
+use foxledge_policy::{RefuseReason, RunState, TargetLoad, WorkRefusal};
 use foxledge_wire::{
     PROTOCOL_VERSION,
     flow::{LoadReport, Packet, PacketKind, Refusal, RefusalReason, RunOutcome},
@@ -44,7 +44,7 @@
 }
 
 /// The desk's refusal as it travels.
-pub fn desk_refusal(refusal: &DeskRefusal) -> Refusal {
+pub fn desk_refusal(refusal: &WorkRefusal) -> Refusal {
     let reason = match refusal.reason {
         RefuseReason::QueueFull => RefusalReason::QueueFull,
         RefuseReason::DeadlinePassed => RefusalReason::DeadlinePassed,
@@ -55,7 +55,7 @@
         RefuseReason::Cancelled => RefusalReason::Cancelled,
         RefuseReason::WrongTarget => RefusalReason::WrongTarget,
     };
-    match refusal.ran {
+    match refusal.run_state {
         RunState::NotRun => not_run(reason, refusal.retry_after),
         RunState::Unknown => unknown(reason, refusal.retry_after),
     }
--- a/crates/foxledge-engine/src/refresh.rs
+++ b/crates/foxledge-engine/src/refresh.rs
@@ -21,7 +21,7 @@
 
 impl FlowEngine {
     /// Takes a newly accepted list into force.
-    pub fn on_list(&mut self, now: ClockTime, list: Arc<RuleList>) -> Vec<EngineEffect> {
+    pub fn apply_list(&mut self, now: ClockTime, list: Arc<RuleList>) -> Vec<EngineEffect> {
         let is_newer = list.version.revision > self.list.version.revision;
         if !is_newer && self.options.trial.refuse_stale_lists {
             return Vec::new();
@@ -44,7 +44,7 @@
     }
 
     /// Takes a new view of the instances into force.
-    pub fn on_view(&mut self, now: ClockTime, view: Arc<PeerView>) -> Vec<EngineEffect> {
+    pub fn apply_peer_view(&mut self, now: ClockTime, view: Arc<PeerView>) -> Vec<EngineEffect> {
         self.view = view;
         let list = self.list.clone();
         self.probed.clear();
--- a/crates/foxledge-engine/src/status.rs
+++ b/crates/foxledge-engine/src/status.rs
@@ -1,7 +1,7 @@
 //! What the engine says of itself to operators.
 
 use foxledge_core::lists::ListVersion;
-use foxledge_policy::DeskStatus;
+use foxledge_policy::SchedulerStatus;
 use serde::Serialize;
 
 use crate::{effects::EnginePhase, placement::DeskKey};
@@ -31,5 +31,5 @@
     /// Which shard of which service.
     pub key: DeskKey,
     /// The desk's state.
-    pub desk: DeskStatus,
+    pub desk: SchedulerStatus,
 }
--- a/crates/foxledge-engine/src/tickets.rs
+++ b/crates/foxledge-engine/src/tickets.rs
@@ -36,8 +36,8 @@
         let Some(ticket) = self.make_ticket(now, packet, &treatment.service) else { return };
         let reply = Packet {
             ticket,
-            time_left_ms: self.options.ticket_life.as_millis() as u32,
-            parts: self.options.ticket_count,
+            time_left_ms: self.options.ticket_ttl.as_millis() as u32,
+            parts: self.options.requests_per_ticket,
             ..reply_to(packet, PacketKind::TicketGrant)
         };
         self.send_data(caller, &reply);
@@ -50,7 +50,7 @@
         packet: &Packet,
         service: &ServiceName,
     ) -> Option<Vec<u8>> {
-        let start_deadline = now.after(self.options.ticket_life);
+        let start_deadline = now.after(self.options.ticket_ttl);
         let ticket = Ticket {
             address: packet.address.clone(),
             service: service.to_string(),
@@ -60,7 +60,7 @@
             home_incarnation: self.me.incarnation,
             serial: self.rng.random(),
             start_deadline_us: start_deadline.as_micros(),
-            count: self.options.ticket_count,
+            count: self.options.requests_per_ticket,
             home_address: self.me.peer_address.to_string(),
         };
         let sealed = seal_ticket(&self.ring, &ticket).ok()?;
@@ -77,7 +77,7 @@
         }
         let Ok(ticket) = open_ticket(&self.ring, &packet.ticket) else { return };
         let start_deadline = ClockTime::from_micros(ticket.start_deadline_us);
-        let forget_at = start_deadline.after(self.options.ledger_keep);
+        let forget_at = start_deadline.after(self.options.ledger_retention);
         if forget_at.is_past(now) {
             // The ledger may have forgotten a run of it.
             let refusal = unknown(RefusalReason::TicketExpired, DEFAULT_RETRY);
--- a/crates/foxledge-engine/tests/bad_datagrams.rs
+++ b/crates/foxledge-engine/tests/bad_datagrams.rs
@@ -96,7 +96,7 @@
     let bytes = encode_packet(&work(1, 1, 1, "auction"));
     let effects = fresh.on_datagram(now, data_address(9), &bytes);
     assert!(sent_bytes(&effects) > 0, "it says at once that it isn't ready");
-    assert!(fresh.on_list(now, Arc::new(net.list(1))).len() <= 1);
+    assert!(fresh.apply_list(now, Arc::new(net.list(1))).len() <= 1);
 }
 
 prop_compose! {
--- a/crates/foxledge-engine/tests/common/mod.rs
+++ b/crates/foxledge-engine/tests/common/mod.rs
@@ -133,7 +133,7 @@
         };
         let seed = self.rng.random();
         let mut engine = FlowEngine::new(self.options.clone(), me, seed);
-        engine.on_list(self.now, Arc::new(self.list(1)));
+        engine.apply_list(self.now, Arc::new(self.list(1)));
         engine.set_phase(self.now, EnginePhase::Serving);
         self.engines[instance] = Some(engine);
         self.frozen.remove(&instance);
@@ -175,7 +175,7 @@
         let view = Arc::new(PeerView { peers, ..PeerView::default() });
         for &viewer in viewers {
             let Some(engine) = self.engines[viewer].as_mut() else { continue };
-            let effects = engine.on_view(self.now, view.clone());
+            let effects = engine.apply_peer_view(self.now, view.clone());
             self.carry_out(viewer, effects);
         }
     }
@@ -183,7 +183,7 @@
     /// Gives one instance a list.
     pub fn publish(&mut self, instance: usize, list: RuleList) {
         let Some(engine) = self.engines[instance].as_mut() else { return };
-        let effects = engine.on_list(self.now, Arc::new(list));
+        let effects = engine.apply_list(self.now, Arc::new(list));
         self.carry_out(instance, effects);
     }
 
@@ -322,7 +322,7 @@
                     self.transmit(address(2000 + instance as u16), to, bytes);
                 }
                 EngineEffect::Audit(change) => self.audited.push(change),
-                EngineEffect::Observe { .. } => {}
+                EngineEffect::RecordWait { .. } => {}
             }
         }
     }
--- a/crates/foxledge-engine/tests/forward_paths.rs
+++ b/crates/foxledge-engine/tests/forward_paths.rs
@@ -34,7 +34,7 @@
     // Symptom: admission stops for seconds when an instance is killed.
     // Sequence: the home is killed; membership still holds it alive; callers ask for tickets.
     // Cause: entry instances go on forwarding to the dead home.
-    let switches = TrialSwitches { pass_over_homes: false, ..TrialSwitches::default() };
+    let switches = TrialSwitches { skip_unresponsive_homes: false, ..TrialSwitches::default() };
     let without = admission_gap(EngineOptions::default().trial(switches));
     let with = admission_gap(EngineOptions::default());
     assert!(without > 10_000, "without passing over: {without} ms");
@@ -90,7 +90,7 @@
     let now = net.now;
     net.engines[home].as_mut().unwrap().set_phase(now, EnginePhase::Leaving);
     let engine = net.engines[home].as_ref().unwrap();
-    assert!(engine.unfinished(now) > 0);
+    assert!(engine.unfinished_count(now) > 0);
     net.show_view(&[0, 1], &[1 - home]);
     let issued = net.engines[home].as_ref().unwrap().counters().tickets_issued;
     assert!(net.obtain_ticket(2, home, "auction").is_some(), "the other instance issues it");
@@ -101,7 +101,7 @@
     assert!(last.ticket.is_empty(), "a leaving home renews no ticket");
     let engine = net.engines[home].as_ref().unwrap();
     assert_eq!(engine.counters().tickets_issued, issued);
-    assert_eq!(engine.unfinished(net.now), 0);
+    assert_eq!(engine.unfinished_count(net.now), 0);
 }
 
 /// Outcomes of a bid whose ticket's home only instance 0 or 1 can reach, of two.
--- a/crates/foxledge-engine/tests/late_notices.rs
+++ b/crates/foxledge-engine/tests/late_notices.rs
@@ -106,7 +106,7 @@
     // Sequence: a feed opens and stays; a bid runs and ends.
     // Cause: what waits is counted wrong.
     let mut net = TestNet::new(1, 4, EngineOptions::default());
-    let is_quiet = |net: &TestNet| net.engines[0].as_ref().unwrap().is_quiet();
+    let is_quiet = |net: &TestNet| net.engines[0].as_ref().unwrap().is_idle();
     assert!(is_quiet(&net));
     let feed = Packet {
         work: foxledge_wire::flow::WorkKind::Feed.into(),
--- a/crates/foxledge-engine/tests/longest_names.rs
+++ b/crates/foxledge-engine/tests/longest_names.rs
@@ -43,7 +43,7 @@
     let mut me = net.engines[0].as_ref().unwrap().me().clone();
     me.name = InstanceName::new(&long("i"));
     let mut engine = FlowEngine::new(EngineOptions::default(), me, 1);
-    engine.on_list(net.now, Arc::new(list));
+    engine.apply_list(net.now, Arc::new(list));
     engine.set_phase(net.now, EnginePhase::Serving);
     net.engines[0] = Some(engine);
     net.share_view();
--- a/crates/foxledge-engine/tests/other_centres.rs
+++ b/crates/foxledge-engine/tests/other_centres.rs
@@ -38,7 +38,7 @@
     let list = Arc::new(net.list(1));
     for me in &peers {
         let mut engine = FlowEngine::new(EngineOptions::default(), me.clone(), seed);
-        engine.on_list(net.now, list.clone());
+        engine.apply_list(net.now, list.clone());
         let own = peers.iter().filter(|peer| peer.data_centre == me.data_centre).cloned();
         let others = peers.iter().filter(|peer| peer.data_centre != me.data_centre);
         let contacts = others.map(|peer| CentreContact {
@@ -51,7 +51,7 @@
             reachable_centres: vec![CentreName::new(OTHER), CentreName::new(CENTRE)],
             contacts: contacts.collect(),
         };
-        engine.on_view(net.now, Arc::new(view));
+        engine.apply_peer_view(net.now, Arc::new(view));
         engine.set_phase(net.now, EnginePhase::Serving);
         net.engines.push(Some(engine));
     }
--- a/crates/foxledge-engine/tests/run_once.rs
+++ b/crates/foxledge-engine/tests/run_once.rs
@@ -164,7 +164,7 @@
 
 #[test]
 fn used_up() {
-    let mut net = TestNet::new(1, 7, EngineOptions::default().ticket_count(2));
+    let mut net = TestNet::new(1, 7, EngineOptions::default().requests_per_ticket(2));
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
     for request in 1..=3 {
         net.send(1, 0, &Packet { ticket: ticket.clone(), ..work(1, 1, request, "auction") });
--- a/crates/foxledge-members/examples/list_stall.rs
+++ b/crates/foxledge-members/examples/list_stall.rs
@@ -46,7 +46,7 @@
     let held = resident_bytes().saturating_sub(before);
     changes.sort();
     let median = changes[changes.len() / 2];
-    let list = trial.store.current().expect("a list is in force");
+    let list = trial.store.current_list().expect("a list is in force");
     let targets: usize = list.services.values().map(|service| service.targets.len()).sum();
     println!(
         "{{\"targets\":{targets},\"list_bytes\":{},\"parts\":{},\"whole_ms\":{:.2},\
--- a/crates/foxledge-members/examples/member_cost.rs
+++ b/crates/foxledge-members/examples/member_cost.rs
@@ -158,7 +158,7 @@
 fn time_of_version(fleet: &mut Fleet, size: usize) -> f64 {
     let version = ListVersion { revision: 1, digest: 1 };
     let start = fleet.now;
-    fleet.nodes[0].member.set_version(version);
+    fleet.nodes[0].member.set_list_version(version);
     let mut holders = vec![false; size];
     holders[0] = true;
     while (0..size).any(|index| fleet.nodes[index].is_up && !holders[index]) {
@@ -167,7 +167,7 @@
             let heard = node.versions.drain(..).any(|(_, heard)| heard == version);
             if heard && !*holds {
                 *holds = true;
-                node.member.set_version(version);
+                node.member.set_list_version(version);
             }
         }
     }
@@ -239,7 +239,7 @@
         self.stores[0].on_parts(now, ListSource::Platform, parts.collect());
         let version = self.stores[0].version();
         assert_eq!(version.revision, revision);
-        self.fleet.nodes[0].member.set_version(version);
+        self.fleet.nodes[0].member.set_list_version(version);
 
         let mut waiting: BTreeMap<usize, Vec<ListEffect>> = BTreeMap::new();
         while self.stores.iter().any(|store| store.version() != version) {
@@ -287,7 +287,7 @@
                 self.stores[reader].on_parts(now, from, parts)
             }
             ListEffect::Accepted(list) => {
-                self.fleet.nodes[reader].member.set_version(list.version);
+                self.fleet.nodes[reader].member.set_list_version(list.version);
                 Vec::new()
             }
             ListEffect::Audit(_) => Vec::new(),
--- a/crates/foxledge-members/src/effects.rs
+++ b/crates/foxledge-members/src/effects.rs
@@ -13,16 +13,16 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberEffect {
     /// Call `Beat` at a control address; its end goes to `on_reply` or `on_failure`.
-    Beat {
+    SendHeartbeat {
         /// Control address to call.
         to: SocketAddr,
         /// The request.
-        beat: Heartbeat,
+        heartbeat: Heartbeat,
     },
     /// Call `ProbeFor` at a control address; its end goes to `on_probe_result`.
-    ProbeFor {
+    SendRelayProbe {
         /// Control address of the instance that asks in our place.
-        through: SocketAddr,
+        relay: SocketAddr,
         /// Whom it shall ask.
         probe: RelayProbe,
     },
--- a/crates/foxledge-members/src/lists/options.rs
+++ b/crates/foxledge-members/src/lists/options.rs
@@ -13,7 +13,7 @@
     #[default]
     Refuse,
     /// It comes into force; only to prove that refusing matters.
-    Take,
+    Accept,
 }
 
 /// `ListOptions` is how lists are fetched; each setting has a default.
@@ -24,7 +24,7 @@
     pub(super) reply_bytes: usize,
     pub(super) list_bytes: usize,
     pub(super) list_parts: usize,
-    pub(super) stale: StaleLists,
+    pub(super) stale_lists: StaleLists,
 }
 
 impl Default for ListOptions {
@@ -36,7 +36,7 @@
             reply_bytes: 256 * 1024,
             list_bytes: MAX_LIST_BYTES,
             list_parts: MAX_PARTS,
-            stale: StaleLists::Refuse,
+            stale_lists: StaleLists::Refuse,
         }
     }
 }
@@ -79,8 +79,8 @@
     }
 
     /// What becomes of a list older than the one in force.
-    pub fn stale(mut self, stale: StaleLists) -> ListOptions {
-        self.stale = stale;
+    pub fn stale_lists(mut self, stale: StaleLists) -> ListOptions {
+        self.stale_lists = stale;
         self
     }
 
--- a/crates/foxledge-members/src/lists/store.rs
+++ b/crates/foxledge-members/src/lists/store.rs
@@ -48,7 +48,7 @@
     sources: SourceTable,
     /// Lists that were found wrong; they aren't fetched again.
     refused: VecDeque<ListVersion>,
-    newest_heard: ListVersion,
+    newest_known_version: ListVersion,
     /// What was ignored last, so that the audit trail tells it once.
     ignored: Option<(ListSource, ListVersion)>,
 }
@@ -63,7 +63,7 @@
             parts: PartTable::default(),
             sources: SourceTable::default(),
             refused: VecDeque::new(),
-            newest_heard: ListVersion::default(),
+            newest_known_version: ListVersion::default(),
             ignored: None,
         }
     }
@@ -176,7 +176,7 @@
     }
 
     /// The list in force.
-    pub fn current(&self) -> Option<Arc<RuleList>> {
+    pub fn current_list(&self) -> Option<Arc<RuleList>> {
         self.accepted.as_ref().map(|held| held.list.clone())
     }
 
@@ -186,13 +186,13 @@
     }
 
     /// The newest version heard of that wasn't refused, fetched or not.
-    pub fn newest_heard(&self) -> ListVersion {
-        self.newest_heard.max(self.version())
+    pub fn newest_known_version(&self) -> ListVersion {
+        self.newest_known_version.max(self.version())
     }
 
     /// True when a list is in force and no newer one was heard of.
-    pub fn is_current(&self) -> bool {
-        self.accepted.is_some() && self.newest_heard() == self.version()
+    pub fn is_up_to_date(&self) -> bool {
+        self.accepted.is_some() && self.newest_known_version() == self.version()
     }
 
     /// Bytes of the parts held.
@@ -201,9 +201,9 @@
     }
 
     fn is_wanted(&self, version: &ListVersion) -> bool {
-        let is_newer = match self.options.stale {
+        let is_newer = match self.options.stale_lists {
             StaleLists::Refuse => version.revision > self.version().revision,
-            StaleLists::Take => *version != self.version(),
+            StaleLists::Accept => *version != self.version(),
         };
         is_newer && !self.refused.contains(version)
     }
@@ -215,7 +215,7 @@
     }
 
     fn hear(&mut self, now: ClockTime, from: ListSource, version: ListVersion) {
-        self.newest_heard = self.newest_heard.max(version);
+        self.newest_known_version = self.newest_known_version.max(version);
         self.sources.note(now, from, version);
     }
 
@@ -328,7 +328,7 @@
             "{} parts, {} of them fetched; {}",
             pending.manifest.parts.len(),
             pending.missing_first,
-            change_text(self.current().as_deref(), &list)
+            change_text(self.current_list().as_deref(), &list)
         );
         let change =
             audit(AuditKind::ListAccepted, self.version(), version, &cause, pending.source);
@@ -353,8 +353,8 @@
         self.refused.push_back(version);
         self.drop_unnamed_parts();
         self.sources.retain(|held| *held != version);
-        if self.newest_heard == version {
-            self.newest_heard = self.sources.newest().unwrap_or_default();
+        if self.newest_known_version == version {
+            self.newest_known_version = self.sources.newest().unwrap_or_default();
         }
         effects.push(audit(AuditKind::ListRefused, self.version(), version, cause, from));
     }
--- a/crates/foxledge-members/src/membership.rs
+++ b/crates/foxledge-members/src/membership.rs
@@ -143,7 +143,7 @@
     /// Takes the answer to a beat; the caller believed to call `_from`.
     ///
     /// What counts is who says that it answered: an address may have another owner by now.
-    pub fn on_reply(
+    pub fn on_heartbeat_reply(
         &mut self,
         now: ClockTime,
         _from: &InstanceName,
@@ -178,7 +178,7 @@
     }
 
     /// Takes the failure of a beat to a control address: another way to it is tried at once.
-    pub fn on_failure(&mut self, _now: ClockTime, from: SocketAddr) -> Vec<MemberEffect> {
+    pub fn on_heartbeat_failure(&mut self, _now: ClockTime, from: SocketAddr) -> Vec<MemberEffect> {
         // Later failures of the same silence are followed by probes in each round.
         let Some(name) = self.watch.at_first_failure(from) else { return Vec::new() };
         self.probe_through(&name)
@@ -203,7 +203,7 @@
     ///
     /// The list lags and may be empty for no reason. Nobody is removed because
     /// of it, and nobody is believed to live before an answer came.
-    pub fn on_platform_list(
+    pub fn on_platform_listing(
         &mut self,
         now: ClockTime,
         listing: &MemberListing,
@@ -246,7 +246,7 @@
     }
 
     /// Sets the version of the list in force here.
-    pub fn set_version(&mut self, version: ListVersion) {
+    pub fn set_list_version(&mut self, version: ListVersion) {
         if version != self.version {
             self.version = version;
             self.round.widen();
@@ -264,7 +264,7 @@
     }
 
     /// Number of records held, the dead ones and the addresses to try included.
-    pub fn table_len(&self) -> usize {
+    pub fn record_count(&self) -> usize {
         self.table.living_len() + self.table.dead().count() + self.hints.len()
     }
 
--- a/crates/foxledge-members/src/membership/beats.rs
+++ b/crates/foxledge-members/src/membership/beats.rs
@@ -61,7 +61,7 @@
             return;
         }
         // A tenth of jitter keeps instances that started together from beating together.
-        let wait = self.options.heartbeat.mul_f64(self.rng.random_range(0.9..1.1));
+        let wait = self.options.heartbeat_interval.mul_f64(self.rng.random_range(0.9..1.1));
         self.round.next = now.after(wait);
         let count = match std::mem::replace(&mut self.round.reach, RoundReach::Some) {
             RoundReach::Some => self.beats_per_round(),
@@ -88,7 +88,7 @@
     fn beats_per_round(&self) -> usize {
         let suspicion = self.options.suspect_after.as_micros().max(1) * 2;
         let beats = self.watch.len() as u128 * HALF_BEATS_PER_SUSPICION;
-        (beats * self.options.heartbeat.as_micros()).div_ceil(suspicion).max(1) as usize
+        (beats * self.options.heartbeat_interval.as_micros()).div_ceil(suspicion).max(1) as usize
     }
 
     /// Asks a few other instances, drawn, whether `name` answers them.
@@ -106,8 +106,8 @@
             relays.len(),
             RELAYS_PER_PROBE.min(relays.len()),
         );
-        let probe_through = |index: usize| MemberEffect::ProbeFor {
-            through: relays[index].control_address,
+        let probe_through = |index: usize| MemberEffect::SendRelayProbe {
+            relay: relays[index].control_address,
             probe: RelayProbe { name: name.to_string(), control_address: control_address.clone() },
         };
         drawn.into_iter().map(probe_through).collect()
@@ -119,7 +119,8 @@
             return;
         }
         let is_alone = self.table.living_len() == 0;
-        let wait = if is_alone { self.options.heartbeat } else { self.options.retry_every };
+        let wait =
+            if is_alone { self.options.heartbeat_interval } else { self.options.retry_every };
         self.round.next_hint = now.after(wait.mul_f64(self.rng.random_range(0.8..1.2)));
         let mut known: HashSet<SocketAddr> =
             self.table.living().map(|entry| entry.info.control_address).collect();
@@ -146,7 +147,7 @@
                 centres: vec![self.own_summary()],
                 ..Heartbeat::default()
             };
-            effects.push(MemberEffect::Beat { to, beat });
+            effects.push(MemberEffect::SendHeartbeat { to, heartbeat: beat });
         }
     }
 
@@ -172,7 +173,7 @@
             join,
             table_digest: self.table.digest_with(&self.me),
         };
-        MemberEffect::Beat { to, beat }
+        MemberEffect::SendHeartbeat { to, heartbeat: beat }
     }
 
     /// Answers a beat of the own data centre.
--- a/crates/foxledge-members/src/membership/claims.rs
+++ b/crates/foxledge-members/src/membership/claims.rs
@@ -30,9 +30,9 @@
     ) {
         let version = version.as_ref().map(convert::list_version).unwrap_or_default();
         let is_older = version.revision < self.version.revision;
-        let counts = match self.options.stale {
+        let counts = match self.options.stale_lists {
             StaleLists::Refuse => !is_older,
-            StaleLists::Take => true,
+            StaleLists::Accept => true,
         };
         if version != self.version && counts {
             effects.push(MemberEffect::PeerVersion { from: sender.control_address, version });
--- a/crates/foxledge-members/src/options.rs
+++ b/crates/foxledge-members/src/options.rs
@@ -7,7 +7,7 @@
 /// `MemberOptions` is how membership is kept; each setting has a default.
 #[derive(Clone, Debug)]
 pub struct MemberOptions {
-    pub(crate) heartbeat: Duration,
+    pub(crate) heartbeat_interval: Duration,
     pub(crate) suspect_after: Duration,
     pub(crate) dead_after: Duration,
     pub(crate) rings: usize,
@@ -21,13 +21,13 @@
     pub(crate) retry_every: Duration,
     pub(crate) tombstone: Duration,
     pub(crate) seeds: Vec<SocketAddr>,
-    pub(crate) stale: StaleLists,
+    pub(crate) stale_lists: StaleLists,
 }
 
 impl Default for MemberOptions {
     fn default() -> MemberOptions {
         MemberOptions {
-            heartbeat: Duration::from_millis(250),
+            heartbeat_interval: Duration::from_millis(250),
             suspect_after: Duration::from_millis(1500),
             dead_after: Duration::from_millis(3000),
             rings: 4,
@@ -41,15 +41,15 @@
             retry_every: Duration::from_millis(1000),
             tombstone: Duration::from_secs(600),
             seeds: Vec::new(),
-            stale: StaleLists::Refuse,
+            stale_lists: StaleLists::Refuse,
         }
     }
 }
 
 impl MemberOptions {
     /// Time between two rounds of beats.
-    pub fn heartbeat(mut self, every: Duration) -> MemberOptions {
-        self.heartbeat = every.max(Duration::from_millis(1));
+    pub fn heartbeat_interval(mut self, every: Duration) -> MemberOptions {
+        self.heartbeat_interval = every.max(Duration::from_millis(1));
         self
     }
 
@@ -126,8 +126,8 @@
     }
 
     /// Whether a peer's list is reported that is older than the own.
-    pub fn stale(mut self, stale: StaleLists) -> MemberOptions {
-        self.stale = stale;
+    pub fn stale_lists(mut self, stale: StaleLists) -> MemberOptions {
+        self.stale_lists = stale;
         self
     }
 
--- a/crates/foxledge-members/tests/centre_summary.rs
+++ b/crates/foxledge-members/tests/centre_summary.rs
@@ -67,7 +67,7 @@
     assert!(fleet.run_until(seconds(20), |fleet| all_reach(fleet, 3)));
     let version = ListVersion { revision: 5, digest: 55 };
     for index in 0..6 {
-        fleet.nodes[index].member.set_version(version);
+        fleet.nodes[index].member.set_list_version(version);
     }
     let erie_heard = |fleet: &Fleet| {
         fleet.nodes[6..12].iter().any(|node| node.versions.iter().any(|heard| heard.1 == version))
--- a/crates/foxledge-members/tests/common/calls.rs
+++ b/crates/foxledge-members/tests/common/calls.rs
@@ -88,7 +88,7 @@
         let Some(callee) = self.at.get(&done.to).copied() else { return };
         let name = self.nodes[callee].info.name.clone();
         if self.nodes[done.caller].is_up {
-            self.call(done.caller, |member, now| member.on_reply(now, &name, *reply));
+            self.call(done.caller, |member, now| member.on_heartbeat_reply(now, &name, *reply));
         }
     }
 
@@ -126,19 +126,19 @@
             Some(name) => self.call(done.caller, |member, now| {
                 member.on_probe_result(now, &name, ProbeResult::Unanswered)
             }),
-            None => self.call(done.caller, |member, now| member.on_failure(now, done.to)),
+            None => self.call(done.caller, |member, now| member.on_heartbeat_failure(now, done.to)),
         }
     }
 
     pub(super) fn carry_out(&mut self, node: usize, effects: Vec<MemberEffect>) {
         for effect in effects {
             match effect {
-                MemberEffect::Beat { to, beat } => {
+                MemberEffect::SendHeartbeat { to, heartbeat: beat } => {
                     self.count(node, beat.encoded_len(), beat.news.len());
                     let beat = Box::new(beat);
                     self.open(node, to, None, |call| FleetEvent::Request { call, beat });
                 }
-                MemberEffect::ProbeFor { through, probe } => {
+                MemberEffect::SendRelayProbe { relay: through, probe } => {
                     self.count(node, probe.encoded_len(), 0);
                     let target = probe.control_address.parse().expect("an address");
                     let name = Some(InstanceName::new(&probe.name));
--- a/crates/foxledge-members/tests/list_spread.rs
+++ b/crates/foxledge-members/tests/list_spread.rs
@@ -152,7 +152,7 @@
     let told = store.on_parts(at(20), PLATFORM, vec![part("wrong")]);
     expect!["ListRefused: part-1:1: rule: is wrong (platform)"].assert_eq(&lines(&told));
     assert_eq!(store.version(), version(1, &["right"]));
-    assert_eq!(store.newest_heard().revision, 1, "a refused list isn't waited for");
+    assert_eq!(store.newest_known_version().revision, 1, "a refused list isn't waited for");
 
     let refused = version(2, &["right", "wrong"]);
     assert_eq!(lines(&store.on_peer_version(at(30), peer_address(1), refused)), "");
@@ -210,7 +210,7 @@
     store.on_manifest(at(30), peer(1), manifest(2, &["b"]));
     store.on_parts(at(40), peer(1), vec![part("b")]);
     assert_eq!(store.version().revision, 2);
-    assert_eq!(store.newest_heard().revision, 3);
+    assert_eq!(store.newest_known_version().revision, 3);
     assert_eq!(lines(&store.on_tick(at(2000))), "manifest from Platform");
 }
 
--- a/crates/foxledge-members/tests/member_faults.rs
+++ b/crates/foxledge-members/tests/member_faults.rs
@@ -138,14 +138,14 @@
     fleet.kill(6);
     fleet.run(seconds(10));
     for by in 0..9 {
-        fleet.call(by, |member, now| member.on_platform_list(now, &full));
+        fleet.call(by, |member, now| member.on_platform_listing(now, &full));
     }
     for _ in 0..100 {
         fleet.run(Duration::from_millis(100));
         assert!(fleet.agrees(), "nobody comes back because of a list");
     }
     for by in 0..9 {
-        fleet.call(by, |member, now| member.on_platform_list(now, &MemberListing::default()));
+        fleet.call(by, |member, now| member.on_platform_listing(now, &MemberListing::default()));
     }
     fleet.run(seconds(10));
     assert!(fleet.agrees());
@@ -161,7 +161,7 @@
     fleet.run(seconds(5));
     assert_eq!(fleet.view(lone).peers.len(), 1);
     let listing = MemberListing { members: vec![convert::peer_record(&fleet.nodes[2].info)] };
-    fleet.call(lone, |member, now| member.on_platform_list(now, &listing));
+    fleet.call(lone, |member, now| member.on_platform_listing(now, &listing));
     assert!(fleet.run_until(seconds(10), Fleet::agrees));
 }
 
--- a/crates/foxledge-members/tests/stale_lists.rs
+++ b/crates/foxledge-members/tests/stale_lists.rs
@@ -33,9 +33,9 @@
 /// Cause: taking the platform's word as the newest.
 #[test]
 fn older_list() {
-    for (stale, expected) in [(StaleLists::Take, 3), (StaleLists::Refuse, 5)] {
+    for (stale, expected) in [(StaleLists::Accept, 3), (StaleLists::Refuse, 5)] {
         let mut store =
-            ListStore::new(ListOptions::default().builder(Box::new(AnyBuilder)).stale(stale));
+            ListStore::new(ListOptions::default().builder(Box::new(AnyBuilder)).stale_lists(stale));
         assert_eq!(offer(&mut store, 5, &part("new")), 5);
         assert_eq!(offer(&mut store, 3, &part("old")), expected, "{stale:?}");
     }
--- a/crates/foxledge-policy/src/admission.rs
+++ b/crates/foxledge-policy/src/admission.rs
@@ -7,10 +7,10 @@
 
 use crate::{
     demand::WorkTier,
-    desk::{HomeDesk, WorkClass},
     dispatches::{CallerState, DispatchPhase, RunningDispatch, SlotHold},
-    effects::{DeskEffect, DeskRefusal, RefuseReason, RunState},
+    effects::{RefuseReason, RunState, SchedulerEffect, WorkRefusal},
     policies::TargetState,
+    scheduler::{ShardScheduler, WorkClass},
     targets::{SlowWait, TargetSample, leave_out_tried},
     work::{PendingWork, WorkItem},
 };
@@ -29,9 +29,9 @@
 // Part of the slots that is kept free of excess work.
 const RESERVED_PART: f64 = 0.04;
 
-impl HomeDesk {
+impl ShardScheduler {
     /// Takes work; it is dispatched, queued or refused at once.
-    pub fn offer(&mut self, now: ClockTime, item: WorkItem) -> Vec<DeskEffect> {
+    pub fn submit(&mut self, now: ClockTime, item: WorkItem) -> Vec<SchedulerEffect> {
         let mut effects = Vec::new();
         if self.holds(&item) {
             return effects;
@@ -61,7 +61,7 @@
     }
 
     /// The caller gave up.
-    pub fn cancel(&mut self, now: ClockTime, work: u64) -> Vec<DeskEffect> {
+    pub fn cancel(&mut self, now: ClockTime, work: u64) -> Vec<SchedulerEffect> {
         let mut effects = Vec::new();
         let queued = self.requests.remove(work).or_else(|| self.feeds.remove(work));
         if let Some(pending) = queued {
@@ -77,14 +77,14 @@
     }
 
     /// Sends out what waits while targets have room.
-    pub(crate) fn pump(&mut self, now: ClockTime, effects: &mut Vec<DeskEffect>) {
+    pub(crate) fn pump(&mut self, now: ClockTime, effects: &mut Vec<SchedulerEffect>) {
         self.refuse_expired(now, effects);
         while self.dispatch_next(now, TrafficKind::Bid, effects) {}
         while self.dispatch_next(now, TrafficKind::Feed, effects) {}
     }
 
     /// Refuses what waits and can't be started any more.
-    pub(crate) fn refuse_expired(&mut self, now: ClockTime, effects: &mut Vec<DeskEffect>) {
+    pub(crate) fn refuse_expired(&mut self, now: ClockTime, effects: &mut Vec<SchedulerEffect>) {
         let expired = self.requests.take_expired(now).into_iter();
         for pending in expired.chain(self.feeds.take_expired(now)).collect::<Vec<_>>() {
             let reason = RefuseReason::DeadlinePassed;
@@ -98,15 +98,15 @@
         pending: &PendingWork,
         ran: RunState,
         reason: RefuseReason,
-        effects: &mut Vec<DeskEffect>,
+        effects: &mut Vec<SchedulerEffect>,
     ) {
         let item = &pending.item;
         self.release_member(item);
         let ran = ran.max(pending.ran);
         *self.counters.refused.entry(reason).or_default() += 1;
         let retry_after = self.retry_after(pending, ran, reason);
-        let refusal = DeskRefusal { ran, reason, retry_after };
-        effects.push(DeskEffect::Refuse { work: item.id, refusal });
+        let refusal = WorkRefusal { run_state: ran, reason, retry_after };
+        effects.push(SchedulerEffect::Refuse { work: item.id, refusal });
     }
 
     fn hold_member(&mut self, item: &WorkItem) {
@@ -151,7 +151,7 @@
         None
     }
 
-    fn enqueue(&mut self, pending: PendingWork, effects: &mut Vec<DeskEffect>) {
+    fn enqueue(&mut self, pending: PendingWork, effects: &mut Vec<SchedulerEffect>) {
         let limit = self.options.queue_limit as usize;
         let queue = self.queue_of(pending.item.kind);
         if queue.len() < limit.max(1) {
@@ -175,7 +175,7 @@
         &mut self,
         now: ClockTime,
         kind: TrafficKind,
-        effects: &mut Vec<DeskEffect>,
+        effects: &mut Vec<SchedulerEffect>,
     ) -> bool {
         let wait = self.slow_wait(kind);
         if self.queue_of(kind).is_empty() {
@@ -207,7 +207,7 @@
         now: ClockTime,
         pending: PendingWork,
         state: &TargetState,
-        effects: &mut Vec<DeskEffect>,
+        effects: &mut Vec<SchedulerEffect>,
     ) {
         let dispatch = self.new_dispatch();
         let Some(entry) = self.table.get_mut(state.id) else {
@@ -223,7 +223,7 @@
         }
         let work = pending.item.id;
         let running = RunningDispatch {
-            lease_deadline: pending.item.deadline.after(self.options.run_grace),
+            lease_deadline: pending.item.deadline.after(self.options.lease_grace),
             pending,
             target: state.id,
             spec: Arc::clone(&target),
@@ -233,12 +233,12 @@
             unanswered: 0,
             sendings: 1,
             sent_at: now,
-            check_at: now.after(self.options.ack_wait),
+            check_at: now.after(self.options.ack_timeout),
             resend_deadline: now.after(self.options.resend_window),
         };
         self.out.insert(work, dispatch);
         self.dispatches.insert(dispatch, running);
-        effects.push(DeskEffect::Dispatch { work, dispatch, target });
+        effects.push(SchedulerEffect::Dispatch { work, dispatch, target });
     }
 
     // The last free slots are kept for fair parts.
--- a/crates/foxledge-policy/src/running.rs
+++ b/crates/foxledge-policy/src/dispatch_events.rs
@@ -5,17 +5,17 @@
 use foxledge_core::{time::ClockTime, traffic::TrafficKind};
 
 use crate::{
-    desk::HomeDesk,
     dispatches::{CallerState, DispatchPhase, RunningDispatch, SlotHold},
-    effects::{DeskEffect, RefuseReason, RunState, TargetLoad, TargetSignal},
+    effects::{RefuseReason, RunState, SchedulerEffect, TargetLoad, TargetSignal},
     health::HealthVerdict,
+    scheduler::ShardScheduler,
 };
 
 // Work that took this many usual runs has most likely ended: of exponential
 // ones one in 3,000 is longer.
 const PRESUMED_RUNS: u32 = 8;
 
-impl HomeDesk {
+impl ShardScheduler {
     /// Takes what a target said of a dispatch; a dispatch that the desk
     /// doesn't hold any more is ignored.
     pub fn on_signal(
@@ -24,7 +24,7 @@
         dispatch: u64,
         signal: TargetSignal,
         load: Option<TargetLoad>,
-    ) -> Vec<DeskEffect> {
+    ) -> Vec<SchedulerEffect> {
         let mut effects = Vec::new();
         let Some(target) = self.dispatches.get(dispatch).map(|running| running.target) else {
             return effects;
@@ -46,7 +46,7 @@
     }
 
     /// Looks at the dispatches whose deadlines have passed.
-    pub(crate) fn check_dispatches(&mut self, now: ClockTime, effects: &mut Vec<DeskEffect>) {
+    pub(crate) fn check_dispatches(&mut self, now: ClockTime, effects: &mut Vec<SchedulerEffect>) {
         for dispatch in self.dispatches.due(now) {
             let Some(running) = self.dispatches.get(dispatch) else {
                 continue;
@@ -55,7 +55,7 @@
                 self.end_lease(dispatch, effects);
             } else if running.is_overdue(now) {
                 self.tell_target(now, dispatch, CallerState::Overdue, effects);
-            } else if running.unanswered >= self.options.resends {
+            } else if running.unanswered >= self.options.max_retransmissions {
                 self.blame(now, running.target, effects);
                 self.on_lost(now, dispatch, effects);
             } else if running.phase == DispatchPhase::Sent && running.resend_deadline.is_past(now) {
@@ -108,7 +108,7 @@
         now: ClockTime,
         dispatch: u64,
         reason: RefuseReason,
-        effects: &mut Vec<DeskEffect>,
+        effects: &mut Vec<SchedulerEffect>,
     ) {
         let Some(running) = self.take_out(dispatch) else {
             return;
@@ -144,11 +144,11 @@
     // counts only for a single sending, and only so soon after it that no
     // process can have been replaced in between; later it means "unknown".
     fn believes_wrong_target(&self, now: ClockTime, running: &RunningDispatch) -> bool {
-        let replaced_by = running.sent_at.after(self.options.ack_wait);
+        let replaced_by = running.sent_at.after(self.options.ack_timeout);
         running.sendings == 1 && running.phase == DispatchPhase::Sent && !replaced_by.is_past(now)
     }
 
-    fn on_unknown(&mut self, now: ClockTime, dispatch: u64, effects: &mut Vec<DeskEffect>) {
+    fn on_unknown(&mut self, now: ClockTime, dispatch: u64, effects: &mut Vec<SchedulerEffect>) {
         if let Some(running) = self.take_out(dispatch) {
             self.give_up_unknown(now, running, RefuseReason::TargetLost, effects);
         }
@@ -160,7 +160,7 @@
         now: ClockTime,
         running: RunningDispatch,
         reason: RefuseReason,
-        effects: &mut Vec<DeskEffect>,
+        effects: &mut Vec<SchedulerEffect>,
     ) {
         let pending = &running.pending;
         match running.caller {
@@ -185,7 +185,7 @@
         now: ClockTime,
         running: RunningDispatch,
         reason: RefuseReason,
-        effects: &mut Vec<DeskEffect>,
+        effects: &mut Vec<SchedulerEffect>,
     ) {
         if reason != RefuseReason::DeadlinePassed && self.may_retry(now, &running) {
             self.try_elsewhere(running, RunState::NotRun);
@@ -199,7 +199,7 @@
         // The opening packet of accepted work is only kept where it is asked about.
         let is_kept = running.phase == DispatchPhase::Sent || self.options.checks_runs();
         let in_time = !running.pending.start_by.is_past(now);
-        tries < self.options.tries
+        tries < self.options.max_attempts
             && is_kept
             && in_time
             && self.table.takes_work()
@@ -222,23 +222,23 @@
         now: ClockTime,
         dispatch: u64,
         caller: CallerState,
-        effects: &mut Vec<DeskEffect>,
+        effects: &mut Vec<SchedulerEffect>,
     ) {
-        let check_at = now.after(self.options.ack_wait);
+        let check_at = now.after(self.options.ack_timeout);
         self.dispatches.update(dispatch, |running| {
             running.caller = caller;
             running.unanswered = 0;
             running.sendings += 1;
             running.check_at = check_at;
             let target = Arc::clone(&running.spec);
-            effects.push(DeskEffect::Cancel { dispatch, target });
+            effects.push(SchedulerEffect::Cancel { dispatch, target });
         });
     }
 
     // Sends the same dispatch to the same target again; a copy starts nothing
     // there, so this is safe for non-idempotent work.
-    fn ask_again(&mut self, now: ClockTime, dispatch: u64, effects: &mut Vec<DeskEffect>) {
-        let check_at = now.after(self.options.ack_wait);
+    fn ask_again(&mut self, now: ClockTime, dispatch: u64, effects: &mut Vec<SchedulerEffect>) {
+        let check_at = now.after(self.options.ack_timeout);
         self.dispatches.update(dispatch, |running| {
             running.unanswered += 1;
             running.sendings += 1;
@@ -247,11 +247,11 @@
             let work = running.pending.item.id;
             effects.push(match running.caller {
                 CallerState::Waiting if running.phase == DispatchPhase::Accepted => {
-                    DeskEffect::Check { work, dispatch, target }
+                    SchedulerEffect::Check { work, dispatch, target }
                 }
-                CallerState::Waiting => DeskEffect::Resend { work, dispatch, target },
+                CallerState::Waiting => SchedulerEffect::Resend { work, dispatch, target },
                 CallerState::Cancelled | CallerState::Overdue | CallerState::Answered => {
-                    DeskEffect::Cancel { dispatch, target }
+                    SchedulerEffect::Cancel { dispatch, target }
                 }
             });
         });
@@ -260,7 +260,7 @@
 
     // The target says nothing any more. The caller is answered at once; the
     // slot stays taken for a while, as the work may still be running there.
-    fn on_lost(&mut self, now: ClockTime, dispatch: u64, effects: &mut Vec<DeskEffect>) {
+    fn on_lost(&mut self, now: ClockTime, dispatch: u64, effects: &mut Vec<SchedulerEffect>) {
         let Some(mut running) = self.take_out(dispatch) else {
             return;
         };
@@ -272,15 +272,15 @@
         if running.pending.item.is_feed() && running.phase == DispatchPhase::Accepted {
             self.counters.ended += 1;
             self.release_member(&running.pending.item);
-            effects.push(DeskEffect::Forget { work: running.pending.item.id });
+            effects.push(SchedulerEffect::Discard { work: running.pending.item.id });
             return;
         }
-        effects.push(DeskEffect::Cancel { dispatch, target: Arc::clone(&running.spec) });
+        effects.push(SchedulerEffect::Cancel { dispatch, target: Arc::clone(&running.spec) });
         let lost = running.clone();
         self.give_up_unknown(now, lost, RefuseReason::TargetLost, effects);
         running.caller = CallerState::Answered;
         running.check_at = ClockTime::MAX;
-        running.lease_deadline = running.lease_deadline.min(now.after(self.options.abandoned_hold));
+        running.lease_deadline = running.lease_deadline.min(now.after(self.options.lost_slot_hold));
         if running.hold == SlotHold::Held {
             self.table.take(running.target, running.kind());
             self.dispatches.insert(dispatch, running);
@@ -289,14 +289,14 @@
 
     // The caller's deadline and the grace have passed: the slot is given back,
     // or work whose end was lost would hold it for good.
-    fn end_lease(&mut self, dispatch: u64, effects: &mut Vec<DeskEffect>) {
+    fn end_lease(&mut self, dispatch: u64, effects: &mut Vec<SchedulerEffect>) {
         let Some(running) = self.take_out(dispatch) else {
             return;
         };
         if running.caller == CallerState::Answered {
             return;
         }
-        effects.push(DeskEffect::Cancel { dispatch, target: Arc::clone(&running.spec) });
+        effects.push(SchedulerEffect::Cancel { dispatch, target: Arc::clone(&running.spec) });
         let reason = RefuseReason::DeadlinePassed;
         self.refuse(&running.pending, RunState::Unknown, reason, effects);
     }
@@ -320,7 +320,7 @@
             return;
         }
         let usual_run = self.times.usual_slot().mul_f64(entry.health.pace().max(1.0));
-        let age = self.options.presume_after.max(usual_run * PRESUMED_RUNS).as_micros();
+        let age = self.options.presumed_end_age.max(usual_run * PRESUMED_RUNS).as_micros();
         let sent_before = ClockTime::from_micros(now.as_micros().saturating_sub(age as u64));
         let old = self.dispatches.old_requests(target, sent_before);
         for dispatch in old.into_iter().take(excess as usize) {
@@ -329,13 +329,13 @@
         }
     }
 
-    fn blame(&mut self, now: ClockTime, target: u64, effects: &mut Vec<DeskEffect>) {
+    fn blame(&mut self, now: ClockTime, target: u64, effects: &mut Vec<SchedulerEffect>) {
         let Some(entry) = self.table.get_mut(target) else {
             return;
         };
         if entry.health.on_loss(&self.options) == HealthVerdict::Eject {
             let change = self.table.eject(now, target, "dispatches unanswered", &self.options);
-            effects.extend(change.map(DeskEffect::Audit));
+            effects.extend(change.map(SchedulerEffect::Audit));
         }
     }
 
--- a/crates/foxledge-policy/src/effects.rs
+++ b/crates/foxledge-policy/src/effects.rs
@@ -5,9 +5,9 @@
 use foxledge_core::{audit::AuditChange, lists::TargetSpec};
 use serde::Serialize;
 
-/// `DeskEffect` is one thing that the desk wants done.
+/// `SchedulerEffect` is one thing that the desk wants done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum DeskEffect {
+pub enum SchedulerEffect {
     /// Send the work to the target under a new dispatch.
     Dispatch {
         /// The work.
@@ -43,7 +43,7 @@
         /// The work.
         work: u64,
         /// The answer.
-        refusal: DeskRefusal,
+        refusal: WorkRefusal,
     },
     /// Pass on that nobody waits for the dispatch any more.
     Cancel {
@@ -54,7 +54,7 @@
     },
     /// The desk holds the work no longer, and nobody needs to be told: an open
     /// feed whose target fell silent, which its caller notices itself.
-    Forget {
+    Discard {
         /// The work.
         work: u64,
     },
@@ -67,11 +67,11 @@
     Audit(AuditChange),
 }
 
-/// `DeskRefusal` is the final answer to work that the desk gave up.
+/// `WorkRefusal` is the final answer to work that the desk gave up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DeskRefusal {
+pub struct WorkRefusal {
     /// Whether it may have run.
-    pub ran: RunState,
+    pub run_state: RunState,
     /// Why.
     pub reason: RefuseReason,
     /// When to come back; zero means no hint.
--- a/crates/foxledge-policy/src/health.rs
+++ b/crates/foxledge-policy/src/health.rs
@@ -4,7 +4,7 @@
 
 use foxledge_core::time::ClockTime;
 
-use crate::{effects::TargetLoad, options::DeskOptions};
+use crate::{effects::TargetLoad, options::SchedulerOptions};
 
 // Weight of a new run time in a target's pace. Exponential run times then
 // leave a spread of 0.23, well below the slow mark.
@@ -103,14 +103,14 @@
     }
 
     /// The target reported its load.
-    pub fn on_report(&mut self, now: ClockTime, load: TargetLoad, options: &DeskOptions) {
+    pub fn on_report(&mut self, now: ClockTime, load: TargetLoad, options: &SchedulerOptions) {
         self.missed_probes = 0;
         let was_healthy = self.fresh_report(now).is_none_or(|former| former.healthy);
         if was_healthy && !load.healthy {
             self.doubt_until = self.doubt_until.max(now.after(DOUBT_LIFE));
         }
         self.report = Some(load);
-        self.report_deadline = now.after(options.report_life);
+        self.report_deadline = now.after(options.report_ttl);
         if let Some(ejection) = &mut self.ejection {
             ejection.answered = true;
         }
@@ -134,37 +134,37 @@
     /// While it sheds on, the hold doubles, from the time in which a slot may
     /// have become free. Else each new try at it would use up the retry budget,
     /// and work of the highest priority would be refused for want of a retry.
-    pub fn on_shed(&mut self, now: ClockTime, usual_run: Duration, options: &DeskOptions) {
-        if options.shed_hold.is_zero() {
+    pub fn on_shed(&mut self, now: ClockTime, usual_run: Duration, options: &SchedulerOptions) {
+        if options.shed_backoff.is_zero() {
             return;
         }
         let doublings = self.sheds.min(MOST_DOUBLINGS);
-        let hold = options.shed_hold.max(usual_run / 2);
+        let hold = options.shed_backoff.max(usual_run / 2);
         self.shed_until = now.after(hold * 2u32.pow(doublings));
         self.sheds = self.sheds.saturating_add(1);
-        self.distrust_until = now.after(options.report_life);
+        self.distrust_until = now.after(options.report_ttl);
     }
 
     /// A dispatch to the target was lost.
-    pub fn on_loss(&mut self, options: &DeskOptions) -> HealthVerdict {
+    pub fn on_loss(&mut self, options: &SchedulerOptions) -> HealthVerdict {
         self.losses = self.losses.saturating_add(1);
-        if self.losses >= options.eject_losses && self.ejection.is_none() {
+        if self.losses >= options.ejection_threshold && self.ejection.is_none() {
             return HealthVerdict::Eject;
         }
         HealthVerdict::Keep
     }
 
     /// Puts the target out until a deadline and an answered probe.
-    pub fn eject(&mut self, now: ClockTime, options: &DeskOptions) {
+    pub fn eject(&mut self, now: ClockTime, options: &SchedulerOptions) {
         let doublings = self.ejections.min(MOST_DOUBLINGS);
-        let until = now.after(options.eject_time * 2u32.pow(doublings));
+        let until = now.after(options.base_ejection_time * 2u32.pow(doublings));
         self.ejection = Some(TargetEjection { until, answered: false });
         self.ejections = self.ejections.saturating_add(1);
     }
 
     /// Takes the target back with a slow start when its deadline has passed
     /// and it answered a probe; true when it did so.
-    pub fn readmit(&mut self, now: ClockTime, options: &DeskOptions) -> bool {
+    pub fn readmit(&mut self, now: ClockTime, options: &SchedulerOptions) -> bool {
         let Some(ejection) = self.ejection else {
             return false;
         };
@@ -178,11 +178,15 @@
     }
 
     /// True when a probe is due; the next one is then set.
-    pub fn probe_due(&mut self, now: ClockTime, options: &DeskOptions) -> Option<HealthVerdict> {
+    pub fn probe_due(
+        &mut self,
+        now: ClockTime,
+        options: &SchedulerOptions,
+    ) -> Option<HealthVerdict> {
         if !self.next_probe.is_past(now) {
             return None;
         }
-        self.next_probe = now.after(options.probe_period);
+        self.next_probe = now.after(options.probe_interval);
         self.missed_probes = self.missed_probes.saturating_add(1);
         let silent = self.missed_probes > MISSED_PROBES && self.ejection.is_none();
         Some(if silent { HealthVerdict::Eject } else { HealthVerdict::Keep })
@@ -230,7 +234,7 @@
     }
 
     /// The last report, unless it is too old or what was seen speaks against it.
-    pub fn trusted_report(&self, now: ClockTime, options: &DeskOptions) -> Option<TargetLoad> {
+    pub fn trusted_report(&self, now: ClockTime, options: &SchedulerOptions) -> Option<TargetLoad> {
         let distrusted = !self.distrust_until.is_past(now) || self.is_slow(now, options);
         self.fresh_report(now).filter(|_| !distrusted)
     }
@@ -241,17 +245,17 @@
     }
 
     /// True when the target was seen to be much slower than its peers.
-    pub fn is_slow(&self, now: ClockTime, options: &DeskOptions) -> bool {
+    pub fn is_slow(&self, now: ClockTime, options: &SchedulerOptions) -> bool {
         self.is_slow_ever(options) && !self.pace_until.is_past(now)
     }
 
     /// True when a slow target has had no work for so long that one more is a trial.
-    pub fn wants_trial(&self, now: ClockTime, options: &DeskOptions) -> bool {
+    pub fn wants_trial(&self, now: ClockTime, options: &SchedulerOptions) -> bool {
         self.is_slow_ever(options) && self.pace_until.is_past(now)
     }
 
     /// From 0 (new or cold) to 1 (warm).
-    pub fn warmth(&self, now: ClockTime, options: &DeskOptions) -> f64 {
+    pub fn warmth(&self, now: ClockTime, options: &SchedulerOptions) -> f64 {
         if self.fresh_report(now).is_some_and(|load| load.cold) {
             return 0.0;
         }
@@ -260,8 +264,8 @@
         1.0 - (left / whole).min(1.0)
     }
 
-    fn is_slow_ever(&self, options: &DeskOptions) -> bool {
-        self.pace() >= options.slow_pace
+    fn is_slow_ever(&self, options: &SchedulerOptions) -> bool {
+        self.pace() >= options.slow_run_time_ratio
     }
 
     fn fresh_report(&self, now: ClockTime) -> Option<TargetLoad> {
--- a/crates/foxledge-policy/src/lib.rs
+++ b/crates/foxledge-policy/src/lib.rs
@@ -1,10 +1,10 @@
 //! Admission at a home: slots, fair order, target choice, health and retries.
 //!
-//! [`HomeDesk`] is pure: time and seeds come in, [`DeskEffect`]s go out.
+//! [`ShardScheduler`] is pure: time and seeds come in, [`SchedulerEffect`]s go out.
 
 mod admission;
 pub mod demand;
-pub mod desk;
+mod dispatch_events;
 pub mod dispatches;
 pub mod effects;
 pub mod errors;
@@ -13,17 +13,17 @@
 pub mod policies;
 pub mod queue;
 pub mod retries;
-mod running;
-pub mod runtimes;
+pub mod run_times;
+pub mod scheduler;
 pub mod slots;
 pub mod status;
 pub mod targets;
 pub mod work;
 
-pub use desk::HomeDesk;
-pub use effects::{DeskEffect, DeskRefusal, RefuseReason, RunState, TargetLoad, TargetSignal};
+pub use effects::{RefuseReason, RunState, SchedulerEffect, TargetLoad, TargetSignal, WorkRefusal};
 pub use errors::{Error, Result};
-pub use options::DeskOptions;
+pub use options::SchedulerOptions;
 pub use policies::{TargetPolicy, TargetState, policy_by_name};
-pub use status::DeskStatus;
+pub use scheduler::ShardScheduler;
+pub use status::SchedulerStatus;
 pub use work::WorkItem;
--- a/crates/foxledge-policy/src/desk.rs
+++ b/crates/foxledge-policy/src/scheduler.rs
@@ -14,25 +14,25 @@
 use crate::{
     demand::DemandMeter,
     dispatches::{CallerState, DispatchTable},
-    effects::{DeskEffect, RefuseReason, RunState, TargetLoad},
-    options::DeskOptions,
+    effects::{RefuseReason, RunState, SchedulerEffect, TargetLoad},
+    options::SchedulerOptions,
     policies::TargetPolicy,
     queue::FairQueue,
     retries::RetryBudget,
-    runtimes::RunTimes,
-    status::{DeskCounters, DeskStatus, TargetStatus, WaitingStatus},
+    run_times::RunTimes,
+    status::{SchedulerCounters, SchedulerStatus, TargetStatus, WaitingStatus},
     targets::{TargetEntry, TargetStand, TargetTable},
 };
 
-/// `HomeDesk` admits work for one service shard: it counts the slots of its
+/// `ShardScheduler` admits work for one service shard: it counts the slots of its
 /// targets, keeps the queue in fair order, and waits for what it sent out.
 ///
 /// Invariants: every work that was offered ends in exactly one of ended and
 /// refused; a work is in the queue or under one dispatch whose caller waits,
 /// never both; non-idempotent work is dispatched again only after the former
 /// dispatch was answered "not run".
-pub struct HomeDesk {
-    pub(crate) options: DeskOptions,
+pub struct ShardScheduler {
+    pub(crate) options: SchedulerOptions,
     pub(crate) policy: Box<dyn TargetPolicy>,
     pub(crate) random: StdRng,
     pub(crate) requests: FairQueue,
@@ -45,7 +45,7 @@
     pub(crate) demand: DemandMeter,
     pub(crate) budget: RetryBudget,
     pub(crate) times: RunTimes,
-    pub(crate) counters: DeskCounters,
+    pub(crate) counters: SchedulerCounters,
 }
 
 /// `WorkClass` is what a member's limit is counted over.
@@ -55,11 +55,15 @@
     Feed,
 }
 
-impl HomeDesk {
+impl ShardScheduler {
     /// Makes a desk without targets.
-    pub fn new(options: DeskOptions, policy: Box<dyn TargetPolicy>, seed: u64) -> HomeDesk {
-        let budget = RetryBudget::new(options.retry_share, options.retry_burst);
-        HomeDesk {
+    pub fn new(
+        options: SchedulerOptions,
+        policy: Box<dyn TargetPolicy>,
+        seed: u64,
+    ) -> ShardScheduler {
+        let budget = RetryBudget::new(options.retry_ratio, options.retry_burst);
+        ShardScheduler {
             options,
             policy,
             random: StdRng::seed_from_u64(seed),
@@ -72,7 +76,7 @@
             demand: DemandMeter::new(),
             budget,
             times: RunTimes::new(),
-            counters: DeskCounters::default(),
+            counters: SchedulerCounters::default(),
         }
     }
 
@@ -80,7 +84,11 @@
     ///
     /// Dispatches at a target that is no longer published go on; an address
     /// under a new incarnation is another target.
-    pub fn set_targets(&mut self, now: ClockTime, specs: Vec<Arc<TargetSpec>>) -> Vec<DeskEffect> {
+    pub fn set_targets(
+        &mut self,
+        now: ClockTime,
+        specs: Vec<Arc<TargetSpec>>,
+    ) -> Vec<SchedulerEffect> {
         self.table.replace(now, specs, &self.options);
         let mut effects = Vec::new();
         self.refuse_hopeless(&mut effects);
@@ -94,12 +102,12 @@
     }
 
     /// Takes a target's report of its load.
-    pub fn on_load(
+    pub fn on_load_report(
         &mut self,
         now: ClockTime,
         target: &TargetName,
         load: TargetLoad,
-    ) -> Vec<DeskEffect> {
+    ) -> Vec<SchedulerEffect> {
         let mut effects = Vec::new();
         let Some((id, _)) = self.table.find_mut(target) else {
             return effects;
@@ -111,29 +119,29 @@
     }
 
     /// Does what became due: refuses, resends, gives leases back, probes.
-    pub fn on_tick(&mut self, now: ClockTime) -> Vec<DeskEffect> {
+    pub fn on_tick(&mut self, now: ClockTime) -> Vec<SchedulerEffect> {
         let mut effects = Vec::new();
         self.refuse_expired(now, &mut effects);
         self.check_dispatches(now, &mut effects);
         let probe = |spec: &Arc<TargetSpec>| {
-            effects.push(DeskEffect::Probe { target: Arc::clone(spec) });
+            effects.push(SchedulerEffect::Probe { target: Arc::clone(spec) });
         };
         let changes = self.table.tend(now, &self.options, probe);
-        effects.extend(changes.into_iter().map(DeskEffect::Audit));
+        effects.extend(changes.into_iter().map(SchedulerEffect::Audit));
         self.table.drop_unused();
         self.pump(now, &mut effects);
         effects
     }
 
     /// True when some target can be expected to take work.
-    pub fn can_serve(&self) -> bool {
+    pub fn has_responsive_target(&self) -> bool {
         self.table.has_answering()
     }
 
     /// Works that still need this desk: what waits, and requests that run.
     ///
     /// Open feeds don't count, as they go on without it.
-    pub fn unfinished(&self) -> usize {
+    pub fn unfinished_count(&self) -> usize {
         let runs = self.dispatches.iter().filter(|running| {
             running.caller == CallerState::Waiting && !running.pending.item.is_feed()
         });
@@ -141,7 +149,7 @@
     }
 
     /// The desk at this moment.
-    pub fn status(&self, now: ClockTime) -> DeskStatus {
+    pub fn status(&self, now: ClockTime) -> SchedulerStatus {
         let shares = self.requests.shares().into_iter().chain(self.feeds.shares());
         let waiting = shares.map(|share| WaitingStatus {
             priority: share.priority,
@@ -149,7 +157,7 @@
             member: share.member,
             queued: share.queued,
         });
-        DeskStatus {
+        SchedulerStatus {
             policy: self.policy.name(),
             queued: self.queued(),
             queue_limit: self.options.queue_limit,
@@ -170,8 +178,8 @@
             slots: entry.spec.slots,
             connections: entry.ledger.connections(),
             state: state_word(now, entry),
-            pace: entry.health.pace(),
-            warmth: entry.health.warmth(now, &self.options),
+            run_time_ratio: entry.health.pace(),
+            warmup_progress: entry.health.warmth(now, &self.options),
         }
     }
 
@@ -202,7 +210,7 @@
         now: ClockTime,
         id: u64,
         load: TargetLoad,
-        effects: &mut Vec<DeskEffect>,
+        effects: &mut Vec<SchedulerEffect>,
     ) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
@@ -223,14 +231,14 @@
         let change = AuditChange::new(AuditKind::TargetDraining, entry.spec.name.as_str())
             .with_values(words.0, words.1)
             .with_cause("reported", "observation");
-        effects.push(DeskEffect::Audit(change));
+        effects.push(SchedulerEffect::Audit(change));
         self.table.sum_up(now);
         self.refuse_hopeless(effects);
     }
 
     // When no target takes work, what waits is refused at once: its callers
     // would otherwise wait for nothing until their deadlines.
-    fn refuse_hopeless(&mut self, effects: &mut Vec<DeskEffect>) {
+    fn refuse_hopeless(&mut self, effects: &mut Vec<SchedulerEffect>) {
         if self.table.takes_work() {
             return;
         }
--- a/crates/foxledge-policy/src/status.rs
+++ b/crates/foxledge-policy/src/status.rs
@@ -7,9 +7,9 @@
 
 use crate::{demand::WorkTier, effects::RefuseReason};
 
-/// `DeskStatus` is a desk at one moment.
+/// `SchedulerStatus` is a desk at one moment.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct DeskStatus {
+pub struct SchedulerStatus {
     /// Name of the target policy.
     pub policy: &'static str,
     /// Requests and feeds that wait.
@@ -25,7 +25,7 @@
     /// Retries left in the budget.
     pub retries_left: f64,
     /// Totals since the desk began.
-    pub counters: DeskCounters,
+    pub counters: SchedulerCounters,
     /// The targets.
     pub targets: Vec<TargetStatus>,
 }
@@ -59,14 +59,16 @@
     /// Why it gets no work, or "open".
     pub state: &'static str,
     /// Run time as a multiple of the usual.
-    pub pace: f64,
+    #[serde(rename = "pace")]
+    pub run_time_ratio: f64,
     /// From 0 (new or cold) to 1 (warm).
-    pub warmth: f64,
+    #[serde(rename = "warmth")]
+    pub warmup_progress: f64,
 }
 
-/// `DeskCounters` are totals since a desk began.
+/// `SchedulerCounters` are totals since a desk began.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct DeskCounters {
+pub struct SchedulerCounters {
     /// Works offered.
     pub offered: u64,
     /// First dispatches.
--- a/crates/foxledge-policy/src/targets.rs
+++ b/crates/foxledge-policy/src/targets.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     health::{HealthVerdict, TargetHealth},
-    options::DeskOptions,
+    options::SchedulerOptions,
     policies::TargetState,
     slots::SlotLedger,
     work::PendingWork,
@@ -86,7 +86,12 @@
 
 impl TargetTable {
     /// Takes a published list over.
-    pub fn replace(&mut self, now: ClockTime, specs: Vec<Arc<TargetSpec>>, options: &DeskOptions) {
+    pub fn replace(
+        &mut self,
+        now: ClockTime,
+        specs: Vec<Arc<TargetSpec>>,
+        options: &SchedulerOptions,
+    ) {
         for entry in self.entries.values_mut() {
             entry.stand = TargetStand::Retired;
         }
@@ -190,7 +195,7 @@
         kind: TrafficKind,
         wait: SlowWait,
         sample: TargetSample,
-        options: &DeskOptions,
+        options: &SchedulerOptions,
     ) -> Vec<TargetState> {
         let believe_doubts = self.summary.believes_doubts;
         let usable = |entry: &TargetEntry| {
@@ -223,7 +228,7 @@
         now: ClockTime,
         id: u64,
         cause: &str,
-        options: &DeskOptions,
+        options: &SchedulerOptions,
     ) -> Option<AuditChange> {
         let open = self.entries.values().filter(|entry| entry.is_open());
         let (count, out) = open.fold((0, 0), |(count, out), entry| {
@@ -245,7 +250,7 @@
     pub fn tend(
         &mut self,
         now: ClockTime,
-        options: &DeskOptions,
+        options: &SchedulerOptions,
         mut probe: impl FnMut(&Arc<TargetSpec>),
     ) -> Vec<AuditChange> {
         let mut changes = Vec::new();
@@ -273,13 +278,13 @@
         changes
     }
 
-    fn add(&mut self, now: ClockTime, spec: Arc<TargetSpec>, options: &DeskOptions) {
+    fn add(&mut self, now: ClockTime, spec: Arc<TargetSpec>, options: &SchedulerOptions) {
         self.last_id += 1;
         // The targets of the first list have been running for all the desk
         // knows; one that comes later is new and may be cold.
         let warm_at = if self.listed { now.after(options.slow_start) } else { now };
         // First probes are spread over the period.
-        let step = options.probe_period / 16;
+        let step = options.probe_interval / 16;
         let next_probe = now.after(step * (self.last_id % 16) as u32);
         let health = TargetHealth::new(warm_at, next_probe);
         let ledger = SlotLedger::default();
@@ -310,7 +315,7 @@
         self.ledger.busy() < self.spec.slots
     }
 
-    fn has_room(&self, now: ClockTime, kind: TrafficKind, options: &DeskOptions) -> bool {
+    fn has_room(&self, now: ClockTime, kind: TrafficKind, options: &SchedulerOptions) -> bool {
         match kind {
             TrafficKind::Feed => self.ledger.connections() < self.spec.connections,
             TrafficKind::Bid | TrafficKind::Upload => {
@@ -321,7 +326,7 @@
 
     // A cold or new target gets half its slots, a slow one on trial or one that
     // sheds a single one.
-    fn allowed_slots(&self, now: ClockTime, options: &DeskOptions) -> u32 {
+    fn allowed_slots(&self, now: ClockTime, options: &SchedulerOptions) -> u32 {
         let slots = self.spec.slots;
         let on_trial = self.health.wants_trial(now, options) || self.health.sheds_on();
         if on_trial {
@@ -342,7 +347,7 @@
         now: ClockTime,
         kind: TrafficKind,
         wait: SlowWait,
-        options: &DeskOptions,
+        options: &SchedulerOptions,
     ) -> bool {
         if kind == TrafficKind::Feed || !self.health.is_slow(now, options) {
             return true;
@@ -350,7 +355,7 @@
         wait.queue > wait.usual_run.mul_f64(self.health.pace() - 1.0)
     }
 
-    fn state(&self, now: ClockTime, id: u64, options: &DeskOptions) -> TargetState {
+    fn state(&self, now: ClockTime, id: u64, options: &SchedulerOptions) -> TargetState {
         // A trial is made as if the target were as quick as the others, or a
         // policy that prefers quick ones would never find out that it is again.
         let on_trial = self.health.wants_trial(now, options);
--- a/crates/foxledge-policy/tests/common/mod.rs
+++ b/crates/foxledge-policy/tests/common/mod.rs
@@ -12,17 +12,17 @@
     traffic::TrafficKind,
 };
 use foxledge_policy::{
-    DeskEffect, DeskOptions, DeskRefusal, HomeDesk, TargetLoad, TargetSignal, WorkItem,
-    policy_by_name,
+    SchedulerEffect, SchedulerOptions, ShardScheduler, TargetLoad, TargetSignal, WorkItem,
+    WorkRefusal, policy_by_name,
 };
 
 /// A desk under test, its time, and what it wanted done so far.
 pub struct DeskTrial {
-    pub desk: HomeDesk,
+    pub desk: ShardScheduler,
     pub now: ClockTime,
     /// (work, dispatch, target) in order.
     pub sent: Vec<(u64, u64, String)>,
-    pub refused: BTreeMap<u64, DeskRefusal>,
+    pub refused: BTreeMap<u64, WorkRefusal>,
     pub resent: Vec<u64>,
     pub checked: Vec<u64>,
     pub forgotten: Vec<u64>,
@@ -32,10 +32,10 @@
 }
 
 impl DeskTrial {
-    pub fn new(options: DeskOptions, targets: usize) -> DeskTrial {
+    pub fn new(options: SchedulerOptions, targets: usize) -> DeskTrial {
         let policy = policy_by_name("freest", 1).expect("known policy");
         let mut trial = DeskTrial {
-            desk: HomeDesk::new(options, policy, 1),
+            desk: ShardScheduler::new(options, policy, 1),
             now: ClockTime::from_micros(1_000_000),
             sent: Vec::new(),
             refused: BTreeMap::new(),
@@ -57,7 +57,7 @@
     }
 
     pub fn offer(&mut self, item: WorkItem) {
-        let effects = self.desk.offer(self.now, item);
+        let effects = self.desk.submit(self.now, item);
         self.note(effects);
     }
 
@@ -67,7 +67,7 @@
     }
 
     pub fn load(&mut self, target: &str, load: TargetLoad) {
-        let effects = self.desk.on_load(self.now, &TargetName::new(target), load);
+        let effects = self.desk.on_load_report(self.now, &TargetName::new(target), load);
         self.note(effects);
     }
 
@@ -103,22 +103,22 @@
         self.sent.iter().rev().find(|sent| sent.0 == work)
     }
 
-    fn note(&mut self, effects: Vec<DeskEffect>) {
+    fn note(&mut self, effects: Vec<SchedulerEffect>) {
         for effect in effects {
             match effect {
-                DeskEffect::Dispatch { work, dispatch, target } => {
+                SchedulerEffect::Dispatch { work, dispatch, target } => {
                     self.sent.push((work, dispatch, target.name.to_string()));
                 }
-                DeskEffect::Resend { dispatch, .. } => self.resent.push(dispatch),
-                DeskEffect::Check { dispatch, .. } => self.checked.push(dispatch),
-                DeskEffect::Forget { work } => self.forgotten.push(work),
-                DeskEffect::Refuse { work, refusal } => {
+                SchedulerEffect::Resend { dispatch, .. } => self.resent.push(dispatch),
+                SchedulerEffect::Check { dispatch, .. } => self.checked.push(dispatch),
+                SchedulerEffect::Discard { work } => self.forgotten.push(work),
+                SchedulerEffect::Refuse { work, refusal } => {
                     let earlier = self.refused.insert(work, refusal);
                     assert_eq!(earlier, None, "work {work} was refused twice");
                 }
-                DeskEffect::Cancel { dispatch, .. } => self.cancelled.push(dispatch),
-                DeskEffect::Probe { target } => self.probed.push(target.name.to_string()),
-                DeskEffect::Audit(change) => {
+                SchedulerEffect::Cancel { dispatch, .. } => self.cancelled.push(dispatch),
+                SchedulerEffect::Probe { target } => self.probed.push(target.name.to_string()),
+                SchedulerEffect::Audit(change) => {
                     self.audited.push(format!("{} {}", change.subject, change.new));
                 }
             }
--- a/crates/foxledge-policy/tests/desk_sweep.rs
+++ b/crates/foxledge-policy/tests/desk_sweep.rs
@@ -22,7 +22,8 @@
     time::ClockTime,
 };
 use foxledge_policy::{
-    DeskEffect, DeskOptions, HomeDesk, RunState, TargetLoad, TargetSignal, policy_by_name,
+    RunState, SchedulerEffect, SchedulerOptions, ShardScheduler, TargetLoad, TargetSignal,
+    policy_by_name,
 };
 use proptest::{prelude::*, sample::Index};
 
@@ -72,7 +73,7 @@
 }
 
 struct SweepWorld {
-    desk: HomeDesk,
+    desk: ShardScheduler,
     now: ClockTime,
     next_work: u64,
     items: BTreeMap<u64, (bool, ClockTime)>,
@@ -89,13 +90,13 @@
 
 impl SweepWorld {
     fn new(seed: u64, checks: RunChecks) -> SweepWorld {
-        let mut options = DeskOptions::new().queue_limit(8).retry_burst(5.0);
+        let mut options = SchedulerOptions::new().queue_limit(8).retry_burst(5.0);
         if checks == RunChecks::On {
-            options = options.run_check(Duration::from_millis(300));
+            options = options.request_check_interval(Duration::from_millis(300));
         }
         let policy = policy_by_name("freest", seed).expect("known policy");
         let mut world = SweepWorld {
-            desk: HomeDesk::new(options, policy, seed),
+            desk: ShardScheduler::new(options, policy, seed),
             now: ClockTime::from_micros(5_000_000),
             next_work: 1,
             items: BTreeMap::new(),
@@ -142,14 +143,14 @@
     }
 
     fn offer(&mut self, member: u8, priority: u8, idempotent: bool, millis: u16) {
-        let trial = common::DeskTrial::new(DeskOptions::new(), 0);
+        let trial = common::DeskTrial::new(SchedulerOptions::new(), 0);
         let mut item = bid(&trial, self.next_work, &format!("m{member}"));
         item.priority = PaidPriority(priority);
         item.idempotent = idempotent;
         item.deadline = self.now.after_millis(u64::from(millis));
         self.items.insert(item.id, (idempotent, item.deadline));
         self.next_work += 1;
-        let effects = self.desk.offer(self.now, item);
+        let effects = self.desk.submit(self.now, item);
         self.carry_out(effects);
     }
 
@@ -163,7 +164,7 @@
         let busy_slots = u32::from(busy);
         let load = TargetLoad { busy_slots, healthy: busy != 1, ..TargetLoad::default() };
         let name = self.specs[number].name.clone();
-        let effects = self.desk.on_load(self.now, &name, load);
+        let effects = self.desk.on_load_report(self.now, &name, load);
         self.carry_out(effects);
     }
 
@@ -241,28 +242,30 @@
         self.network.push(Datagram::Signal { dispatch, signal: TargetSignal::Ended });
     }
 
-    fn carry_out(&mut self, effects: Vec<DeskEffect>) {
+    fn carry_out(&mut self, effects: Vec<SchedulerEffect>) {
         for effect in effects {
             match effect {
-                DeskEffect::Dispatch { work, dispatch, target } => {
+                SchedulerEffect::Dispatch { work, dispatch, target } => {
                     self.note_dispatch(work, dispatch, target);
                 }
-                DeskEffect::Resend { work, dispatch, target } => {
+                SchedulerEffect::Resend { work, dispatch, target } => {
                     assert_eq!(self.sent[&dispatch], work);
                     let give_up = self.items[&work].1;
                     self.network.push(Datagram::Open { work, dispatch, target, give_up });
                 }
-                DeskEffect::Refuse { work, refusal } => self.note_refusal(work, refusal.ran),
-                DeskEffect::Cancel { dispatch, target } => {
+                SchedulerEffect::Refuse { work, refusal } => {
+                    self.note_refusal(work, refusal.run_state)
+                }
+                SchedulerEffect::Cancel { dispatch, target } => {
                     self.network.push(Datagram::Cancel { dispatch, target });
                 }
-                DeskEffect::Check { dispatch, target, .. } => {
+                SchedulerEffect::Check { dispatch, target, .. } => {
                     self.network.push(Datagram::Check { dispatch, target });
                 }
-                DeskEffect::Forget { work } => {
+                SchedulerEffect::Discard { work } => {
                     self.ended.insert(work);
                 }
-                DeskEffect::Probe { .. } | DeskEffect::Audit(_) => {}
+                SchedulerEffect::Probe { .. } | SchedulerEffect::Audit(_) => {}
             }
         }
         self.check_slots();
@@ -310,7 +313,7 @@
                 + usize::from(self.refused.contains_key(&work));
             assert_eq!(ends, 1, "work {work} has {ends} ends");
         }
-        assert_eq!(self.desk.unfinished(), 0);
+        assert_eq!(self.desk.unfinished_count(), 0);
         let held: u32 = self.desk.status(self.now).targets.iter().map(|target| target.busy).sum();
         assert_eq!(held, 0, "slots are still held");
         // Datagrams that were still under way come last.
--- a/crates/foxledge-policy/tests/fair_order.rs
+++ b/crates/foxledge-policy/tests/fair_order.rs
@@ -4,7 +4,7 @@
 
 use common::{DeskTrial, bid};
 use foxledge_core::lists::{FullAction, PaidPriority};
-use foxledge_policy::{DeskOptions, RefuseReason, RunState, TargetSignal};
+use foxledge_policy::{RefuseReason, RunState, SchedulerOptions, TargetSignal};
 
 /// Ends the oldest running work `count` times; returns the works sent in turn.
 fn serve(trial: &mut DeskTrial, count: usize) -> Vec<u64> {
@@ -19,7 +19,7 @@
 
 #[test]
 fn members_of_one_priority_take_turns() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 1);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 1);
     for id in 0..22 {
         trial.offer(bid(&trial, id, "heavy"));
     }
@@ -33,7 +33,7 @@
 
 #[test]
 fn weights_share_within_a_priority() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 1);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 1);
     for id in 0..100 {
         let mut item = bid(&trial, id, if id % 2 == 0 { "one" } else { "three" });
         item.weight = if id % 2 == 0 { 1 } else { 3 };
@@ -46,7 +46,7 @@
 
 #[test]
 fn paid_priority_goes_first_and_the_lowest_has_a_floor() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 1);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 1);
     for id in 0..300 {
         let mut item = bid(&trial, id, "m");
         item.priority = PaidPriority([0, 2, 5][id as usize % 3]);
@@ -63,14 +63,14 @@
 // Cause: without displacement the full queue refuses whoever comes last.
 #[test]
 fn a_light_member_displaces_the_newest_of_the_heaviest() {
-    let mut trial = DeskTrial::new(DeskOptions::new().queue_limit(10), 1);
+    let mut trial = DeskTrial::new(SchedulerOptions::new().queue_limit(10), 1);
     for id in 0..12 {
         trial.offer(bid(&trial, id, "heavy"));
     }
     assert!(trial.refused.is_empty());
     trial.offer(bid(&trial, 50, "light"));
     let refusal = trial.refused[&11];
-    assert_eq!((refusal.ran, refusal.reason), (RunState::NotRun, RefuseReason::QueueFull));
+    assert_eq!((refusal.run_state, refusal.reason), (RunState::NotRun, RefuseReason::QueueFull));
     assert!(refusal.retry_after > std::time::Duration::ZERO);
     // The heavy member can't push back in.
     trial.offer(bid(&trial, 13, "heavy"));
@@ -79,7 +79,7 @@
 
 #[test]
 fn a_full_queue_of_a_high_priority_leaves_the_lowest_its_places() {
-    let mut trial = DeskTrial::new(DeskOptions::new().queue_limit(33), 1);
+    let mut trial = DeskTrial::new(SchedulerOptions::new().queue_limit(33), 1);
     for id in 0..35 {
         let mut item = bid(&trial, id, "high");
         item.priority = PaidPriority(5);
@@ -94,7 +94,7 @@
 
 #[test]
 fn a_member_limit_counts_slots_and_queue() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 1);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 1);
     for id in 0..6 {
         let mut item = bid(&trial, id, "m");
         item.member_limit = 5;
@@ -110,7 +110,7 @@
 
 #[test]
 fn when_full_refuse_does_not_wait() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 1);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 1);
     for id in 0..3 {
         let mut item = bid(&trial, id, "m");
         item.when_full = FullAction::Refuse;
@@ -122,7 +122,7 @@
 
 #[test]
 fn work_that_cannot_start_in_time_is_refused_within_a_tick() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 1);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 1);
     for id in 0..2 {
         trial.offer(bid(&trial, id, "m"));
     }
@@ -137,7 +137,7 @@
     assert!(trial.refused.is_empty());
     trial.pass(10);
     assert_eq!(trial.refused[&2].reason, RefuseReason::DeadlinePassed);
-    assert_eq!(trial.refused[&2].ran, RunState::NotRun);
+    assert_eq!(trial.refused[&2].run_state, RunState::NotRun);
     trial.pass(200);
     assert!(trial.refused.contains_key(&3));
 }
@@ -148,7 +148,7 @@
 // Cause: nothing was kept for the run itself.
 #[test]
 fn work_that_cannot_end_in_time_is_not_started() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 1);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 1);
     for id in 0..3 {
         trial.offer(bid(&trial, id, "m"));
         if id < 2 {
@@ -167,7 +167,7 @@
     trial.pass(1590);
     assert!(trial.refused.is_empty());
     trial.pass(20);
-    assert_eq!(trial.refused[&4].ran, RunState::NotRun);
+    assert_eq!(trial.refused[&4].run_state, RunState::NotRun);
 }
 
 // Symptom: a caller waits for its whole deadline and is then refused.
@@ -175,7 +175,7 @@
 // Cause: its expected wait was known to be longer than its time left.
 #[test]
 fn work_without_a_chance_is_refused_at_the_door() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 1);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 1);
     for id in 0..100 {
         trial.offer(bid(&trial, id, "m"));
     }
--- a/crates/foxledge-policy/tests/fair_parts.rs
+++ b/crates/foxledge-policy/tests/fair_parts.rs
@@ -7,7 +7,7 @@
 use common::{DeskTrial, bid};
 use foxledge_core::{lists::PaidPriority, names::MemberName, time::ClockTime};
 use foxledge_policy::{
-    DeskOptions, TargetSignal,
+    SchedulerOptions, TargetSignal,
     demand::{DemandMeter, WorkTier},
 };
 
@@ -21,7 +21,7 @@
 impl SteadyLoad {
     /// Part of each member's bids that ended, after a first second.
     fn served(&self, seconds: u64) -> BTreeMap<&'static str, f64> {
-        let mut trial = DeskTrial::new(DeskOptions::new(), self.targets);
+        let mut trial = DeskTrial::new(SchedulerOptions::new(), self.targets);
         let mut owners: BTreeMap<u64, &'static str> = BTreeMap::new();
         let mut ends: Vec<(ClockTime, u64, u64)> = Vec::new();
         let mut asked: BTreeMap<&'static str, u64> = BTreeMap::new();
--- a/crates/foxledge-policy/tests/retry_budget.rs
+++ b/crates/foxledge-policy/tests/retry_budget.rs
@@ -3,13 +3,13 @@
 mod common;
 
 use common::{DeskTrial, bid};
-use foxledge_policy::{DeskOptions, RefuseReason, RunState, TargetSignal};
+use foxledge_policy::{RefuseReason, RunState, SchedulerOptions, TargetSignal};
 
 const SHED: TargetSignal = TargetSignal::NotRun(RefuseReason::TargetShed);
 
 #[test]
 fn not_run_is_tried_elsewhere_also_when_not_idempotent() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 3);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 3);
     trial.offer(bid(&trial, 1, "m"));
     let first = trial.target_of(1);
     trial.signal(trial.dispatch_of(1), SHED);
@@ -19,14 +19,14 @@
 
 #[test]
 fn tries_are_bounded() {
-    let mut trial = DeskTrial::new(DeskOptions::new().tries(3), 5);
+    let mut trial = DeskTrial::new(SchedulerOptions::new().max_attempts(3), 5);
     trial.offer(bid(&trial, 1, "m"));
     for _ in 0..3 {
         trial.signal(trial.dispatch_of(1), SHED);
     }
     assert_eq!(trial.times_sent(1), 3);
     let refusal = trial.refused[&1];
-    assert_eq!((refusal.ran, refusal.reason), (RunState::NotRun, RefuseReason::TargetShed));
+    assert_eq!((refusal.run_state, refusal.reason), (RunState::NotRun, RefuseReason::TargetShed));
     assert!(refusal.retry_after > std::time::Duration::ZERO);
 }
 
@@ -35,7 +35,7 @@
 // Cause: each request is sent several times, which is more load than before.
 #[test]
 fn a_retry_storm_adds_a_tenth() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 20);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 20);
     for id in 0..2000 {
         trial.offer(bid(&trial, id, "m"));
         while !trial.refused.contains_key(&id) && trial.times_sent(id) > 0 {
@@ -55,7 +55,7 @@
 
 #[test]
 fn silence_is_resent_to_the_same_target_and_then_unknown() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 3);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 3);
     trial.offer(bid(&trial, 1, "m"));
     let dispatch = trial.dispatch_of(1);
     trial.pass(310);
@@ -64,12 +64,12 @@
     trial.pass(100);
     assert_eq!(trial.times_sent(1), 1, "non-idempotent work stays with its target");
     let refusal = trial.refused[&1];
-    assert_eq!((refusal.ran, refusal.reason), (RunState::Unknown, RefuseReason::TargetLost));
+    assert_eq!((refusal.run_state, refusal.reason), (RunState::Unknown, RefuseReason::TargetLost));
 }
 
 #[test]
 fn silence_is_tried_elsewhere_when_idempotent() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 3);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 3);
     let mut item = bid(&trial, 1, "m");
     item.idempotent = true;
     trial.offer(item);
@@ -80,7 +80,7 @@
     // The end at the second target ends the work.
     trial.signal(trial.dispatch_of(1), TargetSignal::Ended);
     assert!(trial.refused.is_empty());
-    assert_eq!(trial.desk.unfinished(), 0);
+    assert_eq!(trial.desk.unfinished_count(), 0);
 }
 
 // Symptom: "not run" is said of work that ran.
@@ -88,27 +88,27 @@
 // Cause: the last target's word was taken for all of them.
 #[test]
 fn not_run_after_a_lost_dispatch_is_unknown() {
-    let mut trial = DeskTrial::new(DeskOptions::new().tries(2), 3);
+    let mut trial = DeskTrial::new(SchedulerOptions::new().max_attempts(2), 3);
     let mut item = bid(&trial, 1, "m");
     item.idempotent = true;
     trial.offer(item);
     trial.pass(420);
     trial.signal(trial.dispatch_of(1), SHED);
-    assert_eq!(trial.refused[&1].ran, RunState::Unknown);
+    assert_eq!(trial.refused[&1].run_state, RunState::Unknown);
 }
 
 #[test]
 fn a_deadline_that_passed_at_the_target_is_not_tried_elsewhere() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 3);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 3);
     trial.offer(bid(&trial, 1, "m"));
     trial.signal(trial.dispatch_of(1), TargetSignal::NotRun(RefuseReason::DeadlinePassed));
-    assert_eq!((trial.times_sent(1), trial.refused[&1].ran), (1, RunState::NotRun));
+    assert_eq!((trial.times_sent(1), trial.refused[&1].run_state), (1, RunState::NotRun));
 }
 
 #[test]
 fn unknown_is_final_for_non_idempotent_work() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 3);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 3);
     trial.offer(bid(&trial, 1, "m"));
     trial.signal(trial.dispatch_of(1), TargetSignal::Unknown);
-    assert_eq!((trial.times_sent(1), trial.refused[&1].ran), (1, RunState::Unknown));
+    assert_eq!((trial.times_sent(1), trial.refused[&1].run_state), (1, RunState::Unknown));
 }
--- a/crates/foxledge-policy/tests/target_health.rs
+++ b/crates/foxledge-policy/tests/target_health.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{DeskTrial, bid, target_spec};
-use foxledge_policy::{DeskOptions, RefuseReason, RunState, TargetLoad, TargetSignal};
+use foxledge_policy::{RefuseReason, RunState, SchedulerOptions, TargetLoad, TargetSignal};
 
 const FIT: TargetLoad = TargetLoad {
     busy_slots: 0,
@@ -59,7 +59,7 @@
 // Cause: it kept its turn, as nothing counted the losses against it.
 #[test]
 fn a_silent_target_is_ejected_and_comes_back_by_probe_and_deadline() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 3);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 3);
     for id in 0..6 {
         trial.offer(bid(&trial, id, "m"));
     }
@@ -85,7 +85,7 @@
 
 #[test]
 fn ejection_without_an_answered_probe_lasts() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 3);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 3);
     trial.pass(9000);
     // No target answered any probe, yet at least half stay.
     let out = (0..3).filter(|&number| state(&trial, number) == "ejected").count();
@@ -94,7 +94,7 @@
 
 #[test]
 fn each_target_is_probed_every_second() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 3);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 3);
     trial.pass(10_000);
     for name in ["t0", "t1", "t2"] {
         let probes = trial.probed.iter().filter(|probed| *probed == name).count();
@@ -104,7 +104,7 @@
 
 #[test]
 fn a_draining_target_gets_no_new_work_at_once() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 2);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 2);
     let mut specs = vec![target_spec(0), target_spec(1)];
     specs[0].draining = true;
     trial.publish(specs);
@@ -112,13 +112,13 @@
     trial.load("t1", TargetLoad { draining: true, ..FIT });
     trial.offer(bid(&trial, 50, "m"));
     let refusal = trial.refused[&50];
-    assert_eq!((refusal.ran, refusal.reason), (RunState::NotRun, RefuseReason::NoTarget));
+    assert_eq!((refusal.run_state, refusal.reason), (RunState::NotRun, RefuseReason::NoTarget));
     assert_eq!(trial.audited, ["t1 draining"], "whoever takes the list over audits t0");
 }
 
 #[test]
 fn what_waits_is_refused_at_once_when_no_target_takes_work() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 1);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 1);
     for id in 0..4 {
         trial.offer(bid(&trial, id, "m"));
     }
@@ -135,7 +135,7 @@
 // Cause: the report was believed against what was seen.
 #[test]
 fn a_target_that_sheds_is_left_alone_whatever_it_reports() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 2);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 2);
     trial.offer(bid(&trial, 1, "m"));
     let shedding = trial.target_of(1);
     trial.signal(trial.dispatch_of(1), TargetSignal::NotRun(RefuseReason::TargetShed));
@@ -157,7 +157,7 @@
 // Cause: each slot that seemed free there was tried again and again.
 #[test]
 fn a_target_that_sheds_on_gets_one_try_now_and_then() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 2);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 2);
     let mut tries = 0;
     for id in 0..600 {
         trial.offer(bid(&trial, id, "m"));
@@ -177,7 +177,7 @@
 
 #[test]
 fn a_target_that_calls_itself_unhealthy_but_works_is_used() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 3);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 3);
     serve(&mut trial, 0, 60, |_| 5);
     trial.load("t0", TargetLoad { healthy: false, ..FIT });
     trial.offer(bid(&trial, 100, "m"));
@@ -194,7 +194,7 @@
 // Cause: only work shows that a target is well, and this one never got any again.
 #[test]
 fn a_target_that_calls_itself_unhealthy_for_ever_is_tried() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 2);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 2);
     let mut got = [0, 0];
     for round in 0..20 {
         trial.load("t0", TargetLoad { healthy: false, ..FIT });
@@ -210,7 +210,7 @@
 
 #[test]
 fn doubts_about_more_than_half_are_no_news() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 3);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 3);
     for name in ["t0", "t1", "t2"] {
         trial.load(name, TargetLoad { healthy: false, ..FIT });
     }
@@ -223,7 +223,7 @@
 // Cause: it was chosen as the freest, as slots alone were looked at.
 #[test]
 fn a_slow_target_gets_less() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 4);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 4);
     let run = |target: &str| if target == "t2" { 200 } else { 40 };
     serve(&mut trial, 0, 400, run);
     trial.load("t2", FIT);
@@ -240,7 +240,7 @@
 
 #[test]
 fn a_new_or_cold_target_gets_half_its_slots() {
-    let mut trial = DeskTrial::new(DeskOptions::new(), 1);
+    let mut trial = DeskTrial::new(SchedulerOptions::new(), 1);
     trial.publish(vec![target_spec(0), target_spec(1)]);
     for id in 0..4 {
         trial.offer(bid(&trial, id, "m"));
