--- a/crates/foxledge-gossip/src/dissemination.rs
+++ b/crates/foxledge-gossip/src/dissemination.rs
@@ -1,4 +1,4 @@
-//! What a member tells others, when and whom.
+//! Heartbeats: when they are sent, to which instances, and what they contain.
 
 use std::net::SocketAddrV4;
 
@@ -13,7 +13,7 @@
 use crate::{
     effects::{FleetEffect, FleetEvent},
     election::StoreConfirmation,
-    member::{BEAT_MS, FleetMember},
+    member::{FleetMember, MAX_HEARTBEAT_INTERVAL_MS},
     messages::{
         ConfirmationMessage, FleetMessage, HeartbeatMessage, MAX_BODY_BYTES, MAX_MESSAGE_BYTES,
         MessageBody,
@@ -22,318 +22,347 @@
     peer_selection::SampleSize,
 };
 
-/// Heartbeats, on average, after which an instance that knows nobody nearby asks a seed for
-/// some: told by far instances alone it hears of most news too late.
-const ALONE_BEATS: u32 = 4;
-/// Instances that one must know to be told of none with an answer: in a view of as many, news
-/// reach it by several ways.
-const FEW_PEERS: u32 = 24;
-/// Bytes of rows in one message, so that the rest of it has room.
+/// Average number of heartbeats after which an instance that knows no other of its data centre
+/// queries a seed for some. Instances of other data centres alone would bring it most updates too
+/// late.
+const HEARTBEATS_PER_SEED_QUERY: u32 = 4;
+/// Number of known instances from which on an instance isn't sent more of them in responses: with
+/// as many, updates reach it by several ways.
+const SUFFICIENT_PEERS: u32 = 24;
+/// Maximum size of the rows in a heartbeat in bytes, so that its other fields fit too.
 pub(crate) const MAX_HEARTBEAT_ROW_BYTES: usize = 900;
-/// Age of the last confirmation at which peers are asked for a newer one, in
-/// milliseconds: a reader's period of 1.1 s and some room.
+/// Age of the last confirmation at which peers are queried for a newer one, in milliseconds: the
+/// interval of a reader's calls, 1.1 s, and some margin.
 pub(crate) const CONFIRMATION_QUERY_AGE_MS: u64 = 1_250;
-/// Peers of the own data centre that news are passed on to. One epidemic misses a few, the
-/// next reaches them.
+/// Number of peers of the same data centre that an update is sent on to. A round of gossip misses a
+/// few instances, which the next one reaches.
 pub(crate) const SAME_CENTRE_FANOUT: usize = 3;
-/// Peers of each other data centre that a reader tells at first hand.
-const FAR_FANOUT: usize = 2;
-/// Time between the two questions, in milliseconds.
-const DOUBT_AGAIN_MS: u64 = 250;
-/// Instances of a large data centre that pass news on to each other one, on average.
-const FAR_TELLERS: u32 = 3;
-/// The same for news that came from another data centre: that one tells all others, and this
-/// is needed only round a cut between two.
-const FAR_RETELLERS: u32 = 1;
-/// Instances of a data centre up to which one of four passes news on, as this many make
-/// the same number of them.
-const LARGE_CENTRE: u32 = FAR_TELLERS * (FAR_TELLERS + 1);
-/// Readers told with each heartbeat.
+/// Number of peers of each other data centre to which a reader sends its own updates.
+const REMOTE_FANOUT: usize = 2;
+/// Interval between the two confirmation queries, in milliseconds.
+const CONFIRMATION_QUERY_INTERVAL_MS: u64 = 250;
+/// Average number of instances of a large data centre that send an update to each other one.
+const REMOTE_SENDERS: u32 = 3;
+/// The same for an update that came from another data centre: its instances send it to all others,
+/// so this is needed only round a network partition between two data centres.
+const REMOTE_FORWARDERS: u32 = 1;
+/// Maximum size of a data centre in which one of four instances sends updates to others, which
+/// makes the same number of them.
+const MAX_SMALL_CENTRE_INSTANCES: u32 = REMOTE_SENDERS * (REMOTE_SENDERS + 1);
+/// Maximum number of confirmations in a heartbeat.
 pub(crate) const MAX_CONFIRMATIONS: usize = 3;
-/// Shortest time between two heartbeats that tell of instances and of all readers, in
-/// milliseconds: a little less than a reader's period, whose news are the usual ones. They
-/// would be most of each message.
-const WHOLE_MS: u64 = 900;
+/// Minimum interval, in milliseconds, between full heartbeats, which name instances and hold the
+/// confirmations of all readers. It is a little less than the interval of a reader's calls, whose
+/// updates are the usual ones. Sent with every update, those fields would be most of each message.
+const FULL_HEARTBEAT_INTERVAL_MS: u64 = 900;
 
-/// `UpdateOrigin` is where the newest news of the list came from.
+/// `UpdateOrigin` is where the newest update of the list came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UpdateOrigin {
-    /// From the store, by an instance of the own data centre.
+    /// The same data centre: one of its instances read it from the store.
     SameCentre,
-    /// From another data centre.
+    /// Another data centre.
     RemoteCentre,
 }
 
-/// `BeatScope` is how much a heartbeat tells beside rows.
+/// `HeartbeatScope` is what a heartbeat contains besides rows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum BeatScope {
-    /// The newest answer of the store.
-    News,
-    /// The last answers of all readers.
-    Answer,
-    /// Few instances, and the last answers of all readers.
-    Far,
-    /// Some instances, and the last answers of all readers.
-    Whole,
+enum HeartbeatScope {
+    /// The newest confirmation.
+    Update,
+    /// The confirmations of all readers.
+    Response,
+    /// Few instances, and the confirmations of all readers.
+    FullRemote,
+    /// Some instances, and the confirmations of all readers.
+    Full,
 }
 
-/// `ToldRows` is the changed rows of a heartbeat, and from where on they hold every change.
+/// `HeartbeatRows` holds the changed rows of a heartbeat, and the revisions from which on they are
+/// complete.
 #[derive(Default)]
-struct ToldRows {
+struct HeartbeatRows {
     base: Option<u64>,
-    /// The same where some that came and went are unknown.
+    /// The same if some changes in between are unknown.
     gap_base: Option<u64>,
     rows: Option<PackedRows>,
 }
 
 impl FleetMember {
-    /// Asks peers for a newer confirmation than the known one, twice.
+    /// Queries peers for a newer confirmation than the known one, twice.
     ///
-    /// One in twenty instances misses an epidemic. Without the question, those
-    /// with good ranks would take the readers for dead every few seconds, and
-    /// each time call the store.
+    /// Gossip misses one instance in twenty. Without this query, instances with good ranks would
+    /// take the readers for dead every few seconds, and call the store each time.
     pub(crate) fn query_confirmation(&mut self, now: ClockTime) {
-        let Some(doubt) = self.next_confirmation_query_at.filter(|at| at.is_past(now)) else {
+        let Some(query_at) = self.next_confirmation_query_at.filter(|at| at.is_past(now)) else {
             return;
         };
-        let is_first =
-            self.confirmed_at.is_some_and(|at| doubt <= at.after_millis(CONFIRMATION_QUERY_AGE_MS));
-        self.next_confirmation_query_at = is_first.then(|| now.after_millis(DOUBT_AGAIN_MS));
-        let mut to = self.peers.pick_same_centre(&mut self.rng, now, 2);
-        let far = self.peers.pick_remote(&mut self.rng, 1);
-        to.extend(far.into_iter().take(1));
-        let mut beat = self.beat_message(now, None, BeatScope::News);
-        beat.wants_response = true;
-        for address in to {
-            self.send_message(address, MessageBody::Heartbeat(beat.clone()));
+        let is_first = self
+            .confirmed_at
+            .is_some_and(|at| query_at <= at.after_millis(CONFIRMATION_QUERY_AGE_MS));
+        self.next_confirmation_query_at =
+            is_first.then(|| now.after_millis(CONFIRMATION_QUERY_INTERVAL_MS));
+        let mut peers = self.peers.pick_same_centre(&mut self.rng, now, 2);
+        let remote = self.peers.pick_remote(&mut self.rng, 1);
+        peers.extend(remote.into_iter().take(1));
+        let mut heartbeat = self.heartbeat_message(now, None, HeartbeatScope::Update);
+        heartbeat.wants_response = true;
+        for address in peers {
+            self.send_message(address, MessageBody::Heartbeat(heartbeat.clone()));
         }
     }
 
-    /// Asks a seed for an answer, as no list or no peer is known; a seed asks the others.
+    /// Queries a seed, as no list or no peer is known. A seed queries all other seeds.
     ///
-    /// When a fleet starts at once, a seed answers a hundred instances before it gets to
-    /// anything else, the list included, and asked by all others together it needs three
-    /// times as long. A seed that is dead costs its askers one period of questions.
+    /// When a fleet starts at once, a seed responds to a hundred instances before it gets to
+    /// anything else, including its own list; queried by all others together, it needs three times
+    /// as long. A dead seed costs the instances that query it one interval.
     pub(crate) fn query_seeds(&mut self, now: ClockTime) {
-        let own = self.options.address;
+        let own_address = self.options.address;
         let mut seeds = self.options.seeds.clone();
-        if !seeds.contains(&own) {
+        if !seeds.contains(&own_address) {
             seeds = seeds.choose(&mut self.rng).copied().into_iter().collect();
         }
-        let mut beat = self.beat_message(now, None, BeatScope::Whole);
-        beat.wants_response = true;
-        for seed in seeds.into_iter().filter(|seed| *seed != own) {
-            self.send_message(seed, MessageBody::Heartbeat(beat.clone()));
+        let mut heartbeat = self.heartbeat_message(now, None, HeartbeatScope::Full);
+        heartbeat.wants_response = true;
+        for seed in seeds.into_iter().filter(|seed| *seed != own_address) {
+            self.send_message(seed, MessageBody::Heartbeat(heartbeat.clone()));
         }
     }
 
-    /// Sends the heartbeat that is due, and forgets who has been silent.
+    /// Sends a heartbeat that is due, and removes peers and evidence that have expired.
     pub(crate) fn send_periodic_heartbeat(&mut self, now: ClockTime) {
         self.evidence.remove_expired(now);
         for loss in self.peers.remove_lost(now) {
             self.remove_lost_peer_load(&loss);
             self.effects.push(FleetEffect::LogEvent(FleetEvent::from_loss(loss)));
         }
-        if self.peers.len() == 0 || self.is_alone(now) && self.rng.random_ratio(1, ALONE_BEATS) {
+        if self.peers.len() == 0
+            || self.is_alone_in_centre(now) && self.rng.random_ratio(1, HEARTBEATS_PER_SEED_QUERY)
+        {
             self.query_seeds(now);
         }
         self.disseminate(now, self.list.head(), None);
     }
 
-    /// True when no other instance of the own data centre is known: there may be none, or
-    /// those that this one asked at its start knew none.
-    fn is_alone(&self, now: ClockTime) -> bool {
+    /// Returns true if no other instance of the same data centre is known: there may be none, or
+    /// the seeds that were queried at the start knew none.
+    fn is_alone_in_centre(&self, now: ClockTime) -> bool {
         self.peers.count_same_centre(now) == 0
     }
 
-    /// Passes news on to some peers nearby, and now and then to one far away.
-    pub(crate) fn disseminate(&mut self, now: ClockTime, base: u64, but: Option<SocketAddrV4>) {
-        let mut near = self.peers.pick_same_centre(&mut self.rng, now, SAME_CENTRE_FANOUT + 1);
-        near.retain(|address| Some(*address) != but);
-        near.truncate(SAME_CENTRE_FANOUT);
-        let far = self.pick_remote_sometimes(now, self.update_origin);
-        self.send_heartbeats(now, base, near, far);
-        self.ask_quiet(now, base);
+    /// Sends updates to some instances of the same data centre, and sometimes to remote ones; `but`
+    /// is left out.
+    pub(crate) fn disseminate(
+        &mut self,
+        now: ClockTime,
+        base: u64,
+        excluded: Option<SocketAddrV4>,
+    ) {
+        let mut same_centre =
+            self.peers.pick_same_centre(&mut self.rng, now, SAME_CENTRE_FANOUT + 1);
+        same_centre.retain(|address| Some(*address) != excluded);
+        same_centre.truncate(SAME_CENTRE_FANOUT);
+        let remote = self.pick_remote_sometimes(now, self.update_origin);
+        self.send_heartbeats(now, base, same_centre, remote);
+        self.probe_quiet_peers(now, base);
     }
 
-    /// Asks an instance nearby that was silent for long, and one of a data centre that was,
-    /// and tells them the same.
-    fn ask_quiet(&mut self, now: ClockTime, base: u64) {
-        let near = self.peers.pick_quiet(&mut self.rng, now);
-        let far = match self.next_centre_query_at.is_past(now) {
-            true => self.peers.pick_unheard(&mut self.rng, now),
+    /// Probes a quiet instance of the same data centre, and an instance of a quiet data centre; the
+    /// probes hold the same updates.
+    fn probe_quiet_peers(&mut self, now: ClockTime, base: u64) {
+        let same_centre = self.peers.pick_probe_target(&mut self.rng, now);
+        let remote = match self.next_centre_query_at.is_past(now) {
+            true => self.peers.pick_quiet_centre_peer(&mut self.rng, now),
             false => None,
         };
-        if far.is_some() {
-            self.next_centre_query_at = now.after_millis(BEAT_MS);
+        if remote.is_some() {
+            self.next_centre_query_at = now.after_millis(MAX_HEARTBEAT_INTERVAL_MS);
         }
-        let to: Vec<_> = near.into_iter().chain(far).collect();
-        if to.is_empty() {
+        let targets: Vec<_> = same_centre.into_iter().chain(remote).collect();
+        if targets.is_empty() {
             return;
         }
-        let mut beat = self.beat_message(now, Some(base), BeatScope::News);
-        beat.wants_response = true;
-        for address in to {
-            self.send_message(address, MessageBody::Heartbeat(beat.clone()));
+        let mut heartbeat = self.heartbeat_message(now, Some(base), HeartbeatScope::Update);
+        heartbeat.wants_response = true;
+        for address in targets {
+            self.send_message(address, MessageBody::Heartbeat(heartbeat.clone()));
         }
     }
 
-    /// An instance of each other data centre with some probability: one of a small data
-    /// centre's instances on average, and [`FAR_TELLERS`] of a large one's, tell it, or
-    /// [`FAR_RETELLERS`] what they have heard from another one themselves.
+    /// Returns an instance of each other data centre with a certain probability: on average, of a
+    /// small data centre one in four instances sends an update there, of a large one
+    /// [`REMOTE_SENDERS`], or [`REMOTE_FORWARDERS`] if the update came from another data centre
+    /// itself.
     pub(crate) fn pick_remote_sometimes(
         &mut self,
         now: ClockTime,
-        from: UpdateOrigin,
+        origin: UpdateOrigin,
     ) -> Vec<SocketAddrV4> {
-        let all = self.peers.count_same_centre(now) as u32 + 1;
-        let (tellers, of) = match (all, from) {
-            (0..=LARGE_CENTRE, _) => (1, all.min(FAR_TELLERS + 1)),
-            (_, UpdateOrigin::SameCentre) => (FAR_TELLERS, all),
-            (_, UpdateOrigin::RemoteCentre) => (FAR_RETELLERS, all),
+        let instances = self.peers.count_same_centre(now) as u32 + 1;
+        let (senders, out_of) = match (instances, origin) {
+            (0..=MAX_SMALL_CENTRE_INSTANCES, _) => (1, instances.min(REMOTE_SENDERS + 1)),
+            (_, UpdateOrigin::SameCentre) => (REMOTE_SENDERS, instances),
+            (_, UpdateOrigin::RemoteCentre) => (REMOTE_FORWARDERS, instances),
         };
-        if !self.rng.random_ratio(tellers, of) {
+        if !self.rng.random_ratio(senders, out_of) {
             return Vec::new();
         }
         self.peers.pick_remote(&mut self.rng, 1)
     }
 
-    /// Tells news of the store to peers nearby and in every data centre.
+    /// Sends updates from the store to instances of the same data centre and of every other one.
     pub(crate) fn disseminate_widely(&mut self, now: ClockTime, base: u64) {
-        let near = self.peers.pick_same_centre(&mut self.rng, now, SAME_CENTRE_FANOUT);
-        let far = self.peers.pick_remote(&mut self.rng, FAR_FANOUT);
-        self.send_heartbeats(now, base, near, far);
+        let same_centre = self.peers.pick_same_centre(&mut self.rng, now, SAME_CENTRE_FANOUT);
+        let remote = self.peers.pick_remote(&mut self.rng, REMOTE_FANOUT);
+        self.send_heartbeats(now, base, same_centre, remote);
     }
 
-    /// Sends a heartbeat with the rows after `base` to some instances of the own data centre
-    /// and of others.
+    /// Sends heartbeats with the rows after `base` to instances of the same data centre and of
+    /// others.
     pub(crate) fn send_heartbeats(
         &mut self,
         now: ClockTime,
         base: u64,
-        near: Vec<SocketAddrV4>,
-        far: Vec<SocketAddrV4>,
+        same_centre: Vec<SocketAddrV4>,
+        remote: Vec<SocketAddrV4>,
     ) {
         self.announced_confirmation_at = self.confirmed_at.unwrap_or(ClockTime::ZERO);
-        let is_whole = self.next_full_heartbeat_at.is_past(now);
-        if is_whole {
-            self.next_heartbeat_at = now.after_millis(BEAT_MS);
-            self.next_full_heartbeat_at = now.after_millis(WHOLE_MS);
+        let is_full = self.next_full_heartbeat_at.is_past(now);
+        if is_full {
+            self.next_heartbeat_at = now.after_millis(MAX_HEARTBEAT_INTERVAL_MS);
+            self.next_full_heartbeat_at = now.after_millis(FULL_HEARTBEAT_INTERVAL_MS);
         }
-        let (near_scope, far_scope) = match is_whole {
-            true => (BeatScope::Whole, BeatScope::Far),
-            false => (BeatScope::News, BeatScope::News),
+        let (same_centre_scope, remote_scope) = match is_full {
+            true => (HeartbeatScope::Full, HeartbeatScope::FullRemote),
+            false => (HeartbeatScope::Update, HeartbeatScope::Update),
         };
-        self.send_beat(now, base, near_scope, near);
-        self.send_beat(now, base, far_scope, far);
+        self.send_heartbeat(now, base, same_centre_scope, same_centre);
+        self.send_heartbeat(now, base, remote_scope, remote);
     }
 
-    fn send_beat(&mut self, now: ClockTime, base: u64, scope: BeatScope, to: Vec<SocketAddrV4>) {
-        if to.is_empty() {
+    fn send_heartbeat(
+        &mut self,
+        now: ClockTime,
+        base: u64,
+        scope: HeartbeatScope,
+        peers: Vec<SocketAddrV4>,
+    ) {
+        if peers.is_empty() {
             return;
         }
-        let beat = self.beat_message(now, Some(base), scope);
-        for address in to {
-            self.send_message(address, MessageBody::Heartbeat(beat.clone()));
+        let heartbeat = self.heartbeat_message(now, Some(base), scope);
+        for address in peers {
+            self.send_message(address, MessageBody::Heartbeat(heartbeat.clone()));
         }
     }
 
-    /// Answers an instance that asks, or that is behind at what it told; one that knows few
-    /// instances is told some.
+    /// Responds to an instance that asked for a heartbeat, or whose heartbeat was outdated. One
+    /// that knows few instances is named some.
     pub(crate) fn respond_to_heartbeat(
         &mut self,
         now: ClockTime,
         to: SocketAddrV4,
-        asked: &HeartbeatMessage,
+        received: &HeartbeatMessage,
     ) {
-        let mut beat = self.beat_message(now, Some(asked.head), BeatScope::Answer);
-        if beat.rows.is_none() && asked.peer_count < FEW_PEERS {
-            let centre = asked.sender.as_ref().map_or("", |card| card.data_centre.as_str());
-            beat.peers = self.peers.sample_entries(&mut self.rng, now, centre, SampleSize::WIDE);
+        let mut response =
+            self.heartbeat_message(now, Some(received.head), HeartbeatScope::Response);
+        if response.rows.is_none() && received.peer_count < SUFFICIENT_PEERS {
+            let centre = received.sender.as_ref().map_or("", |sender| sender.data_centre.as_str());
+            response.peers =
+                self.peers.sample_entries(&mut self.rng, now, centre, SampleSize::RESPONSE);
         }
-        self.send_message(to, MessageBody::Heartbeat(beat));
+        self.send_message(to, MessageBody::Heartbeat(response));
     }
 
-    /// A heartbeat; with `base`, with the rows that changed after it.
-    fn beat_message(
+    /// Creates a heartbeat; if `base` is given, with the rows that changed after it.
+    fn heartbeat_message(
         &mut self,
         now: ClockTime,
         base: Option<u64>,
-        scope: BeatScope,
+        scope: HeartbeatScope,
     ) -> HeartbeatMessage {
-        let (sample, most_claims) = match scope {
-            BeatScope::News => (SampleSize::NONE, 1),
-            BeatScope::Answer => (SampleSize::NONE, MAX_CONFIRMATIONS),
-            BeatScope::Far => (SampleSize::FAR, MAX_CONFIRMATIONS),
-            BeatScope::Whole => (SampleSize::USUAL, MAX_CONFIRMATIONS),
+        let (sample_size, max_confirmations) = match scope {
+            HeartbeatScope::Update => (SampleSize::NONE, 1),
+            HeartbeatScope::Response => (SampleSize::NONE, MAX_CONFIRMATIONS),
+            HeartbeatScope::FullRemote => (SampleSize::REMOTE_HEARTBEAT, MAX_CONFIRMATIONS),
+            HeartbeatScope::Full => (SampleSize::FULL_HEARTBEAT, MAX_CONFIRMATIONS),
         };
-        let told = self.rows_since(now, base);
-        let mut beat = HeartbeatMessage {
+        let changes = self.rows_since(now, base);
+        let mut heartbeat = HeartbeatMessage {
             sender: Some(self.descriptor.clone()),
             head: self.list.head(),
-            base: told.base,
-            gap_base: told.gap_base,
-            rows: told.rows,
-            peers: self.peers.sample_entries(&mut self.rng, now, &self.options.data_centre, sample),
-            confirmations: self.confirmation_messages(now, most_claims),
+            base: changes.base,
+            gap_base: changes.gap_base,
+            rows: changes.rows,
+            peers: self.peers.sample_entries(
+                &mut self.rng,
+                now,
+                &self.options.data_centre,
+                sample_size,
+            ),
+            confirmations: self.confirmation_messages(now, max_confirmations),
             wants_response: false,
             peer_count: self.peers.len() as u32,
             is_from_remote_centre: self.update_origin == UpdateOrigin::RemoteCentre,
             held_version: self.retained_config.as_ref().map_or(0, RetainedConfig::version),
         };
-        // Rows go first: who lacks them asks for them, who lacks instances hears of others.
-        while beat.encoded_len() > MAX_BODY_BYTES && beat.peers.pop().is_some() {}
-        beat
+        // Rows take precedence: missing rows have to be requested, while instances are named by
+        // other heartbeats too.
+        while heartbeat.encoded_len() > MAX_BODY_BYTES && heartbeat.peers.pop().is_some() {}
+        heartbeat
     }
 
-    /// The rows that changed after `base`, if one message holds them.
-    fn rows_since(&self, now: ClockTime, base: Option<u64>) -> ToldRows {
-        let Some(base) = base.filter(|base| *base > 0) else { return ToldRows::default() };
-        let reach = self.list.coverage_since(base);
-        if reach == ChangeCoverage::Unavailable {
-            return ToldRows::default();
+    /// Returns the rows that changed after `base`, if one message holds them.
+    fn rows_since(&self, now: ClockTime, base: Option<u64>) -> HeartbeatRows {
+        let Some(base) = base.filter(|base| *base > 0) else { return HeartbeatRows::default() };
+        let coverage = self.list.coverage_since(base);
+        if coverage == ChangeCoverage::Unavailable {
+            return HeartbeatRows::default();
         }
         if base >= self.list.head() {
-            return ToldRows { base: Some(self.list.head()), ..ToldRows::default() };
+            return HeartbeatRows { base: Some(self.list.head()), ..HeartbeatRows::default() };
         }
         match (
-            self.packed_page(now, &ListCursor::after_revision(base), MAX_HEARTBEAT_ROW_BYTES),
-            reach,
+            self.pack_page(now, &ListCursor::after_revision(base), MAX_HEARTBEAT_ROW_BYTES),
+            coverage,
         ) {
-            ((_, Some(_)), _) => ToldRows::default(),
+            ((_, Some(_)), _) => HeartbeatRows::default(),
             ((rows, None), ChangeCoverage::AcrossGap) => {
-                ToldRows { base: None, gap_base: Some(base), rows: Some(rows) }
+                HeartbeatRows { base: None, gap_base: Some(base), rows: Some(rows) }
+            }
+            ((rows, None), _) => {
+                HeartbeatRows { base: Some(base), gap_base: None, rows: Some(rows) }
             }
-            ((rows, None), _) => ToldRows { base: Some(base), gap_base: None, rows: Some(rows) },
         }
     }
 
-    /// Rows after a cursor as they travel, and where the next page begins, if there is one.
-    pub(crate) fn packed_page(
+    /// Packs rows after a cursor; returns them with the cursor of the next page, if there is one.
+    pub(crate) fn pack_page(
         &self,
         now: ClockTime,
         cursor: &ListCursor,
-        budget: usize,
+        max_bytes: usize,
     ) -> (PackedRows, Option<ListCursor>) {
         let mut packer = RowPacker::default();
-        let page = self.list.page_with_size(now, cursor, budget, |row| packer.push(row));
+        let page = self.list.page_with_size(now, cursor, max_bytes, |row| packer.push(row));
         (packer.finish(page.rows.len()), page.next)
     }
 
-    /// Some readers' last answers, the newest first.
+    /// Returns the newest confirmations as messages, up to `limit` of them, the newest first.
     pub(crate) fn confirmation_messages(
         &self,
         now: ClockTime,
-        most: usize,
+        limit: usize,
     ) -> Vec<ConfirmationMessage> {
-        let claims = self.election.claims().iter().take(most);
-        let message = |claim: &StoreConfirmation| ConfirmationMessage {
-            reader: Some(claim.reader.clone()),
-            serial: claim.serial,
-            age_ms: age_ms(now, claim.confirmed_at),
-            head: claim.head,
+        let confirmations = self.election.confirmations().iter().take(limit);
+        let message = |confirmation: &StoreConfirmation| ConfirmationMessage {
+            reader: Some(confirmation.reader.clone()),
+            serial: confirmation.serial,
+            age_ms: age_ms(now, confirmation.confirmed_at),
+            head: confirmation.head,
         };
-        claims.map(message).collect()
+        confirmations.map(message).collect()
     }
 
     /// Sends a message.
@@ -344,7 +373,8 @@
     }
 }
 
-/// Age in milliseconds, rounded up: told from hop to hop it mustn't shrink by rounding.
+/// Returns an age in milliseconds, rounded up: passed on from hop to hop, it must not shrink by
+/// rounding.
 pub(crate) fn age_ms(now: ClockTime, at: ClockTime) -> u32 {
     u32::try_from(now.since(at).as_micros().div_ceil(1_000)).unwrap_or(u32::MAX)
 }
--- a/crates/foxledge-gossip/src/effects.rs
+++ b/crates/foxledge-gossip/src/effects.rs
@@ -1,4 +1,4 @@
-//! What a member of the fleet wants done.
+//! Effects that a fleet member asks its caller to carry out.
 
 use std::net::SocketAddrV4;
 
@@ -12,24 +12,24 @@
     refused_items::RefusedItem,
 };
 
-/// `StoreQuery` is one call of the store.
+/// `StoreQuery` is one query to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreQuery {
-    /// Read what one answer holds, perhaps old.
+    /// Reads the first page only; it may be stale.
     FirstPage,
-    /// Read everything.
+    /// Reads everything.
     All(ReadMode),
-    /// Wait for changes.
+    /// Waits for changes.
     Watch {
         /// Revision after which changes are wanted.
         after: u64,
-        /// Longest wait in milliseconds.
+        /// Maximum time to wait, in milliseconds.
         wait_ms: u64,
     },
 }
 
 impl StoreQuery {
-    /// The order's word, as in log lines.
+    /// Returns the name of the query in log lines and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             StoreQuery::FirstPage => "first",
@@ -40,28 +40,29 @@
     }
 }
 
-/// `ReadReason` is why the store is called.
+/// `ReadReason` is the reason for a call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReadReason {
     /// No list is known yet.
     Start,
-    /// A part of the list is known, and nobody has handed over the rest.
+    /// A part of the list is known, and no peer has sent the rest.
     Rest,
-    /// This instance reads, and waits for changes.
+    /// This instance is a reader and waits for changes.
     Changes,
-    /// Whether the list is the newest is to be known at once.
+    /// The last confirmation is too old, so the newest revision is queried without a long wait.
     Unsure,
-    /// The last confirmation is so old that changes are more than the whole.
+    /// The last confirmation is so old that the changes since then would be larger than the whole
+    /// list.
     FarBehind,
-    /// The history that a watch asked for is gone.
+    /// The store has compacted the history that a watch asked for.
     HistoryGone,
-    /// The last call had no answer, or none that could be read.
+    /// The last call had no response, or one that couldn't be parsed.
     Unanswered,
 }
 
 impl ReadReason {
-    /// The reason's word, as in metrics.
+    /// Returns the name of the reason in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             ReadReason::Start => "start",
@@ -75,201 +76,206 @@
     }
 }
 
-/// `StoreCall` is a call of the store and its reason.
+/// `StoreCall` is a query to the store with its reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreCall {
-    /// What is asked.
+    /// The query.
     pub query: StoreQuery,
-    /// Why.
+    /// The reason for it.
     pub reason: ReadReason,
 }
 
-/// `FleetEffect` is one thing to do.
+/// `FleetEffect` is one action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetEffect {
-    /// Send a message to an instance.
+    /// Sends a datagram to another instance.
     SendDatagram {
-        /// The receiver.
+        /// Address of the receiver.
         to: SocketAddrV4,
-        /// The bytes.
+        /// The datagram.
         bytes: Vec<u8>,
     },
-    /// Call the store; one call at a time is out.
+    /// Queries the store. At most one call is in flight at a time.
     CallStore(StoreCall),
-    /// Rows changed in the list.
+    /// Applies rows that changed in the list.
     ApplyRows(Vec<ListRow>),
-    /// Rows differ in the list of a store that came back from an older copy.
+    /// Applies rows that differ in the list of a store that was restored from a backup.
     ApplyRestoredRows(Vec<ListRow>),
-    /// The store confirmed the list as the newest at this time.
+    /// Records that the store confirmed the list as the newest at this time.
     RecordConfirmation(ClockTime),
-    /// Another instance observed a backend server.
+    /// Records a health observation that another instance made of a backend server.
     RecordObservation(HealthObservation),
-    /// Another instance hands on a caller's packet that it can't place.
+    /// Handles a caller's packet that another instance couldn't assign and relayed here.
     HandlePacket(Vec<u8>),
-    /// Something worth a log line.
+    /// Logs an event.
     LogEvent(FleetEvent),
 }
 
-/// `FleetEvent` is a change of what this instance believes.
+/// `FleetEvent` is a change in what this instance knows of the list, the store or its peers, to be
+/// logged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum FleetEvent {
-    /// A newer list is in force.
+    /// A newer list was applied.
     ListTaken {
-        /// The operators' version.
+        /// Version of the operators' list.
         version: u64,
         /// Epoch of the store's history.
         epoch: u64,
-        /// The store's revision.
+        /// Revision of the store.
         revision: u64,
-        /// Revision before.
+        /// Revision up to which the list was known before.
         former_revision: u64,
-        /// Rows that changed.
+        /// Number of rows that changed.
         rows: usize,
-        /// Who brought it: the store or a peer.
+        /// Source of the rows: `store`, or the address of a peer.
         source: String,
-        /// Time since the store confirmed it.
+        /// Time since the store last confirmed the list, in milliseconds.
         confirmed_age_ms: Option<u64>,
     },
-    /// A part of a list too long for one answer serves until all is known.
+    /// The first page of a list that is too long for one response was applied; flows are assigned
+    /// by it until the rest is known.
     ListPreviewed {
-        /// The operators' version.
+        /// Version of the operators' list.
         version: u64,
         /// Epoch of the store's history.
         epoch: u64,
-        /// The store's revision.
+        /// Revision of the store.
         revision: u64,
-        /// Rows of the part.
+        /// Number of rows in the first page.
         rows: usize,
     },
-    /// This instance begins to read the store.
+    /// This instance starts to read the store.
     ReadingBegun {
-        /// Time since the store last confirmed the list.
+        /// Time since the store last confirmed the list, in milliseconds.
         confirmed_age_ms: Option<u64>,
-        /// Live instances that are ranked before this one.
+        /// Number of live instances that are ranked before this one.
         rank: usize,
     },
-    /// The store is called, for another reason than to wait for changes.
+    /// The store is queried for another reason than to wait for changes.
     StoreCalled {
-        /// What is asked.
+        /// The query.
         order: &'static str,
-        /// Why.
+        /// The reason for it.
         reason: ReadReason,
         /// Revision up to which the list is known.
         known_revision: u64,
-        /// Time since the store last confirmed it.
+        /// Time since the store last confirmed the list, in milliseconds.
         confirmed_age_ms: Option<u64>,
-        /// Live instances that are ranked before this one.
+        /// Number of live instances that are ranked before this one.
         rank: usize,
     },
-    /// This instance leaves reading to others.
+    /// This instance stops reading the store and leaves it to others.
     ReadingEnded {
-        /// Other readers that were heard of.
+        /// Number of other readers that are known.
         readers: usize,
     },
-    /// Calls of the store fail.
+    /// A call to the store failed after earlier ones had succeeded.
     StoreLost {
-        /// The first error.
+        /// Error of the first call that failed.
         error: String,
-        /// Time since the store last confirmed the list.
+        /// Time since the store last confirmed the list, in milliseconds.
         confirmed_age_ms: Option<u64>,
     },
-    /// Calls of the store succeed again.
+    /// Calls to the store succeed again.
     StoreRegained {
-        /// Calls that failed in between.
+        /// Number of calls that failed in between.
         failures: u32,
     },
-    /// The store's history has another epoch than in the answer before.
+    /// The store's history has another epoch than in the previous response.
     StoreEpochChanged {
-        /// The epoch.
+        /// The new epoch.
         epoch: u64,
-        /// The one before; none at the first answer.
+        /// The previous epoch; `None` for the first response.
         former_epoch: Option<u64>,
-        /// The store's revision.
+        /// Revision of the store.
         revision: u64,
         /// Revision up to which the list is known.
         known_revision: u64,
     },
-    /// An answer of the store is older than the list, and changes nothing.
+    /// A response of the store is older than the known list and was ignored.
     ReadingPassedOver {
-        /// What was asked.
+        /// The query.
         order: &'static str,
-        /// Epoch of the answer.
+        /// Epoch of the response.
         epoch: u64,
-        /// The store's revision in it.
+        /// Revision of the store in the response.
         revision: u64,
-        /// Items that it held.
+        /// Number of items in the response.
         items: usize,
         /// Revision up to which the list is known.
         known_revision: u64,
-        /// Time since the store last confirmed the list.
+        /// Time since the store last confirmed the list, in milliseconds.
         confirmed_age_ms: Option<u64>,
     },
-    /// A restored store has an older version of the operators' list; the newer one stays in
+    /// A restored store has an older version of the operators' list; the newer version stays in
     /// force.
     ConfigHeld {
         /// The version in force.
         held_version: u64,
-        /// The store's version.
+        /// The version in the store.
         version: u64,
         /// Epoch of the store's history.
         epoch: u64,
-        /// The store's revision.
+        /// Revision of the store.
         revision: u64,
     },
-    /// The store's version is in force again.
+    /// The version in the store is in force again.
     ConfigReleased {
-        /// The version.
+        /// The version in force.
         version: u64,
         /// Epoch of the store's history.
         epoch: u64,
-        /// The store's revision.
+        /// Revision of the store.
         revision: u64,
     },
-    /// An item of the store can't be understood.
+    /// An item of the store couldn't be parsed.
     ItemRefused(RefusedItem),
-    /// An instance of the own data centre was heard of for the first time since its start.
+    /// An instance of the same data centre was heard from for the first time since its start.
     PeerFound {
-        /// Where it takes messages.
+        /// Address of the instance for messages.
         peer: String,
         /// Its data centre.
         data_centre: String,
     },
-    /// An instance of the own data centre doesn't answer.
+    /// An instance of the same data centre doesn't respond.
     PeerLost {
-        /// Where it took messages.
+        /// Address of the instance for messages.
         peer: String,
-        /// Time since somebody heard from it.
+        /// Time since any instance last heard from it, in milliseconds.
         age_ms: u64,
     },
-    /// An instance said that it stops.
+    /// An instance announced that it stops.
     PeerLeft {
-        /// Where it took messages.
+        /// Address of the instance for messages.
         peer: String,
         /// Its data centre.
         data_centre: String,
     },
-    /// Another data centre is heard of, again or for the first time.
+    /// Another data centre is heard from, again or for the first time.
     CentreFound {
-        /// Its name.
+        /// Name of the data centre.
         data_centre: String,
-        /// An instance there.
+        /// Address of an instance in it.
         peer: String,
     },
-    /// No instance of another data centre has been heard of for long.
+    /// No instance of another data centre has been heard from for some time.
     CentreLost {
-        /// Its name.
+        /// Name of the data centre.
         data_centre: String,
-        /// Time since the last was heard of.
+        /// Time since the last instance in it was heard from, in milliseconds.
         age_ms: u64,
     },
 }
 
 impl FleetEvent {
-    /// What a report of an instance tells, if it is news.
-    pub(crate) fn from_change(change: PeerChange, card: &PeerDescriptor) -> Option<FleetEvent> {
-        let peer = card.address()?.to_string();
-        let data_centre = card.data_centre.clone();
+    /// Returns the event for a change in the peer table, if it is worth a log line.
+    pub(crate) fn from_change(
+        change: PeerChange,
+        descriptor: &PeerDescriptor,
+    ) -> Option<FleetEvent> {
+        let peer = descriptor.address()?.to_string();
+        let data_centre = descriptor.data_centre.clone();
         match change {
             PeerChange::Unchanged => None,
             PeerChange::Joined => Some(FleetEvent::PeerFound { peer, data_centre }),
@@ -278,7 +284,7 @@
         }
     }
 
-    /// What silence tells.
+    /// Returns the event for a peer or data centre that no longer responds.
     pub(crate) fn from_loss(loss: PeerLoss) -> FleetEvent {
         match loss {
             PeerLoss::Peer { address, age_ms } => {
@@ -290,7 +296,7 @@
         }
     }
 
-    /// The event's word, as in log lines.
+    /// Returns the name of the event in log lines.
     pub fn kind(&self) -> &'static str {
         match self {
             FleetEvent::ListTaken { .. } => "list_taken",
--- a/crates/foxledge-gossip/src/election.rs
+++ b/crates/foxledge-gossip/src/election.rs
@@ -1,252 +1,274 @@
-//! Who reads the store.
+//! Election of the instances that read the store.
 //!
-//! No instance is appointed, and none needs to agree with another. Whoever
-//! hasn't heard for a while that its list is the newest begins to read; the
-//! better its rank among the live, the sooner. A reader stops when it hears of
-//! better ranked ones. Too many readers cost calls, none costs seconds.
+//! Readers are not appointed, and instances need no agreement. An instance that has received no
+//! confirmation for a while that its list is the newest starts to read; the better its rank among
+//! the live instances, the sooner. A reader stops when it learns of better ranked readers. Too many
+//! readers cost calls to the store; a fleet without a reader goes without updates for seconds.
 
 use foxledge_core::time::ClockTime;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::messages::PeerDescriptor;
 
-/// Time by which each rank waits longer than the one before, in milliseconds.
+/// Additional delay per rank before an instance starts to read, in milliseconds.
 ///
-/// A reader's first answer reaches all within some 50 ms, so the next rank
-/// mostly needn't begin. Ranks of dead instances cost this much each.
-const RANK_MS: u64 = 120;
-/// A reader counts while its last answer is younger than this, in milliseconds:
-/// a watch of a second and room for the way.
-const CLAIM_MS: u64 = 1_400;
-/// Readers at most that the fleet keeps, in different data centres.
+/// A reader's first response reaches all instances within some 50 ms, so the next rank mostly
+/// doesn't start. Each dead instance among the best ranks delays the take-over by this much.
+const RANK_DELAY_MS: u64 = 120;
+/// Time, in milliseconds, for which an instance counts as a reader after its latest confirmation: a
+/// watch of one second, and time for the message to arrive.
+const CONFIRMATION_TTL_MS: u64 = 1_400;
+/// Maximum number of readers in the fleet, in different data centres.
 ///
-/// One is enough while it answers: each begins only when nobody has confirmed the
-/// list for the take-over's time. Where several have begun, two stay, so that a
-/// next failure costs nothing.
-const READERS: usize = 2;
-/// Claims that are remembered.
-const MOST_CLAIMS: usize = 6;
-/// First wait after a failed call in milliseconds; doubles with each.
-const RETRY_MS: u64 = 200;
-/// Instances whose calls tell soon enough that the store serves again, even where it turns
-/// some of them away.
-const FIRST_RANKS: usize = 8;
-/// Wait of all others after a failed call in milliseconds: in an outage half of a fleet calls.
-const LATE_RETRY_MS: u64 = 3_000;
-/// Longest wait after a failed call in milliseconds.
-const LONGEST_RETRY_MS: u64 = 1_000;
-/// The same while a better ranked reader is heard of, in milliseconds: its answers reach all, and
-/// if it dies, changes are read this much later at most.
-const STANDBY_MS: u64 = 1_000;
-/// Shortest time from one call's answer to the next call, in milliseconds:
-/// changes that come together are read together.
-const BATCH_MS: u64 = 100;
-/// The same after an answer that brought changes, as more follow when backend servers are
-/// replaced: each call of the store has its price, and a change is in force a quarter of a
-/// second later at most.
-const CHANGES_BATCH_MS: u64 = 250;
+/// One reader suffices while the store responds to it: an instance starts to read only when the
+/// list has not been confirmed within the take-over time. Where several have started, two remain,
+/// so that the next failure costs no time.
+const MAX_READERS: usize = 2;
+/// Maximum number of confirmations that are remembered.
+const MAX_CONFIRMATIONS: usize = 6;
+/// Delay before the first retry of a failed call, in milliseconds. It doubles with each failure.
+const INITIAL_RETRY_DELAY_MS: u64 = 200;
+/// Number of best ranked instances that retry early. Their calls notice soon enough that the store
+/// serves again, even if it refuses some of them.
+const EARLY_RETRY_RANKS: usize = 8;
+/// Delay before all other instances retry, in milliseconds: during an outage half of a fleet calls
+/// the store.
+const LATE_RETRY_DELAY_MS: u64 = 3_000;
+/// Maximum delay before a retry, in milliseconds.
+const MAX_RETRY_DELAY_MS: u64 = 1_000;
+/// Minimum interval between calls while a better ranked reader is known, in milliseconds. That
+/// reader's responses reach all instances; if it dies, changes are read later by this much at most.
+const STANDBY_CALL_INTERVAL_MS: u64 = 1_000;
+/// Minimum time from the response to one call to the next call, in milliseconds. Changes that come
+/// together are read together.
+const CALL_INTERVAL_MS: u64 = 100;
+/// The same after a response with changes, since more follow when backend servers are replaced. It
+/// saves calls to the store; a change takes effect a quarter of a second later at most.
+const CHANGES_CALL_INTERVAL_MS: u64 = 250;
 
 /// `ReaderRank` orders instances as readers, the best first.
 ///
-/// A list of 1,400 routes is some 300 KB long and may change three times a
-/// second, so links decide first: on one of 10 Mbit/s the list would take all of
-/// it. Equal ones are ordered by a hash, so that the fleet's first in the
-/// alphabet isn't always the one.
+/// Link bandwidth decides first: a list of 1,400 routes is some 300 KB long and may change three
+/// times a second, which would take all of a link of 10 Mbit/s. Instances with equal links are
+/// ordered by a hash of their address, so that the choice doesn't depend on the order of addresses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReaderRank {
-    narrowness: u32,
+    inverse_bandwidth: u32,
     hash: u64,
 }
 
 impl ReaderRank {
-    /// The rank of an instance.
-    pub fn of(card: &PeerDescriptor) -> ReaderRank {
+    /// Returns the rank of an instance.
+    pub fn from_descriptor(descriptor: &PeerDescriptor) -> ReaderRank {
         let mut bytes = [0; 8];
-        bytes[..4].copy_from_slice(&card.ip.to_be_bytes());
-        bytes[4..].copy_from_slice(&card.port.to_be_bytes());
-        ReaderRank { narrowness: u32::MAX - card.link_mbps, hash: xxh3_64(&bytes) }
+        bytes[..4].copy_from_slice(&descriptor.ip.to_be_bytes());
+        bytes[4..].copy_from_slice(&descriptor.port.to_be_bytes());
+        ReaderRank { inverse_bandwidth: u32::MAX - descriptor.link_mbps, hash: xxh3_64(&bytes) }
     }
 
-    /// A place within a span that differs between instances.
-    pub fn spread_over(self, span: u64) -> u64 {
+    /// Returns a value below `span` that depends on the instance.
+    pub fn hash_below(self, span: u64) -> u64 {
         self.hash % span
     }
 }
 
-/// `StoreConfirmation` is a reader's last answer from the store, as heard.
+/// `StoreConfirmation` is the latest response of the store to one reader, which confirms that
+/// `head` was the newest revision then.
 #[derive(Clone, Debug)]
 pub struct StoreConfirmation {
     /// The reader.
     pub reader: PeerDescriptor,
-    /// Counts the reader's answers.
+    /// Sequence number of the response at that reader.
     pub serial: u32,
-    /// When the store answered it.
+    /// Time of the response.
     pub confirmed_at: ClockTime,
-    /// The store's revision in that answer.
+    /// Revision of the store in the response.
     pub head: u64,
 }
 
-/// `ReaderElection` is this instance's part in reading the store.
+/// `ReaderElection` decides whether this instance reads the store, and when it calls next.
 #[derive(Debug)]
 pub struct ReaderElection {
     rank: ReaderRank,
     data_centre: String,
-    claims: Vec<StoreConfirmation>,
+    confirmations: Vec<StoreConfirmation>,
     is_reading: bool,
-    is_waiting: bool,
-    next_at: ClockTime,
+    is_call_pending: bool,
+    next_call_at: ClockTime,
     failures: u32,
 }
 
 impl ReaderElection {
-    /// Makes the part of an instance that doesn't read yet.
-    pub fn new(card: &PeerDescriptor) -> ReaderElection {
+    /// Creates the state of an instance that doesn't read yet.
+    pub fn new(descriptor: &PeerDescriptor) -> ReaderElection {
         ReaderElection {
-            rank: ReaderRank::of(card),
-            data_centre: card.data_centre.clone(),
-            claims: Vec::new(),
+            rank: ReaderRank::from_descriptor(descriptor),
+            data_centre: descriptor.data_centre.clone(),
+            confirmations: Vec::new(),
             is_reading: false,
-            is_waiting: false,
-            next_at: ClockTime::ZERO,
+            is_call_pending: false,
+            next_call_at: ClockTime::ZERO,
             failures: 0,
         }
     }
 
-    /// True while this instance reads.
+    /// Returns true while this instance reads the store.
     pub fn is_reading(&self) -> bool {
         self.is_reading
     }
 
-    /// Calls that failed since the last success.
+    /// Returns the number of calls that failed since the last success.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Live instances that are ranked before this one.
-    pub fn rank_among<'a>(&self, live: impl Iterator<Item = &'a PeerDescriptor>) -> usize {
-        live.filter(|card| ReaderRank::of(card) < self.rank).count()
+    /// Returns the number of live instances that are ranked before this one.
+    pub fn rank_among<'a>(&self, live_peers: impl Iterator<Item = &'a PeerDescriptor>) -> usize {
+        live_peers.filter(|descriptor| ReaderRank::from_descriptor(descriptor) < self.rank).count()
     }
 
-    /// How much longer than the best ranked this instance waits, in milliseconds.
-    pub fn patience_ms(rank: usize) -> u64 {
-        RANK_MS * rank as u64
+    /// Returns how much later than the best ranked instance one of this rank starts to read, in
+    /// milliseconds.
+    pub fn takeover_delay_ms(rank: usize) -> u64 {
+        RANK_DELAY_MS * rank as u64
     }
 
-    /// Begins to read.
-    pub fn begin(&mut self, now: ClockTime) {
+    /// Starts to read the store.
+    pub fn start_reading(&mut self, now: ClockTime) {
         self.is_reading = true;
-        self.next_at = now;
+        self.next_call_at = now;
     }
 
-    /// Stops reading; an answer that is still out is taken all the same.
-    pub fn end(&mut self) {
+    /// Stops reading. The response to a call in flight is still handled.
+    pub fn stop_reading(&mut self) {
         self.is_reading = false;
     }
 
-    /// When the next call is due; none while one is out or others read.
-    pub fn call_at(&self) -> Option<ClockTime> {
-        (self.is_reading && !self.is_waiting).then_some(self.next_at)
+    /// Returns the time of the next call; `None` while a call is in flight or this instance doesn't
+    /// read.
+    pub fn next_call_at(&self) -> Option<ClockTime> {
+        (self.is_reading && !self.is_call_pending).then_some(self.next_call_at)
     }
 
-    /// True while a call is out.
-    pub fn is_waiting(&self) -> bool {
-        self.is_waiting
+    /// Returns true while a call is in flight.
+    pub fn is_call_pending(&self) -> bool {
+        self.is_call_pending
     }
 
-    /// Notes that a call went out.
-    pub fn called(&mut self) {
-        self.is_waiting = true;
+    /// Records that a call was sent.
+    pub fn record_call(&mut self) {
+        self.is_call_pending = true;
     }
 
-    /// Notes a call's success; returns how many had failed before.
-    pub fn succeeded(&mut self, now: ClockTime) -> u32 {
-        self.is_waiting = false;
-        let pause = if self.is_standby(now) { STANDBY_MS } else { BATCH_MS };
-        self.next_at = now.after_millis(pause);
+    /// Records that a call succeeded; returns the number of failures before it.
+    pub fn record_success(&mut self, now: ClockTime) -> u32 {
+        self.is_call_pending = false;
+        let interval_ms =
+            if self.is_standby(now) { STANDBY_CALL_INTERVAL_MS } else { CALL_INTERVAL_MS };
+        self.next_call_at = now.after_millis(interval_ms);
         std::mem::take(&mut self.failures)
     }
 
-    /// Notes that the last answer brought changes: the next call leaves time for more.
-    pub fn expect_more(&mut self, now: ClockTime) {
-        self.next_at = self.next_at.max(now.after_millis(CHANGES_BATCH_MS));
+    /// Delays the next call after a response with changes, so that more changes can accumulate.
+    pub fn delay_next_call(&mut self, now: ClockTime) {
+        self.next_call_at = self.next_call_at.max(now.after_millis(CHANGES_CALL_INTERVAL_MS));
     }
 
-    /// Notes that a call failed; `rank` is this instance's among the live ones.
-    pub fn failed(&mut self, now: ClockTime, rank: usize) {
-        self.is_waiting = false;
-        let wait = match rank {
-            ..FIRST_RANKS => (RETRY_MS << self.failures.min(4)).min(LONGEST_RETRY_MS),
-            _ => LATE_RETRY_MS,
+    /// Records that a call failed and schedules the retry; `rank` is this instance's rank among the
+    /// live ones.
+    pub fn record_failure(&mut self, now: ClockTime, rank: usize) {
+        self.is_call_pending = false;
+        let delay_ms = match rank {
+            ..EARLY_RETRY_RANKS => {
+                (INITIAL_RETRY_DELAY_MS << self.failures.min(4)).min(MAX_RETRY_DELAY_MS)
+            }
+            _ => LATE_RETRY_DELAY_MS,
         };
         self.failures += 1;
-        self.next_at = now.after_millis(wait);
+        self.next_call_at = now.after_millis(delay_ms);
     }
 
-    /// Takes a claim as heard; true when it is newer than the reader's last known one.
-    pub fn record_confirmation(&mut self, claim: StoreConfirmation) -> bool {
-        let same = |known: &&mut StoreConfirmation| {
-            known.reader.address() == claim.reader.address()
-                && known.reader.incarnation == claim.reader.incarnation
+    /// Records a confirmation; returns true if it is newer than the last known one of that reader.
+    pub fn record_confirmation(&mut self, confirmation: StoreConfirmation) -> bool {
+        let is_same_reader = |known: &&mut StoreConfirmation| {
+            known.reader.address() == confirmation.reader.address()
+                && known.reader.incarnation == confirmation.reader.incarnation
         };
-        match self.claims.iter_mut().find(same) {
-            Some(known) if known.serial >= claim.serial => return false,
-            Some(known) => *known = claim,
-            None => self.claims.push(claim),
+        match self.confirmations.iter_mut().find(is_same_reader) {
+            Some(known) if known.serial >= confirmation.serial => return false,
+            Some(known) => *known = confirmation,
+            None => self.confirmations.push(confirmation),
         }
-        self.claims.sort_by_key(|claim| std::cmp::Reverse(claim.confirmed_at));
-        self.claims.truncate(MOST_CLAIMS);
+        self.confirmations.sort_by_key(|confirmation| std::cmp::Reverse(confirmation.confirmed_at));
+        self.confirmations.truncate(MAX_CONFIRMATIONS);
         true
     }
 
-    /// Every claim that is remembered, the newest first.
-    pub fn claims(&self) -> &[StoreConfirmation] {
-        &self.claims
+    /// Returns the remembered confirmations, the newest first.
+    pub fn confirmations(&self) -> &[StoreConfirmation] {
+        &self.confirmations
     }
 
-    /// Other instances that read, as far as is known.
+    /// Returns the latest confirmations of other instances that are known to read.
     pub fn other_readers(&self, now: ClockTime) -> impl Iterator<Item = &StoreConfirmation> {
-        let own = self.rank;
-        let is_other = move |claim: &&StoreConfirmation| ReaderRank::of(&claim.reader) != own;
-        self.claims.iter().filter(move |claim| is_fresh(claim, now)).filter(is_other)
+        let own_rank = self.rank;
+        let is_other = move |confirmation: &&StoreConfirmation| {
+            ReaderRank::from_descriptor(&confirmation.reader) != own_rank
+        };
+        self.confirmations
+            .iter()
+            .filter(move |confirmation| is_recent(confirmation, now))
+            .filter(is_other)
     }
 
-    /// True when a better ranked instance reads.
+    /// Returns true if a better ranked instance reads.
     fn is_standby(&self, now: ClockTime) -> bool {
-        self.other_readers(now).any(|claim| ReaderRank::of(&claim.reader) < self.rank)
+        self.other_readers(now)
+            .any(|confirmation| ReaderRank::from_descriptor(&confirmation.reader) < self.rank)
     }
 
-    /// True when all who read have narrower links than this instance.
-    pub fn is_wider(&self, now: ClockTime) -> bool {
+    /// Returns true if other instances read and all of them have narrower links than this one.
+    pub fn has_widest_link(&self, now: ClockTime) -> bool {
         let mut readers = self.other_readers(now).peekable();
-        let is_narrower = |claim: &StoreConfirmation| {
-            ReaderRank::of(&claim.reader).narrowness > self.rank.narrowness
+        let is_narrower = |confirmation: &StoreConfirmation| {
+            ReaderRank::from_descriptor(&confirmation.reader).inverse_bandwidth
+                > self.rank.inverse_bandwidth
         };
         readers.peek().is_some() && readers.all(is_narrower)
     }
 
-    /// True when somebody has lately read more than is known up to `head`.
+    /// Returns true if another instance has recently read a revision beyond `head`.
     pub fn is_behind(&self, now: ClockTime, head: u64) -> bool {
-        self.claims.iter().any(|claim| claim.head > head && is_fresh(claim, now))
+        self.confirmations
+            .iter()
+            .any(|confirmation| confirmation.head > head && is_recent(confirmation, now))
     }
 
-    /// When the store last answered anybody with no more than is known up to `head`.
+    /// Returns the time of the latest response of the store with a revision up to `head`.
     pub fn latest_confirmation_at(&self, head: u64) -> Option<ClockTime> {
-        self.claims.iter().filter(|claim| claim.head <= head).map(|claim| claim.confirmed_at).max()
+        self.confirmations
+            .iter()
+            .filter(|confirmation| confirmation.head <= head)
+            .map(|confirmation| confirmation.confirmed_at)
+            .max()
     }
 
-    /// True when enough better ranked instances read: one nearby, one with a wider
-    /// link, or two of any kind.
-    pub fn is_needless(&self, now: ClockTime) -> bool {
-        let is_better = |claim: &&StoreConfirmation| ReaderRank::of(&claim.reader) < self.rank;
+    /// Returns true if enough better ranked instances read: one of the same data centre, one with a
+    /// wider link, or [`MAX_READERS`] of any kind.
+    pub fn is_redundant(&self, now: ClockTime) -> bool {
+        let is_better = |confirmation: &&StoreConfirmation| {
+            ReaderRank::from_descriptor(&confirmation.reader) < self.rank
+        };
         let better: Vec<_> = self.other_readers(now).filter(is_better).collect();
-        let is_served_well = |claim: &&StoreConfirmation| {
-            claim.reader.data_centre == self.data_centre
-                || ReaderRank::of(&claim.reader).narrowness < self.rank.narrowness
+        let is_sufficient = |confirmation: &&StoreConfirmation| {
+            confirmation.reader.data_centre == self.data_centre
+                || ReaderRank::from_descriptor(&confirmation.reader).inverse_bandwidth
+                    < self.rank.inverse_bandwidth
         };
-        better.iter().any(is_served_well) || better.len() >= READERS
+        better.iter().any(is_sufficient) || better.len() >= MAX_READERS
     }
 }
 
-fn is_fresh(claim: &StoreConfirmation, now: ClockTime) -> bool {
-    !claim.confirmed_at.after_millis(CLAIM_MS).is_past(now)
+fn is_recent(confirmation: &StoreConfirmation, now: ClockTime) -> bool {
+    !confirmation.confirmed_at.after_millis(CONFIRMATION_TTL_MS).is_past(now)
 }
--- a/crates/foxledge-gossip/src/lib.rs
+++ b/crates/foxledge-gossip/src/lib.rs
@@ -1,14 +1,13 @@
-//! Spreading of lists and observations between instances.
+//! Dissemination of operator lists and health observations between instances.
 //!
-//! Two or three instances of the fleet read the store; all others learn from
-//! peers by UDP. Nobody appoints the readers: an instance that hasn't heard for
-//! a while that its list is the newest reads by itself, and stops when better
-//! ranked ones do. News spread as an epidemic: whoever hears something new
-//! tells a few others at once, so that the traffic of one instance doesn't grow
-//! with the fleet.
+//! Two or three instances of the fleet read the store; all others receive its contents from peers
+//! over UDP. Readers are not appointed: an instance that has received no confirmation for a while
+//! that its list is the newest starts to read the store itself, and stops when better ranked
+//! instances read it. Updates are disseminated by gossip: an instance that receives an update sends
+//! it on to a few others at once, so that the traffic of one instance doesn't grow with the fleet.
 //!
-//! [`FleetMember`] is decision logic: datagrams, the store's answers and the
-//! time go in, [`FleetEffect`]s come out.
+//! [`FleetMember`] is decision logic without I/O: datagrams, responses of the store and the time go
+//! in, [`FleetEffect`]s come out.
 
 pub mod backend_evidence;
 mod config_pull;
--- a/crates/foxledge-gossip/src/list_pull.rs
+++ b/crates/foxledge-gossip/src/list_pull.rs
@@ -1,4 +1,4 @@
-//! Rows asked of a peer, page by page.
+//! State of a transfer of rows from a peer.
 
 use std::{collections::BTreeMap, net::SocketAddrV4};
 
@@ -10,132 +10,135 @@
     packing::PackedRows,
 };
 
-/// Wait for a page in milliseconds.
+/// Time, in milliseconds, to wait for a page before the request is repeated.
 ///
-/// The way is some milliseconds, but a slow instance that serves several others takes much
-/// longer. Asked again too early it makes all pages a second time, and with many askers nothing
-/// ever ends.
-const PAGE_MS: u64 = 200;
-/// Questions for one page before the peer is given up.
-const MOST_TRIES: u32 = 3;
+/// A round trip takes some milliseconds, but a slow instance that serves several others takes much
+/// longer. If requests were repeated too early, it would build all pages a second time, and with
+/// many requesters no transfer would end.
+const PAGE_TIMEOUT_MS: u64 = 200;
+/// Number of requests for one page before the peer is given up.
+const MAX_ATTEMPTS: u32 = 3;
 
 /// `ListPull` is a transfer of rows from one peer.
 ///
-/// Rows are kept aside until the last page has come: a list of which one part is
-/// new and another old would treat one flow by the new list and the next by the old.
+/// Rows are buffered until the last page has come: with a list that is partly new and partly old,
+/// one flow would be handled by the new list and the next by the old one.
 #[derive(Debug)]
 pub struct ListPull {
-    /// The peer.
-    pub from: SocketAddrV4,
-    /// Ticket of the question that is out.
-    pub ticket: u32,
-    /// Revision that was known at the begin.
-    known: u64,
-    /// The peer's process; none before its first page.
+    /// Address of the peer.
+    pub peer: SocketAddrV4,
+    /// Id of the outstanding request.
+    pub request_id: u32,
+    /// Revision that was known when the transfer started.
+    known_head: u64,
+    /// Incarnation of the peer; `None` before its first page.
     incarnation: Option<u64>,
     cursor: ListCursor,
-    is_copy: bool,
-    /// The list is complete up to `known` and holds nothing newer, so that changes can be
-    /// taken over a gap.
-    takes_gaps: bool,
-    /// A page came that holds changes over a gap.
+    is_snapshot: bool,
+    /// The local list is complete up to `known_head` and holds nothing newer, so that changes
+    /// across a gap in the history can be applied.
+    accepts_gaps: bool,
+    /// A page with changes across a gap was received.
     has_gap: bool,
     rows: Vec<ListRow>,
-    /// Place of the next page among those that answer the question.
+    /// Index of the next page among those that respond to the request.
     next_index: u32,
-    /// Pages that came before it, by their place.
-    early: BTreeMap<u32, PullPage>,
-    tries: u32,
-    /// When to ask again.
+    /// Pages that were received before it, by index.
+    early_pages: BTreeMap<u32, PullPage>,
+    attempts: u32,
+    /// Time at which the request is repeated.
     pub retry_at: ClockTime,
 }
 
-/// `PulledKind` is what the rows of a transfer are.
+/// `TransferKind` is the kind of rows that a transfer brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PulledKind {
-    /// A whole copy.
-    Copy,
+pub enum TransferKind {
+    /// The whole list.
+    Snapshot,
     /// Every change after the revision that was known.
     Changes,
-    /// What differs since the revision that was known, told over a gap.
-    OverGap {
-        /// That revision.
-        known: u64,
+    /// The differences since the revision that was known, across a gap in the history.
+    ChangesAcrossGap {
+        /// The revision that was known.
+        known_head: u64,
     },
 }
 
-/// `PullStep` is how a transfer goes on.
+/// `PullStep` is the next step of a transfer.
 #[derive(Debug)]
 pub enum PullStep {
-    /// Ask the peer.
-    Ask(PullRequest),
-    /// Wait for further pages.
+    /// Send a request to the peer.
+    SendRequest(PullRequest),
+    /// Wait for more pages.
     Wait,
-    /// Everything has come.
-    Done {
+    /// All rows were received.
+    Complete {
         /// The rows.
         rows: Vec<ListRow>,
-        /// What they are.
-        kind: PulledKind,
+        /// Kind of the rows.
+        kind: TransferKind,
         /// Revision up to which the peer knows the list.
         head: u64,
-        /// Revision after which the peer can tell changes.
+        /// Revision after which the peer knows every change.
         floor: u64,
     },
-    /// The peer is given up.
-    Lost,
+    /// The peer doesn't respond and is given up.
+    Abandoned,
 }
 
 impl ListPull {
-    /// Begins a transfer of what changed after `known`.
-    pub fn new(now: ClockTime, from: SocketAddrV4, ticket: u32, known: u64) -> ListPull {
-        let cursor =
-            if known == 0 { ListCursor::start() } else { ListCursor::after_revision(known) };
+    /// Creates a transfer of the changes after `known_head`.
+    pub fn new(now: ClockTime, peer: SocketAddrV4, request_id: u32, known_head: u64) -> ListPull {
+        let cursor = if known_head == 0 {
+            ListCursor::start()
+        } else {
+            ListCursor::after_revision(known_head)
+        };
         ListPull {
-            from,
-            ticket,
-            known,
+            peer,
+            request_id,
+            known_head,
             incarnation: None,
             cursor,
-            is_copy: known == 0,
-            takes_gaps: false,
+            is_snapshot: known_head == 0,
+            accepts_gaps: false,
             has_gap: false,
             rows: Vec::new(),
             next_index: 0,
-            early: BTreeMap::new(),
-            tries: 0,
-            retry_at: now.after_millis(PAGE_MS),
+            early_pages: BTreeMap::new(),
+            attempts: 0,
+            retry_at: now.after_millis(PAGE_TIMEOUT_MS),
         }
     }
 
-    /// Takes changes over a gap as well, as nothing newer than `known` is held.
-    pub fn over_gaps(self) -> ListPull {
-        ListPull { takes_gaps: true, ..self }
+    /// Accepts changes across a gap as well; allowed if nothing newer than `known_head` is known.
+    pub fn accepting_gaps(self) -> ListPull {
+        ListPull { accepts_gaps: true, ..self }
     }
 
-    /// The question for the next page.
-    pub fn question(&self) -> PullRequest {
+    /// Returns the request for the next pages.
+    pub fn request(&self) -> PullRequest {
         PullRequest {
-            request_id: self.ticket,
+            request_id: self.request_id,
             revision: self.cursor.revision,
             key: self.cursor.key.to_string(),
-            is_snapshot: self.is_copy,
-            known: self.takes_gaps.then_some(self.known),
+            is_snapshot: self.is_snapshot,
+            known_head: self.accepts_gaps.then_some(self.known_head),
         }
     }
 
-    /// Takes a page that answers the question that is out.
+    /// Handles a page that responds to the outstanding request.
     ///
-    /// Pages are sent together, and the network may hand them over in another order: one
-    /// that comes before its turn is kept. Were it dropped, it would be asked for again
-    /// after [`PAGE_MS`], and a transfer of many pages would hardly ever end.
-    pub fn take(&mut self, now: ClockTime, page: PullPage) -> PullStep {
+    /// Pages are sent together and may be reordered by the network: a page that comes too early is
+    /// buffered. If it was dropped, it would be requested again after [`PAGE_TIMEOUT_MS`], and a
+    /// transfer of many pages would hardly ever complete.
+    pub fn handle_page(&mut self, now: ClockTime, page: PullPage) -> PullStep {
         if page.index < self.next_index || page.index >= PAGES_PER_REQUEST {
             return PullStep::Wait;
         }
-        self.early.insert(page.index, page);
-        while let Some(page) = self.early.remove(&self.next_index) {
-            match self.take_next(now, page) {
+        self.early_pages.insert(page.index, page);
+        while let Some(page) = self.early_pages.remove(&self.next_index) {
+            match self.handle_next_page(now, page) {
                 PullStep::Wait => {}
                 step => return step,
             }
@@ -143,24 +146,24 @@
         PullStep::Wait
     }
 
-    /// Begins the transfer again, from another process of the peer.
+    /// Restarts the transfer after the peer has restarted.
     ///
-    /// That may have the same rows under other revisions, so that some of them lie before a
-    /// cursor that came from its former process.
-    fn begin_again(&mut self, now: ClockTime) -> PullStep {
-        let anew = ListPull::new(now, self.from, self.ticket, self.known);
-        *self = ListPull { tries: self.tries, takes_gaps: self.takes_gaps, ..anew };
-        self.ask_again()
+    /// The new process may have the same rows under other revisions, so that some of them lie
+    /// before a cursor that came from the former process.
+    fn restart(&mut self, now: ClockTime) -> PullStep {
+        let restarted = ListPull::new(now, self.peer, self.request_id, self.known_head);
+        *self = ListPull { attempts: self.attempts, accepts_gaps: self.accepts_gaps, ..restarted };
+        self.request_more()
     }
 
-    /// Takes the page whose turn it is.
-    fn take_next(&mut self, now: ClockTime, page: PullPage) -> PullStep {
+    /// Handles the next page in order.
+    fn handle_next_page(&mut self, now: ClockTime, page: PullPage) -> PullStep {
         if *self.incarnation.get_or_insert(page.incarnation) != page.incarnation {
-            return self.begin_again(now);
+            return self.restart(now);
         }
-        if page.is_snapshot && !self.is_copy {
-            // The peer can't tell the changes since what is known here.
-            self.is_copy = true;
+        if page.is_snapshot && !self.is_snapshot {
+            // The peer doesn't know the changes since `known_head`.
+            self.is_snapshot = true;
             self.rows.clear();
         }
         self.has_gap |= page.has_gap;
@@ -169,41 +172,41 @@
             self.rows.extend(rows);
             let rows = std::mem::take(&mut self.rows);
             let PullPage { head, floor, .. } = page;
-            return PullStep::Done { rows, kind: self.kind(), head, floor };
+            return PullStep::Complete { rows, kind: self.kind(), head, floor };
         };
         self.cursor = ListCursor { revision: last.revision, key: last.key.as_str().into() };
         self.rows.extend(rows);
         self.next_index += 1;
-        self.tries = 0;
-        self.retry_at = now.after_millis(PAGE_MS);
+        self.attempts = 0;
+        self.retry_at = now.after_millis(PAGE_TIMEOUT_MS);
         if self.next_index < PAGES_PER_REQUEST {
             return PullStep::Wait;
         }
-        self.ask_again()
+        self.request_more()
     }
 
-    fn kind(&self) -> PulledKind {
-        match (self.is_copy, self.has_gap) {
-            (true, _) => PulledKind::Copy,
-            (false, false) => PulledKind::Changes,
-            (false, true) => PulledKind::OverGap { known: self.known },
+    fn kind(&self) -> TransferKind {
+        match (self.is_snapshot, self.has_gap) {
+            (true, _) => TransferKind::Snapshot,
+            (false, false) => TransferKind::Changes,
+            (false, true) => TransferKind::ChangesAcrossGap { known_head: self.known_head },
         }
     }
 
-    fn ask_again(&mut self) -> PullStep {
-        self.ticket = self.ticket.wrapping_add(1);
+    fn request_more(&mut self) -> PullStep {
+        self.request_id = self.request_id.wrapping_add(1);
         self.next_index = 0;
-        self.early.clear();
-        PullStep::Ask(self.question())
+        self.early_pages.clear();
+        PullStep::SendRequest(self.request())
     }
 
-    /// Goes on when no page has come in time.
+    /// Repeats the request after a timeout, with an exponential delay, or gives up.
     pub fn retry(&mut self, now: ClockTime) -> PullStep {
-        self.tries += 1;
-        if self.tries >= MOST_TRIES {
-            return PullStep::Lost;
+        self.attempts += 1;
+        if self.attempts >= MAX_ATTEMPTS {
+            return PullStep::Abandoned;
         }
-        self.retry_at = now.after_millis(PAGE_MS << self.tries);
-        self.ask_again()
+        self.retry_at = now.after_millis(PAGE_TIMEOUT_MS << self.attempts);
+        self.request_more()
     }
 }
--- a/crates/foxledge-gossip/src/list_transfer.rs
+++ b/crates/foxledge-gossip/src/list_transfer.rs
@@ -1,4 +1,4 @@
-//! Rows asked of others and given to them, page by page.
+//! Requests for rows of the list, and responses to them, page by page.
 
 use std::{net::SocketAddrV4, time::Duration};
 
@@ -9,190 +9,203 @@
 
 use crate::{
     dissemination::MAX_CONFIRMATIONS,
-    list_pull::{ListPull, PullStep, PulledKind},
+    list_pull::{ListPull, PullStep, TransferKind},
     member::FleetMember,
     messages::{MessageBody, PAGES_PER_REQUEST, PullPage, PullRequest},
 };
 
-/// Bytes of rows in one page: beside them are three readers at most, of 70 bytes.
+/// Maximum size of the rows in one page, in bytes. The rest of the message holds up to three
+/// confirmations of 70 bytes.
 pub(crate) const MAX_PAGE_ROW_BYTES: usize = 1_100;
-/// Instances that are served with rows at a time. A copy that goes out alone is whole
-/// soonest, and from then on two can hand it on.
-const MOST_SERVED: usize = 1;
-/// Bytes a second that an instance spends on pages; who asks for changes beyond is named others
-/// that have them. Whole copies count as well, but are bounded by the number of instances served
-/// alone.
-const CHANGES_BYTES_PER_S: u64 = 160_000;
-/// How far pages may run ahead of that, in milliseconds.
-const PAGES_AHEAD_MS: u64 = 200;
-/// How long an instance counts as being served after its last question, in milliseconds.
-const SERVED_MS: u64 = 120;
-/// Shortest wait before another question after one was turned away, in milliseconds.
-const BUSY_MS: u64 = 20;
+/// Maximum number of peers that are sent pages at the same time. A snapshot that is sent alone
+/// completes soonest, and from then on two instances can serve it.
+const MAX_SERVED_PEERS: usize = 1;
+/// Bytes per second that an instance spends on pages. Requests for changes beyond this budget are
+/// answered with the addresses of other instances that have them. Snapshots count too, but are
+/// limited only by [`MAX_SERVED_PEERS`].
+const PAGE_BYTES_PER_S: u64 = 160_000;
+/// Time, in milliseconds, by which pages may exceed that budget in advance.
+const MAX_PAGE_BUDGET_DEBT_MS: u64 = 200;
+/// Time, in milliseconds, for which a peer counts as being served after its latest request.
+const SERVED_PEER_TTL_MS: u64 = 120;
+/// Minimum delay, in milliseconds, before the next request after a peer responded that it is busy.
+const MIN_BUSY_DELAY_MS: u64 = 20;
 
-/// Wait for an instance nearby that has the list before a whole copy is asked for far away,
-/// in milliseconds: some of each data centre read it at once.
-const FAR_COPY_MS: u64 = 60;
-/// Spread of that wait in milliseconds.
-const FAR_COPY_SPREAD_MS: u64 = 100;
-/// Instances of a data centre of which one asks a far one for changes at once.
-const FAR_ASKERS: u32 = 4;
-/// Instances that have the list, told to one that can't be served now.
-const HOLDERS: usize = 4;
+/// Time, in milliseconds, to wait for an instance of the same data centre that has the list before
+/// a snapshot is requested from a remote one: some instances of each data centre read the list at
+/// once.
+const REMOTE_SNAPSHOT_DELAY_MS: u64 = 60;
+/// Maximum jitter added to [`REMOTE_SNAPSHOT_DELAY_MS`], in milliseconds.
+const REMOTE_SNAPSHOT_JITTER_MS: u64 = 100;
+/// Number of instances of a data centre of which, on average, one requests changes from a remote
+/// instance at once.
+const INSTANCES_PER_REMOTE_PULL: u32 = 4;
+/// Number of instances that have the list and are named to a peer that can't be served now.
+const MAX_NAMED_HOLDERS: usize = 4;
 
 impl FleetMember {
-    /// Asks an instance for what is newer than known here: one nearby that has it, or
-    /// else `from`.
-    pub(crate) fn begin_pull(&mut self, now: ClockTime, from: SocketAddrV4) {
+    /// Requests the changes that are missing here, or a snapshot: from an instance of the same data
+    /// centre that has them, or else from `from`.
+    pub(crate) fn begin_pull(&mut self, now: ClockTime, peer: SocketAddrV4) {
         if self.pull.is_some() {
             return;
         }
-        let near = self.near_holder(now);
-        if near.is_none() && self.waits_for_near(now, from) {
-            let wait = FAR_COPY_MS + self.rng.random_range(0..FAR_COPY_SPREAD_MS);
-            self.next_pull.get_or_insert((now.after_millis(wait), from));
+        let holder = self.pick_same_centre_holder(now);
+        if holder.is_none() && self.should_wait_for_same_centre(now, peer) {
+            let delay_ms =
+                REMOTE_SNAPSHOT_DELAY_MS + self.rng.random_range(0..REMOTE_SNAPSHOT_JITTER_MS);
+            self.next_pull.get_or_insert((now.after_millis(delay_ms), peer));
             return;
         }
-        self.pull_from(now, near.unwrap_or(from));
+        self.start_pull_from(now, holder.unwrap_or(peer));
     }
 
-    /// Asks again after an instance was busy, the same or another, or after the wait for one
-    /// nearby that has the list.
-    pub(crate) fn begin_waiting_pull(&mut self, now: ClockTime) {
-        let Some((_, from)) = self.next_pull.take_if(|(at, _)| at.is_past(now)) else { return };
-        if self.pull.is_none() && self.peers.may_have_newer_list(&from, self.list.head()) {
-            let near = self.near_holder(now);
-            self.pull_from(now, near.unwrap_or(from));
+    /// Starts the postponed transfer once its delay is over: after a peer was busy, or after the
+    /// wait for an instance of the same data centre that has the list.
+    pub(crate) fn begin_postponed_pull(&mut self, now: ClockTime) {
+        let Some((_, peer)) = self.next_pull.take_if(|(at, _)| at.is_past(now)) else { return };
+        if self.pull.is_none() && self.peers.may_have_newer_list(&peer, self.list.head()) {
+            let holder = self.pick_same_centre_holder(now);
+            self.start_pull_from(now, holder.unwrap_or(peer));
         }
     }
 
-    /// True when rows that a far instance has can come from somebody nearby a little later.
+    /// Returns true if rows of a remote instance are expected from an instance of the same data
+    /// centre a little later.
     ///
-    /// What is asked of other data centres costs more. A whole copy comes from those nearby
-    /// that read the store; of changes, one of some instances asks for them at once and hands
-    /// them on.
-    fn waits_for_near(&mut self, now: ClockTime, from: SocketAddrV4) -> bool {
-        if self.peers.is_same_centre(&from) {
+    /// Traffic between data centres costs more. Snapshots come from those instances of the same
+    /// data centre that read the store; of the instances that lack changes, only one in a few
+    /// requests them from a remote instance at once and disseminates them.
+    fn should_wait_for_same_centre(&mut self, now: ClockTime, peer: SocketAddrV4) -> bool {
+        if self.peers.is_same_centre(&peer) {
             return false;
         }
         if self.list.head() == 0 {
             return self.preview.was_received();
         }
-        let together = self.peers.count_same_centre(now) as u32 + 1;
-        !self.rng.random_ratio(1, together.min(FAR_ASKERS))
+        let instances = self.peers.count_same_centre(now) as u32 + 1;
+        !self.rng.random_ratio(1, instances.min(INSTANCES_PER_REMOTE_PULL))
     }
 
-    /// True when what differs since `revision`, told over a gap, can be taken.
+    /// Returns true if the differences since `revision`, sent across a gap in the history, can be
+    /// applied here.
     pub(crate) fn can_apply_gap_after(&self, revision: u64) -> bool {
         self.list.head() == revision && !self.list.has_rows_past_head()
     }
 
-    fn near_holder(&mut self, now: ClockTime) -> Option<SocketAddrV4> {
+    fn pick_same_centre_holder(&mut self, now: ClockTime) -> Option<SocketAddrV4> {
         let holders = self.peers.pick_list_holders(&mut self.rng, now, self.list.head(), 1);
         let address = holders.first()?.descriptor.as_ref()?.address()?;
         self.peers.is_same_centre(&address).then_some(address)
     }
 
-    fn pull_from(&mut self, now: ClockTime, from: SocketAddrV4) {
-        let ticket = self.rng.random();
-        let mut pull = ListPull::new(now, from, ticket, self.list.head());
+    fn start_pull_from(&mut self, now: ClockTime, peer: SocketAddrV4) {
+        let request_id = self.rng.random();
+        let mut pull = ListPull::new(now, peer, request_id, self.list.head());
         if !self.list.has_rows_past_head() {
-            pull = pull.over_gaps();
+            pull = pull.accepting_gaps();
         }
-        let question = pull.question();
+        let request = pull.request();
         self.pull = Some(pull);
         self.next_pull = None;
-        self.send_message(from, MessageBody::PullRequest(question));
+        self.send_message(peer, MessageBody::PullRequest(request));
     }
 
-    /// Asks again when a page hasn't come in time, or gives the peer up.
+    /// Repeats the request after a page has timed out, or abandons the transfer.
     pub(crate) fn retry_pull(&mut self, now: ClockTime) {
         let Some(mut pull) = self.pull.take() else { return };
         if !pull.retry_at.is_past(now) {
             self.pull = Some(pull);
             return;
         }
-        if let PullStep::Ask(question) = pull.retry(now) {
-            self.send_message(pull.from, MessageBody::PullRequest(question));
+        if let PullStep::SendRequest(request) = pull.retry(now) {
+            self.send_message(pull.peer, MessageBody::PullRequest(request));
             self.pull = Some(pull);
         }
     }
 
-    /// Answers a question for rows with pages, or turns it away.
+    /// Responds to a request for rows with pages, or with a page that says that this instance is
+    /// busy.
     pub(crate) fn handle_pull_request(
         &mut self,
         now: ClockTime,
         from: SocketAddrV4,
-        pull: &PullRequest,
+        request: &PullRequest,
     ) {
-        let reach = self.reach_for(pull);
-        if self.is_over_budget(now, pull, reach) || !self.admit_pull(now, from) {
-            return self.send_busy(now, from, pull.request_id);
+        let coverage = self.coverage_for(request);
+        if self.is_over_budget(now, request, coverage) || !self.admit_pull(now, from) {
+            return self.send_busy_page(now, from, request.request_id);
         }
-        let cursor = match pull.is_snapshot == (reach == ChangeCoverage::Unavailable) {
-            true => ListCursor { revision: pull.revision, key: pull.key.as_str().into() },
+        let cursor = match request.is_snapshot == (coverage == ChangeCoverage::Unavailable) {
+            true => ListCursor { revision: request.revision, key: request.key.as_str().into() },
             false => ListCursor::start(),
         };
-        self.send_pages(now, from, pull.request_id, cursor, reach);
+        self.send_pages(now, from, request.request_id, cursor, coverage);
     }
 
-    /// True when changes are asked for that the budget doesn't allow now.
+    /// Returns true if the request starts a transfer of changes that the budget doesn't allow now.
     ///
-    /// A transfer that goes on isn't broken off: its rows would be sent twice.
-    fn is_over_budget(&self, now: ClockTime, pull: &PullRequest, reach: ChangeCoverage) -> bool {
-        let begins = pull.known == Some(pull.revision) && reach != ChangeCoverage::Unavailable;
-        begins && self.page_budget_free_at > now.after_millis(PAGES_AHEAD_MS)
+    /// A transfer in progress isn't interrupted, since its rows would be sent twice.
+    fn is_over_budget(
+        &self,
+        now: ClockTime,
+        request: &PullRequest,
+        coverage: ChangeCoverage,
+    ) -> bool {
+        let is_first =
+            request.known_head == Some(request.revision) && coverage != ChangeCoverage::Unavailable;
+        is_first && self.page_budget_free_at > now.after_millis(MAX_PAGE_BUDGET_DEBT_MS)
     }
 
-    /// How the asker can be told what it lacks.
-    fn reach_for(&self, pull: &PullRequest) -> ChangeCoverage {
-        match pull.known {
-            _ if pull.is_snapshot => ChangeCoverage::Unavailable,
-            Some(known) => self.list.coverage_since(known),
-            None if pull.revision < self.list.floor() => ChangeCoverage::Unavailable,
+    /// Returns how the rows that the requester lacks can be sent.
+    fn coverage_for(&self, request: &PullRequest) -> ChangeCoverage {
+        match request.known_head {
+            _ if request.is_snapshot => ChangeCoverage::Unavailable,
+            Some(known_head) => self.list.coverage_since(known_head),
+            None if request.revision < self.list.floor() => ChangeCoverage::Unavailable,
             None => ChangeCoverage::Complete,
         }
     }
 
-    /// True while few others are being served.
+    /// Returns true while fewer than [`MAX_SERVED_PEERS`] other instances are being served.
     ///
-    /// When a fleet starts at once, hundreds ask the seeds for a whole copy. Served
-    /// all together, none gets it in time; served a few at a time, each of those
-    /// serves others a moment later.
-    fn admit_pull(&mut self, now: ClockTime, from: SocketAddrV4) -> bool {
-        self.served.retain(|_, until| !until.is_past(now));
-        if !self.served.contains_key(&from) && self.served.len() >= MOST_SERVED {
+    /// When a fleet starts at once, hundreds of instances request a snapshot from the seeds. If all
+    /// are served at the same time, none of them gets it in time; if few are served at a time, each
+    /// of those serves others a moment later.
+    fn admit_pull(&mut self, now: ClockTime, peer: SocketAddrV4) -> bool {
+        self.served_peers.retain(|_, expires_at| !expires_at.is_past(now));
+        if !self.served_peers.contains_key(&peer) && self.served_peers.len() >= MAX_SERVED_PEERS {
             return false;
         }
-        self.served.insert(from, now.after_millis(SERVED_MS));
+        self.served_peers.insert(peer, now.after_millis(SERVED_PEER_TTL_MS));
         true
     }
 
-    /// Turns a question away, and names others that may answer it.
-    fn send_busy(&mut self, now: ClockTime, to: SocketAddrV4, ticket: u32) {
-        let peers = self.peers.pick_list_holders(&mut self.rng, now, 0, HOLDERS);
-        let page = PullPage { request_id: ticket, is_busy: true, peers, ..PullPage::default() };
+    /// Responds that this instance is busy, and names others that may serve the request.
+    fn send_busy_page(&mut self, now: ClockTime, to: SocketAddrV4, request_id: u32) {
+        let peers = self.peers.pick_list_holders(&mut self.rng, now, 0, MAX_NAMED_HOLDERS);
+        let page = PullPage { request_id, is_busy: true, peers, ..PullPage::default() };
         self.send_message(to, MessageBody::PullPage(page));
     }
 
-    /// Sends as many pages as one question is answered with.
+    /// Sends up to [`PAGES_PER_REQUEST`] pages in response to one request.
     fn send_pages(
         &mut self,
         now: ClockTime,
         to: SocketAddrV4,
-        ticket: u32,
+        request_id: u32,
         mut cursor: ListCursor,
-        reach: ChangeCoverage,
+        coverage: ChangeCoverage,
     ) {
         for index in 0..PAGES_PER_REQUEST {
-            let (rows, next) = self.packed_page(now, &cursor, MAX_PAGE_ROW_BYTES);
+            let (rows, next) = self.pack_page(now, &cursor, MAX_PAGE_ROW_BYTES);
             let message = PullPage {
-                request_id: ticket,
+                request_id,
                 index,
                 has_more: next.is_some(),
                 rows: Some(rows),
-                is_snapshot: reach == ChangeCoverage::Unavailable,
-                has_gap: reach == ChangeCoverage::AcrossGap,
+                is_snapshot: coverage == ChangeCoverage::Unavailable,
+                has_gap: coverage == ChangeCoverage::AcrossGap,
                 head: self.list.head(),
                 floor: self.list.floor(),
                 confirmations: if index == 0 {
@@ -204,56 +217,58 @@
                 peers: Vec::new(),
                 incarnation: self.descriptor.incarnation,
             };
-            let cost = message.encoded_len() as u64 * 1_000_000 / CHANGES_BYTES_PER_S;
+            let cost = message.encoded_len() as u64 * 1_000_000 / PAGE_BYTES_PER_S;
             self.page_budget_free_at =
                 self.page_budget_free_at.max(now).after(Duration::from_micros(cost));
             self.send_message(to, MessageBody::PullPage(message));
             let Some(next) = next else {
-                self.served.remove(&to);
+                self.served_peers.remove(&to);
                 return;
             };
             cursor = next;
         }
     }
 
-    /// Takes a page of the transfer that goes on; the last puts all of it in force.
+    /// Handles a page of the current transfer. The last page applies all rows of it.
     pub(crate) fn handle_pull_page(&mut self, now: ClockTime, page: PullPage) {
-        let Some(mut pull) = self.pull.take_if(|pull| pull.ticket == page.request_id) else {
+        let Some(mut pull) = self.pull.take_if(|pull| pull.request_id == page.request_id) else {
             return;
         };
-        let from = pull.from;
+        let peer = pull.peer;
         if page.is_busy {
             self.merge_peers(now, &page.peers);
-            let wait = self.rng.random_range(BUSY_MS..BUSY_MS * 3);
-            self.next_seed_query_at = self.next_seed_query_at.max(now.after_millis(wait));
-            self.next_pull = Some((now.after_millis(wait), from));
+            let delay_ms = self.rng.random_range(MIN_BUSY_DELAY_MS..MIN_BUSY_DELAY_MS * 3);
+            self.next_seed_query_at = self.next_seed_query_at.max(now.after_millis(delay_ms));
+            self.next_pull = Some((now.after_millis(delay_ms), peer));
             return;
         }
         self.merge_confirmations(now, &page.confirmations);
-        match pull.take(now, page) {
-            PullStep::Ask(question) => {
-                self.send_message(from, MessageBody::PullRequest(question));
+        match pull.handle_page(now, page) {
+            PullStep::SendRequest(request) => {
+                self.send_message(peer, MessageBody::PullRequest(request));
                 self.pull = Some(pull);
             }
-            PullStep::Done { rows, kind, head, floor } => {
-                let known = self.list.head();
-                if known == 0 && head < self.preview.head() {
+            PullStep::Complete { rows, kind, head, floor } => {
+                let former_head = self.list.head();
+                if former_head == 0 && head < self.preview.head() {
                     return;
                 }
                 self.retain_config_across_restore(head);
-                let taken = match kind {
-                    PulledKind::Copy => self.list.apply_snapshot(now, rows, head, floor),
-                    PulledKind::Changes => self.list.apply_changes(now, rows, head),
-                    PulledKind::OverGap { known } if self.can_apply_gap_after(known) => {
+                let changed_rows = match kind {
+                    TransferKind::Snapshot => self.list.apply_snapshot(now, rows, head, floor),
+                    TransferKind::Changes => self.list.apply_changes(now, rows, head),
+                    TransferKind::ChangesAcrossGap { known_head }
+                        if self.can_apply_gap_after(known_head) =>
+                    {
                         self.list.apply_changes_across_gap(now, rows, head)
                     }
-                    // News that came meanwhile may lie within the gap.
-                    PulledKind::OverGap { .. } => return self.begin_pull(now, from),
+                    // Updates applied in the meantime may lie within the gap.
+                    TransferKind::ChangesAcrossGap { .. } => return self.begin_pull(now, peer),
                 };
-                self.publish_changed_rows(now, taken, known, from.to_string());
+                self.publish_changed_rows(now, changed_rows, former_head, peer.to_string());
                 self.update_confirmation();
-                if known == 0 {
-                    // Others that start at the same time can ask here now.
+                if former_head == 0 {
+                    // Other instances that start at the same time can request the list here now.
                     self.disseminate(now, self.list.head(), None);
                 }
             }
@@ -261,7 +276,7 @@
                 self.record_transfer_progress(now);
                 self.pull = Some(pull);
             }
-            PullStep::Lost => {}
+            PullStep::Abandoned => {}
         }
     }
 }
--- a/crates/foxledge-gossip/src/member.rs
+++ b/crates/foxledge-gossip/src/member.rs
@@ -1,4 +1,4 @@
-//! One instance as a member of the fleet.
+//! State of one instance as a member of the fleet.
 
 use std::{collections::HashMap, net::SocketAddrV4};
 
@@ -21,109 +21,111 @@
     refused_items::{RefusedItem, RefusedTable},
 };
 
-/// Longest time between two heartbeats, in milliseconds.
-pub(crate) const BEAT_MS: u64 = 1_000;
+/// Maximum interval between heartbeats, in milliseconds.
+pub(crate) const MAX_HEARTBEAT_INTERVAL_MS: u64 = 1_000;
 
-/// Wait of an instance named as a seed before it reads at its start, in
-/// milliseconds; the second seed waits twice, the third three times as long.
-/// A peer that has the list answers within a few milliseconds.
-const SEED_START_MS: u64 = 10;
-/// Shortest wait of any other instance before it reads at its start, in milliseconds.
-const START_MS: u64 = 10;
-/// Spread of these waits in milliseconds, so that a fleet that starts at once
-/// doesn't read the store at once: the first that have the list serve the others. Longer
-/// waits let small fleets serve later.
-const START_SPREAD_MS: u64 = 50;
-/// Wait for a word of any other instance before a list is confirmed at the store, in
-/// milliseconds: until then each instance of a fleet that starts ranks itself first.
-const ISOLATED_MS: u64 = 500;
-/// Spread of that wait in milliseconds.
-const ISOLATED_SPREAD_MS: u64 = 1_000;
-/// Time between two questions to the seeds while no list is known, in milliseconds.
-const ASK_MS: u64 = 100;
-/// The same while a part of the list serves: seeds of a large fleet have more to do.
-const ASK_REST_MS: u64 = 300;
+/// Delay before a seed reads the store at its start, in milliseconds. The second seed waits twice,
+/// the third three times as long. A peer that has the list responds within a few milliseconds.
+const SEED_READ_DELAY_MS: u64 = 10;
+/// Minimum delay before any other instance reads the store at its start, in milliseconds.
+const MIN_READ_DELAY_MS: u64 = 10;
+/// Maximum jitter added to that delay, in milliseconds, so that the instances of a fleet that
+/// starts at once don't all read the store: the first that have the list serve the others. With a
+/// longer delay small fleets would serve later.
+const READ_DELAY_JITTER_MS: u64 = 50;
+/// Time, in milliseconds, for which an instance waits to hear from any other before it confirms its
+/// list at the store. Until then each instance of a starting fleet ranks itself first.
+const ISOLATION_TIMEOUT_MS: u64 = 500;
+/// Maximum jitter added to [`ISOLATION_TIMEOUT_MS`], in milliseconds.
+const ISOLATION_JITTER_MS: u64 = 1_000;
+/// Interval between queries to the seeds while no list is known, in milliseconds.
+const SEED_QUERY_INTERVAL_MS: u64 = 100;
+/// The same while a partial list is used: seeds of a large fleet are busier then.
+const PARTIAL_SEED_QUERY_INTERVAL_MS: u64 = 300;
 
-/// `FleetMember` is what one instance knows of list and fleet, and what it does about it.
+/// `FleetMember` holds what one instance knows of the list and the fleet, and decides what it
+/// sends, reads and applies.
 pub struct FleetMember {
-    /// Who this instance is and whom it asks first.
+    /// Identity of this instance, and its seeds.
     pub(crate) options: MemberOptions,
-    /// This instance as others are told.
+    /// Descriptor of this instance that is sent to others.
     pub(crate) descriptor: PeerDescriptor,
-    /// Random choices.
+    /// Source of random choices.
     pub(crate) rng: StdRng,
     /// The list as it is known.
     pub(crate) list: FleetList,
-    /// The operators' list in force, while the store has an older one.
+    /// The operators' list that is retained in force while the store has an older version.
     pub(crate) retained_config: Option<RetainedConfig>,
-    /// Its version, once that was told.
+    /// Version of the retained list that was last logged.
     pub(crate) logged_retained_version: Option<u64>,
-    /// The transfer of one that another instance holds.
+    /// Transfer of a list that another instance retains.
     pub(crate) config_pull: Option<ConfigPull>,
-    /// The part of it that serves before all is known.
+    /// First part of the list, used until all of it is known.
     pub(crate) preview: PartialList,
-    /// The instances that are known.
+    /// The known instances.
     pub(crate) peers: PeerTable,
-    /// This instance's part in reading the store.
+    /// Election of readers, as seen by this instance.
     pub(crate) election: ReaderElection,
-    /// The transfer of rows that goes on.
+    /// The current transfer of rows.
     pub(crate) pull: Option<ListPull>,
-    /// When to ask again, after an instance was busy.
+    /// Time and peer of the next transfer, after a peer was busy or to wait for one of the same
+    /// data centre.
     pub(crate) next_pull: Option<(ClockTime, SocketAddrV4)>,
-    /// Instances that are being served with rows, and until when they count.
-    pub(crate) served: HashMap<SocketAddrV4, ClockTime>,
-    /// What is told of the health of backend servers.
+    /// Peers that are being sent rows, each with the time until which it counts.
+    pub(crate) served_peers: HashMap<SocketAddrV4, ClockTime>,
+    /// Health evidence of backend servers that is disseminated.
     pub(crate) evidence: EvidenceTable,
-    /// When it is told next; none while there is nothing to tell.
+    /// Time of the next round of evidence; `None` while there is nothing to send.
     pub(crate) next_evidence_round_at: Option<ClockTime>,
-    /// What is told of load; none when load isn't reported.
+    /// Reporter of load; `None` if load isn't reported.
     pub(crate) load_reporter: Option<LoadReporter>,
-    /// When the pages that were sent, whole copies included, are paid for by their budget.
+    /// Time at which the pages sent so far, snapshots included, are covered by the page budget.
     pub(crate) page_budget_free_at: ClockTime,
-    /// When the budget allows the next round.
+    /// Time from which the evidence budget allows the next round.
     pub(crate) evidence_budget_free_at: ClockTime,
-    /// When the store last confirmed the list, as far as is known.
+    /// Time of the last known confirmation of the list by the store.
     pub(crate) confirmed_at: Option<ClockTime>,
-    /// The confirmation that others were last told.
+    /// The confirmation that was last sent to others.
     pub(crate) announced_confirmation_at: ClockTime,
-    /// Where the newest rows or confirmation came from.
+    /// Data centre that the newest rows or confirmation came from.
     pub(crate) update_origin: UpdateOrigin,
-    /// Counts this instance's answers from the store.
+    /// Number of responses of the store to this instance.
     pub(crate) response_serial: u32,
-    /// Epoch of the store's history in its last answer to this instance.
+    /// Epoch of the store's history in its last response to this instance.
     pub(crate) store_epoch: Option<u64>,
-    /// When the store was last called.
-    pub(crate) called_at: ClockTime,
-    /// When peers are asked for a newer confirmation; none after the second time.
+    /// Time of the last call to the store.
+    pub(crate) last_call_at: ClockTime,
+    /// Time at which peers are next queried for a newer confirmation; `None` after the second
+    /// query.
     pub(crate) next_confirmation_query_at: Option<ClockTime>,
-    /// When peers count as handing over no more rows.
+    /// Time from which peers are assumed to send no more rows.
     pub(crate) transfer_stalled_at: ClockTime,
-    /// When an instance that has heard of no other counts as the only one.
+    /// Time from which an instance that has heard from no other assumes that it is the only one.
     pub(crate) isolation_assumed_at: ClockTime,
-    /// Items of the store that can't be understood.
-    pub(crate) refused: RefusedTable,
-    /// Why the list must be read whole; none while changes will do.
+    /// Items of the store that couldn't be parsed.
+    pub(crate) refused_table: RefusedTable,
+    /// Reason for which the whole list must be read; `None` while changes suffice.
     pub(crate) full_read_reason: Option<ReadReason>,
-    /// A seed was heard of that starts at the same time.
+    /// A heartbeat of a seed that is starting as well was received.
     pub(crate) has_starting_seed: bool,
-    /// From when on the next message to others tells all that a heartbeat can.
+    /// Time from which the next heartbeat is a full one.
     pub(crate) next_full_heartbeat_at: ClockTime,
-    /// When the next heartbeat is due at the latest.
+    /// Latest time of the next heartbeat.
     pub(crate) next_heartbeat_at: ClockTime,
-    /// When an unheard data centre is asked again.
+    /// Time from which a data centre that went quiet is probed again.
     pub(crate) next_centre_query_at: ClockTime,
-    /// When seeds are asked next, while no list is known.
+    /// Time of the next query to the seeds, while no list is known.
     pub(crate) next_seed_query_at: ClockTime,
-    /// When a first list is read from the store.
+    /// Time of the first reading of the store.
     pub(crate) first_read_at: ClockTime,
-    /// What is to be done.
+    /// Effects that were not drained yet.
     pub(crate) effects: Vec<FleetEffect>,
 }
 
 impl FleetMember {
-    /// Makes a member that knows nothing; its first questions are due at once.
+    /// Creates a member that knows nothing; its first queries are due at once.
     pub fn new(options: MemberOptions, now: ClockTime) -> FleetMember {
-        let card = PeerDescriptor {
+        let descriptor = PeerDescriptor {
             ip: u32::from(*options.address.ip()),
             port: u32::from(options.address.port()),
             data_centre: options.data_centre.to_string(),
@@ -132,21 +134,22 @@
             link_mbps: options.link_mbps,
         };
         let mut rng = StdRng::seed_from_u64(options.seed);
-        let place = options.seeds.iter().position(|seed| *seed == options.address);
-        let wait = match place {
-            Some(place) => SEED_START_MS * (place as u64 + 1),
-            None => START_MS + rng.random_range(0..START_SPREAD_MS),
+        let seed_index = options.seeds.iter().position(|seed| *seed == options.address);
+        let read_delay_ms = match seed_index {
+            Some(seed_index) => SEED_READ_DELAY_MS * (seed_index as u64 + 1),
+            None => MIN_READ_DELAY_MS + rng.random_range(0..READ_DELAY_JITTER_MS),
         };
-        let are_others = options.seeds.iter().any(|seed| *seed != options.address);
-        let isolated_ms = match place {
-            None if are_others => {
-                ISOLATED_MS + ReaderRank::of(&card).spread_over(ISOLATED_SPREAD_MS)
+        let has_other_seeds = options.seeds.iter().any(|seed| *seed != options.address);
+        let isolation_ms = match seed_index {
+            None if has_other_seeds => {
+                ISOLATION_TIMEOUT_MS
+                    + ReaderRank::from_descriptor(&descriptor).hash_below(ISOLATION_JITTER_MS)
             }
             _ => 0,
         };
         FleetMember {
-            election: ReaderElection::new(&card),
-            descriptor: card,
+            election: ReaderElection::new(&descriptor),
+            descriptor,
             rng,
             list: FleetList::new(),
             retained_config: None,
@@ -156,7 +159,7 @@
             peers: PeerTable::new(options.data_centre.as_str()),
             pull: None,
             next_pull: None,
-            served: HashMap::new(),
+            served_peers: HashMap::new(),
             evidence: EvidenceTable::default(),
             next_evidence_round_at: None,
             load_reporter: options.reports_load.then(|| LoadReporter::new(now, &options)),
@@ -167,72 +170,74 @@
             update_origin: UpdateOrigin::SameCentre,
             response_serial: 0,
             store_epoch: None,
-            called_at: now,
+            last_call_at: now,
             next_confirmation_query_at: None,
             transfer_stalled_at: now,
-            isolation_assumed_at: now.after_millis(isolated_ms),
-            refused: RefusedTable::default(),
+            isolation_assumed_at: now.after_millis(isolation_ms),
+            refused_table: RefusedTable::default(),
             full_read_reason: None,
             has_starting_seed: false,
             next_full_heartbeat_at: now,
-            next_heartbeat_at: now.after_millis(BEAT_MS),
+            next_heartbeat_at: now.after_millis(MAX_HEARTBEAT_INTERVAL_MS),
             next_centre_query_at: now,
             next_seed_query_at: now,
-            first_read_at: now.after_millis(wait),
+            first_read_at: now.after_millis(read_delay_ms),
             effects: Vec::new(),
             options,
         }
     }
 
-    /// True when all routes are known, by the list or as they were before the store lost them.
-    fn knows_routes(&self) -> bool {
+    /// Returns true if all routes are known, by the list or by the retained list after the store
+    /// lost them.
+    fn has_all_routes(&self) -> bool {
         self.list.has_routes() || self.is_retaining_config()
     }
 
-    /// The list as it is known.
+    /// Returns the list as it is known.
     pub fn list(&self) -> &FleetList {
         &self.list
     }
 
-    /// When the store last confirmed the list, as far as is known.
+    /// Returns the time of the last known confirmation of the list by the store.
     pub fn confirmed_at(&self) -> Option<ClockTime> {
         self.confirmed_at
     }
 
-    /// True while this instance reads the store.
+    /// Returns true while this instance reads the store.
     pub fn is_reading_store(&self) -> bool {
         self.election.is_reading()
     }
 
-    /// Number of known instances, this one not counted.
+    /// Returns the number of other instances that are known.
     pub fn peer_count(&self) -> usize {
         self.peers.len()
     }
 
-    /// Other instances of the own data centre, those that fell silent lately included.
+    /// Returns the other instances of the same data centre, including those that stopped responding
+    /// recently.
     pub fn recent_neighbours(&mut self, now: ClockTime) -> Vec<SocketAddrV4> {
         self.peers.neighbours(now)
     }
 
-    /// Items of the store that can't be understood, as far as this instance reads it.
+    /// Returns the items of the store that couldn't be parsed, as far as this instance has read it.
     pub fn refused_items(&self) -> impl Iterator<Item = &RefusedItem> {
-        self.refused.items()
+        self.refused_table.items()
     }
 
-    /// What is to be done, in order.
+    /// Removes and returns the pending effects, in order.
     pub fn drain_effects(&mut self) -> Vec<FleetEffect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Takes other seeds, as the settings changed.
+    /// Replaces the seeds after a change of the settings.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddrV4>) {
         self.options.seeds = seeds;
     }
 
-    /// When [`FleetMember::on_time`] is due next.
+    /// Returns the time at which [`FleetMember::handle_timers`] must be called next.
     pub fn next_timer_at(&self, now: ClockTime) -> ClockTime {
         let mut next = self.next_heartbeat_at;
-        if !self.knows_routes() {
+        if !self.has_all_routes() {
             next = next.min(self.next_seed_query_at);
         }
         if let Some(pull) = &self.pull {
@@ -241,7 +246,7 @@
         if let Some((at, _)) = self.next_pull {
             next = next.min(at);
         }
-        if let Some(at) = self.election.call_at() {
+        if let Some(at) = self.election.next_call_at() {
             next = next.min(at);
         }
         if let Some(at) = self.next_evidence_round_at {
@@ -253,10 +258,12 @@
         if let Some(at) = self.next_confirmation_query_at {
             next = next.min(at);
         }
-        if let Some(at) = self.load_reporter.as_ref().and_then(|load| load.next_report_at(now)) {
+        if let Some(at) =
+            self.load_reporter.as_ref().and_then(|reporter| reporter.next_report_at(now))
+        {
             next = next.min(at);
         }
-        if self.list.head() == 0 && !self.election.is_waiting() {
+        if self.list.head() == 0 && !self.election.is_call_pending() {
             next = next.min(self.first_read_at);
         }
         if self.list.head() > 0 && !self.election.is_reading() {
@@ -265,17 +272,21 @@
         next
     }
 
-    /// Does what is due.
+    /// Carries out everything whose time has come.
     pub fn handle_timers(&mut self, now: ClockTime) {
-        if !self.knows_routes() && self.next_seed_query_at.is_past(now) {
-            let wait = if self.preview.was_received() { ASK_REST_MS } else { ASK_MS };
-            self.next_seed_query_at = now.after_millis(wait);
+        if !self.has_all_routes() && self.next_seed_query_at.is_past(now) {
+            let interval_ms = if self.preview.was_received() {
+                PARTIAL_SEED_QUERY_INTERVAL_MS
+            } else {
+                SEED_QUERY_INTERVAL_MS
+            };
+            self.next_seed_query_at = now.after_millis(interval_ms);
             self.query_seeds(now);
         }
-        self.begin_waiting_pull(now);
+        self.begin_postponed_pull(now);
         self.retry_pull(now);
         self.query_confirmation(now);
-        self.consider_reading(now);
+        self.update_reading(now);
         self.send_due_evidence(now);
         self.report_load(now);
         if self.next_heartbeat_at.is_past(now) {
@@ -283,21 +294,23 @@
         }
     }
 
-    /// Takes a datagram of another instance; false when it isn't a message.
+    /// Handles a datagram of another instance; returns false if it isn't a valid message.
     pub fn handle_datagram(&mut self, now: ClockTime, from: SocketAddrV4, bytes: &[u8]) -> bool {
         let Some(message) = FleetMessage::from_datagram(bytes) else { return false };
         match message.body {
-            Some(MessageBody::Heartbeat(beat)) => self.handle_heartbeat(now, from, beat),
-            Some(MessageBody::PullRequest(pull)) => self.handle_pull_request(now, from, &pull),
+            Some(MessageBody::Heartbeat(heartbeat)) => self.handle_heartbeat(now, from, heartbeat),
+            Some(MessageBody::PullRequest(request)) => {
+                self.handle_pull_request(now, from, &request)
+            }
             Some(MessageBody::PullPage(page)) => self.handle_pull_page(now, page),
             Some(MessageBody::Evidence(evidence)) => self.handle_evidence(now, &evidence),
-            Some(MessageBody::TokenQuery(question)) => {
-                self.handle_token_query(now, from, &question);
+            Some(MessageBody::TokenQuery(query)) => {
+                self.handle_token_query(now, from, &query);
             }
-            Some(MessageBody::TokenResponse(answer)) => self.apply_removed_backends(now, answer),
-            Some(MessageBody::ConfigRequest(question)) => {
-                self.handle_config_request(from, &question)
+            Some(MessageBody::TokenResponse(response)) => {
+                self.apply_removed_backends(now, response)
             }
+            Some(MessageBody::ConfigRequest(request)) => self.handle_config_request(from, &request),
             Some(MessageBody::ConfigPage(page)) => self.handle_config_page(now, from, page),
             Some(MessageBody::Load(load)) => self.handle_load(now, from, load),
             Some(MessageBody::RelayedPacket(packet)) => {
@@ -308,26 +321,26 @@
         true
     }
 
-    /// Takes the store's answer to a [`FleetEffect::Read`].
+    /// Handles the response of the store to a [`FleetEffect::CallStore`].
     pub fn handle_store_response(
         &mut self,
         now: ClockTime,
-        order: StoreQuery,
-        answer: Result<ListReading, SourceError>,
+        query: StoreQuery,
+        response: Result<ListReading, SourceError>,
     ) {
-        match answer {
-            Ok(reading) => self.apply_store_reading(now, order, reading),
+        match response {
+            Ok(reading) => self.apply_store_reading(now, query, reading),
             Err(error) => self.handle_store_failure(now, &error),
         }
-        self.consider_reading(now);
+        self.update_reading(now);
     }
 
-    /// Tells others that this instance stops, and reads the store no more.
+    /// Announces to all known instances that this one stops, and stops reading the store.
     pub fn announce_leave(&mut self, now: ClockTime) {
         self.descriptor.is_leaving = true;
-        self.election.end();
-        let all = self.peers.addresses();
-        self.send_heartbeats(now, self.list.head(), all, Vec::new());
+        self.election.stop_reading();
+        let peers = self.peers.addresses();
+        self.send_heartbeats(now, self.list.head(), peers, Vec::new());
     }
 
     pub(crate) fn confirmation_age_ms(&self, now: ClockTime) -> Option<u64> {
--- a/crates/foxledge-gossip/src/messages.rs
+++ b/crates/foxledge-gossip/src/messages.rs
@@ -7,47 +7,48 @@
 
 use crate::packing::PackedRows;
 
-/// Largest message in bytes: fits a datagram on every usual link unfragmented.
+/// Maximum size of a message in bytes: it fits an unfragmented datagram on every usual link.
 pub const MAX_MESSAGE_BYTES: usize = 1_400;
 
-/// Largest body of a message: beside it are the digest, the body's kind and its length.
-pub(crate) const MAX_BODY_BYTES: usize = MAX_MESSAGE_BYTES - DIGEST_SIZE - 3;
-/// Bytes of the digest in front of a message.
-const DIGEST_SIZE: usize = 8;
-/// Names the form of messages: those of another form have another digest.
+/// Maximum size of a message body in bytes: without the digest, the tag of the body and its length.
+pub(crate) const MAX_BODY_BYTES: usize = MAX_MESSAGE_BYTES - DIGEST_BYTES - 3;
+/// Size of the digest in front of a message, in bytes.
+const DIGEST_BYTES: usize = 8;
+/// Version of the message format, used as the seed of the digest: messages of another format fail
+/// the digest check.
 ///
-/// Builds of form 2 drop what they don't know of a row and hand the rest on under the right
-/// revision, those of form 3 know no epoch in revisions. Beside them, instances of this form
-/// keep to themselves and the store.
-const MESSAGE_FORM: u64 = 4;
+/// Builds of format 2 drop the fields of a row that they don't know and pass the rest on under the
+/// right revision; builds of format 3 don't know epochs in revisions. Instances of this format
+/// therefore exchange no messages with those, and get their list from each other and the store.
+const MESSAGE_FORMAT: u64 = 4;
 
 /// `FleetMessage` is one datagram between instances.
 #[derive(Clone, PartialEq, Message)]
 pub struct FleetMessage {
-    /// Of what kind.
+    /// Body of the message.
     #[prost(oneof = "MessageBody", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10")]
     pub body: Option<MessageBody>,
 }
 
 impl FleetMessage {
-    /// The datagram of the message, with a digest of it in front.
+    /// Encodes the message as a datagram that starts with a digest of it.
     ///
-    /// A damaged number would be taken for true and passed on: a revision that was never
-    /// published makes every newer row look old, at all instances, until all are started
-    /// anew. The 16 bits of a datagram's own checksum let one damaged message in 65,000
-    /// pass, and a program that sends to a wrong port all of its own. No key is in it:
-    /// who can reach the port can forge messages.
+    /// A corrupted number would be accepted and passed on: a revision that was never published
+    /// makes every newer row look old, on all instances, until all are restarted. The 16-bit
+    /// checksum of a UDP datagram misses one in 65,000 corrupted messages, and all messages that a
+    /// program sends to the wrong port. The digest has no key: anything that can reach the port can
+    /// forge messages.
     pub fn to_datagram(&self) -> Vec<u8> {
-        let mut datagram = vec![0; DIGEST_SIZE];
+        let mut datagram = vec![0; DIGEST_BYTES];
         datagram.append(&mut self.encode_to_vec());
-        let digest = digest_of(&datagram[DIGEST_SIZE..]);
-        datagram[..DIGEST_SIZE].copy_from_slice(&digest);
+        let digest = digest_of(&datagram[DIGEST_BYTES..]);
+        datagram[..DIGEST_BYTES].copy_from_slice(&digest);
         datagram
     }
 
-    /// Reads a datagram; none when it isn't a message as it was sent.
+    /// Decodes a datagram; returns `None` if it isn't a message as it was sent.
     pub fn from_datagram(datagram: &[u8]) -> Option<FleetMessage> {
-        let (digest, message) = datagram.split_at_checked(DIGEST_SIZE)?;
+        let (digest, message) = datagram.split_at_checked(DIGEST_BYTES)?;
         if digest != digest_of(message) {
             return None;
         }
@@ -55,38 +56,38 @@
     }
 }
 
-fn digest_of(message: &[u8]) -> [u8; DIGEST_SIZE] {
-    xxh3_64_with_seed(message, MESSAGE_FORM).to_be_bytes()
+fn digest_of(message: &[u8]) -> [u8; DIGEST_BYTES] {
+    xxh3_64_with_seed(message, MESSAGE_FORMAT).to_be_bytes()
 }
 
-/// `MessageBody` is what a message says.
+/// `MessageBody` is the content of a message.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum MessageBody {
-    /// Heartbeat with news.
+    /// Heartbeat with updates.
     #[prost(message, tag = "1")]
     Heartbeat(HeartbeatMessage),
-    /// Question for rows.
+    /// Request for rows of the list.
     #[prost(message, tag = "2")]
     PullRequest(PullRequest),
-    /// Rows that were asked for.
+    /// Response to a request for rows.
     #[prost(message, tag = "3")]
     PullPage(PullPage),
-    /// The health of backend servers.
+    /// Health evidence of backend servers.
     #[prost(message, tag = "4")]
     Evidence(EvidenceMessage),
-    /// Question for backend servers that vanished.
+    /// Query for removed backend servers.
     #[prost(message, tag = "5")]
     TokenQuery(TokenQuery),
-    /// Backend servers that vanished.
+    /// Response with removed backend servers.
     #[prost(message, tag = "6")]
     TokenResponse(TokenResponse),
-    /// A caller's packet that the sender can't place.
+    /// Packet of a caller that the sender can't assign.
     #[prost(message, tag = "7")]
     RelayedPacket(RelayedPacket),
-    /// Question for the operators' list that is held.
+    /// Request for rows of the operators' list that the receiver retains.
     #[prost(message, tag = "8")]
     ConfigRequest(ConfigRequest),
-    /// Rows of it.
+    /// Response to a request for rows of the retained list.
     #[prost(message, tag = "9")]
     ConfigPage(ConfigPage),
     /// Load of services.
@@ -94,10 +95,10 @@
     Load(LoadMessage),
 }
 
-/// `ConfigQuestion` asks for rows of the operators' list that the receiver holds.
+/// `ConfigRequest` asks for rows of the operators' list that the receiver retains.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ConfigRequest {
-    /// Its version.
+    /// Version of that list.
     #[prost(uint64, tag = "1")]
     pub version: u64,
     /// Key after which rows are wanted; empty for the first.
@@ -105,32 +106,32 @@
     pub after: String,
 }
 
-/// `ConfigPage` is some rows of the operators' list that the sender holds.
+/// `ConfigPage` holds rows of the operators' list that the sender retains.
 #[derive(Clone, PartialEq, Message)]
 pub struct ConfigPage {
-    /// Its version.
+    /// Version of that list.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// The question's key.
+    /// Key from the request.
     #[prost(string, tag = "2")]
     pub after: String,
-    /// The rows, by key.
+    /// The rows, in order of their keys.
     #[prost(message, optional, tag = "3")]
     pub rows: Option<PackedRows>,
-    /// More follow after the last row.
+    /// More rows follow after the last one.
     #[prost(bool, tag = "4")]
     pub has_more: bool,
 }
 
-/// `RelayedPacket` is a caller's packet, as it came.
+/// `RelayedPacket` is a caller's packet, unchanged.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct RelayedPacket {
-    /// Its bytes.
+    /// The bytes of the packet.
     #[prost(bytes = "vec", tag = "1")]
     pub bytes: Vec<u8>,
 }
 
-/// `TokenQuestion` asks which backend servers tokens of open flows named.
+/// `TokenQuery` asks which backend servers the tokens of open flows named.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct TokenQuery {
     /// The tokens.
@@ -138,15 +139,15 @@
     pub tokens: Vec<u32>,
 }
 
-/// `TokenAnswer` is backend servers that vanished.
+/// `TokenResponse` holds removed backend servers.
 #[derive(Clone, PartialEq, Message)]
 pub struct TokenResponse {
-    /// The rows of what is gone.
+    /// Rows of the removed backend servers.
     #[prost(message, optional, tag = "1")]
     pub rows: Option<PackedRows>,
 }
 
-/// `PeerDescriptor` is who an instance is.
+/// `PeerDescriptor` identifies an instance, and describes it to others.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct PeerDescriptor {
     /// IPv4 address for messages, as a number.
@@ -155,29 +156,29 @@
     /// Port for messages.
     #[prost(uint32, tag = "2")]
     pub port: u32,
-    /// Its data centre.
+    /// Data centre of the instance.
     #[prost(string, tag = "3")]
     pub data_centre: String,
-    /// Of its process: differs after each start.
+    /// Incarnation of the process; differs after each start.
     #[prost(fixed64, tag = "4")]
     pub incarnation: u64,
-    /// It is stopping.
+    /// The instance is stopping.
     #[prost(bool, tag = "5")]
     pub is_leaving: bool,
-    /// Bandwidth of its link in Mbit/s, 0 when unknown.
+    /// Bandwidth of its link in Mbit/s; 0 if unknown.
     #[prost(uint32, tag = "6")]
     pub link_mbps: u32,
 }
 
 impl PeerDescriptor {
-    /// Where it takes messages; none when the port is none.
+    /// Returns the address for messages; `None` if the port is invalid.
     pub fn address(&self) -> Option<SocketAddrV4> {
         let port = u16::try_from(self.port).ok().filter(|port| *port > 0)?;
         Some(SocketAddrV4::new(Ipv4Addr::from(self.ip), port))
     }
 }
 
-/// `HeartbeatMessage` is a heartbeat with what may be news.
+/// `HeartbeatMessage` is a heartbeat with recent updates.
 #[derive(Clone, PartialEq, Message)]
 pub struct HeartbeatMessage {
     /// The sender.
@@ -192,38 +193,38 @@
     /// Changed rows.
     #[prost(message, optional, tag = "5")]
     pub rows: Option<PackedRows>,
-    /// Some instances that the sender knows.
+    /// Some of the instances that the sender knows.
     #[prost(message, repeated, tag = "7")]
     pub peers: Vec<PeerEntry>,
-    /// The last answers of the store that are known, by reader.
+    /// Latest confirmations by the store, one for each reader.
     #[prost(message, repeated, tag = "8")]
     pub confirmations: Vec<ConfirmationMessage>,
-    /// The sender has just started and asks for an answer.
+    /// The sender asks for a heartbeat in response.
     #[prost(bool, tag = "9")]
     pub wants_response: bool,
     /// Number of instances that the sender knows.
     #[prost(uint32, tag = "10")]
     pub peer_count: u32,
-    /// The newest of this came to the sender's data centre from another one.
+    /// The newest of these updates came to the sender's data centre from another one.
     #[prost(bool, tag = "11")]
     pub is_from_remote_centre: bool,
-    /// Version of the operators' list that the sender holds, as the store has an older one; 0
-    /// when it holds none.
+    /// Version of the operators' list that the sender retains because the store has an older one; 0
+    /// if it retains none.
     #[prost(uint64, tag = "12")]
     pub held_version: u64,
-    /// Revision after which `rows` hold what differs at `head`, where the sender read the list
-    /// whole in between.
+    /// Revision after which `rows` hold the differences at `head`, if the sender read the whole
+    /// list in between and so doesn't know every change.
     #[prost(uint64, optional, tag = "13")]
     pub gap_base: Option<u64>,
 }
 
-/// `PeerEntry` is an instance and how long ago somebody last heard from it.
+/// `PeerEntry` is an instance and the time since any instance last heard from it.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct PeerEntry {
     /// The instance.
     #[prost(message, optional, tag = "1")]
     pub descriptor: Option<PeerDescriptor>,
-    /// Time since then in milliseconds.
+    /// Time since it was last heard from, in milliseconds.
     #[prost(uint32, tag = "2")]
     pub age_ms: u32,
     /// Revision up to which it knew the list then.
@@ -231,47 +232,47 @@
     pub head: u64,
 }
 
-/// `ConfirmationMessage` is a reader's last answer from the store.
+/// `ConfirmationMessage` is the latest response of the store to one reader.
 ///
-/// What is told of time is told as an age, which shrinks by the way at every
-/// hop. The serial number tells what is new from what only seems so.
+/// Times are sent as ages. They don't include the time in transit, so a confirmation seems younger
+/// after every hop; the sequence number tells a newer confirmation from one that only seems newer.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ConfirmationMessage {
     /// The reader.
     #[prost(message, optional, tag = "1")]
     pub reader: Option<PeerDescriptor>,
-    /// Counts the reader's answers.
+    /// Sequence number of the response at that reader.
     #[prost(uint32, tag = "2")]
     pub serial: u32,
-    /// Time since the answer in milliseconds.
+    /// Time since the response, in milliseconds.
     #[prost(uint32, tag = "3")]
     pub age_ms: u32,
-    /// The store's revision.
+    /// Revision of the store in the response.
     #[prost(uint64, tag = "4")]
     pub head: u64,
 }
 
-/// `EvidenceMessage` is what the sender believes of some backend servers, and why.
+/// `EvidenceMessage` holds the health evidence of some backend servers.
 #[derive(Clone, PartialEq, Message)]
 pub struct EvidenceMessage {
-    /// The sender is of another data centre than the receiver.
+    /// The sender is in another data centre than the receiver.
     #[prost(bool, tag = "1")]
     pub is_remote: bool,
-    /// The backend servers.
+    /// The evidence, one entry for each backend server.
     #[prost(message, repeated, tag = "2")]
     pub backends: Vec<EvidenceEntry>,
 }
 
-/// `EvidenceEntry` is the signs of health of one start of a backend server.
+/// `EvidenceEntry` holds the observations of one process start of a backend server.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct EvidenceEntry {
-    /// The backend server's number.
+    /// Number of the backend server.
     #[prost(fixed64, tag = "1")]
     pub number: u64,
-    /// Which start; 0 when nothing is told of starts.
+    /// Incarnation of the backend server; 0 if incarnations are not registered.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// The signs: identity, kind and age of each in 32 bits.
+    /// The observations: identity, kind and age of each in 32 bits.
     #[prost(fixed32, repeated, tag = "3")]
     pub observations: Vec<u32>,
 }
@@ -279,7 +280,7 @@
 /// `PullRequest` asks for the rows after a cursor.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct PullRequest {
-    /// Chosen by the asker, returned with the page.
+    /// Chosen by the requester, and returned with the pages.
     #[prost(fixed32, tag = "1")]
     pub request_id: u32,
     /// Revision of the cursor.
@@ -288,84 +289,87 @@
     /// Key of the cursor.
     #[prost(string, tag = "3")]
     pub key: String,
-    /// A whole copy is being read.
+    /// The requester is receiving a snapshot.
     #[prost(bool, tag = "4")]
     pub is_snapshot: bool,
-    /// Revision up to which the asker knows the list, if it takes changes over a gap.
+    /// Revision up to which the requester knows the list, if it accepts changes across a gap in the
+    /// history.
     #[prost(uint64, optional, tag = "5")]
-    pub known: Option<u64>,
+    pub known_head: Option<u64>,
 }
 
-/// Pages that answer one question, sent together.
+/// Number of pages sent together in response to one request.
 ///
-/// One page a question would take a way there and back for each of a long list's pages.
+/// With one page per request, each page of a long list would cost a round trip.
 pub const PAGES_PER_REQUEST: u32 = 8;
 
-/// `PullPage` is some rows after a cursor.
+/// `PullPage` holds rows after a cursor.
 #[derive(Clone, PartialEq, Message)]
 pub struct PullPage {
-    /// The asker's ticket.
+    /// Id from the request.
     #[prost(fixed32, tag = "1")]
     pub request_id: u32,
     /// The rows.
     #[prost(message, optional, tag = "2")]
     pub rows: Option<PackedRows>,
-    /// Place of the page among those that answer the question, from 0.
+    /// Index of the page among those that respond to the request, from 0.
     #[prost(uint32, tag = "8")]
     pub index: u32,
-    /// More follow after the last row.
+    /// More rows follow after the last one.
     #[prost(bool, tag = "3")]
     pub has_more: bool,
-    /// The rows are part of a whole copy.
+    /// The rows are part of a snapshot.
     #[prost(bool, tag = "4")]
     pub is_snapshot: bool,
     /// Revision up to which the sender knows the list in full.
     #[prost(uint64, tag = "5")]
     pub head: u64,
-    /// Revision after which the sender can tell changes.
+    /// Revision after which the sender knows every change.
     #[prost(uint64, tag = "7")]
     pub floor: u64,
-    /// The last answers of the store that are known, by reader.
+    /// Latest confirmations by the store, one for each reader.
     #[prost(message, repeated, tag = "6")]
     pub confirmations: Vec<ConfirmationMessage>,
-    /// The sender serves others at the moment and holds no rows in this page.
+    /// The sender is serving others and sends no rows in this page.
     #[prost(bool, tag = "9")]
     pub is_busy: bool,
-    /// Instances that may serve instead.
+    /// Instances that may serve the request instead.
     #[prost(message, repeated, tag = "10")]
     pub peers: Vec<PeerEntry>,
-    /// Of the sender's process.
+    /// Incarnation of the sender's process.
     #[prost(fixed64, tag = "11")]
     pub incarnation: u64,
-    /// The rows are changes over a gap.
+    /// The rows are differences across a gap in the history.
     #[prost(bool, tag = "12")]
     pub has_gap: bool,
 }
 
-/// `LoadMessage` is the load of services, by instance of the own data centre or by data centre.
+/// `LoadMessage` holds the load of services: by instance of the same data centre, or by data
+/// centre.
 #[derive(Clone, PartialEq, Message)]
 pub struct LoadMessage {
-    /// The sender is of another data centre than the receiver.
+    /// The sender is in another data centre than the receiver.
     #[prost(bool, tag = "1")]
     pub is_remote: bool,
-    /// Load of instances of the data centre, the sender's first.
+    /// Reports of instances of the data centre, the sender's first.
     #[prost(message, repeated, tag = "2")]
     pub reports: Vec<InstanceReportRow>,
-    /// Load of data centres; between data centres the sender's alone.
+    /// Aggregates of data centres; between data centres only the sender's own.
     #[prost(message, repeated, tag = "3")]
     pub aggregates: Vec<CentreAggregateRow>,
-    /// Shared clock of the order of return, in milliseconds.
+    /// Clock that all instances share, in milliseconds; it orders the return of flows to their data
+    /// centres.
     #[prost(uint32, tag = "4")]
     pub fleet_clock_ms: u32,
-    /// The sender's data centre is pressed.
+    /// The sender's data centre is loaded.
     #[prost(bool, tag = "5")]
     pub is_loaded: bool,
-    /// The sender reports at the busy pace.
+    /// The sender reports at the fast pace.
     #[prost(bool, tag = "6")]
     pub is_fast: bool,
 }
 
-/// `InstanceReportRow` is the load that one instance sees.
+/// `InstanceReportRow` is the load that one instance measures.
 #[derive(Clone, PartialEq, Message)]
 pub struct InstanceReportRow {
     /// IPv4 address of the instance, as a number.
@@ -377,19 +381,19 @@
     /// Low half of its incarnation.
     #[prost(fixed32, tag = "3")]
     pub incarnation: u32,
-    /// Counts the instance's parts.
+    /// Sequence number of the report.
     #[prost(uint32, tag = "4")]
     pub serial: u32,
-    /// Time since the part was told, in milliseconds.
+    /// Age of the report, in milliseconds.
     #[prost(uint32, tag = "5")]
     pub age_ms: u32,
-    /// By service.
+    /// Load by service.
     #[prost(message, repeated, tag = "6")]
     pub services: Vec<ServiceLoadRow>,
-    /// Hashes of client accounts, 32 bits each with the low byte first.
+    /// Hashes of sampled client accounts, 32 bits each with the low byte first.
     #[prost(bytes = "vec", tag = "7")]
     pub sampled_accounts: Vec<u8>,
-    /// Openings of which one is in the sample of accounts; 0 when there is none.
+    /// Number of openings that one sampled client account stands for; 0 if there is no sample.
     #[prost(uint32, tag = "8")]
     pub openings_per_sample: u32,
 }
@@ -400,20 +404,19 @@
     /// The data centre.
     #[prost(string, tag = "1")]
     pub data_centre: String,
-    /// Rises with time.
+    /// Sequence number, which rises with time.
     #[prost(uint32, tag = "2")]
     pub serial: u32,
-    /// Time since the sum was told, in milliseconds.
+    /// Age of the aggregate, in milliseconds.
     #[prost(uint32, tag = "3")]
     pub age_ms: u32,
-    /// Instances in it.
+    /// Number of instances in the data centre.
     #[prost(uint32, tag = "4")]
     pub instances: u32,
-    /// By service.
+    /// Load by service.
     #[prost(message, repeated, tag = "5")]
     pub services: Vec<ServiceLoadRow>,
-    /// Time for which the data centre still counts as pressed, in milliseconds; 0 when it
-    /// doesn't.
+    /// Time for which the data centre still counts as loaded, in milliseconds; 0 if it doesn't.
     #[prost(uint32, tag = "6")]
     pub loaded_ms: u32,
 }
@@ -421,30 +424,30 @@
 /// `ServiceLoadRow` is the load of one service.
 #[derive(Clone, PartialEq, Message)]
 pub struct ServiceLoadRow {
-    /// Low half of the hash of its name.
+    /// Low half of the hash of the service's name.
     #[prost(fixed32, tag = "1")]
     pub service_hash: u32,
-    /// Pairs of a priority and its arrivals in thousandths a second.
+    /// Pairs of a priority and its arrivals, in thousandths per second.
     #[prost(uint32, repeated, tag = "2")]
     pub arrivals: Vec<u32>,
-    /// Pairs of a priority and its work time in microseconds.
+    /// Pairs of a priority and its work time, in microseconds.
     #[prost(uint32, repeated, tag = "3")]
     pub work_us: Vec<u32>,
-    /// Requests that run in the data centre of the message's part or sum.
+    /// Number of requests that run in the data centre of the report or aggregate.
     #[prost(uint32, tag = "4")]
     pub running: u32,
-    /// Requests that run in others.
+    /// Requests that run in other data centres.
     #[prost(message, repeated, tag = "5")]
     pub remote_running: Vec<RemoteRunningRow>,
 }
 
-/// `RemoteRunningRow` is requests that run in another data centre.
+/// `RemoteRunningRow` is the number of requests that run in another data centre.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct RemoteRunningRow {
     /// The data centre.
     #[prost(string, tag = "1")]
     pub data_centre: String,
-    /// Requests.
+    /// Number of requests.
     #[prost(uint32, tag = "2")]
     pub running: u32,
 }
--- a/crates/foxledge-gossip/src/options.rs
+++ b/crates/foxledge-gossip/src/options.rs
@@ -1,10 +1,10 @@
-//! What a member of the fleet starts with.
+//! Options of a fleet member.
 
 use std::net::SocketAddrV4;
 
 use foxledge_core::names::CentreName;
 
-/// `MemberOptions` is who an instance is and whom it asks first.
+/// `MemberOptions` holds the identity of an instance, its seeds and its timing.
 #[derive(Clone, Debug)]
 pub struct MemberOptions {
     pub(crate) address: SocketAddrV4,
@@ -19,7 +19,7 @@
 }
 
 impl MemberOptions {
-    /// Options of the instance that takes messages at `address`.
+    /// Creates the options of an instance that receives messages at `address`.
     pub fn new(address: SocketAddrV4, data_centre: CentreName) -> MemberOptions {
         MemberOptions {
             address,
@@ -34,20 +34,20 @@
         }
     }
 
-    /// Sets the number of this start of the process.
+    /// Sets the incarnation of the process. It must differ after each start.
     pub fn incarnation(mut self, incarnation: u64) -> MemberOptions {
         self.incarnation = incarnation;
         self
     }
 
-    /// Sets the bandwidth of the instance's link in Mbit/s: those with wide links
-    /// read the store first.
+    /// Sets the bandwidth of the instance's link in Mbit/s. Instances with wide links are preferred
+    /// as readers of the store.
     pub fn link_mbps(mut self, link_mbps: u32) -> MemberOptions {
         self.link_mbps = link_mbps;
         self
     }
 
-    /// Sets the instances to ask first.
+    /// Sets the instances that are queried first.
     pub fn seeds(mut self, seeds: Vec<SocketAddrV4>) -> MemberOptions {
         self.seeds = seeds;
         self
@@ -65,16 +65,16 @@
         self
     }
 
-    /// Sets how old the store's last confirmation may be before the best ranked
-    /// instance reads by itself, in milliseconds.
+    /// Sets the age of the last confirmation by the store at which the best ranked instance starts
+    /// to read, in milliseconds.
     pub fn takeover_ms(mut self, takeover_ms: u64) -> MemberOptions {
         self.takeover_ms = takeover_ms;
         self
     }
 
-    /// Sets whether load is reported to other instances and taken from them; off by default.
-    pub fn report_load(mut self, tells_load: bool) -> MemberOptions {
-        self.reports_load = tells_load;
+    /// Sets whether load is reported to other instances and received from them. Off by default.
+    pub fn report_load(mut self, reports_load: bool) -> MemberOptions {
+        self.reports_load = reports_load;
         self
     }
 }
--- a/crates/foxledge-gossip/src/packet_relay.rs
+++ b/crates/foxledge-gossip/src/packet_relay.rs
@@ -1,9 +1,9 @@
-//! Callers' packets that an instance can't place yet.
+//! Relaying of callers' packets that an instance can't assign yet.
 //!
-//! An instance that has just started serves on a part of a large list, until it has all of it.
-//! Packets of open flows mostly name backend servers that it doesn't know; dropped, each makes its
-//! caller wait for 200 ms and more. Others know where they belong. A packet travels in a message,
-//! so that who gets it knows that it was handed on once, and doesn't do so again.
+//! An instance that has just started serves by a part of a large list until it has all of it.
+//! Packets of open flows mostly name backend servers that it doesn't know yet, but that its peers
+//! know. Each dropped packet makes its caller wait 200 ms or more. A relayed packet travels inside
+//! a message, so that its receiver knows that it was relayed and doesn't relay it again.
 
 use foxledge_core::time::ClockTime;
 
@@ -13,7 +13,7 @@
 };
 
 impl FleetMember {
-    /// Hands a packet to an instance that has the list; false when none is known.
+    /// Relays a packet to an instance that has the list; returns false if none is known.
     pub fn relay_packet(&mut self, now: ClockTime, packet: &[u8]) -> bool {
         let holders = self.peers.pick_list_holders(&mut self.rng, now, 0, 1);
         let holder = holders.first().and_then(|peer| peer.descriptor.as_ref()?.address());
--- a/crates/foxledge-gossip/src/packing.rs
+++ b/crates/foxledge-gossip/src/packing.rs
@@ -1,9 +1,9 @@
-//! Rows as they travel: names that several rows share are told once in a message.
+//! Compact encoding of rows in messages: names that several rows share are sent once in a message.
 //!
-//! A backend server's row is some 80 bytes, of which the names of its service and data
-//! centre are thirty and its key, which repeats its number, twenty. Packed it is some
-//! 35. An instance with a twentieth of a core spends most of its start on receiving the
-//! messages that bring the list, so that it serves sooner with fewer of them.
+//! A backend server's row is some 80 bytes: thirty for the names of its service and data centre,
+//! and twenty for its key, which repeats its number. Packed it is some 35 bytes. An instance with a
+//! twentieth of a core spends most of its start on receiving the messages with the list, so fewer
+//! messages make it serve sooner.
 
 use std::collections::HashMap;
 
@@ -12,10 +12,10 @@
 };
 use prost::{Message, Oneof, encoding::encoded_len_varint};
 
-/// `PackedRows` is rows that travel together.
+/// `PackedRows` is a set of rows that share a table of names.
 #[derive(Clone, PartialEq, Message)]
 pub struct PackedRows {
-    /// Names that the rows point to.
+    /// Names that the rows refer to by index.
     #[prost(string, repeated, tag = "1")]
     pub names: Vec<String>,
     /// The rows.
@@ -23,24 +23,25 @@
     pub rows: Vec<PackedRow>,
 }
 
-/// `PackedRow` is one of them.
+/// `PackedRow` is one row, with names replaced by indexes.
 #[derive(Clone, PartialEq, Message)]
 pub struct PackedRow {
-    /// The row's key, unless it has a prefix.
+    /// Key of the row; empty if `prefix` is set.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Place of the name that makes the key together with the backend server's number.
+    /// Index of the name that makes up the key together with the backend server's number in
+    /// hexadecimal.
     #[prost(uint32, optional, tag = "2")]
     pub prefix: Option<u32>,
     /// Revision at which the row last changed.
     #[prost(uint64, tag = "3")]
     pub revision: u64,
-    /// What it says.
+    /// Value of the row.
     #[prost(oneof = "PackedValue", tags = "4, 5, 6, 7, 8")]
     pub value: Option<PackedValue>,
 }
 
-/// `PackedValue` is what a row says.
+/// `PackedValue` is the value of a row.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum PackedValue {
     /// A route.
@@ -52,7 +53,7 @@
     /// Limits of the whole list.
     #[prost(message, tag = "6")]
     Limits(LimitsRow),
-    /// The row is gone.
+    /// The row was removed.
     #[prost(message, tag = "7")]
     Removed(PackedRemoval),
     /// A row of a kind that not every build knows.
@@ -60,13 +61,13 @@
     Extension(ExtensionRow),
 }
 
-/// `PackedBackend` is a [`BackendRow`].
+/// `PackedBackend` is a packed [`BackendRow`].
 #[derive(Clone, PartialEq, Message)]
 pub struct PackedBackend {
-    /// Its number.
+    /// Number of the backend server.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// Place of its service's name.
+    /// Index of its service's name.
     #[prost(uint32, tag = "2")]
     pub service: u32,
     /// IPv4 address, as a number.
@@ -75,19 +76,19 @@
     /// Port.
     #[prost(uint32, tag = "4")]
     pub port: u32,
-    /// Place of its data centre's name.
+    /// Index of its data centre's name.
     #[prost(uint32, tag = "5")]
     pub data_centre: u32,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs at once.
     #[prost(uint32, tag = "6")]
     pub slots: u32,
-    /// It is leaving.
+    /// The backend server is draining.
     #[prost(bool, tag = "7")]
     pub draining: bool,
-    /// Time until it is warm, in milliseconds.
+    /// Remaining warm-up time, in milliseconds.
     #[prost(uint32, tag = "8")]
     pub warm_in_ms: u32,
-    /// Names the start of the process.
+    /// Incarnation of the process.
     #[prost(uint64, tag = "9")]
     pub incarnation: u64,
     /// Revision at which its entry was created.
@@ -95,10 +96,10 @@
     pub created: u64,
 }
 
-/// `PackedRemoval` is a [`RemovedRow`].
+/// `PackedRemoval` is a packed [`RemovedRow`].
 #[derive(Clone, PartialEq, Message)]
 pub struct PackedRemoval {
-    /// The backend server that it was.
+    /// The backend server that was removed, if the row was one.
     #[prost(message, optional, tag = "1")]
     pub backend: Option<PackedBackend>,
     /// Time since the removal, in milliseconds.
@@ -109,24 +110,24 @@
 /// `RowPacker` packs rows one by one.
 #[derive(Debug, Default)]
 pub struct RowPacker {
-    places: HashMap<String, u32>,
+    name_indexes: HashMap<String, u32>,
     packed: PackedRows,
 }
 
 impl RowPacker {
-    /// Packs a row; returns the bytes that it adds to the message.
+    /// Packs a row; returns the number of bytes that it adds to the message.
     pub fn push(&mut self, row: &ListRow) -> usize {
-        let names = self.packed.names.len();
+        let name_count = self.packed.names.len();
         let row = self.pack(row);
-        let mut size = framed(row.encoded_len());
+        let mut size = encoded_field_len(row.encoded_len());
         self.packed.rows.push(row);
-        for name in &self.packed.names[names..] {
-            size += framed(name.len());
+        for name in &self.packed.names[name_count..] {
+            size += encoded_field_len(name.len());
         }
         size
     }
 
-    /// The first `count` rows of those that were packed.
+    /// Returns the first `count` of the packed rows.
     pub fn finish(mut self, count: usize) -> PackedRows {
         self.packed.rows.truncate(count);
         self.packed
@@ -138,10 +139,10 @@
             Some(RowValue::Removed(removed)) => removed.backend.as_ref(),
             _ => None,
         };
-        let digits = backend.map(|backend| format!("{:x}", backend.number));
-        let prefix = digits.and_then(|digits| row.key.strip_suffix(&digits));
+        let hex_number = backend.map(|backend| format!("{:x}", backend.number));
+        let prefix = hex_number.and_then(|hex_number| row.key.strip_suffix(&hex_number));
         let (key, prefix) = match prefix {
-            Some(prefix) => (String::new(), Some(self.place(prefix))),
+            Some(prefix) => (String::new(), Some(self.intern_name(prefix))),
             None => (row.key.clone(), None),
         };
         let value = row.value.as_ref().map(|value| self.pack_value(value));
@@ -164,10 +165,10 @@
     fn pack_backend(&mut self, row: &BackendRow) -> PackedBackend {
         PackedBackend {
             number: row.number,
-            service: self.place(&row.service),
+            service: self.intern_name(&row.service),
             ip: row.ip,
             port: row.port,
-            data_centre: self.place(&row.data_centre),
+            data_centre: self.intern_name(&row.data_centre),
             slots: row.slots,
             draining: row.draining,
             warm_in_ms: row.warm_in_ms,
@@ -176,20 +177,20 @@
         }
     }
 
-    /// The place of a name among the names of the message.
-    fn place(&mut self, name: &str) -> u32 {
-        if let Some(place) = self.places.get(name) {
-            return *place;
+    /// Returns the index of a name in the name table, and adds it if it is missing.
+    fn intern_name(&mut self, name: &str) -> u32 {
+        if let Some(index) = self.name_indexes.get(name) {
+            return *index;
         }
-        let place = self.packed.names.len() as u32;
+        let index = self.packed.names.len() as u32;
         self.packed.names.push(name.to_owned());
-        self.places.insert(name.to_owned(), place);
-        place
+        self.name_indexes.insert(name.to_owned(), index);
+        index
     }
 }
 
 impl PackedRows {
-    /// Packs rows.
+    /// Packs all of these rows.
     pub fn pack(rows: &[ListRow]) -> PackedRows {
         let mut packer = RowPacker::default();
         for row in rows {
@@ -198,7 +199,7 @@
         packer.finish(rows.len())
     }
 
-    /// The rows; a name that is missing is empty.
+    /// Unpacks the rows. A name with an invalid index becomes empty.
     pub fn unpack(self) -> Vec<ListRow> {
         let PackedRows { names, rows } = self;
         rows.into_iter().map(|row| unpack(&names, row)).collect()
@@ -249,11 +250,11 @@
     }
 }
 
-fn name_at(names: &[String], place: u32) -> String {
-    names.get(place as usize).cloned().unwrap_or_default()
+fn name_at(names: &[String], index: u32) -> String {
+    names.get(index as usize).cloned().unwrap_or_default()
 }
 
-/// Bytes of a field of this length with its tag and length in front.
-fn framed(size: usize) -> usize {
+/// Returns the encoded size of a field of this length, including its tag and length prefix.
+fn encoded_field_len(size: usize) -> usize {
     1 + encoded_len_varint(size as u64) + size
 }
--- a/crates/foxledge-gossip/src/peer_selection.rs
+++ b/crates/foxledge-gossip/src/peer_selection.rs
@@ -1,4 +1,4 @@
-//! Which of the known instances are told, asked and named to others.
+//! Selection of known instances to send to, to probe, and to name to others.
 
 use std::{collections::BTreeMap, net::SocketAddrV4};
 
@@ -10,45 +10,45 @@
     peers::{PeerRecord, PeerTable},
 };
 
-/// Silence after which an instance of another data centre is asked for a sign of life, in
-/// milliseconds, if nothing has come from anywhere there.
-const CENTRE_QUIET_MS: u64 = 8_000;
-/// Time that an instance has for an answer, in milliseconds: ten times what one of a
-/// twentieth of a core takes when its whole fleet starts.
-const ANSWER_MS: u64 = 1_500;
+/// Time without contact to any instance of another data centre after which one there is probed, in
+/// milliseconds.
+const CENTRE_PROBE_DELAY_MS: u64 = 8_000;
+/// Time, in milliseconds, after which a probe counts as unanswered: ten times what an instance with
+/// a twentieth of a core takes to respond while its whole fleet starts.
+const PROBE_TIMEOUT_MS: u64 = 1_500;
 
-/// `SampleSize` is how many instances a message tells of.
+/// `SampleSize` is the number of instances that a message names.
 #[derive(Clone, Copy, Debug)]
 pub struct SampleSize {
-    /// Of the receiver's data centre.
-    pub near: usize,
-    /// Of others.
-    pub far: usize,
+    /// Instances of the receiver's data centre.
+    pub receiver_centre: usize,
+    /// Instances of other data centres.
+    pub other_centres: usize,
 }
 
 impl SampleSize {
-    /// Told with a whole heartbeat to another data centre, whose instances know few of this
-    /// one, and all of their own.
-    pub const FAR: SampleSize = SampleSize { near: 2, far: 0 };
-    /// None at all.
-    pub const NONE: SampleSize = SampleSize { near: 0, far: 0 };
-    /// Told with each whole heartbeat. An instance gets some four of these a second: with four
-    /// instances each, views of fifty held half of their data centre ten seconds after its
-    /// start, and some were in so few that news passed them by.
-    pub const USUAL: SampleSize = SampleSize { near: 6, far: 3 };
-    /// Told to an instance that asks, as it may know nobody.
-    pub const WIDE: SampleSize = SampleSize { near: 12, far: 4 };
+    /// Sample in a full heartbeat to another data centre, whose instances know few of this data
+    /// centre and all of their own.
+    pub const REMOTE_HEARTBEAT: SampleSize = SampleSize { receiver_centre: 2, other_centres: 0 };
+    /// Empty sample.
+    pub const NONE: SampleSize = SampleSize { receiver_centre: 0, other_centres: 0 };
+    /// Sample in each full heartbeat. An instance receives some four of these a second. With four
+    /// instances each, tables of fifty held half of their data centre ten seconds after its start,
+    /// and some instances were in so few of them that updates missed them.
+    pub const FULL_HEARTBEAT: SampleSize = SampleSize { receiver_centre: 6, other_centres: 3 };
+    /// Sample in a response to an instance that may know no other.
+    pub const RESPONSE: SampleSize = SampleSize { receiver_centre: 12, other_centres: 4 };
 }
 
 impl PeerTable {
-    /// Up to `count` random instances of the own data centre that were heard of lately.
+    /// Returns up to `count` random instances of the same data centre that aren't quiet.
     pub fn pick_same_centre(
         &self,
         rng: &mut StdRng,
         now: ClockTime,
         count: usize,
     ) -> Vec<SocketAddrV4> {
-        pick(
+        choose_random(
             rng,
             self.responsive_same_centre(now)
                 .filter_map(|record| record.descriptor.address())
@@ -57,63 +57,72 @@
         )
     }
 
-    /// An instance of the own data centre that was silent for long, to be asked for a sign of
-    /// life: the one that was asked least.
+    /// Returns a quiet instance of the same data centre to probe: one with the fewest unanswered
+    /// probes.
     ///
-    /// Of fifty instances that live, some are heard of once in ten seconds, by chance. Taken
-    /// for lost they would be told nothing by those that forgot them, and everybody would read
-    /// of losses that are none.
-    pub fn pick_quiet(&mut self, rng: &mut StdRng, now: ClockTime) -> Option<SocketAddrV4> {
-        let near = &self.near;
-        let is_due = |record: &PeerRecord| {
-            let is_near = record.descriptor.data_centre == *near;
-            is_near && record.is_quiet(now) && record.answer_by.is_past(now)
+    /// Of fifty live instances, some are heard from only once in ten seconds, by chance. If those
+    /// were taken for lost, instances that removed them would send them no updates, and operators
+    /// would be shown losses that are none.
+    pub fn pick_probe_target(&mut self, rng: &mut StdRng, now: ClockTime) -> Option<SocketAddrV4> {
+        let local_centre = &self.local_centre;
+        let is_candidate = |record: &PeerRecord| {
+            let is_same_centre = record.descriptor.data_centre == *local_centre;
+            is_same_centre && record.is_quiet(now) && record.probe_expires_at.is_past(now)
         };
-        let due = self.records.iter().filter(|(_, record)| is_due(record));
-        let fewest = due.clone().map(|(_, record)| record.asks).min()?;
-        let least = due.filter(|(_, record)| record.asks == fewest);
-        let address = pick(rng, least.map(|(address, _)| *address).collect(), 1).pop()?;
+        let candidates = self.records.iter().filter(|(_, record)| is_candidate(record));
+        let min_probes = candidates.clone().map(|(_, record)| record.unanswered_probes).min()?;
+        let least_probed = candidates.filter(|(_, record)| record.unanswered_probes == min_probes);
+        let address =
+            choose_random(rng, least_probed.map(|(address, _)| *address).collect(), 1).pop()?;
         let record = self.records.get_mut(&address)?;
-        record.asks += 1;
-        record.answer_by = now.after_millis(ANSWER_MS);
+        record.unanswered_probes += 1;
+        record.probe_expires_at = now.after_millis(PROBE_TIMEOUT_MS);
         Some(address)
     }
 
-    /// A random instance of the own data centre that was silent for long, to be told of news
-    /// all the same: most such are alive.
+    /// Returns a random quiet instance of the same data centre, which is sent updates as well: most
+    /// of them are alive.
     pub fn pick_random_quiet(&self, rng: &mut StdRng, now: ClockTime) -> Option<SocketAddrV4> {
-        let near =
-            self.records.values().filter(|record| record.descriptor.data_centre == self.near);
-        let quiet = near.filter(|record| record.is_quiet(now));
-        pick(rng, quiet.filter_map(|record| record.descriptor.address()).collect(), 1).pop()
+        let same_centre_records = self
+            .records
+            .values()
+            .filter(|record| record.descriptor.data_centre == self.local_centre);
+        let quiet = same_centre_records.filter(|record| record.is_quiet(now));
+        choose_random(rng, quiet.filter_map(|record| record.descriptor.address()).collect(), 1)
+            .pop()
     }
 
-    /// An instance of another data centre from which nothing has come for long, to be asked
-    /// for a sign of life: the newest known there.
-    pub fn pick_unheard(&self, rng: &mut StdRng, now: ClockTime) -> Option<SocketAddrV4> {
-        let newest = self.latest_remote().into_values();
-        let unheard =
-            newest.filter(|record| record.last_heard_at.after_millis(CENTRE_QUIET_MS).is_past(now));
-        pick(rng, unheard.filter_map(|record| record.descriptor.address()).collect(), 1).pop()
+    /// Returns the most recently heard instance of a random data centre from which nothing has come
+    /// for [`CENTRE_PROBE_DELAY_MS`], to be probed.
+    pub fn pick_quiet_centre_peer(&self, rng: &mut StdRng, now: ClockTime) -> Option<SocketAddrV4> {
+        let latest = self.latest_remote().into_values();
+        let quiet = latest
+            .filter(|record| record.last_heard_at.after_millis(CENTRE_PROBE_DELAY_MS).is_past(now));
+        choose_random(rng, quiet.filter_map(|record| record.descriptor.address()).collect(), 1)
+            .pop()
     }
 
-    /// Up to `count` random instances of each other data centre.
+    /// Returns up to `count` random instances of each other data centre.
     pub fn pick_remote(&self, rng: &mut StdRng, count: usize) -> Vec<SocketAddrV4> {
         let mut centres: BTreeMap<&str, Vec<SocketAddrV4>> = BTreeMap::new();
-        for record in
-            self.records.values().filter(|record| record.descriptor.data_centre != self.near)
+        for record in self
+            .records
+            .values()
+            .filter(|record| record.descriptor.data_centre != self.local_centre)
         {
             let Some(address) = record.descriptor.address() else { continue };
             centres.entry(record.descriptor.data_centre.as_str()).or_default().push(address);
         }
-        let mut picked: Vec<_> =
-            centres.into_values().flat_map(|all| pick(rng, all, count)).collect();
+        let mut picked: Vec<_> = centres
+            .into_values()
+            .flat_map(|addresses| choose_random(rng, addresses, count))
+            .collect();
         picked.sort_unstable();
         picked
     }
 
-    /// Some random instances as they are told to one of data centre `centre`: mostly of its
-    /// own, as it may learn of those from nobody else.
+    /// Returns random instances to name to one of data centre `centre`: mostly of that data centre,
+    /// since the receiver may learn of those from no other instance.
     pub fn sample_entries(
         &self,
         rng: &mut StdRng,
@@ -121,20 +130,21 @@
         centre: &str,
         size: SampleSize,
     ) -> Vec<PeerEntry> {
-        let fresh = self.records.iter().filter(|(_, record)| !record.is_quiet(now));
-        let (near, far): (Vec<_>, Vec<_>) =
-            fresh.partition(|(_, record)| record.descriptor.data_centre == centre);
-        let addresses = |of: Vec<(&SocketAddrV4, &PeerRecord)>| {
-            of.into_iter().map(|(address, _)| *address).collect::<Vec<_>>()
+        let responsive = self.records.iter().filter(|(_, record)| !record.is_quiet(now));
+        let (receiver_records, other_records): (Vec<_>, Vec<_>) =
+            responsive.partition(|(_, record)| record.descriptor.data_centre == centre);
+        let addresses = |records: Vec<(&SocketAddrV4, &PeerRecord)>| {
+            records.into_iter().map(|(address, _)| *address).collect::<Vec<_>>()
         };
-        let mut picked = pick(rng, addresses(near), size.near);
-        picked.extend(pick(rng, addresses(far), size.far));
+        let mut picked = choose_random(rng, addresses(receiver_records), size.receiver_centre);
+        picked.extend(choose_random(rng, addresses(other_records), size.other_centres));
         let records = picked.iter().filter_map(|address| self.records.get(address));
-        records.map(|record| heard(record, now)).collect()
+        records.map(|record| peer_entry(record, now)).collect()
     }
 
-    /// Up to `count` random instances that know the list beyond `head`, as they are told to
-    /// others: nearby ones heard of lately, or else any nearby, or else far ones.
+    /// Returns up to `count` random instances that know the list beyond `head`, as entries of a
+    /// message: instances of the same data centre that aren't quiet, or else quiet ones, or else
+    /// remote ones.
     pub fn pick_list_holders(
         &self,
         rng: &mut StdRng,
@@ -142,21 +152,27 @@
         head: u64,
         count: usize,
     ) -> Vec<PeerEntry> {
-        let all = self.records.values().filter(|record| record.head > head && record.asks == 0);
-        let rank = |record: &PeerRecord| {
-            (record.descriptor.data_centre != self.near, record.is_quiet(now))
+        let holders = self
+            .records
+            .values()
+            .filter(|record| record.head > head && record.unanswered_probes == 0);
+        let preference = |record: &PeerRecord| {
+            (record.descriptor.data_centre != self.local_centre, record.is_quiet(now))
         };
-        let Some(best) = all.clone().map(rank).min() else { return Vec::new() };
-        let best = all.filter(|record| rank(record) == best);
-        let picked =
-            pick(rng, best.filter_map(|record| record.descriptor.address()).collect(), count);
+        let Some(preferred) = holders.clone().map(preference).min() else { return Vec::new() };
+        let preferred = holders.filter(|record| preference(record) == preferred);
+        let picked = choose_random(
+            rng,
+            preferred.filter_map(|record| record.descriptor.address()).collect(),
+            count,
+        );
         let records = picked.iter().filter_map(|address| self.records.get(address));
-        records.map(|record| heard(record, now)).collect()
+        records.map(|record| peer_entry(record, now)).collect()
     }
 }
 
-/// An instance as it is told to others.
-fn heard(record: &PeerRecord, now: ClockTime) -> PeerEntry {
+/// Returns the entry of a message for an instance.
+fn peer_entry(record: &PeerRecord, now: ClockTime) -> PeerEntry {
     let age = now.since(record.last_heard_at).as_millis();
     PeerEntry {
         descriptor: Some(record.descriptor.clone()),
@@ -165,11 +181,15 @@
     }
 }
 
-fn pick(rng: &mut StdRng, mut all: Vec<SocketAddrV4>, count: usize) -> Vec<SocketAddrV4> {
-    all.sort_unstable();
-    while all.len() > count {
-        let index = rng.random_range(0..all.len());
-        all.swap_remove(index);
+fn choose_random(
+    rng: &mut StdRng,
+    mut addresses: Vec<SocketAddrV4>,
+    count: usize,
+) -> Vec<SocketAddrV4> {
+    addresses.sort_unstable();
+    while addresses.len() > count {
+        let index = rng.random_range(0..addresses.len());
+        addresses.swap_remove(index);
     }
-    all
+    addresses
 }
--- a/crates/foxledge-gossip/src/peers.rs
+++ b/crates/foxledge-gossip/src/peers.rs
@@ -1,7 +1,8 @@
-//! The instances that this one knows.
+//! Table of the known instances.
 //!
-//! Of a large fleet that is a part: all or most of the own data centre, some of each other
-//! one. Which part it happens to be is no news; that an instance starts, stops or is dead is.
+//! In a large fleet the table holds a part of it: all or most instances of the same data centre,
+//! and some of each other one. Changes in which part that is are not reported; that an instance
+//! starts, stops or is dead is.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -12,177 +13,201 @@
 
 use crate::messages::PeerDescriptor;
 
-/// Silence after which an instance of the own data centre is asked for a sign of life, in
+/// Time without contact after which an instance of the same data centre is quiet and is probed, in
 /// milliseconds: five heartbeats.
-const QUIET_MS: u64 = 5_000;
-/// Silence after which one of another data centre is forgotten, in milliseconds. Of 50
-/// instances that share the news from there, each hears it at first hand once in some 8 s.
-const FAR_QUIET_MS: u64 = 15_000;
-/// Silence after which an instance isn't counted on, in milliseconds.
-const STALE_MS: u64 = 2_500;
-/// Questions without an answer after which an instance of the own data centre is lost. Where
-/// one packet in ten is lost, two and their answers are lost for one in thirty.
-const LOST_ASKS: u32 = 3;
-/// Most instances known of the own data centre. An epidemic needs only that the
-/// views of all make one connected graph, for which some dozen edges do at any size.
-const MOST_NEAR: usize = 64;
-/// Most instances known of each other data centre.
-const MOST_FAR: usize = 8;
-/// How long an instance of the own data centre counts as a neighbour after it was last heard of,
-/// in milliseconds. Who is cut off from the others for less keeps them all.
-const NEIGHBOUR_MS: u64 = 60_000;
-/// Most starts and stops that are remembered, at some 20 bytes each: more than a data centre
-/// of the largest deployment has instances.
-const MOST_REMEMBERED: usize = 2_000;
+const QUIET_TIMEOUT_MS: u64 = 5_000;
+/// Time without contact after which an instance of another data centre is quiet and is removed, in
+/// milliseconds. Where 50 instances share the updates from there, each receives them directly once
+/// in some 8 s.
+const REMOTE_QUIET_TIMEOUT_MS: u64 = 15_000;
+/// Time without contact after which an instance no longer counts as live, in milliseconds.
+const LIVE_WINDOW_MS: u64 = 2_500;
+/// Number of unanswered probes after which an instance of the same data centre is lost. At a packet
+/// loss of one in ten, two probes and their responses are lost for one instance in thirty.
+const MAX_UNANSWERED_PROBES: u32 = 3;
+/// Maximum number of known instances of the same data centre. Gossip only needs the known instances
+/// of all to form one connected graph, for which some dozen edges suffice at any size.
+const MAX_SAME_CENTRE_PEERS: usize = 64;
+/// Maximum number of known instances of each other data centre.
+const MAX_REMOTE_PEERS_PER_CENTRE: usize = 8;
+/// Time, in milliseconds, for which an instance of the same data centre counts as a neighbour after
+/// it was last heard from. An instance that is cut off from the others for less keeps all of them.
+const NEIGHBOUR_TTL_MS: u64 = 60_000;
+/// Maximum number of remembered incarnations and neighbours, at some 20 bytes each: more than a
+/// data centre of the largest deployment has instances.
+const MAX_REMEMBERED_INSTANCES: usize = 2_000;
 
 /// `PeerRecord` is what is known of another instance.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerRecord {
     pub descriptor: PeerDescriptor,
-    /// Silence in milliseconds after which it is quiet.
-    quiet_ms: u64,
-    /// When somebody last heard from it.
+    /// Time without contact after which it is quiet, in milliseconds.
+    quiet_timeout_ms: u64,
+    /// Time at which any instance last heard from it.
     pub last_heard_at: ClockTime,
-    /// Revision up to which it knew the list.
+    /// Revision up to which it knew the list then.
     pub head: u64,
-    /// Questions since it was last heard of.
-    pub asks: u32,
-    /// When the last of them counts as unanswered.
-    pub answer_by: ClockTime,
+    /// Number of probes sent since it was last heard from.
+    pub unanswered_probes: u32,
+    /// Time at which the latest probe counts as unanswered.
+    pub probe_expires_at: ClockTime,
 }
 
 impl PeerRecord {
-    fn new(near: &str, card: &PeerDescriptor, heard_at: ClockTime, head: u64) -> PeerRecord {
-        let quiet_ms = if card.data_centre == near { QUIET_MS } else { FAR_QUIET_MS };
-        let answer_by = ClockTime::ZERO;
+    fn new(
+        local_centre: &str,
+        descriptor: &PeerDescriptor,
+        last_heard_at: ClockTime,
+        head: u64,
+    ) -> PeerRecord {
+        let quiet_timeout_ms = if descriptor.data_centre == local_centre {
+            QUIET_TIMEOUT_MS
+        } else {
+            REMOTE_QUIET_TIMEOUT_MS
+        };
+        let probe_expires_at = ClockTime::ZERO;
         PeerRecord {
-            descriptor: card.clone(),
-            quiet_ms,
-            last_heard_at: heard_at,
+            descriptor: descriptor.clone(),
+            quiet_timeout_ms,
+            last_heard_at,
             head,
-            asks: 0,
-            answer_by,
+            unanswered_probes: 0,
+            probe_expires_at,
         }
     }
 
-    /// True when it wasn't heard of for long.
+    /// Returns true if it has not been heard from for longer than its timeout.
     pub fn is_quiet(&self, now: ClockTime) -> bool {
-        self.last_heard_at.after_millis(self.quiet_ms).is_past(now)
+        self.last_heard_at.after_millis(self.quiet_timeout_ms).is_past(now)
     }
 
     fn is_lost(&self, now: ClockTime) -> bool {
-        self.is_quiet(now) && self.asks >= LOST_ASKS && self.answer_by.is_past(now)
+        self.is_quiet(now)
+            && self.unanswered_probes >= MAX_UNANSWERED_PROBES
+            && self.probe_expires_at.is_past(now)
     }
 }
 
-/// `PeerChange` is what a report of an instance changed.
+/// `PeerChange` is what a contact with an instance changed in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerChange {
-    /// Nothing that is news.
+    /// Nothing that is worth an event.
     Unchanged,
-    /// An instance of the own data centre was heard of for the first time since its start.
+    /// An instance of the same data centre was heard from for the first time since its start.
     Joined,
-    /// An instance stops.
+    /// An instance announced that it stops.
     Left,
-    /// Another data centre is heard of, again or for the first time.
+    /// Another data centre is heard from, again or for the first time.
     CentreReachable,
 }
 
-/// `PeerLoss` is what silence tells.
+/// `PeerLoss` is an instance or data centre that no longer responds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerLoss {
-    /// An instance of the own data centre doesn't answer.
+    /// An instance of the same data centre doesn't respond to probes.
     Peer {
-        /// Where it took messages.
+        /// Its address for messages.
         address: SocketAddrV4,
-        /// Time since somebody heard from it, in milliseconds.
+        /// Time since any instance last heard from it, in milliseconds.
         age_ms: u64,
     },
-    /// Nothing is heard of any instance of another data centre.
+    /// No instance of another data centre is heard from.
     Centre {
-        /// Its name.
+        /// Name of the data centre.
         data_centre: String,
-        /// Time since then in milliseconds.
+        /// Time since the last contact with it, in milliseconds.
         age_ms: u64,
     },
 }
 
-/// `PeerTable` is a view of the fleet: all of a small one, a random part of a large one.
+/// `PeerTable` holds the known instances: all of a small fleet, a random part of a large one.
 #[derive(Debug, Default)]
 pub struct PeerTable {
-    /// The own data centre.
-    pub(crate) near: String,
+    /// Data centre of this instance.
+    pub(crate) local_centre: String,
     pub(crate) records: HashMap<SocketAddrV4, PeerRecord>,
-    /// Incarnations of the own data centre that have been told as found.
-    found: HashMap<SocketAddrV4, u64>,
-    /// Incarnations that said they stop, so that old reports don't bring them back.
-    left: HashMap<SocketAddrV4, u64>,
-    /// When each instance of the own data centre was last heard of, those included that have
-    /// made room in a large fleet or have fallen silent.
+    /// Incarnations of the same data centre for which a start was reported.
+    joined_incarnations: HashMap<SocketAddrV4, u64>,
+    /// Incarnations that announced their stop, so that older contacts don't add them again.
+    stopped_incarnations: HashMap<SocketAddrV4, u64>,
+    /// Time of the last contact with each instance of the same data centre, including those that
+    /// were evicted from a full table or stopped responding.
     neighbours: HashMap<SocketAddrV4, ClockTime>,
-    /// Other data centres that are heard of.
+    /// Other data centres that are heard from.
     remote_centres: BTreeSet<String>,
 }
 
 impl PeerTable {
-    /// Makes a view that an instance in data centre `near` has of the others.
-    pub fn new(near: &str) -> PeerTable {
-        PeerTable { near: near.to_owned(), ..PeerTable::default() }
+    /// Creates the empty table of an instance in `data_centre`.
+    pub fn new(local_centre: &str) -> PeerTable {
+        PeerTable { local_centre: local_centre.to_owned(), ..PeerTable::default() }
     }
 
-    /// Takes a report that somebody heard from an instance at `heard_at`.
+    /// Records that an instance was heard from at `last_heard_at`.
     pub fn record_contact(
         &mut self,
-        card: &PeerDescriptor,
+        descriptor: &PeerDescriptor,
         heard_at: ClockTime,
         head: u64,
     ) -> PeerChange {
-        let Some(address) = card.address() else { return PeerChange::Unchanged };
-        if self.left.get(&address) == Some(&card.incarnation) {
+        let Some(address) = descriptor.address() else { return PeerChange::Unchanged };
+        if self.stopped_incarnations.get(&address) == Some(&descriptor.incarnation) {
             return PeerChange::Unchanged;
         }
-        if card.is_leaving {
-            remember(&mut self.left, address, card.incarnation);
-            self.found.remove(&address);
+        if descriptor.is_leaving {
+            remember_incarnation(&mut self.stopped_incarnations, address, descriptor.incarnation);
+            self.joined_incarnations.remove(&address);
             let known = self.records.remove(&address);
             return if known.is_some() { PeerChange::Left } else { PeerChange::Unchanged };
         }
         let is_newer = match self.records.get(&address) {
             Some(record) => heard_at > record.last_heard_at,
-            None => self.make_room(card, heard_at),
+            None => self.evict_for(descriptor, heard_at),
         };
         if !is_newer {
             return PeerChange::Unchanged;
         }
-        if card.data_centre == self.near {
-            self.note_neighbour(address, heard_at);
+        if descriptor.data_centre == self.local_centre {
+            self.record_neighbour(address, heard_at);
         }
-        self.records.insert(address, PeerRecord::new(&self.near, card, heard_at, head));
-        self.change_by(address, card)
+        self.records
+            .insert(address, PeerRecord::new(&self.local_centre, descriptor, heard_at, head));
+        self.record_presence(address, descriptor)
     }
 
-    /// What it means that an instance was heard of.
-    fn change_by(&mut self, address: SocketAddrV4, card: &PeerDescriptor) -> PeerChange {
-        if card.data_centre != self.near {
-            let is_news = !self.remote_centres.contains(&card.data_centre);
-            if is_news {
-                self.remote_centres.insert(card.data_centre.clone());
+    /// Records a contact in the sets of known incarnations and data centres; returns what it
+    /// changed.
+    fn record_presence(
+        &mut self,
+        address: SocketAddrV4,
+        descriptor: &PeerDescriptor,
+    ) -> PeerChange {
+        if descriptor.data_centre != self.local_centre {
+            let is_new = !self.remote_centres.contains(&descriptor.data_centre);
+            if is_new {
+                self.remote_centres.insert(descriptor.data_centre.clone());
             }
-            return if is_news { PeerChange::CentreReachable } else { PeerChange::Unchanged };
+            return if is_new { PeerChange::CentreReachable } else { PeerChange::Unchanged };
+        }
+        let known_incarnation =
+            remember_incarnation(&mut self.joined_incarnations, address, descriptor.incarnation);
+        if known_incarnation == Some(descriptor.incarnation) {
+            PeerChange::Unchanged
+        } else {
+            PeerChange::Joined
         }
-        let former = remember(&mut self.found, address, card.incarnation);
-        if former == Some(card.incarnation) { PeerChange::Unchanged } else { PeerChange::Joined }
     }
 
-    /// Forgets instances that are lost, and returns what that tells.
+    /// Removes the instances that no longer respond; returns the losses to report.
     pub fn remove_lost(&mut self, now: ClockTime) -> Vec<PeerLoss> {
-        let mut losses = self.forget_near(now);
-        losses.extend(self.forget_far(now));
+        let mut losses = self.remove_lost_same_centre(now);
+        losses.extend(self.remove_quiet_remote(now));
         losses
     }
 
-    fn forget_near(&mut self, now: ClockTime) -> Vec<PeerLoss> {
-        let (near, found, mut losses) = (&self.near, &mut self.found, Vec::new());
+    fn remove_lost_same_centre(&mut self, now: ClockTime) -> Vec<PeerLoss> {
+        let (near, found, mut losses) =
+            (&self.local_centre, &mut self.joined_incarnations, Vec::new());
         self.records.retain(|address, record| {
             let is_lost = record.descriptor.data_centre == *near && record.is_lost(now);
             if is_lost {
@@ -195,22 +220,22 @@
         losses
     }
 
-    /// Forgets far instances, but for the newest known of each data centre: once a cut is
-    /// over, it is the way back.
-    fn forget_far(&mut self, now: ClockTime) -> Vec<PeerLoss> {
+    /// Removes quiet instances of other data centres, except for the most recently heard one of
+    /// each: once a network partition is over, it is the way back.
+    fn remove_quiet_remote(&mut self, now: ClockTime) -> Vec<PeerLoss> {
         let newest: BTreeMap<String, ClockTime> = self
             .latest_remote()
             .into_values()
             .map(|record| (record.descriptor.data_centre.clone(), record.last_heard_at))
             .collect();
-        let near = &self.near;
+        let near = &self.local_centre;
         self.records.retain(|_, record| {
             let centre = &record.descriptor.data_centre;
             centre == near
                 || !record.is_quiet(now)
                 || newest.get(centre) == Some(&record.last_heard_at)
         });
-        let is_silent = |at: ClockTime| at.after_millis(FAR_QUIET_MS).is_past(now);
+        let is_silent = |at: ClockTime| at.after_millis(REMOTE_QUIET_TIMEOUT_MS).is_past(now);
         let mut losses = Vec::new();
         for (data_centre, at) in newest.into_iter().filter(|(_, at)| is_silent(*at)) {
             if self.remote_centres.remove(&data_centre) {
@@ -221,14 +246,17 @@
         losses
     }
 
-    /// The instance of each other data centre that was heard of last.
+    /// Returns the most recently heard instance of each other data centre.
     pub(crate) fn latest_remote(&self) -> BTreeMap<&str, &PeerRecord> {
         let mut newest: BTreeMap<&str, &PeerRecord> = BTreeMap::new();
-        for record in
-            self.records.values().filter(|record| record.descriptor.data_centre != self.near)
+        for record in self
+            .records
+            .values()
+            .filter(|record| record.descriptor.data_centre != self.local_centre)
         {
             let known = newest.entry(record.descriptor.data_centre.as_str()).or_insert(record);
-            // Of two heard of at the same time always the same, whatever the map's order.
+            // A tie is broken by address, so that the result doesn't depend on the order of the
+            // map.
             if (record.last_heard_at, record.descriptor.ip)
                 > (known.last_heard_at, known.descriptor.ip)
             {
@@ -238,95 +266,107 @@
         newest
     }
 
-    /// Instances of the own data centre that were heard of within the last minute, by address.
+    /// Returns the instances of the same data centre that were heard from within the last minute,
+    /// by address.
     pub fn neighbours(&mut self, now: ClockTime) -> Vec<SocketAddrV4> {
-        self.neighbours.retain(|_, at| !at.after_millis(NEIGHBOUR_MS).is_past(now));
-        let mut known: Vec<_> = self.neighbours.keys().copied().collect();
-        known.sort_unstable();
-        known
+        self.neighbours.retain(|_, heard_at| !heard_at.after_millis(NEIGHBOUR_TTL_MS).is_past(now));
+        let mut addresses: Vec<_> = self.neighbours.keys().copied().collect();
+        addresses.sort_unstable();
+        addresses
     }
 
-    fn note_neighbour(&mut self, address: SocketAddrV4, heard_at: ClockTime) {
-        if self.neighbours.len() >= MOST_REMEMBERED && !self.neighbours.contains_key(&address) {
+    fn record_neighbour(&mut self, address: SocketAddrV4, heard_at: ClockTime) {
+        if self.neighbours.len() >= MAX_REMEMBERED_INSTANCES
+            && !self.neighbours.contains_key(&address)
+        {
             return;
         }
         let known = self.neighbours.entry(address).or_insert(heard_at);
         *known = heard_at.max(*known);
     }
 
-    /// Number of known instances.
+    /// Returns the number of known instances.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Number of instances of the own data centre that were heard of lately.
+    /// Returns the number of known instances of the same data centre that aren't quiet.
     pub fn count_same_centre(&self, now: ClockTime) -> usize {
         self.responsive_same_centre(now).count()
     }
 
-    /// Number of other instances of the own data centre: those known and not lost, or those heard
-    /// of within a minute where the view holds only a part.
+    /// Returns the number of other instances of the same data centre: those known and not lost, or,
+    /// if the table holds only a part of them, those heard from within the last minute.
     pub fn same_centre_size(&self, now: ClockTime) -> usize {
-        let near =
-            self.records.values().filter(|record| record.descriptor.data_centre == self.near);
-        let known = near.count();
-        if known < MOST_NEAR {
-            return known;
+        let peers = self
+            .records
+            .values()
+            .filter(|record| record.descriptor.data_centre == self.local_centre);
+        let count = peers.count();
+        if count < MAX_SAME_CENTRE_PEERS {
+            return count;
         }
-        let is_recent = |at: &&ClockTime| !at.after_millis(NEIGHBOUR_MS).is_past(now);
+        let is_recent = |at: &&ClockTime| !at.after_millis(NEIGHBOUR_TTL_MS).is_past(now);
         self.neighbours.values().filter(is_recent).count()
     }
 
-    /// Other data centres that are heard of.
+    /// Returns the other data centres that are heard from.
     pub fn remote_centres(&self) -> impl Iterator<Item = &str> {
         self.remote_centres.iter().map(String::as_str)
     }
 
-    /// True when another data centre is heard of.
+    /// Returns true if another data centre is heard from.
     pub fn has_centre(&self, data_centre: &str) -> bool {
         self.remote_centres.contains(data_centre)
     }
 
-    /// True when this start of an instance, of which the low half is given, said that it stops.
+    /// Returns true if the incarnation of an instance, of which the low half is given, announced
+    /// that it stops.
     pub fn has_left(&self, address: &SocketAddrV4, incarnation: u32) -> bool {
-        self.left.get(address).is_some_and(|left| *left as u32 == incarnation)
+        self.stopped_incarnations.get(address).is_some_and(|stopped| *stopped as u32 == incarnation)
     }
 
-    /// True when an instance is known to be of another data centre.
+    /// Returns true if an instance is known to be in another data centre.
     pub fn is_remote(&self, address: &SocketAddrV4) -> bool {
-        self.records.get(address).is_some_and(|record| record.descriptor.data_centre != self.near)
+        self.records
+            .get(address)
+            .is_some_and(|record| record.descriptor.data_centre != self.local_centre)
     }
 
-    /// Number of all other instances, as far as can be told from a part of them: data centres
-    /// are taken to be of one size.
-    pub fn fleet_size(&self) -> usize {
-        let far = self.latest_remote().len();
-        let is_near = |record: &&PeerRecord| record.descriptor.data_centre == self.near;
-        let near = self.records.values().filter(is_near).count();
-        self.len().max(near + far * (near + 1))
+    /// Returns the estimated number of all other instances. Data centres are assumed to be of equal
+    /// size.
+    pub fn estimated_fleet_size(&self) -> usize {
+        let remote_centres = self.latest_remote().len();
+        let is_same_centre =
+            |record: &&PeerRecord| record.descriptor.data_centre == self.local_centre;
+        let same_centre_peers = self.records.values().filter(is_same_centre).count();
+        self.len().max(same_centre_peers + remote_centres * (same_centre_peers + 1))
     }
 
-    /// True when an instance is known to be of the own data centre.
+    /// Returns true if an instance is known to be in the same data centre.
     pub fn is_same_centre(&self, address: &SocketAddrV4) -> bool {
-        self.records.get(address).is_some_and(|record| record.descriptor.data_centre == self.near)
+        self.records
+            .get(address)
+            .is_some_and(|record| record.descriptor.data_centre == self.local_centre)
     }
 
-    /// True unless an instance was last heard of with a list no newer than `head`.
+    /// Returns true unless an instance was last heard from with a list no newer than `head`.
     pub fn may_have_newer_list(&self, address: &SocketAddrV4, head: u64) -> bool {
         self.records.get(address).is_none_or(|record| record.head > head)
     }
 
-    /// Every known instance.
+    /// Returns the addresses of all known instances.
     pub fn addresses(&self) -> Vec<SocketAddrV4> {
-        let mut all: Vec<_> = self.records.keys().copied().collect();
-        all.sort_unstable();
-        all
+        let mut addresses: Vec<_> = self.records.keys().copied().collect();
+        addresses.sort_unstable();
+        addresses
     }
 
-    /// Instances heard of lately.
-    pub fn live(&self, now: ClockTime) -> impl Iterator<Item = &PeerDescriptor> {
-        let is_live =
-            move |record: &&PeerRecord| !record.last_heard_at.after_millis(STALE_MS).is_past(now);
+    /// Returns the instances that were heard from within [`LIVE_WINDOW_MS`].
+    pub fn live_peers(&self, now: ClockTime) -> impl Iterator<Item = &PeerDescriptor> {
+        let is_live = move |record: &&PeerRecord| {
+            !record.last_heard_at.after_millis(LIVE_WINDOW_MS).is_past(now)
+        };
         self.records.values().filter(is_live).map(|record| &record.descriptor)
     }
 
@@ -334,21 +374,28 @@
         &self,
         now: ClockTime,
     ) -> impl Iterator<Item = &PeerRecord> {
-        let near =
-            self.records.values().filter(|record| record.descriptor.data_centre == self.near);
-        near.filter(move |record| !record.is_quiet(now))
+        let peers = self
+            .records
+            .values()
+            .filter(|record| record.descriptor.data_centre == self.local_centre);
+        peers.filter(move |record| !record.is_quiet(now))
     }
 
-    fn make_room(&mut self, card: &PeerDescriptor, heard_at: ClockTime) -> bool {
-        let centre = card.data_centre.as_str();
-        let limit = if centre == self.near { MOST_NEAR } else { MOST_FAR };
-        let same =
+    fn evict_for(&mut self, descriptor: &PeerDescriptor, heard_at: ClockTime) -> bool {
+        let centre = descriptor.data_centre.as_str();
+        let limit = if centre == self.local_centre {
+            MAX_SAME_CENTRE_PEERS
+        } else {
+            MAX_REMOTE_PEERS_PER_CENTRE
+        };
+        let same_centre_records =
             self.records.iter().filter(|(_, record)| record.descriptor.data_centre == centre);
-        if same.clone().count() < limit {
+        if same_centre_records.clone().count() < limit {
             return true;
         }
-        // The instance heard of longest ago makes room, so that views keep mixing.
-        let oldest = same.min_by_key(|(address, record)| (record.last_heard_at, **address));
+        // Evicting the instance that was heard from longest ago keeps tables changing.
+        let oldest =
+            same_centre_records.min_by_key(|(address, record)| (record.last_heard_at, **address));
         let Some((address, record)) = oldest else { return true };
         if record.last_heard_at >= heard_at {
             return false;
@@ -359,14 +406,14 @@
     }
 }
 
-/// Remembers an incarnation, and returns the one that was remembered of that address.
-fn remember(
-    memory: &mut HashMap<SocketAddrV4, u64>,
+/// Remembers an incarnation; returns the one that was remembered for that address.
+fn remember_incarnation(
+    incarnations: &mut HashMap<SocketAddrV4, u64>,
     address: SocketAddrV4,
     incarnation: u64,
 ) -> Option<u64> {
-    if memory.len() >= MOST_REMEMBERED && !memory.contains_key(&address) {
-        memory.clear();
+    if incarnations.len() >= MAX_REMEMBERED_INSTANCES && !incarnations.contains_key(&address) {
+        incarnations.clear();
     }
-    memory.insert(address, incarnation)
+    incarnations.insert(address, incarnation)
 }
--- a/crates/foxledge-gossip/src/refused_items.rs
+++ b/crates/foxledge-gossip/src/refused_items.rs
@@ -1,4 +1,4 @@
-//! Items of the store that can't be understood, as far as this instance reads it.
+//! Items of the store that couldn't be parsed, as far as this instance has read the store.
 
 use std::collections::BTreeMap;
 
@@ -9,71 +9,71 @@
 };
 use serde::Serialize;
 
-/// Most of them that are kept for operators: a writer that spoils more of them shows in
-/// these as well.
-const MOST_REFUSED: usize = 50;
+/// Maximum number of refused items that are kept for operators. A writer that corrupts more than
+/// these is visible from them as well.
+const MAX_REFUSED_ITEMS: usize = 50;
 
-/// `RefusedItem` is an item that can't be understood.
+/// `RefusedItem` is an item of the store that couldn't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RefusedItem {
-    /// Where it lies.
+    /// Key of the item.
     pub key: String,
-    /// Its revision.
+    /// Revision of the item.
     #[serde(serialize_with = "serialize_number")]
     pub revision: u64,
-    /// What is wrong with it.
+    /// What is wrong with the item.
     pub fault: String,
 }
 
-/// `RefusedTable` is those that lie in the store, as far as is known here.
+/// `RefusedTable` holds the refused items that are in the store, as far as is known here.
 #[derive(Debug, Default)]
 pub(crate) struct RefusedTable {
     items: BTreeMap<String, RefusedItem>,
 }
 
 impl RefusedTable {
-    /// Those that lie in the store, by key.
+    /// Returns the refused items, by key.
     pub(crate) fn items(&self) -> impl Iterator<Item = &RefusedItem> {
         self.items.values()
     }
 
-    /// Takes changes, or everything when `reading` is whole; returns what is new.
+    /// Records the refused items of a reading; returns those that weren't known before.
     ///
-    /// An item that lies there for long is told once, not with each reading.
+    /// An item that stays in the store is returned once, not with each reading.
     pub(crate) fn record_reading(
         &mut self,
         reading: &ListReading,
         scope: ReadingScope,
     ) -> Vec<RefusedItem> {
         let known = match scope {
-            ReadingScope::Everything => std::mem::take(&mut self.items),
+            ReadingScope::Complete => std::mem::take(&mut self.items),
             ReadingScope::Changes => BTreeMap::new(),
         };
-        let mut news = Vec::new();
+        let mut new_items = Vec::new();
         for item in &reading.items {
             let faults = refused_items(item);
             if !matches!(item, ItemChange::Malformed { .. } | ItemChange::BackendInvalid { .. }) {
-                self.end(item);
+                self.remove_replaced(item);
             }
             for refused in faults {
-                let before = known.get(&refused.key).or(self.items.get(&refused.key));
-                if before.is_none_or(|before| before.revision != refused.revision) {
-                    news.push(refused.clone());
+                let former = known.get(&refused.key).or(self.items.get(&refused.key));
+                if former.is_none_or(|former| former.revision != refused.revision) {
+                    new_items.push(refused.clone());
                 }
-                self.add(refused);
+                self.insert(refused);
             }
         }
-        news
+        new_items
     }
 
-    fn add(&mut self, item: RefusedItem) {
-        if self.items.len() < MOST_REFUSED || self.items.contains_key(&item.key) {
+    fn insert(&mut self, item: RefusedItem) {
+        if self.items.len() < MAX_REFUSED_ITEMS || self.items.contains_key(&item.key) {
             self.items.insert(item.key.clone(), item);
         }
     }
 
-    /// Forgets the item that lay where a good one does now, or none.
-    fn end(&mut self, item: &ItemChange) {
+    /// Removes the refused items that a valid item, or a removal, has replaced.
+    fn remove_replaced(&mut self, item: &ItemChange) {
         if let ItemChange::Backend { id, .. } | ItemChange::BackendRemoved { id, .. } = item {
             self.items.remove(&backend_key(id));
         }
@@ -83,12 +83,12 @@
     }
 }
 
-/// `ReadingScope` is what an answer of the store holds.
+/// `ReadingScope` is what a response of the store covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReadingScope {
-    /// Everything.
-    Everything,
-    /// What changed.
+    /// The whole list.
+    Complete,
+    /// Changes only.
     Changes,
 }
 
