--- a/crates/foxledge-gossip/tests/dropped_history.rs
+++ b/crates/foxledge-gossip/tests/compacted_history.rs
@@ -1,14 +1,15 @@
-//! What it costs when the store forgets its history.
+//! Cost of a compaction of the store's history.
 
 mod common;
 
 use common::{StoreState, VirtualFleet};
 use foxledge_flows::rows::RowValue;
 
-/// Time in which all must know what the store holds, in milliseconds.
+/// Time within which all instances must know what the store holds, in milliseconds.
 const BOUND_MS: u64 = 1_500;
 
-/// 300 instances in six data centres before 3,000 backend servers, some time after their start.
+/// Creates 300 instances in six data centres with 3,000 backend servers, some time after their
+/// start.
 fn large_fleet() -> VirtualFleet {
     let mut fleet = VirtualFleet::new(&[50; 6], 1);
     fleet.store.is_history_disabled = true;
@@ -23,7 +24,7 @@
     fleet
 }
 
-/// Drops the history after changes that watches weren't told of.
+/// Compacts the history after changes that watches didn't return.
 fn drop_history(fleet: &mut VirtualFleet, first: u64) {
     for number in first..first + 10 {
         fleet.store.register(number, false);
@@ -35,7 +36,7 @@
     fleet.answer_watches();
 }
 
-// Guards against a fleet that copies the whole list, or reads it, when the history is lost.
+// Instances must not each transfer or read the whole list when the history is lost.
 #[test]
 fn lost_history_is_cheap() {
     let mut fleet = large_fleet();
@@ -57,12 +58,12 @@
     println!("{calls} calls, {pages} bytes of pages");
     // Two readers that read seven pages each time, and their watches.
     assert!(calls <= 3 * (2 * 7 + 20), "{calls} calls");
-    // A whole copy is some 93 KB.
+    // A snapshot is some 93 KB.
     assert!(pages <= 3 * 300 * 3_000, "{pages} bytes of pages");
 }
 
-// Guards against a backend server kept for ever that one instance read between two pages of a
-// whole reading, and that was gone before another read the list whole.
+// One instance reads a backend server between two pages of a whole reading; the server is gone
+// before another instance reads the whole list. The first instance must not keep it for ever.
 #[test]
 fn uneven_list_takes_copy() {
     let mut fleet = common::settled_fleet(&[1, 1], 1);
--- a/crates/foxledge-gossip/tests/far_bytes.rs
+++ b/crates/foxledge-gossip/tests/cross_centre_traffic.rs
@@ -1,25 +1,26 @@
-//! What goes from one data centre to another, by what happens.
+//! Traffic between data centres.
 
 mod common;
 
 use common::{VirtualFleet, settled_fleet};
 
-/// Bytes of a whole copy for each backend server, as it travels.
+/// Size of a snapshot for each backend server, as it is sent, in bytes.
 const ROW_BYTES: u64 = 31;
 
-/// 300 instances in six data centres before 3,000 backend servers.
+/// Creates 300 instances in six data centres with 3,000 backend servers.
 fn large_fleet() -> VirtualFleet {
     let mut fleet = VirtualFleet::new(&[50; 6], 1);
     for number in 1..=3_000 {
         fleet.store.register(number, false);
     }
     fleet.store.publish(1, 20);
-    // A message is 25 us of work at a twentieth of a core, an item 250 bytes at 1 Gbit/s.
+    // A message takes 25 us of work on a twentieth of a core, an item of 250 bytes takes 2 us at 1
+    // Gbit/s.
     (fleet.message_cost_us, fleet.store_item_ns) = (450, 2_000);
     fleet
 }
 
-/// Bytes of one kind that have gone to other data centres while something is played.
+/// Returns the bytes of one kind of message that are sent to other data centres while `play` runs.
 fn far_bytes(fleet: &mut VirtualFleet, kind: &str, play: impl FnOnce(&mut VirtualFleet)) -> u64 {
     fleet.remote_bytes_by_kind.clear();
     play(fleet);
@@ -27,9 +28,9 @@
     fleet.remote_bytes_by_kind.get(kind).copied().unwrap_or(0)
 }
 
-// Symptom: ways between data centres carry 8 MB when a fleet starts, and 5 MB in ten seconds
-//   of a rolling restart.
-// Cause: an instance asks for its whole copy whoever told it first, mostly a seed elsewhere.
+// When every instance requests its snapshot from whichever peer it hears first, mostly a remote
+// seed, the links between data centres carry 8 MB while the fleet starts, and 5 MB in ten seconds
+// of a rolling restart.
 #[test]
 fn copies_stay_near() {
     let mut fleet = large_fleet();
@@ -53,9 +54,8 @@
     assert!(restarted <= copies(100) / 10, "{restarted} bytes of pages, a third restarted");
 }
 
-// Symptom: a quiet fleet of 300 sends 56 KB a second between its data centres, and each change
-//   of the list goes there ninety times.
-// Cause: each data centre tells all others what it has heard from one of them.
+// When each data centre sends all others what it received from one of them, an idle fleet of 300
+// sends 56 KB/s between its data centres, and each change of the list crosses ninety times.
 #[test]
 fn news_cross_few_times() {
     for counts in [&[17; 6][..], &[50; 6], &[73; 6]] {
@@ -71,15 +71,15 @@
                 fleet.run(100);
             }
         });
-        // A message of a row, and what it says besides, is some 200 bytes: to five others by
-        // the reader's data centre three times, and by each other one once.
+        // A message with one row is some 200 bytes: sent three times to five others by the reader's
+        // data centre, and once by each other one.
         let times = changes / 100 / 200;
         assert!(times <= 2 * (5 * 3 + 5 * 5), "{counts:?}: a change crosses {times} times");
     }
 }
 
-// Symptom: on-call engineers read of hundreds of lost instances that live.
-// Cause: a view is a part of the fleet, and who is in it changes all the time.
+// The peer table of an instance holds a changing part of the fleet. Operators must not be shown
+// hundreds of losses of live instances because of that.
 #[test]
 fn quiet_views_tell_nothing() {
     for counts in [&[2, 2, 2, 1][..], &[17; 6], &[50; 6], &[73; 6]] {
@@ -90,13 +90,14 @@
         let changed = ["peer_found", "peer_lost", "peer_left", "centre_found", "centre_lost"];
         let events = fleet.instances.iter().flat_map(|seat| &seat.events);
         let told: Vec<_> = events.filter(|(_, event)| changed.contains(&event.kind())).collect();
-        // In views of 64 out of 73, an instance may be met for the first time late.
+        // In tables of 64 out of 73, an instance may be heard from for the first time late.
         let first_met = if counts[0] > 64 { fleet.instances.len() * 4 } else { 0 };
         assert!(told.len() <= first_met, "{counts:?}: in 20 s {told:?}");
     }
 }
 
-// A death is told, after questions that nobody answered, and so is a data centre cut off.
+// A dead instance is reported after its probes stay unanswered, and so is an unreachable data
+// centre.
 #[test]
 fn real_losses_told() {
     let mut fleet = settled_fleet(&[10, 10, 10], 1);
--- a/crates/foxledge-gossip/tests/damaged_messages.rs
+++ b/crates/foxledge-gossip/tests/damaged_messages.rs
@@ -1,4 +1,4 @@
-//! Messages that no instance sends: any bytes, and real ones with some bytes changed.
+//! Messages that no instance sends: random bytes, and real messages with some bytes changed.
 
 mod common;
 
@@ -8,12 +8,12 @@
 use foxledge_gossip::{FleetEffect, MAX_MESSAGE_BYTES};
 use proptest::prelude::*;
 
-/// Most messages with which one is answered: a flood mustn't become a larger one.
+/// Maximum number of messages in response to one, so that a flood isn't amplified.
 const MOST_ANSWERS: usize = 12;
 
 const SENDER: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 9, 9, 9), 9_999);
 
-/// A fleet whose newest datagrams hold heartbeats, questions and pages.
+/// Creates a fleet whose recent datagrams include heartbeats, requests and pages.
 fn busy_fleet() -> VirtualFleet {
     let mut fleet = settled_fleet(&[3, 2], 1);
     fleet.store.publish(2, 60);
@@ -25,7 +25,7 @@
     fleet
 }
 
-/// Gives a datagram to a member and checks what it makes of it; true when it is taken.
+/// Passes a datagram to a member and checks its effects; returns true if it was accepted.
 fn feed(fleet: &mut VirtualFleet, bytes: &[u8]) -> Result<bool, TestCaseError> {
     let now = fleet.now();
     let member = fleet.instances[0].member.as_mut().expect("lives");
@@ -59,10 +59,8 @@
         }
     }
 
-    // Symptom: all instances obey an old list for good, until all are started anew.
-    // Sequence: one datagram is damaged on its way, so that it tells of a revision that
-    //   was never published; who takes it passes it on, and newer rows look old.
-    // Cause: nothing shows that a message isn't as it was sent.
+    // One datagram that is corrupted on its way could name a revision that was never published.
+    // Passed on, it would make all instances ignore newer rows until all are restarted.
     #[test]
     fn changed_bytes(
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<prop::sample::Index>(), any::<u8>()), 400)
--- a/crates/foxledge-gossip/tests/newest_list.rs
+++ b/crates/foxledge-gossip/tests/newest_list.rs
@@ -1,11 +1,11 @@
-//! The newest list everywhere within seconds, whatever fails.
+//! The newest list reaches all instances within seconds, whatever fails.
 
 mod common;
 
 use common::{StoreState, VirtualFleet, settle, settled_fleet};
 use foxledge_gossip::MAX_MESSAGE_BYTES;
 
-/// A new list must be in force within this time of its acknowledgement, in milliseconds.
+/// Time within which a new list must be in force after its acknowledgement, in milliseconds.
 const BOUND_MS: u64 = 3_000;
 
 const SIZES: [&[usize]; 3] = [&[2, 2, 2, 1], &[21, 24, 19, 23], &[75, 75, 75, 75]];
@@ -28,9 +28,8 @@
     }
 }
 
-// Symptom: instances obey the former list for as long as a reader is dead.
-// Sequence: both readers are killed, and a list is published at that moment.
-// Cause: nobody else reads before the readers' silence is noticed.
+// Both readers are killed at the moment a list is published. Another instance must take over before
+// the deadline.
 #[test]
 fn readers_killed() {
     for counts in SIZES {
@@ -49,9 +48,8 @@
     }
 }
 
-// Symptom: one data centre obeys the former list during a cut between data centres.
-// Sequence: the data centres lose each other, each keeps its way to the store.
-// Cause: the readers are in other data centres.
+// The data centres lose each other, but each can reach the store. A data centre without a reader
+// must get its own.
 #[test]
 fn centres_cut() {
     for seed in 0..5 {
@@ -69,7 +67,7 @@
     }
 }
 
-// Symptom: an instance without peers obeys an old list although the store would answer it.
+// An instance without peers must not keep an old list that the store would update.
 #[test]
 fn lone_instance_reads() {
     for seed in 0..5 {
@@ -81,10 +79,8 @@
     }
 }
 
-// Symptom: instances that the store turns away obey an old list, or readers that it
-//   turns away keep others from reading.
-// Sequence: the store refuses a third of the instances, the readers among them, or
-//   leaves them without an answer.
+// The store refuses a third of the instances, including the readers, or leaves them without a
+// response. They must not keep an old list, nor keep others from reading.
 #[test]
 fn some_turned_away() {
     for state in [StoreState::Refusing, StoreState::Unresponsive] {
@@ -106,9 +102,8 @@
     }
 }
 
-// Symptom: a backend server that left gets new flows for ever.
-// Sequence: it leaves while the store forgets its history.
-// Cause: its removal is in no answer, and nobody reads the whole list again.
+// A backend server leaves while the store compacts its history, so that no watch returns the
+// removal. It must not get new flows for ever.
 #[test]
 fn history_dropped() {
     let mut fleet = settled_fleet(&[2, 2], 1);
@@ -157,7 +152,7 @@
     assert!(fleet.max_datagram_bytes <= MAX_MESSAGE_BYTES, "{} bytes", fleet.max_datagram_bytes);
 }
 
-// Symptom: an instance that wakes from a long pause brings its old list back.
+// An instance that resumes after a long pause must not bring its old list back.
 #[test]
 fn woken_never_back() {
     let mut fleet = settled_fleet(&[2, 2], 1);
@@ -170,11 +165,8 @@
     assert!(fleet.members().all(|member| member.list().version() == 2));
 }
 
-// Symptom: an instance serves a route that was removed long ago, and says that it
-//   knows the newest list.
-// Sequence: it stands still while the route is removed; instances around it start
-//   anew; it wakes and asks them for what changed.
-// Cause: who has read a whole list knows what is there, not what went before.
+// A paused instance misses the removal of a route; its peers restart in the meantime, and so don't
+// know the removal. It must not keep the route while it reports the newest list.
 #[test]
 fn removal_before_start() {
     for seed in 0..10 {
@@ -200,11 +192,9 @@
     }
 }
 
-// Symptom: an instance obeys a list 13 s old while all around it have the newest.
-// Sequence: large lists come three a second; the instance doesn't get the changes
-//   from its peers, as they don't answer its questions.
-// Cause: with many better ranked instances alive it waits for their turn to read
-//   first, though they can't help it.
+// Large lists come three a second, and an instance whose requests are lost gets no changes from its
+// peers. It must not wait for the better ranked instances to read first, since they can't help it;
+// it had a list 13 s old.
 #[test]
 fn behind_reads_itself() {
     for seed in 0..5 {
@@ -212,7 +202,7 @@
         // Its narrow link makes it the last in rank.
         fleet.instances[39].link_mbps = 1;
         let mut fleet = settle(fleet);
-        // What it sends is lost, so nobody answers it; what others tell arrives.
+        // All that it sends is lost, so no peer responds; what others send arrives.
         for other in 0..40 {
             fleet.cut_links.insert((39, other));
         }
--- a/crates/foxledge-gossip/tests/packed_rows.rs
+++ b/crates/foxledge-gossip/tests/packed_rows.rs
@@ -1,4 +1,4 @@
-//! Rows packed for their way.
+//! Packing of rows for messages.
 
 use foxledge_flows::rows::{
     BackendRow, ExtensionRow, LimitsRow, ListRow, RemovedRow, RouteRow, RowValue,
@@ -37,13 +37,13 @@
         .prop_map(|(version, idle_ms)| RowValue::Limits(LimitsRow { version, idle_ms }));
     let removed = (prop::option::of(any_backend()), any::<u32>())
         .prop_map(|(backend, age_ms)| RowValue::Removed(RemovedRow { backend, age_ms }));
-    // Of kinds that this build knows, and of others.
+    // Kinds that this build knows, and others.
     let extension = (0..9_u32, prop::collection::vec(any::<u8>(), 0..20))
         .prop_map(|(kind, body)| RowValue::Extension(ExtensionRow { kind, body }));
     prop_oneof![extension, route, limits, any_backend().prop_map(RowValue::Backend), removed]
 }
 
-/// Keys as the product makes them, and any others.
+/// Generates rows with usual keys, and with any others.
 fn any_row() -> impl Strategy<Value = ListRow> {
     (any_value(), "[a-z/0-9-]{0,6}", any::<bool>(), any::<u64>()).prop_map(
         |(value, word, is_usual, revision)| {
@@ -69,8 +69,8 @@
         prop_assert_eq!(PackedRows::pack(&rows).unpack(), rows);
     }
 
-    // Symptom: a page is longer than a datagram may be.
-    // Cause: names are told once, and the row that first needs them pays for them.
+    // A page must not exceed the maximum message size: a name is sent once, and counts towards the
+    // first row that uses it.
     #[test]
     fn sizes_add_up(rows in prop::collection::vec(any_row(), 1..40), count in 0..40_usize) {
         let mut packer = RowPacker::default();
@@ -79,7 +79,7 @@
         let told: usize = sizes[..count].iter().sum();
         let packed = packer.finish(count);
         prop_assert_eq!(packed.clone().unpack(), &rows[..count]);
-        // Names of the rows that were left out may be there.
+        // Names of rows that were left out may remain.
         let names: usize = packed.names.iter().map(|name| name.len() + 2).sum();
         prop_assert!(packed.encoded_len() <= told + names);
     }
--- a/crates/foxledge-gossip/tests/packet_relays.rs
+++ b/crates/foxledge-gossip/tests/packet_relays.rs
@@ -1,14 +1,15 @@
-//! Callers' packets that an instance hands to another.
+//! Relaying of callers' packets to other instances.
 
 mod common;
 
 use common::settled_fleet;
 use foxledge_gossip::MAX_MESSAGE_BYTES;
 
-/// The largest packet of a caller, in bytes.
+/// Maximum size of a caller's packet, in bytes.
 const LARGEST_PACKET: usize = 1_232;
 
-// Any of those that have the list may get it, and it arrives as it was.
+// Any instance of the same data centre that has the list may receive a packet, and it arrives
+// unchanged.
 #[test]
 fn handed_on_whole() {
     let mut fleet = settled_fleet(&[3, 3], 1);
--- a/crates/foxledge-gossip/tests/random_lists.rs
+++ b/crates/foxledge-gossip/tests/random_lists.rs
@@ -1,4 +1,5 @@
-//! Random faults and changes: what a member knows is what the store held at that revision.
+//! Random faults and changes: the list that a member knows is the one that the store held at that
+//! revision.
 
 mod common;
 
@@ -16,17 +17,18 @@
 
 const COUNTS: [usize; 2] = [3, 2];
 const MEMBERS: usize = 5;
-/// Data centres that are evacuated and taken back; nobody is in the last.
+/// Data centres that are evacuated and brought back; the last has no instances.
 const CENTRES: [&str; 3] = ["centre-0", "centre-1", "nowhere"];
-/// Routes that come and go; every two of them share an address.
+/// Number of routes that come and go; every two of them share an address.
 const ROUTES: u32 = 8;
-/// Backend servers that come and go, by number.
+/// Number of backend servers that come and go; they have the numbers from 1.
 const BACKENDS: u64 = 6;
-/// Backend servers that stay: with them a copy takes more pages than answer one question.
+/// Numbers of backend servers that stay. With them a snapshot takes more pages than respond to one
+/// request.
 const LASTING: std::ops::Range<u64> = 100..250;
-/// Work for each message, in microseconds: a copy takes some 50 ms, and lists change meanwhile.
+/// Work for each message, in microseconds: a snapshot takes some 50 ms, and lists change meanwhile.
 const MESSAGE_US: u64 = 2_000;
-/// Time between two looks at what members know, in milliseconds.
+/// Interval between checks of what the members know, in milliseconds.
 const LOOK_MS: u64 = 20;
 /// Time after the last fault within which all members have the newest list, in milliseconds.
 const HEALED_MS: u64 = 8_000;
@@ -87,11 +89,11 @@
 struct Run {
     fleet: VirtualFleet,
     version: u64,
-    /// The revision that each process of a member knew at the last look.
+    /// Revision that each process of a member knew at the last check.
     heads: [u64; MEMBERS],
-    /// Changes of its list up to then.
+    /// Number of changes of its list up to then.
     changes: [u64; MEMBERS],
-    /// The version that each process of a member had in force.
+    /// Version that each process of a member had in force.
     versions: [u64; MEMBERS],
 }
 
@@ -212,7 +214,7 @@
             assert!(head >= self.heads[index], "member {index} went back to {head}");
             let is_known = (self.heads[index], self.changes[index]) == (head, seat.row_changes);
             (self.heads[index], self.changes[index]) = (head, seat.row_changes);
-            // Of an uneven list nothing is promised but what comes after it.
+            // A list with rows past its head only guarantees the changes that come after it.
             if head == 0 || is_known || member.list().has_rows_past_head() {
                 continue;
             }
@@ -226,7 +228,7 @@
         }
     }
 
-    /// Ends all faults; everybody must come to know the newest list.
+    /// Ends all faults, and checks that all members come to know the newest list.
     fn finish(&mut self) {
         self.heal();
         for member in 0..MEMBERS {
@@ -255,7 +257,7 @@
     }
 }
 
-/// What the store holds, by the keys of a list's rows.
+/// Returns what the store holds, by the keys of a list's rows.
 fn published(items: &[ItemChange]) -> BTreeMap<String, RowValue> {
     let mut rows = BTreeMap::new();
     for item in items {
@@ -292,13 +294,13 @@
     rows
 }
 
-/// The rows of the operators' list alone.
+/// Returns the rows of the operators' list alone.
 fn of_config(rows: &BTreeMap<String, RowValue>) -> BTreeMap<String, RowValue> {
     let rows = rows.iter().filter(|(key, _)| is_config_key(key));
     rows.map(|(key, value)| (key.clone(), value.clone())).collect()
 }
 
-/// The key of a backend server's entry that another writer spoiled.
+/// Returns the key of a backend server's entry that another writer has corrupted.
 fn spoiled_key(item: &ItemChange) -> Option<String> {
     match item {
         ItemChange::BackendInvalid { id, .. } => Some(backend_key(id)),
@@ -306,7 +308,7 @@
     }
 }
 
-/// True when a list would let a backend server get new flows.
+/// Returns true if a list allows new flows to a backend server.
 fn grace_of(list: &FleetList, key: &str) -> bool {
     let row = list.rows().find(|row| row.key == key).and_then(|row| row.value.as_ref());
     match row {
@@ -318,7 +320,7 @@
     }
 }
 
-/// What a list says, without what is gone.
+/// Returns the rows of a list, without removed ones.
 fn known(list: &FleetList) -> BTreeMap<String, RowValue> {
     let rows = list.rows().filter_map(|row| Some((row.key.clone(), row.value.clone()?)));
     rows.filter(|(_, value)| !matches!(value, RowValue::Removed(_))).collect()
@@ -337,10 +339,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    // Symptom: an instance says that it knows the list of a revision and holds another.
-    // Sequence: any; changes, starts, cuts, losses, a store that fails, forgets or comes back
-    //   from an older copy.
-    // Cause: rows of several ways (answers of the store, news, copies) are put together.
+    // A list is put together from responses of the store, heartbeats and snapshots. Whatever
+    // changes, restarts, network partitions, losses, and failures, compactions or restores of the
+    // store come in between, a member must hold exactly what the store held at the revision it
+    // reports.
     #[test]
     fn known_is_published(steps in prop::collection::vec(any_step(), 1..60)) {
         let mut run = Run::new();
@@ -351,8 +353,8 @@
     }
 }
 
-// Guards against a copy of which one part comes from before its giver's start and one from
-// after: rows that lie before the cursor in the new process would count as gone.
+// The source of a snapshot restarts during the transfer. Rows that lie before the cursor in the new
+// process would count as removed.
 #[test]
 fn giver_starts_during_copy() {
     let steps = [
--- a/crates/foxledge-gossip/tests/restored_store.rs
+++ b/crates/foxledge-gossip/tests/restored_store.rs
@@ -1,4 +1,4 @@
-//! A store that comes back from an older copy of itself.
+//! A store that is restored from a backup.
 
 mod common;
 
@@ -8,12 +8,12 @@
 use foxledge_flows::rows::{LIMITS_KEY, RowValue, backend_key};
 use foxledge_gossip::FleetMember;
 
-/// Time in which a change must be in force, in milliseconds.
+/// Time within which a change must be in force, in milliseconds.
 const IN_FORCE_MS: u64 = 3_000;
-/// Time that the store is away, in milliseconds.
+/// Duration of the store's outage, in milliseconds.
 const AWAY_MS: u64 = 2_600;
 
-/// A fleet whose store has lost the newest three versions and is back.
+/// Creates a fleet whose store has lost the newest three versions and serves again.
 fn restored_fleet(counts: &[usize], seed: u64) -> VirtualFleet {
     let mut fleet = settled_fleet(counts, seed);
     for version in 2..=4 {
@@ -34,14 +34,14 @@
     member.list().version() == version
 }
 
-/// What a list says, by key; what is gone isn't in it.
+/// Returns the rows of a list by key, without removed ones.
 fn known(member: &FleetMember) -> BTreeMap<String, RowValue> {
     let rows = member.list().rows();
     let rows = rows.filter_map(|row| Some((row.key.clone(), row.value.clone()?)));
     rows.filter(|(_, value)| !matches!(value, RowValue::Removed(_))).collect()
 }
 
-// Guards against a new version that nobody takes, as its revision was given out before.
+// A new version must be applied although its revision was given out before the restore.
 #[test]
 fn reused_revision_in_force() {
     for (counts, seed) in [(vec![7], 1), (vec![3, 2, 2], 2), (vec![30, 30], 3)] {
@@ -55,7 +55,8 @@
     }
 }
 
-// Guards against new flows to a backend server whose leave has a revision given out before.
+// The drain of a backend server must be applied although its revision was given out before the
+// restore; otherwise the server gets new flows.
 #[test]
 fn reused_revision_leave() {
     let mut fleet = restored_fleet(&[3, 2, 2], 4);
@@ -69,7 +70,7 @@
     assert!(took.is_some(), "some don't know of the leave after {IN_FORCE_MS} ms");
 }
 
-// Guards against instances that hold different lists under one revision.
+// Instances must not hold different lists under one revision.
 #[test]
 fn one_list_after_restore() {
     let mut fleet = restored_fleet(&[3, 2, 2], 5);
@@ -90,7 +91,7 @@
     }
 }
 
-// Guards against a large fleet that hears late of a restored list, as each instance takes a copy.
+// In a large fleet each instance needs a snapshot of a restored list; it must arrive in time.
 #[test]
 fn large_fleet_follows() {
     let mut fleet = VirtualFleet::new(&[50, 50, 50], 6);
@@ -98,7 +99,7 @@
         fleet.store.register(number, false);
     }
     let mut fleet = settle(fleet);
-    // A slow instance's work for a message, and the store's link.
+    // Work of a slow instance for a message, and time of the store's link for an item.
     (fleet.message_cost_us, fleet.store_item_ns) = (450, 2_000);
     fleet.store.publish(2, 12);
     fleet.answer_watches();
--- a/crates/foxledge-gossip/tests/start_together.rs
+++ b/crates/foxledge-gossip/tests/simultaneous_start.rs
@@ -5,7 +5,7 @@
 use common::{StoreState, VirtualFleet};
 use foxledge_flows::rows::{ListRow, RowValue};
 
-/// A fleet that hasn't started, before backend servers and routes.
+/// Creates a fleet that hasn't started, with backend servers and routes in the store.
 fn published(counts: &[usize], backends: u64, routes: usize) -> VirtualFleet {
     let mut fleet = VirtualFleet::new(counts, 1);
     for number in 1..=backends {
@@ -15,8 +15,8 @@
     fleet
 }
 
-/// 300 instances before 3,000 backend servers, with the time that messages and the
-/// store's link take: 25 us of work at a twentieth of a core, 250 bytes an item at 1 Gbit/s.
+/// Creates 300 instances with 3,000 backend servers, with the time that messages and the store's
+/// link take: 25 us of work on a twentieth of a core, 250 bytes an item at 1 Gbit/s.
 fn large_fleet() -> VirtualFleet {
     let mut fleet = published(&[75, 75, 75, 75], 3_000, 20);
     fleet.message_cost_us = 450;
@@ -24,9 +24,9 @@
     fleet
 }
 
-// Symptom: after a loss of power, a large fleet serves only after half a minute.
-// Sequence: all instances start at once and read the whole store at the same moment.
-// Cause: the store's rate is used up by the fleet itself.
+// After a power failure all instances start and would read the whole store at the same moment. The
+// fleet itself would use up the store's capacity, and a large fleet would serve only after half a
+// minute.
 #[test]
 fn all_at_once() {
     for counts in [&[2, 2, 2, 1][..], &[25, 25, 25, 25], &[75, 75, 75, 75]] {
@@ -37,7 +37,7 @@
         assert!(took.is_some_and(|took| took <= 400), "{counts:?}: {took:?} ms");
         fleet.run(2_000);
         let total: usize = counts.iter().sum();
-        // A cheap reading is a tenth of a call.
+        // A reading that may be stale costs a tenth of a call.
         let calls = fleet.store.calls + fleet.store.stale_read_calls / 10;
         assert!(calls <= 10 + total as u64 / 5, "{counts:?}: {calls} calls");
     }
@@ -82,11 +82,10 @@
     assert!(fleet.run_until(1_500, |fleet| fleet.all_have_list(head)).is_some());
 }
 
-// Symptom: 300 instances before 3,000 backend servers serve only seconds after a loss
-//   of power, and the bytes of the start go between data centres.
-// Sequence: all read the whole store at once, or ask three seeds for a whole copy.
-// Cause: the store's link carries 750 KB for each of them; a seed with a twentieth of
-//   a core that is asked by all serves none of them in time.
+// If all 300 instances read the store at once, its link carries 750 KB to each of them; if all
+// request a snapshot from the three seeds, a seed with a twentieth of a core serves none of them in
+// time. Either way they serve only seconds after a power failure, and the traffic crosses data
+// centres.
 #[test]
 fn large_fleet_large_list() {
     let mut fleet = large_fleet();
@@ -99,10 +98,9 @@
     assert!(far <= 6, "{far} MB between data centres");
 }
 
-// Symptom: instances read the list from the store although peers have it.
-// Sequence: a peer sends eight pages at once, and the network hands them over in another
-//   order; the one that came too early is asked for again, 200 ms later.
-// Cause: a page that comes before the one that is due is dropped.
+// A peer sends eight pages at once, and the network reorders them. A page that comes too early must
+// not be dropped and requested again 200 ms later, or instances read the list from the store
+// although peers have it.
 #[test]
 fn pages_out_of_order() {
     let mut fleet = published(&[2], 3_000, 20);
@@ -116,10 +114,8 @@
     assert!(took.is_some_and(|took| took <= 100), "{took:?} ms");
 }
 
-// Symptom: after a loss of power, 300 instances before 3,000 backend servers serve only
-//   after two seconds.
-// Sequence: all read the whole store at once; its link carries 750 KB to each of them.
-// Cause: flows wait for the last backend server, though the first 500 would do.
+// 300 instances read 3,000 backend servers at once over the store's link, 750 KB each, which takes
+// two seconds. The first 500 backend servers suffice to serve; flows must not wait for the last.
 #[test]
 fn part_serves() {
     let mut fleet = large_fleet();
@@ -136,13 +132,12 @@
     assert!(calls <= 60, "{calls} instances read the rest");
 }
 
-// Symptom: a backend server that left gets new flows for ever.
-// Sequence: an instance serves by a part of the list; a backend server of that part
-//   leaves before the instance knows all.
-// Cause: the list that it takes never had that backend server, so nothing says it is gone.
+// An instance serves by a partial list, and a backend server in it leaves before the whole list is
+// known. The whole list never contained that backend server, so nothing says that it was removed;
+// it must not get new flows for ever.
 #[test]
 fn part_ends() {
-    // The seed is away, so that the rest isn't read at once.
+    // The seed is down, so that the rest isn't read at once.
     let mut fleet = published(&[2], 600, 3);
     fleet.start(1);
     assert!(fleet.run_until(200, |fleet| fleet.members().all(|one| one.can_serve())).is_some());
@@ -159,9 +154,8 @@
     assert!(fleet.instances[1].applied_rows.iter().any(is_gone));
 }
 
-// Symptom: an instance obeys an older list than the one it served by.
-// Sequence: it reads a part of the list; a peer that knows an older list hands it a copy.
-// Cause: a copy counts as newer than no list at all.
+// An instance reads a partial list, and a peer with an older list sends it a snapshot. The older
+// list must not replace the partial one.
 #[test]
 fn part_never_back() {
     let mut fleet = published(&[2], 600, 3);
@@ -169,7 +163,7 @@
     fleet.run(3_000);
     let former = fleet.store.head;
     fleet.store.publish(2, 5);
-    // One starts that hears nothing of the other at first, and then nothing of the store.
+    // The instance starts isolated from its peer, and then without a response of the store.
     fleet.store_state.insert(0, StoreState::Unresponsive);
     fleet.isolate(0);
     fleet.start(1);
--- a/crates/foxledge-gossip/tests/quiet_fleet.rs
+++ b/crates/foxledge-gossip/tests/steady_state.rs
@@ -1,4 +1,4 @@
-//! What a fleet costs while nothing happens.
+//! Cost of a fleet in its steady state.
 
 mod common;
 
@@ -7,7 +7,7 @@
 
 #[test]
 fn few_calls() {
-    // Two readers, each with a watch of a second.
+    // Two readers, each with a watch of one second.
     for counts in [&[2, 2, 2, 1][..], &[21, 24, 19, 23], &[75, 75, 75, 75]] {
         let mut fleet = settled_fleet(counts, 1);
         let before = fleet.store.calls;
@@ -20,7 +20,7 @@
 
 #[test]
 fn bounded_messages() {
-    // Messages of one instance don't grow with the fleet.
+    // The messages of one instance must not grow with the fleet.
     for counts in [&[2, 2, 2, 1][..], &[21, 24, 19, 23], &[75, 75, 75, 75]] {
         let mut fleet = settled_fleet(counts, 1);
         let before: Vec<_> = fleet.instances.iter().map(|seat| seat.sent_bytes).collect();
@@ -42,8 +42,8 @@
 
 #[test]
 fn changes_stay_cheap() {
-    // A hundred changes a second, as when all backend servers start: those that come
-    // close together share messages, and an instance's bytes don't grow with the fleet.
+    // A hundred changes a second, as when all backend servers start: changes that come close
+    // together share messages, and the bytes per instance don't grow with the fleet.
     for counts in [&[2, 2, 2, 1][..], &[21, 24, 19, 23], &[75, 75, 75, 75]] {
         let mut fleet = settled_fleet(counts, 1);
         let sent =
@@ -62,9 +62,8 @@
     }
 }
 
-// Symptom: a day on which half of the backend servers are replaced costs three thousand calls of
-//   the store.
-// Cause: each reader calls again after every change.
+// A reader that calls the store again after every change makes three thousand calls on a day on
+// which half of the backend servers are replaced.
 #[test]
 fn changes_share_calls() {
     for counts in [&[2, 2, 2, 1][..], &[75, 75, 75, 75]] {
@@ -82,9 +81,9 @@
             fleet.run(100);
         }
         let calls = fleet.store.calls - before;
-        // Two readers, four calls a second each, in the 10 s and what the waits add.
+        // Two readers with four calls a second each, in the 10 s and what the waits add.
         assert!(calls <= 2 * 4 * 14, "{counts:?}: {calls} calls for 100 changes");
-        // The batch, and a question by those that news have missed.
+        // The minimum interval between calls, and a query by instances that an update missed.
         assert!(slowest <= 250 + 1_250 + 250, "{counts:?}: {slowest} ms");
     }
 }
@@ -102,11 +101,9 @@
     }
 }
 
-// Symptom: bytes between data centres grow a hundredfold after one lost datagram.
-// Sequence: an observation of a backend server is passed on; an instance that reads
-//   its messages late passes it on again, and so round.
-// Cause: an observation that came back late looked newer by the way it had taken,
-//   and so like another one.
+// An instance that handles its messages late passes on an observation that others have seen
+// already. The observation seems newer by its time in transit; taken for a new one, it would
+// circulate without end and multiply the traffic a hundredfold.
 #[test]
 fn news_dies_out() {
     let mut fleet = settled_fleet(&[3, 3, 3], 1);
@@ -129,9 +126,8 @@
     assert!(rate <= 14, "{rate} messages a second and instance");
 }
 
-// Symptom: nobody reads the store, and lists count as confirmed.
-// Sequence: a reader dies; its last answer is told from hop to hop.
-// Cause: each hop makes the answer seem later by the way, so that it never gets old.
+// Each hop makes a confirmation seem younger by its time in transit. The last confirmation of a
+// dead reader must expire all the same, or no other instance reads the store.
 #[test]
 fn dead_reader_fades() {
     let mut fleet = settled_fleet(&[3, 3, 3], 1);
@@ -139,7 +135,7 @@
     for index in 0..9 {
         fleet.store_state.insert(index, StoreState::Refusing);
     }
-    // Watches that wait end at once.
+    // Pending watches end at once.
     fleet.answer_watches();
     fleet.run(200);
     let start = fleet.now_us;
@@ -162,12 +158,9 @@
     }
 }
 
-// Symptom: the store's outage of five seconds costs as many calls as a quiet day, and it comes
-//   back to hundreds of readers.
-// Sequence: the readers' calls fail, nobody confirms the list, and one instance after the
-//   other tries by itself.
-// Cause: each instance is ranked among the few that it has just heard of, so that all try at
-//   once, and then every second.
+// During an outage of the store all instances try to read. If each is ranked only among the few
+// that it has recently heard from, all try at once and then every second, which costs as many calls
+// in five seconds as a whole day, and leaves hundreds of readers when the store is back.
 #[test]
 fn outage_calls_few() {
     for counts in [&[2, 2, 2, 1][..], &[21, 24, 19, 23], &[50; 6]] {
@@ -180,7 +173,7 @@
         fleet.run(5_000);
         let calls = fleet.store.calls - before;
         println!("{counts:?}: {calls} calls");
-        // Eight instances whose waits double from 0.2 to 1 s, and one in 0.12 s more, twice.
+        // Eight instances whose delays double from 0.2 to 1 s, and one more each 0.12 s, twice.
         assert!(calls <= 8 * 8 + 2 * 28, "{counts:?}: {calls} calls");
         fleet.store_state.clear();
         fleet.store.publish(2, 10);
@@ -191,7 +184,8 @@
     }
 }
 
-/// Two readers in different data centres, as after a cut between these.
+/// Creates a fleet with two readers in different data centres, as after a network partition between
+/// these.
 fn two_readers() -> VirtualFleet {
     let mut fleet = settled_fleet(&[10, 10], 1);
     for near in 0..10 {
@@ -207,7 +201,7 @@
     fleet
 }
 
-// Guards against two readers that both call the store after each change.
+// Of two readers, only one must call the store after each change.
 #[test]
 fn one_reader_calls() {
     let mut fleet = two_readers();
@@ -219,11 +213,11 @@
     }
     let calls = fleet.store.calls - before;
     println!("{calls} calls in 6 s");
-    // Five a second by the one, one a second by the other, and room.
+    // Five a second by the first, one a second by the second, and some margin.
     assert!(calls <= 6 * 5 + 6 * 2, "{calls} calls");
 }
 
-// Guards against changes that wait for long where the one of two readers that calls dies.
+// Changes must not wait for long when the active one of two readers dies.
 #[test]
 fn second_reader_follows() {
     for first in 0..20 {
--- a/crates/foxledge-gossip/tests/calls_at_scale.rs
+++ b/crates/foxledge-gossip/tests/store_call_counts.rs
@@ -1,10 +1,11 @@
-//! Calls of the store by a large fleet before a large list, each page of a whole reading one.
+//! Calls to the store by a large fleet with a large list. Each page of a whole reading counts as
+//! one call.
 
 mod common;
 
 use common::{StoreState, VirtualFleet};
 
-/// 300 instances in six data centres, the first three of each with wide links.
+/// Creates 300 instances in six data centres, the first three of each with wide links.
 fn large_fleet(backends: u64) -> VirtualFleet {
     let mut fleet = VirtualFleet::new(&[50; 6], 1);
     fleet.store.is_history_disabled = true;
@@ -19,13 +20,13 @@
     fleet
 }
 
-/// Calls that count, without the cheap ones.
+/// Returns the number of calls without those that may return a stale list.
 fn calls(fleet: &VirtualFleet) -> u64 {
     let pages = fleet.store.page_counts.iter();
     pages.filter(|((order, _), _)| ["all", "watch"].contains(order)).map(|(_, count)| count).sum()
 }
 
-// Guards against a fleet that reads the whole list, instance by instance, after an outage.
+// Each instance reading the whole list after an outage of the store would overload the store.
 #[test]
 fn outage_with_large_list() {
     let mut fleet = large_fleet(3_000);
@@ -44,12 +45,12 @@
     let calls = calls(&fleet) - before;
     println!("{calls} calls, {took:?} ms: {:?}", fleet.store.page_counts);
     assert!(took.is_some_and(|took| took <= 1_500), "{took:?} ms");
-    // Eight instances whose waits double from 0.2 to 1 s, and one in 0.12 s more, twice; then
+    // Eight instances whose delays double from 0.2 to 1 s, and one more each 0.12 s, twice; then
     // the readers.
     assert!(calls <= 8 * 8 + 2 * 28 + 20, "{calls} calls");
 }
 
-// Guards against instances that start together and each ask the store whether it has news.
+// Instances that start together must not each query the store for a newer list.
 #[test]
 fn start_with_growing_list() {
     let mut fleet = large_fleet(0);
@@ -64,16 +65,16 @@
     let took = fleet.run_until(5_000, |fleet| fleet.all_have_list(head));
     println!("{} calls, {took:?} ms: {:?}", calls(&fleet), fleet.store.page_counts);
     assert!(took.is_some_and(|took| took <= 2_000), "{took:?} ms");
-    // Ten a second by the reader, one a second by another, and some until those are known.
+    // Ten a second by the first reader, one a second by the second, and some until both are known.
     assert!(calls(&fleet) <= 11 * 10 + 60, "{} calls", calls(&fleet));
 }
 
-// Guards against instances that ask the store as soon as they start, since they know nobody yet
-// and rank themselves first.
+// An instance that knows no others yet ranks itself first; it must not therefore call the store as
+// soon as it starts.
 #[test]
 fn start_knowing_nobody() {
     let mut fleet = large_fleet(0);
-    // Seeds take long to answer all.
+    // Seeds take long to respond to all instances.
     fleet.message_cost_us = 2_000;
     fleet.start_all();
     fleet.run(3_000);
@@ -81,8 +82,8 @@
     assert!(calls(&fleet) <= 300 / 3, "{} calls", calls(&fleet));
 }
 
-// Guards against a reader that hands a growing list to all that hear of it, and against transfers
-// that are broken off and begun anew without end.
+// A reader must not send a growing list to every instance that learns of it, and transfers must not
+// be interrupted and restarted without end.
 #[test]
 fn reader_hands_on() {
     let mut fleet = large_fleet(0);
@@ -105,6 +106,6 @@
     let busiest = rate(sent.max().unwrap_or_default());
     println!("all know {took:?} ms later, the busiest sends {busiest} KB/s");
     assert!(took.is_some_and(|took| took <= 2_000), "{took:?} ms");
-    // 160 for pages, and what it tells.
+    // 160 KB/s for pages, and the heartbeats.
     assert!(busiest <= 240, "{busiest} KB/s");
 }
--- a/crates/foxledge-gossip/tests/store_epoch.rs
+++ b/crates/foxledge-gossip/tests/store_epoch.rs
@@ -1,4 +1,4 @@
-//! What is told of the store's history.
+//! Log events on the store's history.
 
 mod common;
 
@@ -17,7 +17,7 @@
     member.drain_effects().into_iter().filter_map(event).collect()
 }
 
-// Guards against answers of the store that change nothing and leave no line.
+// A response of the store that changes nothing must leave a log line.
 #[test]
 fn older_answer_told() {
     let address = "10.1.0.1:7000".parse().expect("is an address");
@@ -40,7 +40,7 @@
     assert!(told.contains(&passed_over), "{told:?}");
 }
 
-// Guards against a restored store that nobody can tell from a slow one.
+// Operators must be able to tell a restored store from a slow one.
 #[test]
 fn epoch_change_told() {
     let mut fleet = settled_fleet(&[3, 2], 1);
@@ -54,7 +54,7 @@
     assert!(told.count() > 0, "nobody tells");
 }
 
-// Guards against changes that are asked for again and again, as their answer can't be read.
+// Changes whose response can't be parsed must not be queried again and again.
 #[test]
 fn unreadable_changes_read_whole() {
     let address = "10.1.0.1:7000".parse().expect("is an address");
