--- a/crates/foxledge-gossip/tests/cross_centre_traffic.rs
+++ b/crates/foxledge-gossip/tests/cross_centre_traffic.rs
@@ -5,7 +5,7 @@
 use common::{VirtualFleet, settled_fleet};
 
 /// Size of a snapshot for each backend server, as it is sent, in bytes.
-const ROW_BYTES: u64 = 31;
+const SNAPSHOT_BYTES_PER_BACKEND: u64 = 31;
 
 /// Creates 300 instances in six data centres with 3,000 backend servers.
 fn large_fleet() -> VirtualFleet {
@@ -20,10 +20,15 @@
     fleet
 }
 
-/// Returns the bytes of one kind of message that are sent to other data centres while `play` runs.
-fn far_bytes(fleet: &mut VirtualFleet, kind: &str, play: impl FnOnce(&mut VirtualFleet)) -> u64 {
+/// Returns the bytes of one kind of message that are sent to other data centres while `action`
+/// runs.
+fn remote_bytes_during(
+    fleet: &mut VirtualFleet,
+    kind: &str,
+    action: impl FnOnce(&mut VirtualFleet),
+) -> u64 {
     fleet.remote_bytes_by_kind.clear();
-    play(fleet);
+    action(fleet);
     println!("{:?}", fleet.remote_bytes_by_kind);
     fleet.remote_bytes_by_kind.get(kind).copied().unwrap_or(0)
 }
@@ -32,17 +37,17 @@
 // seed, the links between data centres carry 8 MB while the fleet starts, and 5 MB in ten seconds
 // of a rolling restart.
 #[test]
-fn copies_stay_near() {
+fn snapshots_stay_within_data_centre() {
     let mut fleet = large_fleet();
-    let copies = |count: u64| count * 3_000 * ROW_BYTES;
-    let started = far_bytes(&mut fleet, "page", |fleet| {
+    let snapshot_bytes = |count: u64| count * 3_000 * SNAPSHOT_BYTES_PER_BACKEND;
+    let started = remote_bytes_during(&mut fleet, "page", |fleet| {
         fleet.start_all();
         fleet.run(3_000);
     });
     assert!(fleet.all_have_list(fleet.store.head));
-    assert!(started <= copies(300) / 10, "{started} bytes of pages, all started");
+    assert!(started <= snapshot_bytes(300) / 10, "{started} bytes of pages, all started");
     fleet.run(10_000);
-    let restarted = far_bytes(&mut fleet, "page", |fleet| {
+    let restarted = remote_bytes_during(&mut fleet, "page", |fleet| {
         for index in (0..300).step_by(3) {
             fleet.leave(index);
             fleet.kill(index);
@@ -51,20 +56,20 @@
             fleet.run(50);
         }
     });
-    assert!(restarted <= copies(100) / 10, "{restarted} bytes of pages, a third restarted");
+    assert!(restarted <= snapshot_bytes(100) / 10, "{restarted} bytes of pages, a third restarted");
 }
 
 // When each data centre sends all others what it received from one of them, an idle fleet of 300
 // sends 56 KB/s between its data centres, and each change of the list crosses ninety times.
 #[test]
-fn news_cross_few_times() {
+fn updates_cross_data_centres_few_times() {
     for counts in [&[17; 6][..], &[50; 6], &[73; 6]] {
         let mut fleet = settled_fleet(counts, 1);
         fleet.run(10_000);
         let count = fleet.instances.len() as u64;
-        let quiet = far_bytes(&mut fleet, "beat", |fleet| fleet.run(10_000)) / 10 / count;
-        assert!(quiet <= 200, "{counts:?}: {quiet} bytes a second and instance");
-        let changes = far_bytes(&mut fleet, "beat", |fleet| {
+        let rate = remote_bytes_during(&mut fleet, "beat", |fleet| fleet.run(10_000)) / 10 / count;
+        assert!(rate <= 200, "{counts:?}: {rate} bytes a second and instance");
+        let changes = remote_bytes_during(&mut fleet, "beat", |fleet| {
             for number in 0..100 {
                 fleet.store.register(10_000 + number, false);
                 fleet.answer_watches();
@@ -81,49 +86,49 @@
 // The peer table of an instance holds a changing part of the fleet. Operators must not be shown
 // hundreds of losses of live instances because of that.
 #[test]
-fn quiet_views_tell_nothing() {
+fn steady_fleet_reports_no_peer_changes() {
     for counts in [&[2, 2, 2, 1][..], &[17; 6], &[50; 6], &[73; 6]] {
         let mut fleet = settled_fleet(counts, 1);
         fleet.run(20_000);
-        fleet.instances.iter_mut().for_each(|seat| seat.events.clear());
+        fleet.instances.iter_mut().for_each(|instance| instance.events.clear());
         fleet.run(20_000);
-        let changed = ["peer_found", "peer_lost", "peer_left", "centre_found", "centre_lost"];
-        let events = fleet.instances.iter().flat_map(|seat| &seat.events);
-        let told: Vec<_> = events.filter(|(_, event)| changed.contains(&event.kind())).collect();
+        let kinds = ["peer_found", "peer_lost", "peer_left", "centre_found", "centre_lost"];
+        let events = fleet.instances.iter().flat_map(|instance| &instance.events);
+        let reported: Vec<_> = events.filter(|(_, event)| kinds.contains(&event.kind())).collect();
         // In tables of 64 out of 73, an instance may be heard from for the first time late.
-        let first_met = if counts[0] > 64 { fleet.instances.len() * 4 } else { 0 };
-        assert!(told.len() <= first_met, "{counts:?}: in 20 s {told:?}");
+        let max_events = if counts[0] > 64 { fleet.instances.len() * 4 } else { 0 };
+        assert!(reported.len() <= max_events, "{counts:?}: in 20 s {reported:?}");
     }
 }
 
 // A dead instance is reported after its probes stay unanswered, and so is an unreachable data
 // centre.
 #[test]
-fn real_losses_told() {
+fn reports_dead_instances_and_unreachable_data_centres() {
     let mut fleet = settled_fleet(&[10, 10, 10], 1);
-    fleet.instances.iter_mut().for_each(|seat| seat.events.clear());
+    fleet.instances.iter_mut().for_each(|instance| instance.events.clear());
     fleet.kill(4);
-    for near in 20..30 {
-        for far in 0..20 {
-            fleet.cut_links.insert((near, far));
-            fleet.cut_links.insert((far, near));
+    for isolated in 20..30 {
+        for other in 0..20 {
+            fleet.cut_links.insert((isolated, other));
+            fleet.cut_links.insert((other, isolated));
         }
     }
     fleet.run(20_000);
-    let told = |fleet: &VirtualFleet, seat: usize, kind: &str| {
-        fleet.instances[seat].events.iter().filter(|(_, event)| event.kind() == kind).count()
+    let count_events = |fleet: &VirtualFleet, index: usize, kind: &str| {
+        fleet.instances[index].events.iter().filter(|(_, event)| event.kind() == kind).count()
     };
-    for seat in (0..10).filter(|seat| *seat != 4) {
-        assert_eq!(told(&fleet, seat, "peer_lost"), 1, "instance {seat}");
-        assert_eq!(told(&fleet, seat, "centre_lost"), 1, "instance {seat}");
+    for index in (0..10).filter(|index| *index != 4) {
+        assert_eq!(count_events(&fleet, index, "peer_lost"), 1, "instance {index}");
+        assert_eq!(count_events(&fleet, index, "centre_lost"), 1, "instance {index}");
     }
-    for seat in 20..30 {
-        assert_eq!(told(&fleet, seat, "centre_lost"), 2, "instance {seat}");
-        assert_eq!(told(&fleet, seat, "peer_lost"), 0, "instance {seat}");
+    for index in 20..30 {
+        assert_eq!(count_events(&fleet, index, "centre_lost"), 2, "instance {index}");
+        assert_eq!(count_events(&fleet, index, "peer_lost"), 0, "instance {index}");
     }
     fleet.cut_links.clear();
     fleet.run(10_000);
-    for seat in 20..30 {
-        assert_eq!(told(&fleet, seat, "centre_found"), 2, "instance {seat}");
+    for index in 20..30 {
+        assert_eq!(count_events(&fleet, index, "centre_found"), 2, "instance {index}");
     }
 }
--- a/crates/foxledge-gossip/tests/damaged_messages.rs
+++ b/crates/foxledge-gossip/tests/damaged_messages.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 
 /// Maximum number of messages in response to one, so that a flood isn't amplified.
-const MOST_ANSWERS: usize = 12;
+const MAX_RESPONSES: usize = 12;
 
 const SENDER: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 9, 9, 9), 9_999);
 
@@ -26,10 +26,10 @@
 }
 
 /// Passes a datagram to a member and checks its effects; returns true if it was accepted.
-fn feed(fleet: &mut VirtualFleet, bytes: &[u8]) -> Result<bool, TestCaseError> {
+fn handle_checked(fleet: &mut VirtualFleet, bytes: &[u8]) -> Result<bool, TestCaseError> {
     let now = fleet.now();
-    let member = fleet.instances[0].member.as_mut().expect("lives");
-    let is_taken = member.handle_datagram(now, SENDER, bytes);
+    let member = fleet.instances[0].member.as_mut().expect("is running");
+    let is_accepted = member.handle_datagram(now, SENDER, bytes);
     let mut sent = 0;
     for effect in member.drain_effects() {
         if let FleetEffect::SendDatagram { bytes, .. } = effect {
@@ -37,10 +37,10 @@
             sent += 1;
         }
     }
-    prop_assert!(sent <= MOST_ANSWERS, "{sent} messages");
+    prop_assert!(sent <= MAX_RESPONSES, "{sent} messages");
     let _ = member.next_timer_at(now);
     member.handle_timers(now);
-    Ok(is_taken)
+    Ok(is_accepted)
 }
 
 proptest! {
@@ -52,27 +52,27 @@
     })]
 
     #[test]
-    fn any_bytes(texts in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 100)) {
+    fn rejects_random_bytes(datagrams in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 100)) {
         let mut fleet = busy_fleet();
-        for text in &texts {
-            prop_assert!(!feed(&mut fleet, text)?);
+        for datagram in &datagrams {
+            prop_assert!(!handle_checked(&mut fleet, datagram)?);
         }
     }
 
     // One datagram that is corrupted on its way could name a revision that was never published.
     // Passed on, it would make all instances ignore newer rows until all are restarted.
     #[test]
-    fn changed_bytes(
+    fn rejects_corrupted_messages(
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<prop::sample::Index>(), any::<u8>()), 400)
     ) {
         let mut fleet = busy_fleet();
-        let newest: Vec<_> = fleet.recent_datagrams.iter().cloned().collect();
-        for (which, place, value) in &changes {
-            let mut bytes = which.get(&newest).clone();
-            let at = place.index(bytes.len());
-            let is_changed = bytes[at] != *value;
-            bytes[at] = *value;
-            prop_assert_eq!(feed(&mut fleet, &bytes)?, !is_changed);
+        let datagrams: Vec<_> = fleet.recent_datagrams.iter().cloned().collect();
+        for (datagram, position, value) in &changes {
+            let mut bytes = datagram.get(&datagrams).clone();
+            let offset = position.index(bytes.len());
+            let is_changed = bytes[offset] != *value;
+            bytes[offset] = *value;
+            prop_assert_eq!(handle_checked(&mut fleet, &bytes)?, !is_changed);
         }
     }
 }
--- a/crates/foxledge-gossip/tests/newest_list.rs
+++ b/crates/foxledge-gossip/tests/newest_list.rs
@@ -6,9 +6,9 @@
 use foxledge_gossip::MAX_MESSAGE_BYTES;
 
 /// Time within which a new list must be in force after its acknowledgement, in milliseconds.
-const BOUND_MS: u64 = 3_000;
+const CONVERGENCE_TIMEOUT_MS: u64 = 3_000;
 
-const SIZES: [&[usize]; 3] = [&[2, 2, 2, 1], &[21, 24, 19, 23], &[75, 75, 75, 75]];
+const FLEET_SIZES: [&[usize]; 3] = [&[2, 2, 2, 1], &[21, 24, 19, 23], &[75, 75, 75, 75]];
 
 fn publish(fleet: &mut VirtualFleet, version: u64) -> u64 {
     fleet.store.publish(version, 10);
@@ -17,13 +17,17 @@
 }
 
 #[test]
-fn change_reaches_all() {
-    for counts in SIZES {
+fn change_reaches_all_instances() {
+    for counts in FLEET_SIZES {
         for seed in 0..5 {
             let mut fleet = settled_fleet(counts, seed);
             let head = publish(&mut fleet, 2);
-            let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_have_list(head));
-            assert!(took.is_some_and(|took| took < 1_500), "{counts:?} seed {seed}: {took:?} ms");
+            let elapsed_ms =
+                fleet.run_until(CONVERGENCE_TIMEOUT_MS, |fleet| fleet.all_have_list(head));
+            assert!(
+                elapsed_ms.is_some_and(|elapsed_ms| elapsed_ms < 1_500),
+                "{counts:?} seed {seed}: {elapsed_ms:?} ms"
+            );
         }
     }
 }
@@ -31,19 +35,26 @@
 // Both readers are killed at the moment a list is published. Another instance must take over before
 // the deadline.
 #[test]
-fn readers_killed() {
-    for counts in SIZES {
+fn change_reaches_all_after_readers_are_killed() {
+    for counts in FLEET_SIZES {
         for seed in 0..5 {
             let mut fleet = settled_fleet(counts, seed);
             for index in 0..fleet.instances.len() {
-                if fleet.instances[index].member.as_ref().is_some_and(|one| one.is_reading_store())
+                if fleet.instances[index]
+                    .member
+                    .as_ref()
+                    .is_some_and(|member| member.is_reading_store())
                 {
                     fleet.kill(index);
                 }
             }
             let head = publish(&mut fleet, 2);
-            let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_have_list(head));
-            assert!(took.is_some(), "{counts:?} seed {seed}: not within {BOUND_MS} ms");
+            let elapsed_ms =
+                fleet.run_until(CONVERGENCE_TIMEOUT_MS, |fleet| fleet.all_have_list(head));
+            assert!(
+                elapsed_ms.is_some(),
+                "{counts:?} seed {seed}: not within {CONVERGENCE_TIMEOUT_MS} ms"
+            );
         }
     }
 }
@@ -51,7 +62,7 @@
 // The data centres lose each other, but each can reach the store. A data centre without a reader
 // must get its own.
 #[test]
-fn centres_cut() {
+fn change_reaches_all_data_centres_during_partition() {
     for seed in 0..5 {
         let mut fleet = settled_fleet(&[3, 3, 3], seed);
         for from in 0..9 {
@@ -62,33 +73,36 @@
             }
         }
         let head = publish(&mut fleet, 2);
-        let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_have_list(head));
-        assert!(took.is_some(), "seed {seed}: not within {BOUND_MS} ms");
+        let elapsed_ms = fleet.run_until(CONVERGENCE_TIMEOUT_MS, |fleet| fleet.all_have_list(head));
+        assert!(elapsed_ms.is_some(), "seed {seed}: not within {CONVERGENCE_TIMEOUT_MS} ms");
     }
 }
 
 // An instance without peers must not keep an old list that the store would update.
 #[test]
-fn lone_instance_reads() {
+fn isolated_instance_reads_store() {
     for seed in 0..5 {
         let mut fleet = settled_fleet(&[3, 3], seed);
         fleet.isolate(4);
         let head = publish(&mut fleet, 2);
-        let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_have_list(head));
-        assert!(took.is_some(), "seed {seed}: not within {BOUND_MS} ms");
+        let elapsed_ms = fleet.run_until(CONVERGENCE_TIMEOUT_MS, |fleet| fleet.all_have_list(head));
+        assert!(elapsed_ms.is_some(), "seed {seed}: not within {CONVERGENCE_TIMEOUT_MS} ms");
     }
 }
 
 // The store refuses a third of the instances, including the readers, or leaves them without a
 // response. They must not keep an old list, nor keep others from reading.
 #[test]
-fn some_turned_away() {
+fn change_reaches_instances_that_store_refuses() {
     for state in [StoreState::Refusing, StoreState::Unresponsive] {
         for seed in 0..5 {
             let mut fleet = settled_fleet(&[3, 3, 3], seed);
             let readers: Vec<_> = (0..9)
                 .filter(|i| {
-                    fleet.instances[*i].member.as_ref().is_some_and(|one| one.is_reading_store())
+                    fleet.instances[*i]
+                        .member
+                        .as_ref()
+                        .is_some_and(|member| member.is_reading_store())
                 })
                 .collect();
             for index in readers.iter().copied().chain([0]) {
@@ -96,8 +110,12 @@
             }
             fleet.run(2_500);
             let head = publish(&mut fleet, 2);
-            let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_have_list(head));
-            assert!(took.is_some(), "{state:?} seed {seed}: not within {BOUND_MS} ms");
+            let elapsed_ms =
+                fleet.run_until(CONVERGENCE_TIMEOUT_MS, |fleet| fleet.all_have_list(head));
+            assert!(
+                elapsed_ms.is_some(),
+                "{state:?} seed {seed}: not within {CONVERGENCE_TIMEOUT_MS} ms"
+            );
         }
     }
 }
@@ -105,32 +123,36 @@
 // A backend server leaves while the store compacts its history, so that no watch returns the
 // removal. It must not get new flows for ever.
 #[test]
-fn history_dropped() {
+fn removal_is_known_after_history_is_compacted() {
     let mut fleet = settled_fleet(&[2, 2], 1);
     fleet.store.remove(7);
     fleet.store.compact();
     let head = fleet.store.head;
-    let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_have_list(head));
-    assert!(took.is_some());
+    let elapsed_ms = fleet.run_until(CONVERGENCE_TIMEOUT_MS, |fleet| fleet.all_have_list(head));
+    assert!(elapsed_ms.is_some());
     for member in fleet.members() {
-        let row = member.list().rows().find(|row| row.key == "backend/i-7").expect("is kept");
+        let row = member
+            .list()
+            .rows()
+            .find(|row| row.key == "backend/i-7")
+            .expect("the removed row is kept");
         assert!(matches!(row.value, Some(foxledge_flows::rows::RowValue::Removed(_))));
     }
 }
 
 #[test]
-fn lossy_links() {
+fn change_reaches_all_over_lossy_links() {
     for seed in 0..5 {
         let mut fleet = settled_fleet(&[5, 5, 5], seed);
         fleet.loss_rate = 0.2;
         let head = publish(&mut fleet, 2);
-        let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_have_list(head));
-        assert!(took.is_some(), "seed {seed}: not within {BOUND_MS} ms");
+        let elapsed_ms = fleet.run_until(CONVERGENCE_TIMEOUT_MS, |fleet| fleet.all_have_list(head));
+        assert!(elapsed_ms.is_some(), "seed {seed}: not within {CONVERGENCE_TIMEOUT_MS} ms");
     }
 }
 
 #[test]
-fn storm_of_lists() {
+fn newest_of_many_versions_reaches_all() {
     let mut fleet = settled_fleet(&[2, 2, 2, 1], 1);
     for version in 2..14 {
         publish(&mut fleet, version);
@@ -142,33 +164,33 @@
 }
 
 #[test]
-fn large_list() {
+fn large_list_reaches_all() {
     let mut fleet = settled_fleet(&[4, 4], 1);
     fleet.store.publish(2, 1_400);
     fleet.answer_watches();
     let head = fleet.store.head;
-    let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_have_list(head));
-    assert!(took.is_some_and(|took| took < 1_500), "{took:?} ms");
+    let elapsed_ms = fleet.run_until(CONVERGENCE_TIMEOUT_MS, |fleet| fleet.all_have_list(head));
+    assert!(elapsed_ms.is_some_and(|elapsed_ms| elapsed_ms < 1_500), "{elapsed_ms:?} ms");
     assert!(fleet.max_datagram_bytes <= MAX_MESSAGE_BYTES, "{} bytes", fleet.max_datagram_bytes);
 }
 
 // An instance that resumes after a long pause must not bring its old list back.
 #[test]
-fn woken_never_back() {
+fn resumed_instance_does_not_bring_old_list_back() {
     let mut fleet = settled_fleet(&[2, 2], 1);
     fleet.instances[1].paused_until_us = fleet.now_us + 10_000_000;
     fleet.run(1_000);
     let head = publish(&mut fleet, 2);
     fleet.run(9_500);
-    let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_have_list(head));
-    assert!(took.is_some());
+    let elapsed_ms = fleet.run_until(CONVERGENCE_TIMEOUT_MS, |fleet| fleet.all_have_list(head));
+    assert!(elapsed_ms.is_some());
     assert!(fleet.members().all(|member| member.list().version() == 2));
 }
 
 // A paused instance misses the removal of a route; its peers restart in the meantime, and so don't
 // know the removal. It must not keep the route while it reports the newest list.
 #[test]
-fn removal_before_start() {
+fn removal_is_known_after_peers_restarted() {
     for seed in 0..10 {
         let mut fleet = settled_fleet(&[2, 2], seed);
         fleet.instances[0].paused_until_us = fleet.now_us + 4_000_000;
@@ -183,11 +205,11 @@
         fleet.run(8_000);
         assert!(fleet.all_have_list(fleet.store.head));
         for member in fleet.members() {
-            let is_left = |row: &&foxledge_flows::rows::ListRow| {
+            let is_kept = |row: &&foxledge_flows::rows::ListRow| {
                 matches!(row.key.as_str(), "backend/i-7" | "route/route-9")
                     && !matches!(row.value, Some(foxledge_flows::rows::RowValue::Removed(_)))
             };
-            assert_eq!(member.list().rows().find(is_left), None, "seed {seed}");
+            assert_eq!(member.list().rows().find(is_kept), None, "seed {seed}");
         }
     }
 }
@@ -196,7 +218,7 @@
 // peers. It must not wait for the better ranked instances to read first, since they can't help it;
 // it had a list 13 s old.
 #[test]
-fn behind_reads_itself() {
+fn outdated_instance_reads_store_itself() {
     for seed in 0..5 {
         let mut fleet = VirtualFleet::new(&[20, 20], seed);
         // Its narrow link makes it the last in rank.
@@ -209,22 +231,26 @@
         let head = publish(&mut fleet, 2);
         fleet.store.publish(3, 700);
         fleet.answer_watches();
-        let took = fleet.run_until(BOUND_MS, |fleet| fleet.all_have_list(head + 1));
-        assert!(took.is_some(), "seed {seed}: not within {BOUND_MS} ms");
+        let elapsed_ms =
+            fleet.run_until(CONVERGENCE_TIMEOUT_MS, |fleet| fleet.all_have_list(head + 1));
+        assert!(elapsed_ms.is_some(), "seed {seed}: not within {CONVERGENCE_TIMEOUT_MS} ms");
     }
 }
 
 #[test]
-fn wide_links_read() {
+fn instances_with_wide_links_become_readers() {
     let mut fleet = VirtualFleet::new(&[4, 4], 1);
     for index in [2, 6] {
         fleet.instances[index].link_mbps = 1_000;
     }
     let mut fleet = settle(fleet);
     fleet.run(10_000);
-    let reads = |index: &usize| {
+    let is_reader = |index: &usize| {
         fleet.instances[*index].member.as_ref().is_some_and(|member| member.is_reading_store())
     };
-    let readers: Vec<_> = (0..8).filter(reads).collect();
-    assert!(!readers.is_empty() && readers.iter().all(|one| [2, 6].contains(one)), "{readers:?}");
+    let readers: Vec<_> = (0..8).filter(is_reader).collect();
+    assert!(
+        !readers.is_empty() && readers.iter().all(|index| [2, 6].contains(index)),
+        "{readers:?}"
+    );
 }
--- a/crates/foxledge-gossip/tests/packed_rows.rs
+++ b/crates/foxledge-gossip/tests/packed_rows.rs
@@ -46,13 +46,15 @@
 /// Generates rows with usual keys, and with any others.
 fn any_row() -> impl Strategy<Value = ListRow> {
     (any_value(), "[a-z/0-9-]{0,6}", any::<bool>(), any::<u64>()).prop_map(
-        |(value, word, is_usual, revision)| {
+        |(value, word, is_usual_key, revision)| {
             let number = match &value {
                 RowValue::Backend(backend) => Some(backend.number),
-                RowValue::Removed(removed) => removed.backend.as_ref().map(|one| one.number),
+                RowValue::Removed(removed) => {
+                    removed.backend.as_ref().map(|backend| backend.number)
+                }
                 _ => None,
             };
-            let key = match number.filter(|_| is_usual) {
+            let key = match number.filter(|_| is_usual_key) {
                 Some(number) => format!("{word}{number:x}"),
                 None => word,
             };
@@ -65,28 +67,28 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn same_unpacked(rows in prop::collection::vec(any_row(), 0..40)) {
+    fn unpacks_to_same_rows(rows in prop::collection::vec(any_row(), 0..40)) {
         prop_assert_eq!(PackedRows::pack(&rows).unpack(), rows);
     }
 
     // A page must not exceed the maximum message size: a name is sent once, and counts towards the
     // first row that uses it.
     #[test]
-    fn sizes_add_up(rows in prop::collection::vec(any_row(), 1..40), count in 0..40_usize) {
+    fn reported_sizes_cover_encoded_message(rows in prop::collection::vec(any_row(), 1..40), count in 0..40_usize) {
         let mut packer = RowPacker::default();
         let sizes: Vec<_> = rows.iter().map(|row| packer.push(row)).collect();
         let count = count.min(rows.len());
-        let told: usize = sizes[..count].iter().sum();
+        let reported: usize = sizes[..count].iter().sum();
         let packed = packer.finish(count);
         prop_assert_eq!(packed.clone().unpack(), &rows[..count]);
         // Names of rows that were left out may remain.
-        let names: usize = packed.names.iter().map(|name| name.len() + 2).sum();
-        prop_assert!(packed.encoded_len() <= told + names);
+        let name_bytes: usize = packed.names.iter().map(|name| name.len() + 2).sum();
+        prop_assert!(packed.encoded_len() <= reported + name_bytes);
     }
 }
 
 #[test]
-fn usual_row_small() {
+fn packing_halves_size_of_typical_rows() {
     let rows: Vec<_> = (0..20)
         .map(|index: u64| {
             let number = 0xa2_1ae3_7400 + index;
@@ -106,8 +108,8 @@
             ListRow { key: format!("backend/i-{number:x}"), revision: 300 + index, value }
         })
         .collect();
-    let plain: usize = rows.iter().map(|row| row.encoded_len() + 2).sum();
-    let packed = PackedRows::pack(&rows).encoded_len();
-    println!("{} and {} bytes a row", plain / 20, packed / 20);
-    assert!(packed * 2 <= plain, "{packed} of {plain} bytes");
+    let plain_bytes: usize = rows.iter().map(|row| row.encoded_len() + 2).sum();
+    let packed_bytes = PackedRows::pack(&rows).encoded_len();
+    println!("{} bytes a row, {} packed", plain_bytes / 20, packed_bytes / 20);
+    assert!(packed_bytes * 2 <= plain_bytes, "{packed_bytes} of {plain_bytes} bytes");
 }
--- a/crates/foxledge-gossip/tests/restored_store.rs
+++ b/crates/foxledge-gossip/tests/restored_store.rs
@@ -9,9 +9,9 @@
 use foxledge_gossip::FleetMember;
 
 /// Time within which a change must be in force, in milliseconds.
-const IN_FORCE_MS: u64 = 3_000;
+const APPLY_TIMEOUT_MS: u64 = 3_000;
 /// Duration of the store's outage, in milliseconds.
-const AWAY_MS: u64 = 2_600;
+const OUTAGE_MS: u64 = 2_600;
 
 /// Creates a fleet whose store has lost the newest three versions and serves again.
 fn restored_fleet(counts: &[usize], seed: u64) -> VirtualFleet {
@@ -24,7 +24,7 @@
     let members = 0..fleet.instances.len();
     fleet.store_state = members.map(|member| (member, StoreState::Refusing)).collect();
     fleet.answer_watches();
-    fleet.run(AWAY_MS);
+    fleet.run(OUTAGE_MS);
     fleet.store.restore(3);
     fleet.store_state.clear();
     fleet
@@ -35,7 +35,7 @@
 }
 
 /// Returns the rows of a list by key, without removed ones.
-fn known(member: &FleetMember) -> BTreeMap<String, RowValue> {
+fn present_rows(member: &FleetMember) -> BTreeMap<String, RowValue> {
     let rows = member.list().rows();
     let rows = rows.filter_map(|row| Some((row.key.clone(), row.value.clone()?)));
     rows.filter(|(_, value)| !matches!(value, RowValue::Removed(_))).collect()
@@ -43,36 +43,40 @@
 
 // A new version must be applied although its revision was given out before the restore.
 #[test]
-fn reused_revision_in_force() {
+fn version_with_reused_revision_is_applied() {
     for (counts, seed) in [(vec![7], 1), (vec![3, 2, 2], 2), (vec![30, 30], 3)] {
         let mut fleet = restored_fleet(&counts, seed);
         fleet.run(500);
         fleet.store.publish(5, 12);
         fleet.answer_watches();
-        let all_have = |fleet: &VirtualFleet| fleet.members().all(|one| has_version(one, 5));
-        let took = fleet.run_until(IN_FORCE_MS, all_have);
-        assert!(took.is_some(), "{counts:?}: not in force after {IN_FORCE_MS} ms");
+        let all_have_version =
+            |fleet: &VirtualFleet| fleet.members().all(|member| has_version(member, 5));
+        let elapsed_ms = fleet.run_until(APPLY_TIMEOUT_MS, all_have_version);
+        assert!(elapsed_ms.is_some(), "{counts:?}: not in force after {APPLY_TIMEOUT_MS} ms");
     }
 }
 
 // The drain of a backend server must be applied although its revision was given out before the
 // restore; otherwise the server gets new flows.
 #[test]
-fn reused_revision_leave() {
+fn drain_with_reused_revision_is_applied() {
     let mut fleet = restored_fleet(&[3, 2, 2], 4);
     fleet.run(500);
     fleet.store.register(7, true);
     fleet.answer_watches();
     let key = backend_key("i-7");
-    let is_leaving = |member: &FleetMember| matches!(known(member).get(&key), Some(RowValue::Backend(backend)) if backend.draining);
-    let all_know = |fleet: &VirtualFleet| fleet.members().all(is_leaving);
-    let took = fleet.run_until(IN_FORCE_MS, all_know);
-    assert!(took.is_some(), "some don't know of the leave after {IN_FORCE_MS} ms");
+    let is_draining = |member: &FleetMember| matches!(present_rows(member).get(&key), Some(RowValue::Backend(backend)) if backend.draining);
+    let all_are_draining = |fleet: &VirtualFleet| fleet.members().all(is_draining);
+    let elapsed_ms = fleet.run_until(APPLY_TIMEOUT_MS, all_are_draining);
+    assert!(
+        elapsed_ms.is_some(),
+        "not all instances know of the drain after {APPLY_TIMEOUT_MS} ms"
+    );
 }
 
 // Instances must not hold different lists under one revision.
 #[test]
-fn one_list_after_restore() {
+fn all_instances_have_same_list_after_restore() {
     let mut fleet = restored_fleet(&[3, 2, 2], 5);
     // As many changes as were lost: the last has the revision that is known.
     fleet.run(500);
@@ -80,8 +84,8 @@
     fleet.store.remove(8);
     fleet.store.publish(5, 4);
     fleet.answer_watches();
-    fleet.run(IN_FORCE_MS);
-    let mut lists: Vec<_> = fleet.members().map(known).collect();
+    fleet.run(APPLY_TIMEOUT_MS);
+    let mut lists: Vec<_> = fleet.members().map(present_rows).collect();
     let first = lists.pop().expect("there are members");
     assert!(matches!(&first[LIMITS_KEY], RowValue::Limits(limits) if limits.version == 5));
     assert_eq!(first.keys().filter(|key| key.starts_with("route/")).count(), 4);
@@ -93,7 +97,7 @@
 
 // In a large fleet each instance needs a snapshot of a restored list; it must arrive in time.
 #[test]
-fn large_fleet_follows() {
+fn large_fleet_applies_restored_list_in_time() {
     let mut fleet = VirtualFleet::new(&[50, 50, 50], 6);
     for number in 100..1_600 {
         fleet.store.register(number, false);
@@ -107,7 +111,8 @@
     fleet.store.restore(1);
     fleet.store.publish(3, 12);
     fleet.answer_watches();
-    let all_have = |fleet: &VirtualFleet| fleet.members().all(|one| has_version(one, 3));
-    let took = fleet.run_until(IN_FORCE_MS, all_have);
-    assert!(took.is_some(), "not in force after {IN_FORCE_MS} ms");
+    let all_have_version =
+        |fleet: &VirtualFleet| fleet.members().all(|member| has_version(member, 3));
+    let elapsed_ms = fleet.run_until(APPLY_TIMEOUT_MS, all_have_version);
+    assert!(elapsed_ms.is_some(), "not in force after {APPLY_TIMEOUT_MS} ms");
 }
--- a/crates/foxledge-gossip/tests/store_epoch.rs
+++ b/crates/foxledge-gossip/tests/store_epoch.rs
@@ -9,7 +9,7 @@
     FleetEffect, FleetEvent, FleetMember, MemberOptions, ReadReason, StoreCall, StoreQuery,
 };
 
-fn events(member: &mut FleetMember) -> Vec<FleetEvent> {
+fn drain_events(member: &mut FleetMember) -> Vec<FleetEvent> {
     let event = |effect| match effect {
         FleetEffect::LogEvent(event) => Some(event),
         _ => None,
@@ -19,17 +19,17 @@
 
 // A response of the store that changes nothing must leave a log line.
 #[test]
-fn older_answer_told() {
+fn logs_ignored_stale_response() {
     let address = "10.1.0.1:7000".parse().expect("is an address");
     let options = MemberOptions::new(address, CentreName::new("toledo"));
     let mut member = FleetMember::new(options, ClockTime::ZERO);
     let all = StoreQuery::All(ReadMode::Linearizable);
     let now = ClockTime::from_micros(1_000_000);
     member.handle_store_response(now, all, Ok(ListReading::complete(Vec::new(), 9)));
-    events(&mut member);
+    drain_events(&mut member);
     member.handle_store_response(now, all, Ok(ListReading::complete(Vec::new(), 7)));
-    let told = events(&mut member);
-    let passed_over = FleetEvent::ReadingPassedOver {
+    let logged = drain_events(&mut member);
+    let ignored = FleetEvent::ReadingPassedOver {
         order: "all",
         epoch: 0,
         revision: 7,
@@ -37,32 +37,35 @@
         known_revision: 9,
         confirmed_age_ms: Some(0),
     };
-    assert!(told.contains(&passed_over), "{told:?}");
+    assert!(logged.contains(&ignored), "{logged:?}");
 }
 
 // Operators must be able to tell a restored store from a slow one.
 #[test]
-fn epoch_change_told() {
+fn logs_epoch_change() {
     let mut fleet = settled_fleet(&[3, 2], 1);
     let revision = fleet.store.head;
     fleet.store.restore(0);
     fleet.answer_watches();
     fleet.run(2_000);
-    let is_told = |event: &FleetEvent| matches!(event, FleetEvent::StoreEpochChanged { epoch: 1, former_epoch: Some(0), revision: at, .. } if *at == revision);
-    let told =
-        fleet.instances.iter().flat_map(|seat| &seat.events).filter(|(_, event)| is_told(event));
-    assert!(told.count() > 0, "nobody tells");
+    let is_logged = |event: &FleetEvent| matches!(event, FleetEvent::StoreEpochChanged { epoch: 1, former_epoch: Some(0), revision: logged_revision, .. } if *logged_revision == revision);
+    let logged = fleet
+        .instances
+        .iter()
+        .flat_map(|instance| &instance.events)
+        .filter(|(_, event)| is_logged(event));
+    assert!(logged.count() > 0, "no instance logs the epoch change");
 }
 
 // Changes whose response can't be parsed must not be queried again and again.
 #[test]
-fn unreadable_changes_read_whole() {
+fn reads_whole_list_after_malformed_response() {
     let address = "10.1.0.1:7000".parse().expect("is an address");
     let options = MemberOptions::new(address, CentreName::new("toledo"));
     let mut member = FleetMember::new(options, ClockTime::ZERO);
     let at = |second: u64| ClockTime::from_micros(second * 1_000_000);
     let all = StoreQuery::All(ReadMode::Linearizable);
-    let calls = |member: &mut FleetMember, second: u64| {
+    let drain_calls = |member: &mut FleetMember, second: u64| {
         member.handle_timers(at(second));
         let effects = member.drain_effects().into_iter();
         let call = |effect: FleetEffect| match effect {
@@ -72,12 +75,12 @@
         effects.filter_map(call).collect::<Vec<_>>()
     };
     member.handle_store_response(at(1), all, Ok(ListReading::complete(Vec::new(), 9)));
-    let asked = calls(&mut member, 3);
-    let watch = asked.last().expect("asks").query;
-    assert!(matches!(watch, StoreQuery::Watch { after: 9, .. }), "{asked:?}");
+    let store_calls = drain_calls(&mut member, 3);
+    let watch = store_calls.last().expect("calls the store").query;
+    assert!(matches!(watch, StoreQuery::Watch { after: 9, .. }), "{store_calls:?}");
     let error = SourceError::Malformed("more than 8 bytes".to_owned());
     member.handle_store_response(at(4), watch, Err(error));
-    let asked = calls(&mut member, 5);
-    let whole = StoreCall { query: all, reason: ReadReason::Unanswered };
-    assert!(asked.contains(&whole), "{asked:?}");
+    let store_calls = drain_calls(&mut member, 5);
+    let full_read = StoreCall { query: all, reason: ReadReason::Unanswered };
+    assert!(store_calls.contains(&full_read), "{store_calls:?}");
 }
