--- a/crates/foxledge-gossip/src/dissemination.rs
+++ b/crates/foxledge-gossip/src/dissemination.rs
@@ -257,8 +257,8 @@
         }
     }
 
-    /// Responds to an instance that asked for a heartbeat, or whose heartbeat was outdated. One
-    /// that knows few instances is named some.
+    /// Responds to an instance that asked for a heartbeat, or whose heartbeat was outdated. The
+    /// response names instances to one that knows few.
     pub(crate) fn respond_to_heartbeat(
         &mut self,
         now: ClockTime,
--- a/crates/foxledge-gossip/src/effects.rs
+++ b/crates/foxledge-gossip/src/effects.rs
@@ -47,14 +47,17 @@
     /// No list is known yet.
     Start,
     /// A part of the list is known, and no peer has sent the rest.
-    Rest,
+    #[serde(rename = "rest")]
+    Remainder,
     /// This instance is a reader and waits for changes.
     Changes,
     /// The last confirmation is too old, so the newest revision is queried without a long wait.
-    Unsure,
+    #[serde(rename = "unsure")]
+    Unconfirmed,
     /// The last confirmation is so old that the changes since then would be larger than the whole
     /// list.
-    FarBehind,
+    #[serde(rename = "far_behind")]
+    Outdated,
     /// The store has compacted the history that a watch asked for.
     HistoryGone,
     /// The last call had no response, or one that couldn't be parsed.
@@ -66,10 +69,10 @@
     pub fn as_str(self) -> &'static str {
         match self {
             ReadReason::Start => "start",
-            ReadReason::Rest => "rest",
+            ReadReason::Remainder => "rest",
             ReadReason::Changes => "changes",
-            ReadReason::Unsure => "unsure",
-            ReadReason::FarBehind => "far_behind",
+            ReadReason::Unconfirmed => "unsure",
+            ReadReason::Outdated => "far_behind",
             ReadReason::HistoryGone => "history_gone",
             ReadReason::Unanswered => "unanswered",
         }
@@ -105,7 +108,8 @@
     RecordConfirmation(ClockTime),
     /// Records a health observation that another instance made of a backend server.
     RecordObservation(HealthObservation),
-    /// Handles a caller's packet that another instance couldn't assign and relayed here.
+    /// Handles a caller's packet that another instance couldn't map to a backend server and relayed
+    /// here.
     HandlePacket(Vec<u8>),
     /// Logs an event.
     LogEvent(FleetEvent),
--- a/crates/foxledge-gossip/src/member.rs
+++ b/crates/foxledge-gossip/src/member.rs
@@ -116,7 +116,8 @@
     pub(crate) next_centre_query_at: ClockTime,
     /// Time of the next query to the seeds, while no list is known.
     pub(crate) next_seed_query_at: ClockTime,
-    /// Time of the first reading of the store.
+    /// Time from which a first list is read from the store, and then from which its confirmation is
+    /// awaited.
     pub(crate) first_read_at: ClockTime,
     /// Effects that were not drained yet.
     pub(crate) effects: Vec<FleetEffect>,
--- a/crates/foxledge-gossip/src/messages.rs
+++ b/crates/foxledge-gossip/src/messages.rs
@@ -81,7 +81,7 @@
     /// Response with removed backend servers.
     #[prost(message, tag = "6")]
     TokenResponse(TokenResponse),
-    /// Packet of a caller that the sender can't assign.
+    /// Packet of a caller that the sender can't map to a backend server.
     #[prost(message, tag = "7")]
     RelayedPacket(RelayedPacket),
     /// Request for rows of the operators' list that the receiver retains.
--- a/crates/foxledge-gossip/src/packet_relay.rs
+++ b/crates/foxledge-gossip/src/packet_relay.rs
@@ -1,4 +1,4 @@
-//! Relaying of callers' packets that an instance can't assign yet.
+//! Relaying of callers' packets that an instance can't map to a backend server yet.
 //!
 //! An instance that has just started serves by a part of a large list until it has all of it.
 //! Packets of open flows mostly name backend servers that it doesn't know yet, but that its peers
--- a/crates/foxledge-gossip/src/packing.rs
+++ b/crates/foxledge-gossip/src/packing.rs
@@ -93,7 +93,7 @@
     pub incarnation: u64,
     /// Revision at which its entry was created.
     #[prost(uint64, tag = "10")]
-    pub created: u64,
+    pub created_revision: u64,
 }
 
 /// `PackedRemoval` is a packed [`RemovedRow`].
@@ -173,7 +173,7 @@
             draining: row.draining,
             warm_in_ms: row.warm_in_ms,
             incarnation: row.incarnation,
-            created: row.created_revision,
+            created_revision: row.created_revision,
         }
     }
 
@@ -246,7 +246,7 @@
         draining: packed.draining,
         warm_in_ms: packed.warm_in_ms,
         incarnation: packed.incarnation,
-        created_revision: packed.created,
+        created_revision: packed.created_revision,
     }
 }
 
--- a/crates/foxledge-gossip/src/peers.rs
+++ b/crates/foxledge-gossip/src/peers.rs
@@ -138,12 +138,12 @@
 }
 
 impl PeerTable {
-    /// Creates the empty table of an instance in `data_centre`.
+    /// Creates the empty table of an instance in data centre `local_centre`.
     pub fn new(local_centre: &str) -> PeerTable {
         PeerTable { local_centre: local_centre.to_owned(), ..PeerTable::default() }
     }
 
-    /// Records that an instance was heard from at `last_heard_at`.
+    /// Records that an instance was heard from at `heard_at`; returns what that changed.
     pub fn record_contact(
         &mut self,
         descriptor: &PeerDescriptor,
@@ -206,12 +206,12 @@
     }
 
     fn remove_lost_same_centre(&mut self, now: ClockTime) -> Vec<PeerLoss> {
-        let (near, found, mut losses) =
+        let (local_centre, joined_incarnations, mut losses) =
             (&self.local_centre, &mut self.joined_incarnations, Vec::new());
         self.records.retain(|address, record| {
-            let is_lost = record.descriptor.data_centre == *near && record.is_lost(now);
+            let is_lost = record.descriptor.data_centre == *local_centre && record.is_lost(now);
             if is_lost {
-                found.remove(address);
+                joined_incarnations.remove(address);
                 let age_ms = now.since(record.last_heard_at).as_millis() as u64;
                 losses.push(PeerLoss::Peer { address: *address, age_ms });
             }
@@ -223,21 +223,21 @@
     /// Removes quiet instances of other data centres, except for the most recently heard one of
     /// each: once a network partition is over, it is the way back.
     fn remove_quiet_remote(&mut self, now: ClockTime) -> Vec<PeerLoss> {
-        let newest: BTreeMap<String, ClockTime> = self
+        let latest: BTreeMap<String, ClockTime> = self
             .latest_remote()
             .into_values()
             .map(|record| (record.descriptor.data_centre.clone(), record.last_heard_at))
             .collect();
-        let near = &self.local_centre;
+        let local_centre = &self.local_centre;
         self.records.retain(|_, record| {
             let centre = &record.descriptor.data_centre;
-            centre == near
+            centre == local_centre
                 || !record.is_quiet(now)
-                || newest.get(centre) == Some(&record.last_heard_at)
+                || latest.get(centre) == Some(&record.last_heard_at)
         });
-        let is_silent = |at: ClockTime| at.after_millis(REMOTE_QUIET_TIMEOUT_MS).is_past(now);
+        let is_quiet = |at: ClockTime| at.after_millis(REMOTE_QUIET_TIMEOUT_MS).is_past(now);
         let mut losses = Vec::new();
-        for (data_centre, at) in newest.into_iter().filter(|(_, at)| is_silent(*at)) {
+        for (data_centre, at) in latest.into_iter().filter(|(_, at)| is_quiet(*at)) {
             if self.remote_centres.remove(&data_centre) {
                 let age_ms = now.since(at).as_millis() as u64;
                 losses.push(PeerLoss::Centre { data_centre, age_ms });
@@ -248,13 +248,13 @@
 
     /// Returns the most recently heard instance of each other data centre.
     pub(crate) fn latest_remote(&self) -> BTreeMap<&str, &PeerRecord> {
-        let mut newest: BTreeMap<&str, &PeerRecord> = BTreeMap::new();
+        let mut latest: BTreeMap<&str, &PeerRecord> = BTreeMap::new();
         for record in self
             .records
             .values()
             .filter(|record| record.descriptor.data_centre != self.local_centre)
         {
-            let known = newest.entry(record.descriptor.data_centre.as_str()).or_insert(record);
+            let known = latest.entry(record.descriptor.data_centre.as_str()).or_insert(record);
             // A tie is broken by address, so that the result doesn't depend on the order of the
             // map.
             if (record.last_heard_at, record.descriptor.ip)
@@ -263,7 +263,7 @@
                 *known = record;
             }
         }
-        newest
+        latest
     }
 
     /// Returns the instances of the same data centre that were heard from within the last minute,
@@ -381,6 +381,8 @@
         peers.filter(move |record| !record.is_quiet(now))
     }
 
+    /// Evicts another instance of the same data centre if the table holds the maximum of them;
+    /// returns false if all of them were heard from no earlier than `heard_at`.
     fn evict_for(&mut self, descriptor: &PeerDescriptor, heard_at: ClockTime) -> bool {
         let centre = descriptor.data_centre.as_str();
         let limit = if centre == self.local_centre {
@@ -393,7 +395,7 @@
         if same_centre_records.clone().count() < limit {
             return true;
         }
-        // Evicting the instance that was heard from longest ago keeps tables changing.
+        // Evicting the instance that was heard from longest ago keeps the tables mixing.
         let oldest =
             same_centre_records.min_by_key(|(address, record)| (record.last_heard_at, **address));
         let Some((address, record)) = oldest else { return true };
--- a/crates/foxledge-gossip/src/store_reading.rs
+++ b/crates/foxledge-gossip/src/store_reading.rs
@@ -93,7 +93,7 @@
             return;
         }
         let (query, reason) = match self.preview.was_received() {
-            true => (StoreQuery::All(ReadMode::Serializable), ReadReason::Rest),
+            true => (StoreQuery::All(ReadMode::Serializable), ReadReason::Remainder),
             false => (StoreQuery::FirstPage, ReadReason::Start),
         };
         self.call_store(now, StoreCall { query, reason });
@@ -144,7 +144,7 @@
         let is_outdated =
             self.confirmed_at.is_some_and(|at| at.after_millis(FULL_READ_AGE_MS).is_past(now));
         let fits_one_response = self.list.len() <= MAX_SINGLE_RESPONSE_ROWS;
-        let outdated_reason = (is_outdated && fits_one_response).then_some(ReadReason::FarBehind);
+        let outdated_reason = (is_outdated && fits_one_response).then_some(ReadReason::Outdated);
         if let Some(reason) = self.full_read_reason.or(outdated_reason) {
             return StoreCall { query: StoreQuery::All(ReadMode::Linearizable), reason };
         }
@@ -153,7 +153,7 @@
             .is_some_and(|at| !at.after_millis(self.options.watch_ms).is_past(now));
         let (wait_ms, reason) = match is_confirmed {
             true => (self.options.watch_ms, ReadReason::Changes),
-            false => (REVISION_CHECK_WAIT_MS, ReadReason::Unsure),
+            false => (REVISION_CHECK_WAIT_MS, ReadReason::Unconfirmed),
         };
         StoreCall { query: StoreQuery::Watch { after: self.list.head(), wait_ms }, reason }
     }
--- a/crates/foxledge-gossip/tests/damaged_messages.rs
+++ b/crates/foxledge-gossip/tests/damaged_messages.rs
@@ -52,7 +52,9 @@
     })]
 
     #[test]
-    fn rejects_random_bytes(datagrams in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 100)) {
+    fn rejects_random_bytes(
+        datagrams in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 100)
+    ) {
         let mut fleet = busy_fleet();
         for datagram in &datagrams {
             prop_assert!(!handle_checked(&mut fleet, datagram)?);
@@ -63,7 +65,10 @@
     // Passed on, it would make all instances ignore newer rows until all are restarted.
     #[test]
     fn rejects_corrupted_messages(
-        changes in prop::collection::vec((any::<prop::sample::Index>(), any::<prop::sample::Index>(), any::<u8>()), 400)
+        changes in prop::collection::vec(
+            (any::<prop::sample::Index>(), any::<prop::sample::Index>(), any::<u8>()),
+            400
+        )
     ) {
         let mut fleet = busy_fleet();
         let datagrams: Vec<_> = fleet.recent_datagrams.iter().cloned().collect();
--- a/crates/foxledge-gossip/tests/packed_rows.rs
+++ b/crates/foxledge-gossip/tests/packed_rows.rs
@@ -74,7 +74,10 @@
     // A page must not exceed the maximum message size: a name is sent once, and counts towards the
     // first row that uses it.
     #[test]
-    fn reported_sizes_cover_encoded_message(rows in prop::collection::vec(any_row(), 1..40), count in 0..40_usize) {
+    fn reported_sizes_cover_encoded_message(
+        rows in prop::collection::vec(any_row(), 1..40),
+        count in 0..40_usize
+    ) {
         let mut packer = RowPacker::default();
         let sizes: Vec<_> = rows.iter().map(|row| packer.push(row)).collect();
         let count = count.min(rows.len());
--- a/crates/foxledge-gossip/tests/simultaneous_start.rs
+++ b/crates/foxledge-gossip/tests/simultaneous_start.rs
@@ -85,10 +85,10 @@
     assert!(fleet.run_until(1_500, |fleet| fleet.all_have_list(head)).is_some());
 }
 
-// If all 300 instances read the store at once, its link carries 750 KB to each of them; if all
-// request a snapshot from the three seeds, a seed with a twentieth of a core serves none of them in
-// time. Either way they serve only seconds after a power failure, and the traffic crosses data
-// centres.
+// If all 300 instances read 3,000 backend servers from the store at once, its link carries 750 KB
+// to each of them; if all request a snapshot from the three seeds, a seed with a twentieth of a
+// core serves none of them in time. Either way they serve only seconds after a power failure, and
+// the traffic crosses data centres.
 #[test]
 fn large_fleet_gets_large_list_in_time() {
     let mut fleet = large_fleet();
