--- a/crates/foxledge-gossip/src/dissemination.rs
+++ b/crates/foxledge-gossip/src/dissemination.rs
@@ -151,8 +151,8 @@
         self.peers.count_same_centre(now) == 0
     }
 
-    /// Sends updates to some instances of the same data centre, and sometimes to remote ones; `but`
-    /// is left out.
+    /// Sends updates to some instances of the same data centre except `excluded`, and sometimes to
+    /// remote ones.
     pub(crate) fn disseminate(
         &mut self,
         now: ClockTime,
@@ -190,10 +190,11 @@
         }
     }
 
-    /// Returns an instance of each other data centre with a certain probability: on average, of a
-    /// small data centre one in four instances sends an update there, of a large one
-    /// [`REMOTE_SENDERS`], or [`REMOTE_FORWARDERS`] if the update came from another data centre
-    /// itself.
+    /// Returns an instance of each other data centre, or none, at random.
+    ///
+    /// On average, one instance of a small data centre, or one in four of them, sends an update to
+    /// each other one. Of a large data centre [`REMOTE_SENDERS`] instances do, or
+    /// [`REMOTE_FORWARDERS`] if the update came from another data centre itself.
     pub(crate) fn pick_remote_sometimes(
         &mut self,
         now: ClockTime,
--- a/crates/foxledge-gossip/src/peers.rs
+++ b/crates/foxledge-gossip/src/peers.rs
@@ -1,8 +1,8 @@
 //! Table of the known instances.
 //!
 //! In a large fleet the table holds a part of it: all or most instances of the same data centre,
-//! and some of each other one. Changes in which part that is are not reported; that an instance
-//! starts, stops or is dead is.
+//! and some of each other one. Additions and evictions are not reported as events; starts, stops
+//! and deaths of instances are.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -22,8 +22,8 @@
 const REMOTE_QUIET_TIMEOUT_MS: u64 = 15_000;
 /// Time without contact after which an instance no longer counts as live, in milliseconds.
 const LIVE_WINDOW_MS: u64 = 2_500;
-/// Number of unanswered probes after which an instance of the same data centre is lost. At a packet
-/// loss of one in ten, two probes and their responses are lost for one instance in thirty.
+/// Number of unanswered probes after which an instance of the same data centre counts as lost. With
+/// two, a packet loss of one in ten would make one quiet instance in thirty count as lost.
 const MAX_UNANSWERED_PROBES: u32 = 3;
 /// Maximum number of known instances of the same data centre. Gossip only needs the known instances
 /// of all to form one connected graph, for which some dozen edges suffice at any size.
@@ -37,7 +37,7 @@
 /// data centre of the largest deployment has instances.
 const MAX_REMEMBERED_INSTANCES: usize = 2_000;
 
-/// `PeerRecord` is what is known of another instance.
+/// `PeerRecord` holds what is known about another instance.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerRecord {
     pub descriptor: PeerDescriptor,
--- a/crates/foxledge-gossip/tests/newest_list.rs
+++ b/crates/foxledge-gossip/tests/newest_list.rs
@@ -215,8 +215,8 @@
 }
 
 // Large lists come three a second, and an instance whose requests are lost gets no changes from its
-// peers. It must not wait for the better ranked instances to read first, since they can't help it;
-// it had a list 13 s old.
+// peers. It must not wait for better ranked instances to read first, since they can't help it: with
+// that rule, such an instance had a list 13 s old while all others had the newest.
 #[test]
 fn outdated_instance_reads_store_itself() {
     for seed in 0..5 {
--- a/crates/foxledge-gossip/tests/steady_state.rs
+++ b/crates/foxledge-gossip/tests/steady_state.rs
@@ -167,8 +167,8 @@
 }
 
 // During an outage of the store all instances try to read. If each is ranked only among the few
-// that it has recently heard from, all try at once and then every second, which costs as many calls
-// in five seconds as a whole day, and leaves hundreds of readers when the store is back.
+// that it has recently heard from, all try at once and then every second. That costs as many calls
+// in five seconds as a quiet day, and hundreds of instances read when the store is back.
 #[test]
 fn store_outage_costs_few_calls() {
     for counts in [&[2, 2, 2, 1][..], &[21, 24, 19, 23], &[50; 6]] {
