--- a/crates/foxledge-gossip/examples/fleet_scale.rs
+++ b/crates/foxledge-gossip/examples/fleet_scale.rs
@@ -1,7 +1,8 @@
-//! What a large fleet costs by moment: calls of the store, bytes, times, in virtual time.
+//! Cost of a large fleet in several scenarios, in virtual time: calls of the store, bytes and
+//! delays.
 //!
-//! `fleet_scale INSTANCES BACKENDS` prints one CSV line a moment; with a third argument the first
-//! moment alone, a start while the list grows.
+//! `fleet_scale INSTANCES BACKENDS` prints one CSV line per scenario; with a third argument only
+//! the first scenario, a start while the list grows.
 
 use std::{collections::BTreeMap, env, fmt};
 
@@ -10,23 +11,24 @@
 
 use common::{StoreState, VirtualFleet};
 
-/// Data centres.
+/// Number of data centres.
 const CENTRES: usize = 6;
-/// Work of an instance for each message, in microseconds, at an eighth of a core.
+/// Processing time of an instance for each message, in microseconds, at an eighth of a core.
 const MESSAGE_US: u64 = 200;
-/// Time that the store's link of 1 Gbit/s takes for an item of 250 bytes, in nanoseconds.
+/// Time for which an item of 250 bytes occupies the store's link of 1 Gbit/s, in nanoseconds.
 const ITEM_NS: u64 = 2_000;
-/// Time of each further page of a whole reading, in microseconds.
+/// Time for each further page of a full read, in microseconds.
 const PAGE_US: u64 = 4_000;
-/// Instances of each data centre with wide links.
+/// Number of instances with wide links per data centre.
 const WIDE: usize = 6;
-/// Backend servers that register together, and the time until the next do, in milliseconds.
+/// Number of backend servers that register together, and the time between two such batches, in
+/// milliseconds.
 const GROWTH_BATCH: u64 = 20;
 const GROWTH_MS: u64 = 20;
-/// Routes without traffic.
+/// Number of routes; they carry no traffic.
 const ROUTES: usize = 150;
 
-/// `MomentMeter` compares a fleet before and after a moment.
+/// Compares the counters of a fleet before and after a scenario.
 struct MomentMeter {
     name: &'static str,
     start_us: u64,
@@ -74,7 +76,7 @@
     }
 }
 
-/// What counts have grown by, as text.
+/// Formats the growth of counters.
 fn grown<K: Ord + fmt::Debug>(now: &BTreeMap<K, u64>, before: &BTreeMap<K, u64>) -> String {
     let growth = now.iter().map(|(word, count)| (word, count - before.get(word).unwrap_or(&0)));
     let texts =
@@ -82,7 +84,7 @@
     texts.collect::<Vec<_>>().join(" ").replace([',', '"'], " ")
 }
 
-/// Publishes changes for some seconds, one each `gap_ms`.
+/// Publishes `count` changes, one each `gap_ms`.
 fn change(fleet: &mut VirtualFleet, first: u64, count: u64, gap_ms: u64) {
     for number in 0..count {
         fleet.store.register(first + number, number % 3 == 0);
@@ -91,7 +93,7 @@
     }
 }
 
-/// Drops the history after a second in which watches heard nothing of changes.
+/// Compacts the history after a second in which watches received no changes.
 fn drop_history(fleet: &mut VirtualFleet, first: u64) {
     for number in 0..10 {
         fleet.store.register(first + number, false);
@@ -117,7 +119,7 @@
     meter.print(fleet, took);
 }
 
-/// The store turns away the instances that `is_meant` names, and those that read it.
+/// Lets the store refuse the selected instances and all current readers.
 fn turn_away(fleet: &mut VirtualFleet, is_meant: impl Fn(usize) -> bool) {
     let reads = |seat: &common::VirtualInstance| {
         seat.member.as_ref().is_some_and(|one| one.is_reading_store())
@@ -128,7 +130,7 @@
     fleet.answer_watches();
 }
 
-/// A fleet that hasn't started, of which six instances in each data centre have wide links.
+/// Returns a fleet that hasn't been started, with wide links for six instances per data centre.
 fn new_fleet(instances: usize) -> VirtualFleet {
     let in_centre = (instances / CENTRES).max(WIDE);
     let mut fleet = VirtualFleet::new(&[in_centre; CENTRES], 1);
@@ -142,7 +144,7 @@
     fleet
 }
 
-/// A fleet that starts before its backend servers do.
+/// Simulates a fleet that starts before its backend servers do.
 fn play_growth(instances: usize, backends: u64) {
     let mut fleet = new_fleet(instances);
     let grow = |fleet: &mut VirtualFleet| {
@@ -160,7 +162,7 @@
     play(&mut fleet, "starts while the list grows", grow, 20_000, 2_000);
 }
 
-/// A fleet before a published list, and what may happen to it.
+/// Simulates a fleet that starts on a published list, and several faults.
 fn play_moments(instances: usize, backends: u64) {
     let mut fleet = new_fleet(instances);
     for number in 1..=backends {
--- a/crates/foxledge-gossip/examples/load_scale.rs
+++ b/crates/foxledge-gossip/examples/load_scale.rs
@@ -1,8 +1,8 @@
-//! What reports of load cost and tell at several sizes, in virtual time.
+//! Cost and accuracy of load reports at several fleet sizes, in virtual time.
 //!
-//! `load_scale INSTANCES CENTRES SLOTS SEED MEASURE_MS` prints CSV, a line for a calm day and one
-//! for each burst; SLOTS is the slots of backend servers to an instance, MEASURE_MS the time
-//! between two measurements of a calm router.
+//! `load_scale INSTANCES CENTRES SLOTS SEED MEASURE_MS` prints CSV, one line for low load and one
+//! for each burst. SLOTS is the number of backend servers' slots per instance, MEASURE_MS the time
+//! between two measurements of a router at the slow pace.
 
 use std::env;
 
@@ -14,14 +14,14 @@
 use common::{VirtualFleet, settle};
 use load_model::{CALM_MEASURE_INTERVAL_MS, LoadModel, STEP_MS};
 
-/// Requests a slot from which overflow acts.
+/// Requests per slot above which requests overflow to other data centres.
 const FULL: f64 = 0.8;
-/// Part of the instances that is to know of a shortage.
+/// Share of the instances that must know of a shortage.
 const MOST: f64 = 0.95;
-/// Longest time for which knowledge is waited for, in milliseconds.
+/// Maximum time to wait until a shortage is known, in milliseconds.
 const LONGEST_MS: u64 = 3_000;
 
-/// `CostMeter` compares what a fleet has sent before and after a time.
+/// Compares the bytes that a fleet has sent before and after a period.
 struct CostMeter {
     start_us: u64,
     load: u64,
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Load bytes, load bytes between data centres, all bytes and those of the busiest instance,
-    /// a second and instance.
+    /// Formats load bytes, load bytes between data centres and all bytes per second and instance,
+    /// and all bytes per second of the busiest instance.
     fn rates(&self, fleet: &VirtualFleet) -> String {
         let seconds = (fleet.now_us - self.start_us) as f64 / 1e6;
         let count = fleet.instances.len() as f64;
@@ -57,7 +57,7 @@
     }
 }
 
-/// `ViewMeter` sums up how far views are from the truth.
+/// Collects the differences between views and the true load.
 #[derive(Default)]
 struct ViewMeter {
     near_errors: Vec<f64>,
@@ -109,14 +109,14 @@
     }
 }
 
-/// The value below which this part of all lies.
+/// Returns the value at a quantile.
 fn at(all: &mut [f64], part: f64) -> f64 {
     all.sort_by(f64::total_cmp);
     let index = (all.len() as f64 * part) as usize;
     all.get(index.min(all.len().saturating_sub(1))).copied().unwrap_or(f64::NAN)
 }
 
-/// Milliseconds until most instances near and far know that a data centre is full.
+/// Returns the milliseconds until most local and remote instances know that a data centre is full.
 fn known_after(fleet: &mut VirtualFleet, model: &mut LoadModel, centre: usize) -> [Option<u64>; 2] {
     let mut known = [None; 2];
     for step in 1..=LONGEST_MS / STEP_MS {
@@ -142,7 +142,7 @@
     known
 }
 
-/// Plays a burst in some data centres and prints its line.
+/// Simulates a burst in some data centres and prints its line.
 fn play(
     fleet: &mut VirtualFleet,
     model: &mut LoadModel,
--- a/crates/foxledge-gossip/src/backend_evidence.rs
+++ b/crates/foxledge-gossip/src/backend_evidence.rs
@@ -1,99 +1,104 @@
-//! What is believed of one backend server, and by which signs.
+//! Inference of one backend server's health from the observations of all instances.
 //!
-//! # Signs add up, whatever their way
+//! # Merging is independent of order and duplication
 //!
-//! A [`ObservationRecord`] is one observation of one instance. Copies of it come by many ways, late and
-//! repeatedly; all are one sign, named by its identity, at the time of its earliest copy. What
-//! is believed depends on the set of signs alone: taking them is commutative, associative and
-//! idempotent, as of each kind the newest decide and only a sign of life takes something away.
+//! An [`ObservationRecord`] is one observation by one instance. Copies of it arrive over several
+//! paths, late and repeatedly; the copies share an id and count as one observation, made at the
+//! time of the earliest copy. The inferred health depends on the set of observations alone: merging
+//! is commutative, associative and idempotent, because of each kind only the newest observations
+//! decide, and only an alive observation refutes others.
 //!
-//! - A sign of life refutes what was seen no later than it, and nothing that is newer.
-//! - A copy is never news. A sign is remembered after it was refuted or made needless, so that
-//!   its copies, which seem later from hop to hop, are known for what they are. Without that,
-//!   old signs of life made dead backend servers look healthy and idle, and new flows went there.
-//! - Signs older than [`TELL_MS`] are forgotten everywhere.
+//! - An alive observation refutes what was observed at the same time or before, and nothing newer.
+//! - A copy never counts as a new observation. Records are kept after they were refuted or
+//!   superseded, because their copies seem later at each hop and must be recognised. Without that,
+//!   old alive observations made dead backend servers look healthy and idle, and new flows were
+//!   sent there.
+//! - Observations older than [`RECORD_TTL_MS`] are removed at all instances.
 
 use foxledge_core::time::ClockTime;
 use foxledge_flows::{ObservationKind, health::SUSPICION_TIMEOUT_MS};
 
-/// How long signs are told, in milliseconds: as long as they count as evidence of a death.
-const TELL_MS: u64 = 3_000;
-/// A sign that changes no belief is news if it is newer by this, in milliseconds.
+/// Time after which an observation expires, in milliseconds: the time for which it counts as
+/// evidence of a death.
+const RECORD_TTL_MS: u64 = 3_000;
+/// Time, in milliseconds, by which an observation that doesn't change the inferred health must be
+/// newer than the known ones to be disseminated.
 ///
-/// A dead backend server goes on leaving requests unanswered. One more sign changes nothing
-/// that is believed, but the evidence must not grow old while the death lasts: a third of
-/// [`TELL_MS`] renews it in time.
-const RENEW_MS: u64 = 1_000;
-/// Signs that suffice for the death of a backend server, if one is of an open flow.
-const DEATH_SIGNS: usize = 2;
-/// Signs of one kind that can decide what is believed: a death or an ejection takes two.
-const DECIDING_SIGNS: usize = 2;
-/// Most signs remembered of one backend server; more than those that can decide.
-const MOST_SIGNS: usize = 16;
-/// How often an instance tells a change at once, less the times that it hears the same: told once,
-/// a change misses one instance in twenty.
+/// A dead backend server goes on leaving requests unanswered. One more observation changes no
+/// conclusion, but the evidence must not expire while the backend server is dead: a third of
+/// [`RECORD_TTL_MS`] renews it in time.
+const RENEWAL_INTERVAL_MS: u64 = 1_000;
+/// Observations that are enough for a death if one of them is of an open flow.
+const MIN_DEATH_OBSERVATIONS: usize = 2;
+/// Observations of one kind that can be decisive: a death or an ejection takes two.
+const MAX_DECISIVE_PER_KIND: usize = 2;
+/// Maximum number of records kept for one backend server; more than can be decisive.
+const MAX_RECORDS: usize = 16;
+/// Number of times an instance sends a change immediately, reduced by each message of others with
+/// the same content: sent once, a change misses one instance in twenty.
 pub(crate) const PROMPT_SENDS: u32 = 2;
-/// How often it tells it in all: the last instances of a large data centre hear of it when all
-/// others repeat it.
-const TELLINGS: u32 = 6;
-/// Time until a change is told again, in milliseconds, each time: an instance
-/// that it missed hears of it before its callers' second copies, at 600 ms.
-const REPEAT_MS: u64 = 200;
+/// Number of times a change is sent in total: the last instances of a large data centre receive it
+/// when all others repeat it.
+const TOTAL_SENDS: u32 = 6;
+/// Time between two repetitions of a change, in milliseconds: an instance that was missed receives
+/// it before its callers' second retransmissions, at 600 ms.
+const REPEAT_INTERVAL_MS: u64 = 200;
 
-/// `ObservationRecord` is what one instance saw of a backend server.
+/// An observation of a backend server's health, as it is deduplicated and disseminated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ObservationRecord {
-    /// Chosen at random by the observer: copies that come by several ways are one. Two signs
-    /// that share theirs count as one, which delays a belief and never makes one.
+    /// Random id chosen by the observer: copies that arrive over several paths share it. Two
+    /// observations with the same id by chance count as one, which delays a conclusion and never
+    /// causes one.
     pub id: u16,
-    /// What was seen.
+    /// What was observed.
     pub kind: ObservationKind,
-    /// When, on the clock of this process.
+    /// When it was observed, on the clock of this process.
     pub observed_at: ClockTime,
 }
 
-/// `ObservationOrigin` is where a sign was seen, as far as is known here.
+/// Where an observation was made, as far as the receiver knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObservationOrigin {
-    /// Here.
+    /// At this instance.
     Local,
-    /// At another instance of the own data centre.
+    /// At another instance of the local data centre.
     SameCentre,
-    /// From another one, whose instances tell all others.
+    /// At an instance of another data centre, whose instances also inform all other data centres.
     RemoteCentre,
 }
 
-/// `RemoteScope` is which other data centres are told of a backend server.
+/// Which other data centres evidence is sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RemoteScope {
-    /// None: they tell each other.
+    /// None: the data centre of its origin informs them.
     None,
-    /// All of them by some of the instances that tell it.
+    /// All of them, each by a random sample of the instances that have the evidence.
     Sampled,
-    /// All of them by this instance, which saw it first.
+    /// All of them by this instance, which made the observation.
     Always,
 }
 
-/// `BackendEvidence` is the signs of one backend server, and how far they were told.
+/// The observations of one backend server, and the state of their dissemination.
 #[derive(Clone, Debug)]
 pub struct BackendEvidence {
-    /// Signs that count, and others that are remembered for their copies.
-    signs: Vec<ObservationRecord>,
-    /// How often it was told here since it last changed.
+    /// Records that count, and others that are kept to recognise their copies.
+    records: Vec<ObservationRecord>,
+    /// Number of times this instance has sent the evidence since it last changed.
     pub(crate) send_count: u32,
-    /// How often others told it here since then.
+    /// Number of messages with the same evidence received from others since then.
     pub(crate) echo_count: u32,
-    /// When it is told next.
+    /// When the evidence is sent next.
     pub(crate) next_send_at: ClockTime,
-    /// Where its last change was heard of.
+    /// Where the observation was made that last changed the evidence.
     pub(crate) origin: ObservationOrigin,
 }
 
 impl BackendEvidence {
-    /// Nothing yet.
+    /// Creates evidence without observations.
     pub fn new(origin: ObservationOrigin) -> BackendEvidence {
         BackendEvidence {
-            signs: Vec::new(),
+            records: Vec::new(),
             send_count: 0,
             echo_count: 0,
             next_send_at: ClockTime::MAX,
@@ -101,183 +106,196 @@
         }
     }
 
-    /// Takes a sign; returns what it means if it is news.
-    pub fn record(&mut self, now: ClockTime, sign: ObservationRecord) -> Option<ObservationKind> {
-        self.signs.retain(|known| !is_expired(now, known));
-        if is_expired(now, &sign) {
+    /// Adds an observation. Returns the kind to report if the observation changes or renews the
+    /// inferred health.
+    pub fn record(&mut self, now: ClockTime, record: ObservationRecord) -> Option<ObservationKind> {
+        self.records.retain(|known| !is_expired(now, known));
+        if is_expired(now, &record) {
             return None;
         }
-        if let Some(known) = self.signs.iter_mut().find(|known| known.id == sign.id) {
-            // Told from hop to hop, a sign seems later by the way; the first word is truest.
-            known.observed_at = known.observed_at.min(sign.observed_at);
+        if let Some(known) = self.records.iter_mut().find(|known| known.id == record.id) {
+            // Ages on the wire omit the transmission time, so an observation seems later with each
+            // hop. The earliest time is the most accurate.
+            known.observed_at = known.observed_at.min(record.observed_at);
             return None;
         }
-        let (life, before) = (self.life(), self.verdict());
-        self.signs.push(sign);
-        self.forget_needless();
-        let after = self.verdict();
-        if sign.kind == ObservationKind::Alive {
-            let is_renewal = life.is_none_or(|life| is_renewed(life.observed_at, sign.observed_at));
-            return (after.belief < before.belief || is_renewal).then_some(ObservationKind::Alive);
+        let (alive, before) = (self.newest_alive(), self.conclusion());
+        self.records.push(record);
+        self.remove_redundant();
+        let after = self.conclusion();
+        if record.kind == ObservationKind::Alive {
+            let is_renewal =
+                alive.is_none_or(|alive| is_renewal_due(alive.observed_at, record.observed_at));
+            return (after.health < before.health || is_renewal).then_some(ObservationKind::Alive);
         }
-        let is_stronger = after.belief > before.belief;
-        if !is_stronger && !after.renews(&before) {
+        let is_worse = after.health > before.health;
+        if !is_worse && !after.renews(&before) {
             return None;
         }
-        match after.belief {
+        match after.health {
             InferredHealth::Ejected => Some(ObservationKind::Ejected),
-            _ => Some(sign.kind),
+            _ => Some(record.kind),
         }
     }
 
-    /// What is believed.
+    /// Returns the health inferred from the observations.
     pub fn inferred_health(&self) -> InferredHealth {
-        self.verdict().belief
+        self.conclusion().health
     }
 
-    /// When it is told after it was told so often.
+    /// Returns when the evidence is sent next, given the number of times it was sent.
     pub(crate) fn next_send_time(&self, now: ClockTime) -> ClockTime {
         match self.send_count {
             ..PROMPT_SENDS => now,
-            // A suspicion has lapsed by then.
-            ..TELLINGS if self.inferred_health() != InferredHealth::Suspected => {
-                now.after_millis(REPEAT_MS)
+            // A suspicion has expired by the time of a repetition.
+            ..TOTAL_SENDS if self.inferred_health() != InferredHealth::Suspected => {
+                now.after_millis(REPEAT_INTERVAL_MS)
             }
             _ => ClockTime::MAX,
         }
     }
 
-    /// Which other data centres are told: at once by those where it was seen, and once more
-    /// by all, as ways between some of them may be cut.
+    /// Returns which other data centres the evidence is sent to: immediately by instances of the
+    /// data centre of its origin, and once more by all instances, as links between some data
+    /// centres may be cut.
     pub(crate) fn remote_scope(&self) -> RemoteScope {
         match (self.send_count, self.origin) {
             (0, ObservationOrigin::Local) => RemoteScope::Always,
             (..PROMPT_SENDS, ObservationOrigin::RemoteCentre) => RemoteScope::None,
             (..PROMPT_SENDS, _) => RemoteScope::Sampled,
-            (told, _) if told + 1 == TELLINGS => RemoteScope::Sampled,
+            (send_count, _) if send_count + 1 == TOTAL_SENDS => RemoteScope::Sampled,
             _ => RemoteScope::None,
         }
     }
 
-    /// True when who told these signs believes no less.
-    pub(crate) fn is_covered_by(&self, signs: &[ObservationRecord]) -> bool {
-        let is_newer = |sign: &ObservationRecord, life: &ObservationRecord| {
-            sign.kind == ObservationKind::Alive
-                && (sign.id == life.id || sign.observed_at >= life.observed_at)
+    /// Returns whether the sender of these records infers a health at least as bad from them, and
+    /// knows an alive observation that is at least as new.
+    pub(crate) fn is_covered_by(&self, records: &[ObservationRecord]) -> bool {
+        let is_newer = |record: &ObservationRecord, alive: &ObservationRecord| {
+            record.kind == ObservationKind::Alive
+                && (record.id == alive.id || record.observed_at >= alive.observed_at)
         };
-        let knows_life =
-            self.life().is_none_or(|life| signs.iter().any(|sign| is_newer(sign, &life)));
-        knows_life && verdict_of(signs).belief >= self.inferred_health()
+        let has_alive = self
+            .newest_alive()
+            .is_none_or(|alive| records.iter().any(|record| is_newer(record, &alive)));
+        has_alive && conclude(records).health >= self.inferred_health()
     }
 
-    /// What is still told: the newest sign of life, and of the others those that suffice for
-    /// what is believed.
+    /// Returns the records to disseminate: the newest alive observation, and those of the others
+    /// that suffice for the inferred health.
     pub fn disseminated_records(&self, now: ClockTime) -> impl Iterator<Item = ObservationRecord> {
-        let told = self.life().into_iter().chain(self.sufficient());
-        told.filter(move |sign| !is_expired(now, sign))
+        let records = self.newest_alive().into_iter().chain(self.sufficient_records());
+        records.filter(move |record| !is_expired(now, record))
     }
 
-    /// The newest signs from which others conclude the same.
-    fn sufficient(&self) -> Vec<ObservationRecord> {
-        let deciding = deciding(&self.signs);
-        let newest = |is_meant: &dyn Fn(&ObservationRecord) -> bool| {
-            let meant = deciding.iter().copied().filter(|sign| is_meant(sign));
-            meant.max_by_key(by_age)
+    /// Returns the newest records from which other instances infer the same health.
+    fn sufficient_records(&self) -> Vec<ObservationRecord> {
+        let decisive = decisive_records(&self.records);
+        let newest = |is_selected: &dyn Fn(&ObservationRecord) -> bool| {
+            let selected = decisive.iter().copied().filter(|record| is_selected(record));
+            selected.max_by_key(time_key)
         };
-        let lost = newest(&|sign| sign.kind == ObservationKind::DataUnanswered);
-        let silence = newest(&|sign| is_silence(sign) && Some(*sign) != lost);
+        let unanswered_data = newest(&|record| record.kind == ObservationKind::DataUnanswered);
+        let unanswered =
+            newest(&|record| is_unanswered(record) && Some(*record) != unanswered_data);
         match self.inferred_health() {
             InferredHealth::Healthy => Vec::new(),
-            InferredHealth::Dead => lost.into_iter().chain(silence).collect(),
-            InferredHealth::Unresponsive => lost.or(silence).into_iter().collect(),
+            InferredHealth::Dead => unanswered_data.into_iter().chain(unanswered).collect(),
+            InferredHealth::Unresponsive => unanswered_data.or(unanswered).into_iter().collect(),
             InferredHealth::Ejected => {
-                match newest(&|sign| sign.kind == ObservationKind::Ejected) {
+                match newest(&|record| record.kind == ObservationKind::Ejected) {
                     Some(ejection) => vec![ejection],
-                    None => deciding,
+                    None => decisive,
                 }
             }
             InferredHealth::Suspected => {
-                newest(&|sign| sign.kind == ObservationKind::Suspect).into_iter().collect()
+                newest(&|record| record.kind == ObservationKind::Suspect).into_iter().collect()
             }
         }
     }
 
-    /// The newest sign of life.
-    fn life(&self) -> Option<ObservationRecord> {
-        newest_life(&self.signs)
+    /// Returns the newest alive observation.
+    fn newest_alive(&self) -> Option<ObservationRecord> {
+        newest_alive(&self.records)
     }
 
-    fn verdict(&self) -> HealthVerdict {
-        verdict_of(&self.signs)
+    fn conclusion(&self) -> HealthConclusion {
+        conclude(&self.records)
     }
 
-    /// Forgets the oldest sign that decides nothing, when there are too many.
-    fn forget_needless(&mut self) {
-        if self.signs.len() <= MOST_SIGNS {
+    /// Removes the oldest record that isn't decisive if there are too many.
+    fn remove_redundant(&mut self) {
+        if self.records.len() <= MAX_RECORDS {
             return;
         }
-        let mut needed = deciding(&self.signs);
-        needed.extend(self.life());
-        let needless = self.signs.iter().filter(|sign| !needed.contains(sign));
-        if let Some(oldest) = needless.min_by_key(|sign| by_age(sign)).copied() {
-            self.signs.retain(|sign| *sign != oldest);
+        let mut needed = decisive_records(&self.records);
+        needed.extend(self.newest_alive());
+        let redundant = self.records.iter().filter(|record| !needed.contains(record));
+        if let Some(oldest) = redundant.min_by_key(|record| time_key(record)).copied() {
+            self.records.retain(|record| *record != oldest);
         }
     }
 }
 
-/// `InferredHealth` is what signs come to, the weakest first.
+/// Health of a backend server as inferred from observations, in ascending order of severity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum InferredHealth {
-    /// Nothing speaks against it.
+    /// No observation against it stands.
     Healthy,
     /// One new flow wasn't answered as fast as others.
     Suspected,
-    /// It gets no new flows for a while.
+    /// It receives no new flows for a while.
     Ejected,
-    /// Something stayed unanswered though it was sent again.
+    /// A packet stayed unanswered although it was retransmitted.
     Unresponsive,
-    /// Two flows stayed unanswered, one of them open.
+    /// Packets of two flows stayed unanswered, one of them an open flow.
     Dead,
 }
 
-/// `HealthVerdict` is what is believed, and how new the signs for it are.
-struct HealthVerdict {
-    belief: InferredHealth,
+/// Inferred health, and the time of the newest observation that supports it.
+struct HealthConclusion {
+    health: InferredHealth,
     newest_at: ClockTime,
 }
 
-impl HealthVerdict {
-    /// True when the same is believed on evidence so much newer that it counts anew.
-    fn renews(&self, former: &HealthVerdict) -> bool {
-        let is_newer = match self.belief {
+impl HealthConclusion {
+    /// Returns whether the same health is inferred from observations that are so much newer that
+    /// they have to be disseminated.
+    fn renews(&self, previous: &HealthConclusion) -> bool {
+        let is_newer = match self.health {
             InferredHealth::Healthy => false,
-            // The former suspicion has lapsed, or the two would eject.
-            InferredHealth::Suspected => self.newest_at > former.newest_at,
-            _ => is_renewed(former.newest_at, self.newest_at),
+            // The former suspicion has expired, or else the two together would cause an ejection.
+            InferredHealth::Suspected => self.newest_at > previous.newest_at,
+            _ => is_renewal_due(previous.newest_at, self.newest_at),
         };
-        self.belief == former.belief && is_newer
+        self.health == previous.health && is_newer
     }
 }
 
-fn verdict_of(signs: &[ObservationRecord]) -> HealthVerdict {
-    let deciding = deciding(signs);
-    let of = |is_meant: &dyn Fn(&ObservationRecord) -> bool| -> Vec<ClockTime> {
-        deciding.iter().filter(|sign| is_meant(sign)).map(|sign| sign.observed_at).collect()
+fn conclude(records: &[ObservationRecord]) -> HealthConclusion {
+    let decisive = decisive_records(records);
+    let times_of = |is_selected: &dyn Fn(&ObservationRecord) -> bool| -> Vec<ClockTime> {
+        decisive
+            .iter()
+            .filter(|record| is_selected(record))
+            .map(|record| record.observed_at)
+            .collect()
     };
-    let silences = of(&is_silence);
-    let ejections = of(&|sign| sign.kind == ObservationKind::Ejected);
-    let suspicions = of(&|sign| sign.kind == ObservationKind::Suspect);
-    let is_lost = deciding.iter().any(|sign| sign.kind == ObservationKind::DataUnanswered);
-    let are_close = match suspicions[..] {
-        [one, other] => are_close(one, other),
+    let unanswered = times_of(&is_unanswered);
+    let ejections = times_of(&|record| record.kind == ObservationKind::Ejected);
+    let suspicions = times_of(&|record| record.kind == ObservationKind::Suspect);
+    let has_unanswered_data =
+        decisive.iter().any(|record| record.kind == ObservationKind::DataUnanswered);
+    let are_overlapping = match suspicions[..] {
+        [first, second] => are_overlapping(first, second),
         _ => false,
     };
     let newest_at = |times: &[ClockTime]| times.iter().copied().max().unwrap_or(ClockTime::ZERO);
-    let (belief, newest_at) = if !silences.is_empty() {
-        let is_dead = is_lost && silences.len() >= DEATH_SIGNS;
-        let belief = if is_dead { InferredHealth::Dead } else { InferredHealth::Unresponsive };
-        (belief, newest_at(&silences))
-    } else if are_close {
+    let (health, newest_at) = if !unanswered.is_empty() {
+        let is_dead = has_unanswered_data && unanswered.len() >= MIN_DEATH_OBSERVATIONS;
+        let health = if is_dead { InferredHealth::Dead } else { InferredHealth::Unresponsive };
+        (health, newest_at(&unanswered))
+    } else if are_overlapping {
         (InferredHealth::Ejected, newest_at(&ejections).max(newest_at(&suspicions)))
     } else if !ejections.is_empty() {
         (InferredHealth::Ejected, newest_at(&ejections))
@@ -286,51 +304,54 @@
     } else {
         (InferredHealth::Healthy, ClockTime::ZERO)
     };
-    HealthVerdict { belief, newest_at }
+    HealthConclusion { health, newest_at }
 }
 
-/// Of each kind the newest signs of silence that no sign of life refutes.
-fn deciding(signs: &[ObservationRecord]) -> Vec<ObservationRecord> {
-    let life = newest_life(signs);
-    let is_standing =
-        |sign: &&ObservationRecord| life.is_none_or(|life| sign.observed_at > life.observed_at);
-    let is_against = |sign: &&ObservationRecord| sign.kind != ObservationKind::Alive;
-    let mut standing: Vec<_> = signs.iter().filter(is_against).filter(is_standing).collect();
-    standing.sort_unstable_by_key(|sign| std::cmp::Reverse(by_age(sign)));
+/// Returns the decisive records: of each kind the newest ones that aren't refuted by an alive
+/// observation.
+fn decisive_records(records: &[ObservationRecord]) -> Vec<ObservationRecord> {
+    let alive = newest_alive(records);
+    let is_unrefuted = |record: &&ObservationRecord| {
+        alive.is_none_or(|alive| record.observed_at > alive.observed_at)
+    };
+    let is_adverse = |record: &&ObservationRecord| record.kind != ObservationKind::Alive;
+    let mut unrefuted: Vec<_> = records.iter().filter(is_adverse).filter(is_unrefuted).collect();
+    unrefuted.sort_unstable_by_key(|record| std::cmp::Reverse(time_key(record)));
     let mut counts = [0; 5];
-    let is_among_newest = |sign: &&ObservationRecord| {
-        let count = &mut counts[sign.kind as usize];
+    let is_among_newest = |record: &&ObservationRecord| {
+        let count = &mut counts[record.kind as usize];
         *count += 1;
-        *count <= DECIDING_SIGNS
+        *count <= MAX_DECISIVE_PER_KIND
     };
-    standing.into_iter().filter(is_among_newest).copied().collect()
+    unrefuted.into_iter().filter(is_among_newest).copied().collect()
 }
 
-fn newest_life(signs: &[ObservationRecord]) -> Option<ObservationRecord> {
-    let lives = signs.iter().filter(|sign| sign.kind == ObservationKind::Alive);
-    lives.max_by_key(|sign| by_age(sign)).copied()
+fn newest_alive(records: &[ObservationRecord]) -> Option<ObservationRecord> {
+    let alive = records.iter().filter(|record| record.kind == ObservationKind::Alive);
+    alive.max_by_key(|record| time_key(record)).copied()
 }
 
-/// Orders signs by time; the same everywhere for those of one moment.
-fn by_age(sign: &ObservationRecord) -> (ClockTime, u16) {
-    (sign.observed_at, sign.id)
+/// Sort key by time, with the id as a tie-breaker so that the order is the same at all instances.
+fn time_key(record: &ObservationRecord) -> (ClockTime, u16) {
+    (record.observed_at, record.id)
 }
 
-fn is_silence(sign: &ObservationRecord) -> bool {
-    matches!(sign.kind, ObservationKind::OpeningUnanswered | ObservationKind::DataUnanswered)
+fn is_unanswered(record: &ObservationRecord) -> bool {
+    matches!(record.kind, ObservationKind::OpeningUnanswered | ObservationKind::DataUnanswered)
 }
 
-/// True when a sign is too old to be told.
-pub(crate) fn is_expired(now: ClockTime, sign: &ObservationRecord) -> bool {
-    sign.observed_at.after_millis(TELL_MS).is_past(now)
+/// Returns whether an observation is too old to be disseminated.
+pub(crate) fn is_expired(now: ClockTime, record: &ObservationRecord) -> bool {
+    record.observed_at.after_millis(RECORD_TTL_MS).is_past(now)
 }
 
-/// True when what was seen at `at` is so much newer than what says the same that it counts anew.
-fn is_renewed(known_at: ClockTime, at: ClockTime) -> bool {
-    known_at.after_millis(RENEW_MS).is_past(at)
+/// Returns whether an observation at `observed_at` is so much newer than the known one, which says
+/// the same, that it has to be disseminated.
+fn is_renewal_due(known_at: ClockTime, observed_at: ClockTime) -> bool {
+    known_at.after_millis(RENEWAL_INTERVAL_MS).is_past(observed_at)
 }
 
-/// True when the second of two suspicions comes before the first has lapsed.
-fn are_close(one: ClockTime, other: ClockTime) -> bool {
-    !one.min(other).after_millis(SUSPICION_TIMEOUT_MS).is_past(one.max(other))
+/// Returns whether the later of two suspicions comes before the earlier one expires.
+fn are_overlapping(first: ClockTime, second: ClockTime) -> bool {
+    !first.min(second).after_millis(SUSPICION_TIMEOUT_MS).is_past(first.max(second))
 }
--- a/crates/foxledge-gossip/src/evidence.rs
+++ b/crates/foxledge-gossip/src/evidence.rs
@@ -1,10 +1,11 @@
-//! What is told of the health of backend servers: one state each, merged from what instances saw.
+//! Evidence about the health of backend servers, merged from the observations of all instances into
+//! one state per backend server.
 //!
-//! A hall that loses power kills a hundred backend servers in one moment, and each instance
-//! that has a caller there sees something of it. Told as single observations, hundreds compete
-//! for a message's room, and most never get beyond the instance that made them. As states they
-//! don't: of each backend server the few signs are kept that decide what is believed, whoever
-//! saw them, and signs of different instances add up.
+//! A hall that loses power kills a hundred backend servers at the same moment, and each instance
+//! that has a caller there observes something of it. Sent one by one, hundreds of observations
+//! compete for the space in a message, and most never leave the instance that made them. Merged
+//! states avoid that: for each backend server only the few decisive observations are kept, and
+//! observations of different instances add up.
 
 use std::collections::BTreeMap;
 
@@ -16,123 +17,125 @@
     BackendEvidence, ObservationOrigin, ObservationRecord, PROMPT_SENDS, RemoteScope, is_expired,
 };
 
-/// Most backend servers that are told of at a time, at some 150 bytes each: those of a data
-/// centre of the largest deployment.
-const MOST_BACKENDS: usize = 5_000;
+/// Maximum number of backend servers with evidence at a time, at some 150 bytes each: those of a
+/// data centre of the largest deployment.
+const MAX_BACKENDS: usize = 5_000;
 
-/// `BackendKey` is one start of a backend server.
+/// One process start of a backend server; the key under which its evidence is stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct BackendKey {
-    /// Its number.
+    /// Number of the backend server.
     pub number: u64,
-    /// Which start.
+    /// Incarnation: which start of the backend server this is.
     pub incarnation: u64,
 }
 
-/// `DueEvidence` is a backend server that is to be told of.
+/// A backend server whose evidence is to be sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DueEvidence {
-    /// Which.
+    /// The backend server.
     pub key: BackendKey,
-    /// Which other data centres are to be told too.
+    /// Which other data centres the evidence is also sent to.
     pub remote_scope: RemoteScope,
 }
 
-/// `EvidenceTable` is what an instance tells of backend servers.
+/// The evidence that an instance disseminates, by backend server.
 #[derive(Debug, Default)]
 pub(crate) struct EvidenceTable {
-    states: BTreeMap<BackendKey, BackendEvidence>,
+    backends: BTreeMap<BackendKey, BackendEvidence>,
 }
 
 impl EvidenceTable {
-    /// Takes a sign; returns it if it changes what is believed, as the observation that it is
-    /// together with what was known.
+    /// Adds an observation. Returns it with the kind that it amounts to together with the known
+    /// ones, if that changes or renews the inferred health.
     pub fn record(
         &mut self,
         now: ClockTime,
-        start: BackendKey,
-        sign: ObservationRecord,
+        key: BackendKey,
+        record: ObservationRecord,
         origin: ObservationOrigin,
     ) -> Option<HealthObservation> {
-        if is_expired(now, &sign) {
+        if is_expired(now, &record) {
             return None;
         }
-        if self.states.len() >= MOST_BACKENDS && !self.states.contains_key(&start) {
+        if self.backends.len() >= MAX_BACKENDS && !self.backends.contains_key(&key) {
             self.remove_expired(now);
-            if self.states.len() >= MOST_BACKENDS {
+            if self.backends.len() >= MAX_BACKENDS {
                 return None;
             }
         }
-        let state = self.states.entry(start).or_insert_with(|| BackendEvidence::new(origin));
-        let kind = state.record(now, sign)?;
-        (state.send_count, state.echo_count, state.next_send_at, state.origin) =
+        let evidence = self.backends.entry(key).or_insert_with(|| BackendEvidence::new(origin));
+        let kind = evidence.record(now, record)?;
+        (evidence.send_count, evidence.echo_count, evidence.next_send_at, evidence.origin) =
             (0, 0, now, origin);
-        let BackendKey { number, incarnation } = start;
-        Some(HealthObservation { number, incarnation, kind, observed_at: sign.observed_at })
+        let BackendKey { number, incarnation } = key;
+        Some(HealthObservation { number, incarnation, kind, observed_at: record.observed_at })
     }
 
-    /// Counts that another instance told all that is believed here.
-    pub fn record_echo(&mut self, now: ClockTime, start: BackendKey, signs: &[ObservationRecord]) {
-        let Some(state) = self.states.get_mut(&start) else { return };
-        if !state.is_covered_by(signs) {
+    /// Records that another instance sent all of the evidence that is known here.
+    pub fn record_echo(&mut self, now: ClockTime, key: BackendKey, records: &[ObservationRecord]) {
+        let Some(evidence) = self.backends.get_mut(&key) else { return };
+        if !evidence.is_covered_by(records) {
             return;
         }
-        state.echo_count = state.echo_count.saturating_add(1);
-        if state.send_count < PROMPT_SENDS && state.send_count + state.echo_count >= PROMPT_SENDS {
-            state.send_count = PROMPT_SENDS;
-            state.next_send_at = state.next_send_time(now);
+        evidence.echo_count = evidence.echo_count.saturating_add(1);
+        if evidence.send_count < PROMPT_SENDS
+            && evidence.send_count + evidence.echo_count >= PROMPT_SENDS
+        {
+            evidence.send_count = PROMPT_SENDS;
+            evidence.next_send_at = evidence.next_send_time(now);
         }
     }
 
-    /// Counts that a backend server was told of.
-    pub fn record_send(&mut self, now: ClockTime, start: &BackendKey) {
-        let Some(state) = self.states.get_mut(start) else { return };
-        state.send_count = state.send_count.saturating_add(1);
-        state.next_send_at = state.next_send_time(now);
+    /// Records that this instance sent the evidence of a backend server.
+    pub fn record_send(&mut self, now: ClockTime, key: &BackendKey) {
+        let Some(evidence) = self.backends.get_mut(key) else { return };
+        evidence.send_count = evidence.send_count.saturating_add(1);
+        evidence.next_send_at = evidence.next_send_time(now);
     }
 
-    /// Forgets what is too old to be told.
+    /// Removes the evidence of backend servers whose observations have all expired.
     pub fn remove_expired(&mut self, now: ClockTime) {
-        self.states.retain(|_, state| state.disseminated_records(now).next().is_some());
+        self.backends.retain(|_, evidence| evidence.disseminated_records(now).next().is_some());
     }
 
-    /// When something is to be told next, if anything is.
+    /// Returns when evidence is sent next, if there is any to send.
     pub fn next_send_at(&self) -> Option<ClockTime> {
-        let times = self.states.values().map(|state| state.next_send_at);
+        let times = self.backends.values().map(|evidence| evidence.next_send_at);
         times.min().filter(|at| *at < ClockTime::MAX)
     }
 
-    /// What is to be told now, the least told first.
+    /// Returns the evidence to send now, the least often sent first.
     pub fn due_evidence(&self, rng: &mut StdRng, now: ClockTime) -> Vec<DueEvidence> {
-        self.least_told(rng, |state| state.next_send_at.is_past(now))
+        self.least_sent(rng, |evidence| evidence.next_send_at.is_past(now))
     }
 
-    /// All there is, the least told first.
+    /// Returns all evidence, the least often sent first.
     pub fn all_evidence(&self, rng: &mut StdRng) -> Vec<DueEvidence> {
-        self.least_told(rng, |_| true)
+        self.least_sent(rng, |_| true)
     }
 
-    /// Those told as often come in random order, so that no backend server comes last at all
-    /// instances.
-    fn least_told(
+    /// Returns the matching evidence in ascending order of send count. Equal counts are ordered
+    /// randomly, so that no backend server comes last at all instances.
+    fn least_sent(
         &self,
         rng: &mut StdRng,
-        is_meant: impl Fn(&BackendEvidence) -> bool,
+        is_selected: impl Fn(&BackendEvidence) -> bool,
     ) -> Vec<DueEvidence> {
-        let meant = self.states.iter().filter(|(_, state)| is_meant(state));
-        let mut meant: Vec<_> = meant
-            .map(|(start, state)| {
-                (state.send_count, rng.random::<u32>(), *start, state.remote_scope())
+        let selected = self.backends.iter().filter(|(_, evidence)| is_selected(evidence));
+        let mut selected: Vec<_> = selected
+            .map(|(key, evidence)| {
+                (evidence.send_count, rng.random::<u32>(), *key, evidence.remote_scope())
             })
             .collect();
-        meant.sort_unstable();
-        let due = |(_, _, start, reach)| DueEvidence { key: start, remote_scope: reach };
-        meant.into_iter().map(due).collect()
+        selected.sort_unstable();
+        let due_evidence = |(_, _, key, remote_scope)| DueEvidence { key, remote_scope };
+        selected.into_iter().map(due_evidence).collect()
     }
 
-    /// The signs of a backend server that are still told.
-    pub fn records(&self, now: ClockTime, start: &BackendKey) -> Vec<ObservationRecord> {
-        let state = self.states.get(start).into_iter();
-        state.flat_map(|state| state.disseminated_records(now)).collect()
+    /// Returns the records of a backend server that are to be disseminated.
+    pub fn records(&self, now: ClockTime, key: &BackendKey) -> Vec<ObservationRecord> {
+        let evidence = self.backends.get(key).into_iter();
+        evidence.flat_map(|evidence| evidence.disseminated_records(now)).collect()
     }
 }
--- a/crates/foxledge-gossip/src/partial_start.rs
+++ b/crates/foxledge-gossip/src/partial_start.rs
@@ -1,4 +1,4 @@
-//! When a first part of the list is taken, and when it ends.
+//! Start of an instance on the first part of a large list.
 
 use foxledge_core::time::ClockTime;
 use foxledge_flows::{
@@ -14,21 +14,22 @@
     partial_list::PartialList,
 };
 
-/// Time in which peers may bring the rest, in milliseconds, before it is read: those that
-/// read it at once need about as long, and hand it on from then.
-const REST_MS: u64 = 600;
-/// Spread of that time in milliseconds, in which most get the rest from peers.
-const REST_SPREAD_MS: u64 = 900;
-/// One of this many instances reads the rest at once, so that there are peers that have it.
-const EAGER: u32 = 10;
+/// Time in which peers may deliver the rest before it is read from the store, in milliseconds:
+/// instances that read it immediately need about as long, and serve it from then on.
+const REST_WAIT_MS: u64 = 600;
+/// Random spread of that time, in milliseconds, during which most instances get the rest from
+/// peers.
+const REST_WAIT_SPREAD_MS: u64 = 900;
+/// One in this many instances reads the rest immediately, so that some peers can serve it.
+const EAGER_READER_RATIO: u32 = 10;
 
 impl FleetMember {
-    /// True when flows can be placed: by the list, or by a part of it.
+    /// Returns whether flows can be placed, by the list or by its first part.
     pub fn can_serve(&self) -> bool {
         self.list.has_routes() || self.preview.has_routes() || self.is_retaining_config()
     }
 
-    /// Takes a part of the list; the rest comes from peers, or is read later.
+    /// Applies the first part of the list; the rest comes from peers or is read later.
     pub(crate) fn apply_partial_list(&mut self, now: ClockTime, reading: ListReading) {
         if self.list.head() > 0 {
             return;
@@ -42,27 +43,27 @@
         self.effects.push(FleetEffect::ApplyRows(rows.clone()));
         self.preview = PartialList::new(rows, head);
         let is_seed = self.options.seeds.contains(&self.options.address);
-        let wait = match is_seed || self.rng.random_ratio(1, EAGER) {
+        let wait = match is_seed || self.rng.random_ratio(1, EAGER_READER_RATIO) {
             true => 0,
-            false => REST_MS + self.rng.random_range(0..REST_SPREAD_MS),
+            false => REST_WAIT_MS + self.rng.random_range(0..REST_WAIT_SPREAD_MS),
         };
         self.first_read_at = now.after_millis(wait);
     }
 
-    /// Rows that take out what the part held and the list, known now, doesn't.
+    /// Returns rows that remove what the first part contained and the complete list doesn't.
     ///
-    /// Otherwise a backend server that left in between would get new flows for ever, as
-    /// the list never tells that it is gone.
+    /// Otherwise a backend server that left in between would receive new flows forever, because the
+    /// list never says that it is gone.
     pub(crate) fn end_partial_list(&mut self) -> Vec<ListRow> {
         let rows = self.preview.take_rows();
         let head = self.list.head();
-        let is_gone = |row: &ListRow| !self.list.contains(&row.key);
-        rows.into_iter().filter(is_gone).map(|row| gone(row, head)).collect()
+        let is_unlisted = |row: &ListRow| !self.list.contains(&row.key);
+        rows.into_iter().filter(is_unlisted).map(|row| removed_row(row, head)).collect()
     }
 }
 
-/// The row of something that left as planned: it gets no grace.
-fn gone(row: ListRow, revision: u64) -> ListRow {
+/// Returns the row of an entry that was removed as planned: it gets no grace period.
+fn removed_row(row: ListRow, revision: u64) -> ListRow {
     let backend = match row.value {
         Some(RowValue::Backend(mut backend)) => {
             backend.draining = true;
--- a/crates/foxledge-gossip/src/removed_backends.rs
+++ b/crates/foxledge-gossip/src/removed_backends.rs
@@ -1,9 +1,9 @@
-//! Backend servers that vanished before an instance started.
+//! Queries for backend servers that were removed before an instance started.
 //!
-//! Callers go on with flows that they hold open to them, and an instance that has read its list
-//! from the store has never heard of them: it can't tell where such packets belong. Others that
-//! run for longer remember what vanished for as long as flows last. They are asked by the tokens
-//! that callers send, so that a start costs nothing where nobody holds such a flow.
+//! Callers continue flows that they have open to them, and an instance that has read its list from
+//! the store doesn't know them: it can't tell where such packets belong. Instances that have been
+//! running for longer remember removed backend servers for as long as flows last. They are queried
+//! by the tokens in callers' packets, so that a start costs nothing if no caller has such a flow.
 
 use std::net::SocketAddrV4;
 
@@ -18,45 +18,45 @@
     packing::RowPacker,
 };
 
-/// Most tokens in one question, of four bytes each.
-const MOST_TOKENS: usize = 250;
-/// Bytes of rows in one answer.
-const ANSWER_BUDGET: usize = 1_200;
-/// Most answers to one question: what it asks for at most, at some 45 bytes a row.
-const MOST_ANSWERS: usize = 8;
+/// Maximum number of tokens in one query, of four bytes each.
+const MAX_TOKENS: usize = 250;
+/// Size of the rows in one response, in bytes.
+const MAX_RESPONSE_ROW_BYTES: usize = 1_200;
+/// Maximum number of responses to one query: enough for all its tokens, at some 45 bytes a row.
+const MAX_RESPONSES: usize = 8;
 
 impl FleetMember {
-    /// Asks one instance nearby and one elsewhere which backend servers these tokens named. Where
-    /// a whole data centre has started anew, only others remember.
+    /// Asks one instance of the local data centre and one of another which backend servers these
+    /// tokens named. If all instances of a data centre have restarted, only others remember.
     pub fn query_removed_backends(&mut self, now: ClockTime, mut tokens: Vec<u32>) {
-        tokens.truncate(MOST_TOKENS);
+        tokens.truncate(MAX_TOKENS);
         if tokens.is_empty() {
             return;
         }
-        let mut asked = self.peers.pick_same_centre(&mut self.rng, now, 1);
-        let far = self.peers.pick_remote(&mut self.rng, 1);
-        asked.extend(far.choose(&mut self.rng));
-        for address in asked {
+        let mut recipients = self.peers.pick_same_centre(&mut self.rng, now, 1);
+        let remote = self.peers.pick_remote(&mut self.rng, 1);
+        recipients.extend(remote.choose(&mut self.rng));
+        for address in recipients {
             let tokens = tokens.clone();
             self.send_message(address, MessageBody::TokenQuery(TokenQuery { tokens }));
         }
     }
 
-    /// Answers with those of the asked that vanished and are remembered here.
+    /// Responds with the queried backend servers that were removed and are remembered here.
     pub(crate) fn handle_token_query(
         &mut self,
         now: ClockTime,
         from: SocketAddrV4,
-        question: &TokenQuery,
+        query: &TokenQuery,
     ) {
-        let asked = &question.tokens[..question.tokens.len().min(MOST_TOKENS)];
-        let rows = self.list.removed_backends(now, |number| asked.contains(&token_of(number)));
+        let tokens = &query.tokens[..query.tokens.len().min(MAX_TOKENS)];
+        let rows = self.list.removed_backends(now, |number| tokens.contains(&token_of(number)));
         let mut rows = rows.iter().peekable();
-        for _ in 0..MOST_ANSWERS {
+        for _ in 0..MAX_RESPONSES {
             let (mut packer, mut size, mut count) = (RowPacker::default(), 0, 0);
             while let Some(row) = rows.peek() {
                 size += packer.push(row);
-                if size > ANSWER_BUDGET {
+                if size > MAX_RESPONSE_ROW_BYTES {
                     break;
                 }
                 count += 1;
@@ -70,12 +70,12 @@
         }
     }
 
-    /// Takes backend servers that vanished before this instance knew them.
-    pub(crate) fn apply_removed_backends(&mut self, now: ClockTime, answer: TokenResponse) {
-        let rows = answer.rows.map(|rows| rows.unpack()).unwrap_or_default();
-        let taken = self.list.apply_removed_backends(now, rows);
-        if !taken.is_empty() {
-            self.effects.push(FleetEffect::ApplyRows(taken));
+    /// Applies backend servers that were removed before this instance knew them.
+    pub(crate) fn apply_removed_backends(&mut self, now: ClockTime, response: TokenResponse) {
+        let rows = response.rows.map(|rows| rows.unpack()).unwrap_or_default();
+        let applied = self.list.apply_removed_backends(now, rows);
+        if !applied.is_empty() {
+            self.effects.push(FleetEffect::ApplyRows(applied));
         }
     }
 }
--- a/crates/foxledge-gossip/tests/common/load_model.rs
+++ b/crates/foxledge-gossip/tests/common/load_model.rs
@@ -1,4 +1,4 @@
-//! Callers, backend servers and routers that give the members of a virtual fleet their load.
+//! Model of callers, backend servers and routers that generates the load of a simulated fleet.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -16,19 +16,19 @@
 /// Time between two measurements of a router, in milliseconds.
 const BUSY_MEASURE_MS: u64 = 50;
 pub const CALM_MEASURE_INTERVAL_MS: u64 = 50;
-/// Requests a slot on a calm day: 89 of 240.
+/// Requests per slot under low load: 89 of 240.
 pub const CALM_REQUESTS_PER_SLOT: f64 = 0.37;
-/// Requests a slot that run or queue at most: 2 slots and 8 places.
+/// Maximum requests per slot, running or queued: 2 slots and 8 places in the queue.
 const MOST_LOAD: f64 = 5.0;
-/// Work of a request by priority, in microseconds, and its part of the requests.
+/// Work time of a request by priority, in microseconds, and the share of all requests.
 const KINDS: [(f64, f64); 2] = [(72_000.0, 0.33), (55_000.0, 0.67)];
 
-/// The service of the model.
+/// Key of the model's only service.
 pub fn model_service() -> ServiceKey {
     ServiceKey::of("desk")
 }
 
-/// `RouterModel` is what one instance has open.
+/// Requests that one instance has open.
 #[derive(Clone, Debug, Default)]
 struct RouterModel {
     running: [u32; KINDS.len()],
@@ -36,27 +36,27 @@
     due_at: ClockTime,
 }
 
-/// `CentreModel` is the slots of a data centre and what its callers do.
+/// Slots of a data centre and the demand of its callers.
 #[derive(Clone, Debug)]
 pub struct CentreModel {
     pub name: CentreName,
     pub slots: f64,
-    /// Requests of its callers, as a multiple of a calm day's.
+    /// Requests of its callers as a multiple of those under low load.
     pub demand_factor: f64,
     seats: Vec<usize>,
 }
 
-/// `LoadModel` is callers and backend servers, each data centre with its own.
+/// Callers and backend servers of each data centre.
 pub struct LoadModel {
     pub centres: Vec<CentreModel>,
-    /// Time between two measurements of a calm router, in milliseconds.
+    /// Time between two measurements of a router at the slow pace, in milliseconds.
     pub calm_measure_interval_ms: u64,
     routers: Vec<RouterModel>,
     rng: StdRng,
 }
 
 impl LoadModel {
-    /// A calm day with this many slots to an instance.
+    /// Creates a model under low load with this many slots per instance.
     pub fn new(fleet: &VirtualFleet, slots: f64, seed: u64) -> LoadModel {
         let mut seats: BTreeMap<String, Vec<usize>> = BTreeMap::new();
         for (index, seat) in fleet.instances.iter().enumerate() {
@@ -78,7 +78,7 @@
         LoadModel { centres, calm_measure_interval_ms: CALM_MEASURE_INTERVAL_MS, routers, rng }
     }
 
-    /// Runs fleet and model for some milliseconds.
+    /// Runs the fleet and the model for some milliseconds.
     pub fn run(&mut self, fleet: &mut VirtualFleet, millis: u64) {
         for _ in 0..millis / STEP_MS {
             fleet.run(STEP_MS);
@@ -87,13 +87,14 @@
         }
     }
 
-    /// Requests of a data centre's callers that run.
+    /// Returns the running requests of a data centre's callers.
     pub fn running_requests(&self, centre: usize) -> f64 {
         let seats = self.centres[centre].seats.iter();
         f64::from(seats.map(|seat| self.routers[*seat].running.iter().sum::<u32>()).sum::<u32>())
     }
 
-    /// Requests of its callers that run, by what a view tells; none when it tells nothing.
+    /// Returns the running requests of a data centre's callers according to a view; none if the
+    /// view doesn't contain them.
     pub fn viewed_requests(&self, view: &LoadView, centre: usize) -> Option<f64> {
         let load = view.centres.get(&self.centres[centre].name)?;
         let running =
@@ -101,18 +102,18 @@
         Some(running.sum())
     }
 
-    /// The data centre of an instance.
+    /// Returns the data centre of an instance.
     pub fn centre_of(&self, seat: usize) -> usize {
         let holds = |centre: &CentreModel| centre.seats.contains(&seat);
         self.centres.iter().position(holds).expect("has a data centre")
     }
 
-    /// The instances of a data centre.
+    /// Returns the instances of a data centre.
     pub fn instances_of(&self, centre: usize) -> &[usize] {
         &self.centres[centre].seats
     }
 
-    /// Requests begin and end.
+    /// Ends running requests and starts new ones.
     fn step(&mut self, now: ClockTime) {
         let step_s = STEP_MS as f64 / 1e3;
         let mean_us: f64 = KINDS.iter().map(|(work_us, part)| work_us * part).sum();
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Routers whose time has come measure their load, and take the view.
+    /// Lets routers whose next measurement is due report their load, and read their view.
     fn measure(&mut self, fleet: &mut VirtualFleet) {
         let now = fleet.now();
         for seat in 0..self.routers.len() {
@@ -160,14 +161,14 @@
         }
     }
 
-    /// Requests a slot that run in a data centre, by a view.
+    /// Returns the requests per slot that run in a data centre according to a view.
     fn pressure(&self, view: &LoadView, centre: usize) -> f64 {
         let CentreModel { name, slots, .. } = &self.centres[centre];
         let services = view.centres.values().filter_map(|one| one.services.get(&model_service()));
         services.filter_map(|one| one.running.get(name)).sum::<f64>() / slots
     }
 
-    /// The load that an instance sees.
+    /// Returns the load measured by an instance.
     pub fn local_load(&self, seat: usize, now: ClockTime) -> LocalLoad {
         let router = &self.routers[seat];
         let priority = |(kind, (work_us, _)): (usize, &(f64, f64))| {
@@ -184,7 +185,7 @@
     }
 }
 
-/// A number drawn from a Poisson distribution with a small mean.
+/// Draws a number from a Poisson distribution with a small mean.
 fn poisson(rng: &mut StdRng, mean: f64) -> u32 {
     let (limit, mut product, mut count) = ((-mean).exp(), rng.random::<f64>(), 0);
     while product > limit {
--- a/crates/foxledge-gossip/tests/common/mod.rs
+++ b/crates/foxledge-gossip/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet in virtual time: members, a store, and links that delay, lose and cut.
+//! Simulation of a fleet in virtual time: members, a store, and links that delay, lose or cut off
+//! datagrams.
 #![allow(dead_code)]
 
 use std::{
@@ -19,12 +20,12 @@
 use foxledge_load::{LoadView, LocalLoad};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// Time that the store takes for an answer, in microseconds.
+/// Response time of the store, in microseconds.
 const STORE_US: u64 = 4_000;
 const START_US: u64 = 3_600_000_000;
-/// Items of one answer.
+/// Maximum number of items in one response.
 const PAGE_ITEMS: usize = 500;
-/// Datagrams that are kept.
+/// Number of recent datagrams that are kept.
 const NEWEST: usize = 200;
 
 enum Event {
@@ -50,7 +51,7 @@
     },
 }
 
-/// `StoreState` is how the store answers a member.
+/// How the store responds to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreState {
     Serving,
@@ -64,17 +65,17 @@
     log: Vec<(u64, ItemChange)>,
     pub head: u64,
     pub floor: u64,
-    /// Rises each time the store comes back from a copy.
+    /// Incremented each time the store is restored from a backup.
     pub epoch: u64,
     pub calls: u64,
     pub stale_read_calls: u64,
-    /// Everything that was published, as it stood at each revision as members know it.
+    /// Everything that was published, as it stood at each revision, by revision as members know it.
     pub history: BTreeMap<u64, Vec<ItemChange>>,
-    /// Revisions by which a reading is behind that may be old.
+    /// Number of revisions by which possibly stale reads are behind.
     pub stale_revisions: u64,
-    /// Calls by what was asked, each page of a whole reading one.
+    /// Calls by order and reason; each page of a full read counts as one.
     pub page_counts: BTreeMap<(&'static str, &'static str), u64>,
-    /// Revisions by which the first half of the next whole reading is older than the rest.
+    /// Number of revisions by which the first half of the next full read is older than the rest.
     pub torn_revisions: u64,
     /// Keeps no history: that of thousands of items would fill the memory.
     pub is_history_disabled: bool,
@@ -84,29 +85,29 @@
     pub member: Option<FleetMember>,
     pub address: SocketAddrV4,
     pub data_centre: String,
-    /// Counts starts, so that answers to a former process are lost.
+    /// Number of the start, so that responses to a former process are lost.
     start: u64,
     pub paused_until_us: u64,
     pub events: Vec<(u64, FleetEvent)>,
     pub observations: Vec<HealthObservation>,
-    /// Packets that others handed to it.
+    /// Packets that other instances relayed to it.
     pub relayed_packets: Vec<Vec<u8>>,
     pub sent_messages: u64,
     pub sent_bytes: u64,
-    /// Times that rows of its list changed.
+    /// Number of times that rows of its list changed.
     pub row_changes: u64,
     /// All rows that were put in force.
     pub applied_rows: Vec<ListRow>,
     /// Revisions of the list after each change.
     pub applied_heads: Vec<u64>,
-    /// Time that messages to it wait before they are read.
+    /// Time that received messages wait before they are read.
     pub receive_delay_us: u64,
     pub link_mbps: u32,
-    /// Its next start reports load.
+    /// Whether its next start enables load reports.
     pub reports_load: bool,
-    /// Until when it works on what it has read.
+    /// Until when it processes what it has read, in microseconds.
     busy_until: u64,
-    /// The timer that counts; a member sets it anew after everything it does.
+    /// Number of the current timer; a member sets a new one after everything it does.
     timer: u64,
 }
 
@@ -125,23 +126,23 @@
     rng: StdRng,
     seeds: Vec<SocketAddrV4>,
     pub max_datagram_bytes: usize,
-    /// The newest datagrams, for tests that damage them.
+    /// The most recent datagrams, for tests that damage or replay them.
     pub recent_datagrams: std::collections::VecDeque<Vec<u8>>,
-    /// Longest time by which a datagram is later than others sent with it.
+    /// Maximum random delay of a datagram relative to others sent at the same time.
     pub jitter_us: u64,
-    /// Bytes that went from one data centre to another.
+    /// Bytes sent from one data centre to another.
     pub remote_bytes: u64,
-    /// The same by kind of message: heartbeats, questions, pages, evidence.
+    /// The same by kind of message: heartbeats, pulls, pages, evidence.
     pub remote_bytes_by_kind: BTreeMap<&'static str, u64>,
-    /// Bytes that members sent, by kind of message.
+    /// Bytes sent by members, by kind of message.
     pub bytes_by_kind: BTreeMap<&'static str, u64>,
-    /// Work of a member for each message in or out, in microseconds.
+    /// Processing time of a member for each message in or out, in microseconds.
     pub message_cost_us: u64,
-    /// Until when the store's link is taken by answers.
+    /// Until when responses occupy the store's link, in microseconds.
     link_until: u64,
-    /// Time that the store's link takes for one item, in nanoseconds.
+    /// Time for which one item occupies the store's link, in nanoseconds.
     pub store_item_ns: u64,
-    /// Time that each further page of a whole reading takes, in microseconds.
+    /// Time for each further page of a full read, in microseconds.
     pub store_page_us: u64,
 }
 
@@ -177,7 +178,7 @@
         self.register_incarnation(number, draining, 0);
     }
 
-    /// Registers a backend server that tells which start of it this is.
+    /// Registers a backend server with its incarnation.
     pub fn register_incarnation(&mut self, number: u64, draining: bool, incarnation: u64) {
         self.head += 1;
         let backend = BackendRow {
@@ -197,7 +198,7 @@
         self.put(id, item);
     }
 
-    /// Lets another writer overwrite a backend server's entry.
+    /// Overwrites a backend server's entry with invalid data, as another writer might.
     pub fn corrupt_entry(&mut self, number: u64) {
         self.head += 1;
         let id = format!("i-{number:x}");
@@ -214,7 +215,7 @@
         self.record();
     }
 
-    /// Evacuates a data centre.
+    /// Begins the evacuation of a data centre.
     pub fn evacuate(&mut self, data_centre: &str) {
         self.head += 1;
         let data_centre = data_centre.to_owned();
@@ -223,7 +224,7 @@
         self.put(format!("evacuate-{data_centre}"), item);
     }
 
-    /// Takes a data centre back, if it is evacuated.
+    /// Ends the evacuation of a data centre, if it is evacuated.
     pub fn end_evacuation(&mut self, data_centre: &str) {
         if self.items.remove(&format!("evacuate-{data_centre}")).is_none() {
             return;
@@ -235,24 +236,24 @@
         self.record();
     }
 
-    /// The revision as members know it.
+    /// Returns the revision as members know it.
     pub fn revision(&self) -> u64 {
         revision_of(self.epoch, self.head)
     }
 
-    /// Forgets the history up to now.
+    /// Compacts the history up to now.
     pub fn compact(&mut self) {
         self.floor = self.head;
         self.log.clear();
     }
 
-    /// Comes back from a copy some revisions old: what was written since is gone, and its
-    /// revisions are given out again.
+    /// Restores the store from a backup that is some revisions old: later writes are lost, and
+    /// their revisions are assigned again.
     pub fn restore(&mut self, revisions: u64) {
         let first = revision_of(self.epoch, 0);
         let until = revision_of(self.epoch, self.head.saturating_sub(revisions));
         let mut copies = self.history.range(first..);
-        // A copy is never older than the one from which the store came back before.
+        // A backup is never older than the one from which the store was restored before.
         let Some(oldest) = copies.next() else { return };
         let (copy, items) = self.history.range(first..=until).next_back().unwrap_or(oldest);
         let head = number_of(*copy);
@@ -269,7 +270,7 @@
         self.record();
     }
 
-    /// Counts the calls of an answer with so many items; returns them.
+    /// Counts the calls of a response with this many items, and returns their number.
     fn count_pages(&mut self, call: StoreCall, items: usize) -> u64 {
         let pages = match call.query {
             StoreQuery::All(_) => items.div_ceil(PAGE_ITEMS).max(1) as u64,
@@ -291,7 +292,7 @@
         ListReading::complete(items, self.head).with_epoch(self.epoch)
     }
 
-    /// A whole reading; the store changes between its pages when `tear` is set.
+    /// Returns a full read; the store changes between its pages if `torn_revisions` is set.
     fn all_in_pages(&mut self) -> ListReading {
         let tear = std::mem::take(&mut self.torn_revisions);
         let first = revision_of(self.epoch, 0);
@@ -305,7 +306,7 @@
         ListReading::complete(items, number_of(*at)).with_epoch(self.epoch)
     }
 
-    /// Everything as it stood some revisions ago.
+    /// Returns all items as they stood `stale_revisions` ago.
     fn all_of_old(&self) -> ListReading {
         if self.is_history_disabled {
             return self.all();
@@ -327,7 +328,7 @@
     }
 }
 
-/// The key under which the store holds an item.
+/// Returns the key under which the store keeps an item.
 fn key_of(item: &ItemChange) -> String {
     match item {
         ItemChange::Backend { id, .. }
@@ -340,7 +341,7 @@
 }
 
 impl VirtualFleet {
-    /// `counts` is the number of members in each data centre; all start at once.
+    /// Creates a fleet with `counts` members per data centre, none of which has been started.
     pub fn new(counts: &[usize], seed: u64) -> VirtualFleet {
         let mut fleet = VirtualFleet {
             now_us: START_US,
@@ -458,7 +459,8 @@
         self.now_us = end;
     }
 
-    /// Runs until a condition holds; the milliseconds it took, or none after `most`.
+    /// Runs until a condition holds. Returns the milliseconds that it took; none if the condition
+    /// doesn't hold within `max_millis`.
     pub fn run_until(&mut self, most: u64, holds: impl Fn(&VirtualFleet) -> bool) -> Option<u64> {
         for millis in 0..=most {
             if holds(self) {
@@ -469,7 +471,7 @@
         None
     }
 
-    /// True when every living member knows the list up to `head`.
+    /// Returns whether every running member knows the list up to `head`.
     pub fn all_have_list(&self, head: u64) -> bool {
         self.members().all(|member| member.list().head() >= head)
     }
@@ -482,7 +484,7 @@
         self.members().filter(|member| member.is_reading_store()).count()
     }
 
-    /// Age of the oldest confirmation in milliseconds; none when one has none.
+    /// Returns the age of the oldest confirmation in milliseconds; none if a member has none.
     pub fn max_confirmation_age_ms(&self) -> Option<u64> {
         let ages = self
             .members()
@@ -494,7 +496,7 @@
         self.instances.iter().map(|seat| seat.sent_messages).sum()
     }
 
-    /// Ends watches that wait for a change, as the store does.
+    /// Answers watches that wait for a change, as the store does.
     pub fn answer_watches(&mut self) {
         for (member, start, order) in std::mem::take(&mut self.watches) {
             self.answer_watch(member, start, order);
@@ -509,7 +511,7 @@
         self.carry_out(index);
     }
 
-    /// Sets the load that a member sees.
+    /// Sets the load that a member measures.
     pub fn set_local_load(&mut self, index: usize, load: LocalLoad, pressure: f64) {
         let now = self.now();
         if let Some(member) = &mut self.instances[index].member {
@@ -519,13 +521,13 @@
         self.set_timer(index);
     }
 
-    /// Load as a member knows it.
+    /// Returns the load known to a member.
     pub fn load_view(&mut self, index: usize) -> Option<Arc<LoadView>> {
         let now = self.now();
         self.instances[index].member.as_mut()?.load_view(now)
     }
 
-    /// Lets a member ask others which backend servers these tokens named.
+    /// Lets a member query others for the backend servers that these tokens named.
     pub fn query_removed_backends(&mut self, index: usize, tokens: Vec<u32>) {
         let now = self.now();
         if let Some(member) = &mut self.instances[index].member {
@@ -534,7 +536,7 @@
         self.carry_out(index);
     }
 
-    /// Lets a member hand a packet to another.
+    /// Lets a member relay a packet to another.
     pub fn relay_packet(&mut self, index: usize, packet: &[u8]) -> bool {
         let now = self.now();
         let is_sent = match &mut self.instances[index].member {
@@ -545,7 +547,7 @@
         is_sent
     }
 
-    /// Lets a member have a datagram that somebody sends again.
+    /// Delivers a datagram that somebody replays.
     pub fn inject_datagram(&mut self, member: usize, from: SocketAddrV4, bytes: Vec<u8>) {
         self.push(self.now_us, Event::Datagram { member, from, bytes });
     }
@@ -570,7 +572,7 @@
         self.push(at.max(self.now_us), Event::Wake { member, timer });
     }
 
-    /// Sets the timer to when the member is due next, as the daemon does.
+    /// Sets the timer to the member's next deadline, as the daemon does.
     fn set_timer(&mut self, member: usize) {
         let now = self.now();
         let Some(one) = &self.instances[member].member else { return };
@@ -750,7 +752,7 @@
     }
 }
 
-/// The kind of a message, by the tag after its digest.
+/// Returns the kind of a message according to the tag after its digest.
 fn kind_of(datagram: &[u8]) -> &'static str {
     match datagram.get(8).map(|tag| tag >> 3) {
         Some(1) => "beat",
@@ -762,12 +764,12 @@
     }
 }
 
-/// A fleet that has run for some seconds on a list of some routes and backend servers.
+/// Returns a fleet that has run for some seconds on a list of some routes and backend servers.
 pub fn settled_fleet(counts: &[usize], seed: u64) -> VirtualFleet {
     settle(VirtualFleet::new(counts, seed))
 }
 
-/// Publishes a first list, starts a fleet and runs it for some seconds.
+/// Publishes a first list, starts the fleet and runs it for some seconds.
 pub fn settle(mut fleet: VirtualFleet) -> VirtualFleet {
     for number in 1..=18 {
         fleet.store.register(number, false);
--- a/crates/foxledge-gossip/tests/evacuation_spread.rs
+++ b/crates/foxledge-gossip/tests/evacuation_spread.rs
@@ -1,14 +1,14 @@
-//! How soon an evacuation is in force everywhere, and over, whatever fails meanwhile.
+//! How soon an evacuation takes effect and ends at all instances while other parts fail.
 //!
-//! The load: operators empty a data centre of a fleet of some hundreds of instances while the
-//! store, links and instances fail.
+//! Operators evacuate a data centre of a fleet of up to some hundreds of instances while the store,
+//! links and instances fail.
 
 mod common;
 
 use common::{StoreState, VirtualFleet, settled_fleet};
 use foxledge_flows::rows::evacuation_key;
 
-/// An evacuation must be in force within this time of its acknowledgement, in milliseconds.
+/// Time within which an acknowledged evacuation must be in force, in milliseconds.
 const BOUND_MS: u64 = 5_000;
 const CENTRE: &str = "centre-0";
 const SIZES: [&[usize]; 4] = [&[3, 2, 2], &[18, 20, 17, 18], &[75, 75, 75, 75], &[146, 146, 145]];
@@ -23,7 +23,7 @@
     fleet.answer_watches();
 }
 
-/// True when every instance that runs has the wish in force, or none has.
+/// Returns whether all running instances know the evacuation, or none does.
 fn all_hold(fleet: &VirtualFleet, is_evacuated: bool) -> bool {
     let key = evacuation_key(CENTRE);
     fleet.members().all(|member| member.list().contains(&key) == is_evacuated)
@@ -45,8 +45,9 @@
     }
 }
 
-// Symptom: instances that the store turns away go on sending new flows to the data centre.
-// Sequence: the store refuses a third of them, or is silent to them, from before the wish.
+// Guards against instances that go on sending new flows to an evacuated data centre because the
+// store refuses them. It refuses a third of them, or doesn't answer them, from before the
+// evacuation.
 #[test]
 fn some_turned_away() {
     for state in [StoreState::Refusing, StoreState::Unresponsive] {
@@ -59,8 +60,8 @@
     }
 }
 
-// Symptom: an instance that starts during an evacuation sends new flows to the data centre.
-// Sequence: it reads the store in the way that may be old; the history is dropped.
+// Guards against starting instances that send new flows to an evacuated data centre. They use
+// possibly stale reads of the store, and the store has compacted its history.
 #[test]
 fn starts_know() {
     let mut fleet = settled_fleet(SIZES[1], 3);
@@ -81,8 +82,8 @@
     assert!(all_hold(&fleet, true), "all started anew");
 }
 
-// Symptom: a data centre is taken back in a part of the fleet only.
-// Sequence: it is cut off from the others while the wish is withdrawn; each part reads the store.
+// Guards against an evacuation that ends in only a part of the fleet. The data centre is
+// partitioned from the others when the evacuation ends; each part reads the store.
 #[test]
 fn taken_back_in_a_cut() {
     let mut fleet = settled_fleet(&[6, 6, 6], 4);
@@ -102,8 +103,8 @@
     assert!(all_hold(&fleet, true), "after the cut");
 }
 
-// Symptom: an instance that was away while a data centre was taken back holds the old wish.
-// Sequence: it sleeps, or can reach nobody, through the end and past the store's history.
+// Guards against an instance that keeps an evacuation because it missed the end. It is paused while
+// the evacuation ends and the store compacts its history.
 #[test]
 fn sleeper_learns_end() {
     let mut fleet = settled_fleet(&[6, 6], 5);
@@ -116,7 +117,7 @@
     assert_soon(&mut fleet, false, "after the sleep");
 }
 
-// Two at once, again and again: what is known is what was last wished of each.
+// Two evacuations begin and end in alternation; the last state of each must be known everywhere.
 #[test]
 fn by_turns() {
     let mut fleet = settled_fleet(SIZES[1], 6);
--- a/crates/foxledge-gossip/tests/evidence_states.rs
+++ b/crates/foxledge-gossip/tests/evidence_dissemination.rs
@@ -1,4 +1,5 @@
-//! What is told of one backend server: signs add up, count once, and are refuted by life.
+//! Dissemination of evidence about one backend server: observations add up, count once, and are
+//! refuted by alive observations.
 
 mod common;
 
@@ -18,7 +19,7 @@
     fleet.instances[seat].observations.iter().map(|note| note.kind).collect()
 }
 
-/// What an instance believes by what it has heard.
+/// Returns the state of the backend server after all observations that an instance received.
 fn belief(fleet: &VirtualFleet, seat: usize) -> HealthState {
     let mut state = HealthState::default();
     for note in &fleet.instances[seat].observations {
@@ -31,8 +32,8 @@
     belief(fleet, seat).is_dead(now)
 }
 
-// Symptom: callers wait on flows to a backend server that two instances have found dead.
-// Cause: each has one sign, and nobody puts the two together.
+// Guards against callers that wait on flows to a backend server although two instances have
+// observed its death. Each has a single observation, and nobody combined the two.
 #[test]
 fn signs_add_up() {
     let mut fleet = settled_fleet(&[3, 3, 3], 1);
@@ -59,7 +60,7 @@
             "instance {seat}"
         );
     }
-    // A suspicion that comes after the first has lapsed is a first one again.
+    // A suspicion that comes after the first one has expired counts as a first one.
     fleet.run(3_500);
     share(&mut fleet, 0, ObservationKind::Suspect);
     fleet.run(400);
@@ -68,10 +69,10 @@
     assert_eq!(kinds(&fleet, 1)[2..], [ObservationKind::Suspect, ObservationKind::Suspect]);
 }
 
-// Symptom: a backend server that serves again gets no new flows, and flows there end.
-// Sequence: two instances find it dead, a third has an answer from it; messages of before
-//   come late, by a way that was slow or sent again by somebody.
-// Cause: signs from before the sign of life count anew.
+// Guards against a backend server that serves again and still receives no new flows, while its open
+// flows end. Two instances observe its death, a third one receives an answer from it, and copies of
+// the earlier messages arrive afterwards: observations from before the alive observation must not
+// count again.
 #[test]
 fn life_refutes() {
     let mut fleet = settled_fleet(&[3, 3], 1);
@@ -97,11 +98,10 @@
     }
 }
 
-// Symptom: seconds after a death is known everywhere, nearly all new flows go to the dead
-//   backend server, and one observation is logged a thousand times.
-// Sequence: it was seen alive shortly before it died; messages that tell so come late, and by
-//   their ages the sign seems to be of after the death.
-// Cause: the copy of a sign that is known is taken for a newer one.
+// Guards against new flows that go to a backend server known to be dead, and against one
+// observation that is logged a thousand times. The backend server was seen alive shortly before it
+// died, and a late copy of that observation seems to be of after the death: it was taken for a
+// newer observation.
 #[test]
 fn late_life_erases_nothing() {
     let mut fleet = settled_fleet(&[3, 3], 1);
@@ -130,9 +130,9 @@
     }
 }
 
-// Symptom: for seconds after a death is known, callers that come back are sent there again.
-// Sequence: it stays dead; signs of it come twice a second, at one instance or another.
-// Cause: the first signs grow too old to count, and later ones aren't told.
+// Guards against callers that are sent to a dead backend server again seconds after its death is
+// known. It stays dead and is observed twice a second by one instance or another. The first
+// observations expire, and later ones weren't disseminated.
 #[test]
 fn long_death_known() {
     let mut fleet = settled_fleet(&[3, 3, 3], 1);
@@ -149,7 +149,7 @@
             assert!(step < 2 || age <= 2_500, "instance {seat}: {age:?} ms");
         }
     }
-    // Not every sign is passed on: one changes nothing where another has just come.
+    // Not every observation is forwarded: one changes nothing if another has just arrived.
     for seat in 0..9 {
         assert!(
             fleet.instances[seat].observations.len() <= 20,
@@ -159,7 +159,7 @@
     }
 }
 
-// Another start under the same number is another process.
+// Another incarnation under the same number is another process.
 #[test]
 fn starts_kept_apart() {
     let mut fleet = settled_fleet(&[3, 3], 1);
@@ -178,10 +178,9 @@
     assert_eq!(heard, [1, 2]);
 }
 
-// Symptom: instances that live are lost while backend servers die.
-// Sequence: one nearby hasn't been heard of for some seconds, by chance; it is told of evidence,
-//   and again.
-// Cause: it counts as asked for a sign of life, though nobody asked.
+// Guards against live instances that are counted as lost while backend servers die. An instance
+// that happens not to have been heard from for some seconds is sent evidence repeatedly; it was
+// then expected to answer although no answer had been requested.
 #[test]
 fn telling_asks_nobody() {
     let mut fleet = settled_fleet(&[60, 60], 1);
--- a/crates/foxledge-gossip/tests/load_faults.rs
+++ b/crates/foxledge-gossip/tests/load_faults.rs
@@ -1,4 +1,4 @@
-//! Reported load when instances, links and data centres fail, and when what is told is absurd.
+//! Load reports while instances, links and data centres fail, and when reported values are absurd.
 
 mod common;
 #[path = "common/load_model.rs"]
@@ -13,10 +13,10 @@
 use prost::Message;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Requests a slot in a full data centre, as routers tell it.
+/// Requests per slot in a full data centre, as measured by routers.
 const PRESSURE: f64 = 5.0;
 
-/// A settled fleet in which the members that `tells` names report load.
+/// Returns a settled fleet in which the instances selected by `has_reports` report load.
 fn telling_fleet(counts: &[usize], tells: impl Fn(usize) -> bool) -> VirtualFleet {
     let mut fleet = VirtualFleet::new(counts, 1);
     let seats = fleet.instances.iter_mut().enumerate();
@@ -24,7 +24,7 @@
     settle(fleet)
 }
 
-/// Load of some requests that run in a data centre.
+/// Returns the load of some requests running in a data centre.
 fn running_in(centre: &str, running: f64) -> LocalLoad {
     let priority = PriorityLoad { arrivals_per_s: running * 16.0, work_us: 60_000.0 };
     let load = ServiceLoad {
@@ -34,7 +34,7 @@
     LocalLoad { services: BTreeMap::from([(model_service(), load)]), ..LocalLoad::default() }
 }
 
-/// Lets members report the same load every 50 ms, in a pressed fleet.
+/// Lets the instances of a loaded fleet report the same load every 50 ms.
 fn report(fleet: &mut VirtualFleet, millis: u64, running: impl Fn(usize) -> f64) {
     for _ in 0..millis / 50 {
         for seat in 0..fleet.instances.len() {
@@ -48,7 +48,7 @@
     }
 }
 
-/// Requests of a data centre's callers by the view of a member.
+/// Returns the requests of a data centre's callers according to the view of an instance.
 fn viewed(fleet: &mut VirtualFleet, seat: usize, centre: &str) -> Option<f64> {
     let view = fleet.load_view(seat)?;
     let load = view.centres.get(&CentreName::new(centre))?;
@@ -66,7 +66,7 @@
     fleet.bytes_by_kind.get("load").copied().unwrap_or(0)
 }
 
-/// `TellerFault` is how an instance falls silent.
+/// Ways in which an instance stops reporting.
 #[derive(Clone, Copy, Debug)]
 enum TellerFault {
     Death,
@@ -74,7 +74,7 @@
     Leave,
 }
 
-// Guards against load of an instance that is gone, which would count for as long as others
+// Guards against the load of an instance that is gone, which would count for as long as others
 // relay it.
 #[test]
 fn silent_teller() {
@@ -93,7 +93,7 @@
                 fleet.kill(7);
             }
         }
-        // A second, and what it takes to notice.
+        // A second, and the time until the failure is detected.
         report(&mut fleet, 1_100, running);
         for seat in 0..7 {
             let after = viewed(&mut fleet, seat, "centre-0").expect("knows its data centre");
@@ -102,7 +102,8 @@
     }
 }
 
-// Guards against the load of a former start that counts beside that of the new one, or instead.
+// Guards against the load of a former incarnation that counts in addition to that of the new one,
+// or instead of it.
 #[test]
 fn restarted_teller() {
     let mut fleet = telling_fleet(&[8], |_| true);
@@ -117,7 +118,7 @@
     }
 }
 
-// Guards against views that fail with the links: parts that are lost are replaced by the mean.
+// Guards against views that degrade with the links: lost reports are replaced by the mean.
 #[test]
 fn lossy_links() {
     let mut fleet = telling_fleet(&[20, 20, 20, 19], |_| true);
@@ -126,7 +127,7 @@
     fleet.loss_rate = 0.3;
     model.run(&mut fleet, 3_000);
     model.centres[0].demand_factor = 3.2;
-    // Overflow is to be in effect by then.
+    // Time within which overflow to other data centres must take effect.
     model.run(&mut fleet, 500);
     let full = 0.8 * model.centres[0].slots;
     let mut knowing = 0;
@@ -141,8 +142,8 @@
     }
 }
 
-// Guards against a data centre that counts as known while it is cut off, that loses its own view,
-// or that stays unknown afterwards.
+// Guards against a data centre that counts as known while it is partitioned, that loses its own
+// view, or that stays unknown afterwards.
 #[test]
 fn centre_cut_off() {
     let mut fleet = telling_fleet(&[6, 6, 6], |_| true);
@@ -167,7 +168,7 @@
     }
 }
 
-// Guards against older builds that count as instances without load.
+// Guards against older builds, which don't report load, that count as instances without load.
 #[test]
 fn mixed_builds() {
     let mut fleet = telling_fleet(&[8, 8], |seat| seat % 2 == 0);
@@ -183,7 +184,7 @@
     }
 }
 
-// Guards against load messages of fleets that don't ask for them.
+// Guards against load messages in fleets that haven't enabled them.
 #[test]
 fn off_is_silent() {
     let mut fleet = telling_fleet(&[4, 4], |_| false);
@@ -200,7 +201,7 @@
     assert_eq!(load_bytes(&fleet), 0);
 }
 
-// Guards against decisions by a single instance's load right after its start.
+// Guards against decisions based on the load of a single instance right after its start.
 #[test]
 fn start_unsure() {
     let mut fleet = telling_fleet(&[8], |_| true);
@@ -217,7 +218,7 @@
     assert_eq!(view.centres[&CentreName::new("centre-0")].instances, 8);
 }
 
-// Guards against an only instance that waits for others.
+// Guards against the only instance of a fleet waiting for others.
 #[test]
 fn only_instance() {
     let mut fleet = telling_fleet(&[1], |_| true);
@@ -226,7 +227,7 @@
     assert_eq!(load_bytes(&fleet), 0);
 }
 
-// Guards against reports that depend on the store.
+// Guards against load reports that depend on the store.
 #[test]
 fn store_away() {
     let mut fleet = telling_fleet(&[8, 8], |_| true);
@@ -241,7 +242,7 @@
     }
 }
 
-/// `ForgedMessage` is a load message as it travels.
+/// A load message as it is encoded on the wire.
 #[derive(Clone, PartialEq, Message)]
 struct ForgedMessage {
     #[prost(message, optional, tag = "10")]
@@ -316,13 +317,13 @@
 }
 
 fn absurd_service(service: u32) -> ForgedService {
-    // A pair is missing its second half.
+    // The last pair lacks its second element.
     let words: Vec<_> = (0..41).map(|_| u32::MAX).collect();
     let arrivals = (0..20).flat_map(|priority| [priority, u32::MAX]).collect();
     ForgedService { service, arrivals, work_us: words, running: u32::MAX }
 }
 
-// Guards against values that no instance can have, which would fill the view for good.
+// Guards against values that no instance can have and that would fill the view permanently.
 #[test]
 fn absurd_values() {
     let mut fleet = telling_fleet(&[8, 8], |_| true);
@@ -370,7 +371,7 @@
             }
         }
     }
-    // Parts that nobody reports again expire, and so do sums.
+    // Reports that aren't repeated expire, and so do aggregates.
     report(&mut fleet, 3_200, |_| 4.0);
     for seat in 0..16 {
         for centre in ["centre-0", "centre-1"] {
--- a/crates/foxledge-gossip/tests/load_messages.rs
+++ b/crates/foxledge-gossip/tests/load_messages.rs
@@ -1,4 +1,4 @@
-//! Load as it travels from one instance to another.
+//! Encoding of load in messages between two instances.
 
 use std::{
     collections::BTreeMap,
@@ -22,7 +22,7 @@
     FleetMember::new(options, start())
 }
 
-/// Two members that know each other.
+/// Returns two members that know each other.
 fn pair() -> [FleetMember; 2] {
     let mut pair = [member(1), member(2)];
     for _ in 0..3 {
@@ -34,7 +34,7 @@
     pair
 }
 
-/// Hands what a member sends to the other; returns the sizes.
+/// Delivers the messages of one member to the other. Returns their sizes.
 fn exchange(pair: &mut [FleetMember; 2], from: usize, now: ClockTime) -> Vec<usize> {
     let effects = pair[from].drain_effects();
     let sent = effects.into_iter().filter_map(|effect| match effect {
@@ -62,7 +62,7 @@
     load
 }
 
-// Guards against values that change on their way.
+// Guards against values that change in transit.
 #[test]
 fn same_after_way() {
     let mut pair = pair();
@@ -76,14 +76,14 @@
     pair[1].set_local_load(start(), LocalLoad::default(), 0.0);
     let view = pair[1].load_view(start()).expect("reports load");
     let told = &view.centres[&CentreName::new("toledo")];
-    // The mean of the part and an empty one, times two instances.
+    // The mean of the report and an empty one, times two instances.
     assert_eq!((told.instances, told.report_count), (2, 2));
     assert_eq!(told.services[&desk], load);
     assert_eq!(view.account_samples, accounts.iter().map(|one| (*one, 9)).collect::<Vec<_>>());
 }
 
-// Guards against messages that are larger than a datagram, and against the loss of the services
-// that matter most in those that are cut.
+// Guards against messages larger than a datagram, and against losing the services with the most
+// load in messages that are truncated.
 #[test]
 fn large_loads_cut() {
     let mut pair = pair();
@@ -102,14 +102,14 @@
     assert!((20..500).contains(&told.len()), "{} services", told.len());
     let least = 500 - told.len() as u32;
     assert!(told.keys().all(|key| key.0 >= least), "{:?}", told.keys());
-    // Relayed among others, in a round of a busy instance.
+    // The large report is relayed with others by an instance at the fast pace.
     let later = start().after_millis(500);
     pair[1].set_local_load(later, own, 10.0);
     let sizes = exchange(&mut pair, 1, later);
     assert!(sizes.iter().all(|size| *size <= MAX_MESSAGE_BYTES), "{sizes:?}");
 }
 
-// Guards against messages of an instance that has said that it stops.
+// Guards against messages of an instance that has announced that it leaves.
 #[test]
 fn none_after_leaving() {
     let mut pair = pair();
--- a/crates/foxledge-gossip/tests/load_spread.rs
+++ b/crates/foxledge-gossip/tests/load_spread.rs
@@ -1,4 +1,4 @@
-//! Spreading of load: how soon a burst is known, how old and how wrong views are, what it costs.
+//! Dissemination of load: how soon a burst is known, the age and error of views, and the cost.
 
 mod common;
 #[path = "common/load_model.rs"]
@@ -9,14 +9,14 @@
 
 /// 79 instances in four data centres.
 const SITE: [usize; 4] = [20, 20, 20, 19];
-/// Slots of backend servers to an instance.
+/// Slots of backend servers per instance.
 const SLOTS: f64 = 3.0;
-/// Requests a slot from which overflow acts.
+/// Requests per slot above which requests overflow to other data centres.
 const FULL: f64 = 0.8;
-/// Part of the instances that is to know: single views differ from the truth by chance.
+/// Share of the instances that must know: single views differ from the true load by chance.
 const MOST: f64 = 0.95;
 
-/// A fleet that reports load, and a calm day that has lasted for some seconds.
+/// Returns a fleet that reports load after some seconds under low load.
 fn calm_day(counts: &[usize], seed: u64) -> (VirtualFleet, LoadModel) {
     let mut fleet = VirtualFleet::new(counts, seed);
     fleet.instances.iter_mut().for_each(|seat| seat.reports_load = true);
@@ -26,7 +26,7 @@
     (fleet, model)
 }
 
-/// True when most instances near or far know that data centre 0 is full.
+/// Returns whether most local or remote instances know that data centre 0 is full.
 fn is_known(fleet: &VirtualFleet, model: &LoadModel, views: &[Option<f64>], is_near: bool) -> bool {
     let meant: Vec<_> = (0..fleet.instances.len())
         .filter(|seat| (model.centre_of(*seat) == 0) == is_near)
@@ -36,8 +36,8 @@
     knowing.count() as f64 >= MOST * meant.len() as f64
 }
 
-/// Plays a burst of data centre 0; milliseconds until it is full, and until that is known
-/// near and far.
+/// Simulates a burst in data centre 0. Returns the milliseconds until it is full, and until that is
+/// known at local and at remote instances.
 fn play_burst(fleet: &mut VirtualFleet, model: &mut LoadModel) -> [Option<u64>; 3] {
     model.centres[0].demand_factor = 3.2;
     let (mut known, mut full) = ([None; 2], None);
@@ -72,7 +72,7 @@
         .map(|kinds| kinds.get("load").copied().unwrap_or(0))
 }
 
-// Guards against a burst that is over before its data centre and the others know of it.
+// Guards against a burst that is over before the local and the other data centres know of it.
 #[test]
 fn burst_known() {
     for seed in 1..=3 {
@@ -80,15 +80,15 @@
     }
 }
 
-// Guards against knowledge that takes longer in larger data centres.
+// Guards against a delay that grows with the size of a data centre.
 #[test]
 fn large_burst_known() {
-    // More than the 64 that a view holds.
+    // More than the 64 instances that a view contains.
     assert_known_soon(&[73, 20], 1);
 }
 
-// Guards against reports that cost a calm fleet more than it is worth, and against calm data
-// centres that tell each other anything.
+// Guards against reports that cost a fleet under low load too much, and against traffic between
+// data centres under low load.
 #[test]
 fn calm_budget() {
     let (mut fleet, mut model) = calm_day(&SITE, 1);
@@ -101,7 +101,7 @@
     assert_eq!(far_after, far_before, "bytes between data centres");
 }
 
-// Guards against an instance that spends more than its budget while all data centres are full.
+// Guards against an instance that exceeds its byte budget while all data centres are full.
 #[test]
 fn busy_budget() {
     let (mut fleet, mut model) = calm_day(&SITE, 1);
@@ -115,14 +115,14 @@
     assert!(busiest <= 12_000, "the busiest sends {busiest} bytes a second");
 }
 
-// Guards against a burst's end that isn't noticed, after which a fleet stays busy for good.
+// Guards against a fleet that stays at the fast pace because the end of a burst isn't detected.
 #[test]
 fn calm_again() {
     let (mut fleet, mut model) = calm_day(&SITE, 1);
     model.centres.iter_mut().for_each(|centre| centre.demand_factor = 3.5);
     model.run(&mut fleet, 2_000);
     model.centres.iter_mut().for_each(|centre| centre.demand_factor = 1.0);
-    // Queues drain, then 4 s pass in which what was said of pressed data centres holds.
+    // Queues drain, then the 4 s pass during which data centres count as loaded.
     model.run(&mut fleet, 7_000);
     let [before, far_before] = load_bytes(&fleet);
     model.run(&mut fleet, 5_000);
@@ -132,8 +132,8 @@
     assert_eq!(far_after, far_before, "bytes between data centres");
 }
 
-// Guards against a word of a pressed data centre that instances tell each other for ever: relayed
-// with the time it has left, it gained at each hop what the message took.
+// Guards against instances that keep a data centre loaded by relaying its state among themselves:
+// relayed with its remaining time, the state gained the transmission time at each hop.
 #[test]
 fn end_stays_cheap() {
     for seed in 1..=3 {
@@ -152,8 +152,8 @@
     }
 }
 
-// Guards against sums scaled by a wrong number of instances, and against views older than those
-// by which admission acts.
+// Guards against aggregates scaled by a wrong number of instances, and against views that are too
+// old for admission control.
 #[test]
 fn views_true() {
     let (mut fleet, mut model) = calm_day(&SITE, 1);
@@ -178,7 +178,7 @@
     }
     for (ages, most_ms) in ages.iter_mut().zip([400, 2_000]) {
         ages.sort_unstable();
-        // By chance an instance is told nothing for a while.
+        // By chance, an instance receives no reports for a while.
         let age_ms = ages[ages.len() * 99 / 100];
         println!("99% of views are at most {age_ms} ms old");
         assert!(age_ms <= most_ms, "{age_ms} ms");
--- a/crates/foxledge-gossip/tests/mass_deaths.rs
+++ b/crates/foxledge-gossip/tests/mass_deaths.rs
@@ -1,4 +1,5 @@
-//! Many backend servers that die in one moment: when all instances know, and what telling costs.
+//! Many backend servers that die at the same moment: when all instances know, and the bytes that
+//! this takes.
 
 mod common;
 
@@ -12,27 +13,27 @@
 /// First number of the backend servers that die.
 const FIRST: u64 = 10_000;
 
-/// Most milliseconds from the second sign of a death until instances know it.
+/// Maximum time in milliseconds from the second observation of a death until instances know it.
 struct DelayAim {
     middle: u64,
     last: u64,
 }
 
-/// Of one data centre: callers give up after a second and more, and ask again.
+/// Limits within one data centre: callers give up after a second or more, and open a new flow.
 const NEAR: DelayAim = DelayAim { middle: 300, last: 1_000 };
-/// Of all data centres.
+/// Limits for all data centres.
 const FAR: DelayAim = DelayAim { middle: 500, last: 1_500 };
-/// Bytes a second that one instance may send, whatever dies: 6% of a link of 20 Mbit/s for
-/// evidence, and what it sends anyway.
+/// Maximum bytes a second that one instance may send however many backend servers die: 6% of a link
+/// of 20 Mbit/s for evidence, and its other traffic.
 const MOST_BYTES: u64 = 170_000;
 
-/// What is found at which instance, by the millisecond.
+/// Observations by time in milliseconds and observing instance.
 type Plan = Vec<(u64, usize, HealthObservation)>;
 
-/// What instances make of all that they observe and hear.
+/// Health states that instances infer from all that they observe and receive.
 struct Beliefs {
     states: HashMap<(usize, u64), HealthState>,
-    /// Notes of each instance that have been taken.
+    /// Number of observations of each instance that have been applied.
     taken: Vec<usize>,
     /// When each death could be known, and when each instance knew it.
     known_at: HashMap<u64, ClockTime>,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Takes what an instance finds itself.
+    /// Applies an observation that an instance made itself.
     fn observe(&mut self, now: ClockTime, index: usize, note: &HealthObservation) {
         self.take(now, index, note);
         if !matches!(
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Takes what instances have heard since the last call.
+    /// Applies the observations that instances have received since the last call.
     fn hear(&mut self, fleet: &VirtualFleet) {
         for (index, seat) in fleet.instances.iter().enumerate() {
             let taken = std::mem::replace(&mut self.taken[index], seat.observations.len());
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Milliseconds from when a death could be known until each of some instances knew it;
-    /// none for those that never did.
+    /// Returns, in ascending order, the milliseconds from the time at which a death could be known
+    /// until each of some instances knew it; none for instances that never did.
     fn delays(&self, seats: std::ops::Range<usize>) -> Vec<Option<u64>> {
         let mut delays = Vec::new();
         for (number, known) in &self.known_at {
@@ -100,8 +101,9 @@
     }
 }
 
-/// What is found of some backend servers that die at once, at instances of `seats`: with four
-/// requests a second at each, hardly more than four instances see something in a second.
+/// Returns observations of some backend servers that die at once, made by instances of a range.
+/// With four requests a second at each backend server, hardly more than four instances observe
+/// something within a second.
 fn deaths(numbers: std::ops::Range<u64>, seats: std::ops::Range<usize>, seed: u64) -> Plan {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut plan = Plan::new();
@@ -126,7 +128,7 @@
     plan
 }
 
-/// Plays observations for so many milliseconds.
+/// Simulates observations for some milliseconds.
 fn play(fleet: &mut VirtualFleet, beliefs: &mut Beliefs, plan: Plan, millis: u64) {
     let mut plan = plan.into_iter().peekable();
     for millis in 0..millis {
@@ -151,7 +153,7 @@
     assert!(last <= aim.last, "{what}: last {last} ms");
 }
 
-/// Plays a plan with the bytes of the busiest instance bounded in each second.
+/// Simulates observations and bounds the bytes of the busiest instance.
 fn play_bounded(fleet: &mut VirtualFleet, plan: Plan) -> Beliefs {
     fleet.run(6_000);
     let quiet = fleet.remote_bytes;
@@ -170,11 +172,10 @@
     beliefs
 }
 
-// Symptom: for seconds after a hall's backend servers fell silent, callers wait on flows to
-//   them, and new flows are sent there.
-// Sequence: a hundred die in one moment; each instance finds some of it and tells.
-// Cause: a message tells of so many observations, chosen by a random identity; those with
-//   large ones are told by nobody.
+// Guards against callers that wait on flows to dead backend servers, and against new flows sent to
+// them, for seconds after a hall has failed. A hundred die at the same moment, and each instance
+// sends what it observes of it. A message had space for a limited number of observations, chosen by
+// a random id, and those with large ids were sent by no instance.
 #[test]
 fn hall_dies() {
     let mut fleet = settled_fleet(&[50; 6], 1);
@@ -225,7 +226,8 @@
     check(&beliefs, 50..300, &FAR, "far");
 }
 
-// Instances that start while the deaths are told hear of them from those that serve them.
+// Instances that start while the deaths are disseminated learn them from the peers that answer
+// them.
 #[test]
 fn starters_hear() {
     let mut fleet = settled_fleet(&[50; 6], 7);
--- a/crates/foxledge-gossip/tests/sign_algebra.rs
+++ b/crates/foxledge-gossip/tests/observation_merging.rs
@@ -1,4 +1,5 @@
-//! What is believed of a backend server depends on the set of signs alone, not on their way.
+//! The inferred health of a backend server depends on the set of observations alone, not on the
+//! paths and the order by which they arrive.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +10,7 @@
 };
 use proptest::prelude::*;
 
-/// Time in which all signs of a sequence are seen, in milliseconds: less than they are told.
+/// Time span of all observations of a sequence, in milliseconds: less than their time to live.
 const SPAN_MS: u64 = 2_000;
 const INSTANCES: usize = 3;
 
@@ -46,7 +47,7 @@
     evidence
 }
 
-/// What a set of signs means, told in the plainest way.
+/// Infers the health from a set of observations in the simplest possible way.
 fn meaning(signs: &[ObservationRecord]) -> InferredHealth {
     let life = signs
         .iter()
@@ -81,9 +82,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    // Symptom: instances that saw and heard the same believe different things of a backend
-    //   server, and some send all new flows to a dead one.
-    // Cause: what is believed depends on the order in which signs came.
+    // Guards against instances that have the same observations and infer different health, so that
+    // some send all new flows to a dead backend server. The result depended on the order in which
+    // the observations arrived.
     #[test]
     fn order_is_nothing((signs, shuffled) in any_signs().prop_flat_map(|signs| {
         (Just(signs.clone()), Just(signs).prop_shuffle())
@@ -94,7 +95,8 @@
         prop_assert_eq!(evidence_of(shuffled.iter().chain(&signs)).inferred_health(), belief);
     }
 
-    // What an instance tells suffices for another to believe as much, whatever it knew.
+    // The records that an instance disseminates suffice for another to infer a health at least as
+    // bad, whatever it knew before.
     #[test]
     fn told_is_enough(known in any_signs(), signs in any_signs()) {
         let teller = evidence_of(&signs);
@@ -104,14 +106,14 @@
         let known: Vec<_> = known.iter().map(rename).collect();
         let merged = evidence_of(known.iter().chain(&told)).inferred_health();
         let union: Vec<_> = known.iter().chain(&signs).copied().collect();
-        // Signs that weren't told may make it worse, never better.
+        // Observations that weren't sent can make the inferred health worse, never better.
         prop_assert!(merged <= meaning(&union), "{:?} of {:?}", merged, meaning(&union));
     }
 
-    // Symptom: one sign of life is news a thousand times, and messages are full of it.
-    // Sequence: three instances hand on what they believe, each time a little late, so that a
-    //   sign seems later at each hop; messages are lost, and come twice.
-    // Cause: a copy that seems later is taken for another sign.
+    // Guards against one alive observation that is forwarded a thousand times and fills messages.
+    // Three instances forward what they infer, each time a little late, so that an observation
+    // seems later at each hop; messages are lost and duplicated. A copy that seems later was taken
+    // for another observation.
     #[test]
     fn news_only_once(
         signs in any_signs(),
@@ -147,7 +149,7 @@
     }
 }
 
-// The small case in full: two instances, one backend server, and six messages in any order.
+// Exhaustive small case: two instances, one backend server, and six observations in any order.
 #[test]
 fn all_orders_agree() {
     let kinds = [
--- a/crates/foxledge-gossip/tests/vanished_asked.rs
+++ b/crates/foxledge-gossip/tests/removed_backend_queries.rs
@@ -1,4 +1,4 @@
-//! What vanished before an instance started, asked of others by token.
+//! Queries by token for backend servers that were removed before an instance started.
 
 mod common;
 
@@ -20,10 +20,10 @@
     rows.iter().filter(is_gone).count()
 }
 
-// Symptom: callers' feeds hang after a data centre's return of power, as its instances drop what
-//   names backend servers of before.
-// Sequence: all backend servers of a data centre vanish, and its instances start anew and read
-//   the store, before others hand them their list. Only the other data centre remembers.
+// Guards against callers whose streams hang after power returns to a data centre, because its
+// instances drop packets that name former backend servers. All backend servers of a data centre are
+// removed, and its instances restart and read the store before others send them their list. Only
+// the other data centre remembers the removed ones.
 #[test]
 fn starters_ask() {
     let mut fleet = settled_fleet(&[4, 4], 1);
@@ -61,7 +61,7 @@
             "instance {member}"
         );
     }
-    // What is listed stays as it is, and a second answer is no news.
+    // Known rows stay as they are, and a second response changes nothing.
     for member in 0..4 {
         fleet.instances[member].applied_rows.clear();
         fleet.query_removed_backends(member, NUMBERS.map(token_of).collect());
--- a/crates/foxledge-gossip/tests/held_config.rs
+++ b/crates/foxledge-gossip/tests/retained_config.rs
@@ -1,4 +1,4 @@
-//! The operators' list that stays in force when the store comes back with an older one.
+//! The configuration that stays in force when the store is restored from an older backup.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use common::{VirtualFleet, VirtualInstance, settled_fleet};
 use foxledge_flows::rows::{LIMITS_KEY, RowValue};
 
-/// What the rows that a member put in force say together, by key; versions never fall.
+/// Returns the rows in force at an instance, by key. Asserts that versions never decrease.
 fn in_force(seat: &VirtualInstance) -> BTreeMap<String, RowValue> {
     let mut rows = BTreeMap::new();
     let mut newest = 0;
@@ -42,14 +42,15 @@
     }
 }
 
-/// Publishes a version with some routes.
+/// Publishes a version of the configuration with some routes.
 fn publish(fleet: &mut VirtualFleet, version: u64, routes: usize) {
     fleet.store.publish(version, routes);
     fleet.answer_watches();
     fleet.run(2_500);
 }
 
-/// A fleet whose store has lost versions 3 and 4; version 4 has more routes than 2, and others.
+/// Returns a fleet whose store has lost versions 3 and 4. Version 4 has more routes than version 2,
+/// and other ones.
 fn restored_fleet(seed: u64) -> VirtualFleet {
     let mut fleet = settled_fleet(&[3, 2], seed);
     for (version, routes) in [(2, 6), (3, 9), (4, 12)] {
@@ -62,19 +63,19 @@
     fleet
 }
 
-// Guards against a list of the operators that goes back to an older one in a running instance.
+// Guards against a running instance that goes back to an older operators' list.
 #[test]
 fn older_list_held_off() {
     let mut fleet = restored_fleet(1);
     assert_in_force(&fleet, 4, 12);
-    // The operator writes again what was lost.
+    // The operator publishes the lost version again.
     publish(&mut fleet, 4, 12);
     assert_in_force(&fleet, 4, 12);
     publish(&mut fleet, 5, 7);
     assert_in_force(&fleet, 5, 7);
 }
 
-// Guards against an older list in a router that starts anew while a newer one is held.
+// Guards against an older list in a router that restarts while a newer one is retained.
 #[test]
 fn restarted_router_keeps_newer() {
     let fleet = restored_fleet(5);
@@ -91,7 +92,7 @@
     }
 }
 
-// Guards against routes that only the lost list had and that stay when a newer one comes.
+// Guards against routes of the lost version that stay in force when a newer version is published.
 #[test]
 fn newer_list_replaces_held() {
     let mut fleet = restored_fleet(2);
@@ -99,7 +100,7 @@
     assert_in_force(&fleet, 5, 8);
 }
 
-// Guards against an older list by a store that is restored once more while one is held.
+// Guards against an older list from a store that is restored again while a newer one is retained.
 #[test]
 fn second_restore_held_off() {
     let mut fleet = restored_fleet(3);
@@ -111,7 +112,7 @@
     assert_in_force(&fleet, 5, 3);
 }
 
-// Guards against instances that serve an older list than others, as they started from the
+// Guards against instances that serve an older list than others because they started from the
 // restored store.
 #[test]
 fn starters_take_held() {
@@ -123,7 +124,7 @@
     }
     fleet.run(2_500);
     assert_in_force(&fleet, 4, 12);
-    // What they hold goes on to the next ones.
+    // Instances that pulled the retained configuration serve it to the next ones.
     for index in [0, 2, 3] {
         fleet.kill(index);
         fleet.instances[index].applied_rows.clear();
@@ -135,7 +136,8 @@
     assert_in_force(&fleet, 5, 8);
 }
 
-// Guards against a held list that never arrives whole, as it takes many pages and some are lost.
+// Guards against a retained configuration that never arrives completely because it takes many pages
+// and some of them are lost.
 #[test]
 fn long_list_taken() {
     let mut fleet = settled_fleet(&[3, 2], 7);
@@ -152,7 +154,7 @@
     assert_in_force(&fleet, 3, 1_400);
 }
 
-// Guards against instances that differ for good, as some started with the older list.
+// Guards against instances that differ permanently because some started with the older list.
 #[test]
 fn starters_agree() {
     let mut fleet = restored_fleet(4);
