--- a/crates/foxledge-gossip/examples/fleet_scale.rs
+++ b/crates/foxledge-gossip/examples/fleet_scale.rs
@@ -14,78 +14,78 @@
 /// Number of data centres.
 const CENTRES: usize = 6;
 /// Processing time of an instance for each message, in microseconds, at an eighth of a core.
-const MESSAGE_US: u64 = 200;
+const MESSAGE_COST_US: u64 = 200;
 /// Time for which an item of 250 bytes occupies the store's link of 1 Gbit/s, in nanoseconds.
-const ITEM_NS: u64 = 2_000;
+const STORE_ITEM_NS: u64 = 2_000;
 /// Time for each further page of a full read, in microseconds.
-const PAGE_US: u64 = 4_000;
+const STORE_PAGE_US: u64 = 4_000;
 /// Number of instances with wide links per data centre.
-const WIDE: usize = 6;
+const WIDE_LINKS: usize = 6;
 /// Number of backend servers that register together, and the time between two such batches, in
 /// milliseconds.
 const GROWTH_BATCH: u64 = 20;
-const GROWTH_MS: u64 = 20;
+const GROWTH_INTERVAL_MS: u64 = 20;
 /// Number of routes; they carry no traffic.
 const ROUTES: usize = 150;
 
 /// Compares the counters of a fleet before and after a scenario.
-struct MomentMeter {
+struct ScenarioMeter {
     name: &'static str,
     start_us: u64,
-    sent: Vec<u64>,
-    far: u64,
-    pages: BTreeMap<(&'static str, &'static str), u64>,
-    kinds: BTreeMap<&'static str, u64>,
-    far_kinds: BTreeMap<&'static str, u64>,
+    sent_bytes: Vec<u64>,
+    remote_bytes: u64,
+    page_counts: BTreeMap<(&'static str, &'static str), u64>,
+    bytes_by_kind: BTreeMap<&'static str, u64>,
+    remote_bytes_by_kind: BTreeMap<&'static str, u64>,
 }
 
-impl MomentMeter {
-    fn new(fleet: &VirtualFleet, name: &'static str) -> MomentMeter {
-        MomentMeter {
+impl ScenarioMeter {
+    fn new(fleet: &VirtualFleet, name: &'static str) -> ScenarioMeter {
+        ScenarioMeter {
             name,
             start_us: fleet.now_us,
-            sent: fleet.instances.iter().map(|seat| seat.sent_bytes).collect(),
-            far: fleet.remote_bytes,
-            pages: fleet.store.page_counts.clone(),
-            kinds: fleet.bytes_by_kind.clone(),
-            far_kinds: fleet.remote_bytes_by_kind.clone(),
+            sent_bytes: fleet.instances.iter().map(|instance| instance.sent_bytes).collect(),
+            remote_bytes: fleet.remote_bytes,
+            page_counts: fleet.store.page_counts.clone(),
+            bytes_by_kind: fleet.bytes_by_kind.clone(),
+            remote_bytes_by_kind: fleet.remote_bytes_by_kind.clone(),
         }
     }
 
-    fn print(self, fleet: &VirtualFleet, took: Option<u64>) {
+    fn print(self, fleet: &VirtualFleet, elapsed_ms: Option<u64>) {
         let seconds = (fleet.now_us - self.start_us) as f64 / 1e6;
         let mut rates: Vec<_> = fleet
             .instances
             .iter()
-            .zip(&self.sent)
-            .map(|(seat, before)| (seat.sent_bytes - before) as f64 / seconds / 1e3)
+            .zip(&self.sent_bytes)
+            .map(|(instance, before)| (instance.sent_bytes - before) as f64 / seconds / 1e3)
             .collect();
         rates.sort_by(f64::total_cmp);
         println!(
             "{},{},{seconds:.1},{},{:.1},{:.1},{},{},{},{}",
             fleet.instances.len(),
             self.name,
-            took.map_or_else(|| "-".to_owned(), |ms| ms.to_string()),
+            elapsed_ms.map_or_else(|| "-".to_owned(), |ms| ms.to_string()),
             rates[rates.len() / 2],
             rates[rates.len() - 1],
-            (fleet.remote_bytes - self.far) / 1_000,
-            grown(&fleet.store.page_counts, &self.pages),
-            grown(&fleet.bytes_by_kind, &self.kinds),
-            grown(&fleet.remote_bytes_by_kind, &self.far_kinds),
+            (fleet.remote_bytes - self.remote_bytes) / 1_000,
+            format_growth(&fleet.store.page_counts, &self.page_counts),
+            format_growth(&fleet.bytes_by_kind, &self.bytes_by_kind),
+            format_growth(&fleet.remote_bytes_by_kind, &self.remote_bytes_by_kind),
         );
     }
 }
 
 /// Formats the growth of counters.
-fn grown<K: Ord + fmt::Debug>(now: &BTreeMap<K, u64>, before: &BTreeMap<K, u64>) -> String {
-    let growth = now.iter().map(|(word, count)| (word, count - before.get(word).unwrap_or(&0)));
+fn format_growth<K: Ord + fmt::Debug>(now: &BTreeMap<K, u64>, before: &BTreeMap<K, u64>) -> String {
+    let growth = now.iter().map(|(key, count)| (key, count - before.get(key).unwrap_or(&0)));
     let texts =
-        growth.filter(|(_, count)| *count > 0).map(|(word, count)| format!("{word:?}={count}"));
+        growth.filter(|(_, count)| *count > 0).map(|(key, count)| format!("{key:?}={count}"));
     texts.collect::<Vec<_>>().join(" ").replace([',', '"'], " ")
 }
 
 /// Publishes `count` changes, one each `gap_ms`.
-fn change(fleet: &mut VirtualFleet, first: u64, count: u64, gap_ms: u64) {
+fn publish_changes(fleet: &mut VirtualFleet, first: u64, count: u64, gap_ms: u64) {
     for number in 0..count {
         fleet.store.register(first + number, number % 3 == 0);
         fleet.answer_watches();
@@ -104,48 +104,48 @@
     fleet.answer_watches();
 }
 
-fn play(
+fn run_scenario(
     fleet: &mut VirtualFleet,
     name: &'static str,
-    mut moment: impl FnMut(&mut VirtualFleet),
-    most: u64,
-    rest: u64,
+    mut scenario: impl FnMut(&mut VirtualFleet),
+    max_millis: u64,
+    settle_millis: u64,
 ) {
-    let meter = MomentMeter::new(fleet, name);
-    moment(fleet);
+    let meter = ScenarioMeter::new(fleet, name);
+    scenario(fleet);
     let head = fleet.store.head;
-    let took = fleet.run_until(most, |fleet| fleet.all_have_list(head));
-    fleet.run(rest);
-    meter.print(fleet, took);
+    let elapsed_ms = fleet.run_until(max_millis, |fleet| fleet.all_have_list(head));
+    fleet.run(settle_millis);
+    meter.print(fleet, elapsed_ms);
 }
 
 /// Lets the store refuse the selected instances and all current readers.
-fn turn_away(fleet: &mut VirtualFleet, is_meant: impl Fn(usize) -> bool) {
-    let reads = |seat: &common::VirtualInstance| {
-        seat.member.as_ref().is_some_and(|one| one.is_reading_store())
+fn refuse(fleet: &mut VirtualFleet, is_selected: impl Fn(usize) -> bool) {
+    let is_reader = |instance: &common::VirtualInstance| {
+        instance.member.as_ref().is_some_and(|member| member.is_reading_store())
     };
-    let seats = fleet.instances.iter().enumerate();
-    let meant = seats.filter(|(index, seat)| is_meant(*index) || reads(seat));
-    fleet.store_state = meant.map(|(index, _)| (index, StoreState::Refusing)).collect();
+    let instances = fleet.instances.iter().enumerate();
+    let selected = instances.filter(|(index, instance)| is_selected(*index) || is_reader(instance));
+    fleet.store_state = selected.map(|(index, _)| (index, StoreState::Refusing)).collect();
     fleet.answer_watches();
 }
 
 /// Returns a fleet that hasn't been started, with wide links for six instances per data centre.
 fn new_fleet(instances: usize) -> VirtualFleet {
-    let in_centre = (instances / CENTRES).max(WIDE);
+    let in_centre = (instances / CENTRES).max(WIDE_LINKS);
     let mut fleet = VirtualFleet::new(&[in_centre; CENTRES], 1);
     (fleet.message_cost_us, fleet.store_item_ns, fleet.store_page_us) =
-        (MESSAGE_US, ITEM_NS, PAGE_US);
+        (MESSAGE_COST_US, STORE_ITEM_NS, STORE_PAGE_US);
     fleet.store.is_history_disabled = true;
-    for (index, seat) in fleet.instances.iter_mut().enumerate() {
-        seat.link_mbps = if index % in_centre < WIDE { 200 } else { 20 };
+    for (index, instance) in fleet.instances.iter_mut().enumerate() {
+        instance.link_mbps = if index % in_centre < WIDE_LINKS { 200 } else { 20 };
     }
     fleet.store.publish(1, ROUTES);
     fleet
 }
 
 /// Simulates a fleet that starts before its backend servers do.
-fn play_growth(instances: usize, backends: u64) {
+fn run_growth(instances: usize, backends: u64) {
     let mut fleet = new_fleet(instances);
     let grow = |fleet: &mut VirtualFleet| {
         fleet.start_all();
@@ -154,74 +154,74 @@
             fleet.store.register(number, false);
             if number % GROWTH_BATCH == 0 {
                 fleet.answer_watches();
-                fleet.run(GROWTH_MS);
+                fleet.run(GROWTH_INTERVAL_MS);
             }
         }
         fleet.answer_watches();
     };
-    play(&mut fleet, "starts while the list grows", grow, 20_000, 2_000);
+    run_scenario(&mut fleet, "starts while the list grows", grow, 20_000, 2_000);
 }
 
 /// Simulates a fleet that starts on a published list, and several faults.
-fn play_moments(instances: usize, backends: u64) {
+fn run_scenarios(instances: usize, backends: u64) {
     let mut fleet = new_fleet(instances);
     for number in 1..=backends {
         fleet.store.register(number, false);
     }
     let fleet = &mut fleet;
-    play(fleet, "all start", VirtualFleet::start_all, 20_000, 2_000);
-    play(fleet, "quiet", |_| (), 0, 10_000);
-    play(fleet, "100 changes", |fleet| change(fleet, 1, 100, 50), 5_000, 2_000);
-    play(fleet, "history dropped", |fleet| drop_history(fleet, 100_000), 10_000, 3_000);
+    run_scenario(fleet, "all start", VirtualFleet::start_all, 20_000, 2_000);
+    run_scenario(fleet, "quiet", |_| (), 0, 10_000);
+    run_scenario(fleet, "100 changes", |fleet| publish_changes(fleet, 1, 100, 50), 5_000, 2_000);
+    run_scenario(fleet, "history dropped", |fleet| drop_history(fleet, 100_000), 10_000, 3_000);
     let amid_changes = |fleet: &mut VirtualFleet| {
         for round in 0..3 {
-            change(fleet, 200 + round * 40, 40, 50);
+            publish_changes(fleet, 200 + round * 40, 40, 50);
             drop_history(fleet, 200_000 + round * 100);
         }
     };
-    play(fleet, "dropped amid changes", amid_changes, 10_000, 3_000);
+    run_scenario(fleet, "dropped amid changes", amid_changes, 10_000, 3_000);
     let restart = |fleet: &mut VirtualFleet| {
         let some = (0..fleet.instances.len()).step_by(18);
         some.clone().for_each(|index| fleet.kill(index));
         fleet.run(2_000);
         some.for_each(|index| fleet.start(index));
-        change(fleet, 1_000, 20, 50);
+        publish_changes(fleet, 1_000, 20, 50);
     };
-    play(fleet, "one in eighteen starts", restart, 10_000, 3_000);
+    run_scenario(fleet, "one in eighteen starts", restart, 10_000, 3_000);
     let outage = |fleet: &mut VirtualFleet| {
-        turn_away(fleet, |_| true);
+        refuse(fleet, |_| true);
         fleet.run(4_500);
         fleet.store_state.clear();
         fleet.store.publish(2, ROUTES);
         fleet.answer_watches();
     };
-    play(fleet, "store away 4.5 s", outage, 10_000, 3_000);
+    run_scenario(fleet, "store away 4.5 s", outage, 10_000, 3_000);
     let some_turned_away = |fleet: &mut VirtualFleet| {
-        turn_away(fleet, |index| index % 3 == 0);
-        change(fleet, 2_000, 90, 100);
+        refuse(fleet, |index| index % 3 == 0);
+        publish_changes(fleet, 2_000, 90, 100);
         fleet.store_state.clear();
     };
-    play(fleet, "a third turned away 9 s", some_turned_away, 10_000, 3_000);
+    run_scenario(fleet, "a third turned away 9 s", some_turned_away, 10_000, 3_000);
     let lose_power = |fleet: &mut VirtualFleet| {
         let some = (0..fleet.instances.len()).filter(|index| index % 20 < 11);
         some.clone().for_each(|index| fleet.kill(index));
         fleet.run(2_000);
         some.for_each(|index| fleet.start(index));
     };
-    play(fleet, "55% lose power", lose_power, 20_000, 3_000);
+    run_scenario(fleet, "55% lose power", lose_power, 20_000, 3_000);
 }
 
 fn main() {
-    let size = |place: usize, usual: u64| {
-        env::args().nth(place).and_then(|word| word.parse().ok()).unwrap_or(usual)
+    let size = |index: usize, default: u64| {
+        env::args().nth(index).and_then(|word| word.parse().ok()).unwrap_or(default)
     };
     let (instances, backends) = (size(1, 584) as usize, size(2, 6_000));
     println!(
         "instances,moment,seconds,all know after ms,middle KB/s,busiest KB/s,far KB,calls,\
          bytes by kind,far bytes by kind"
     );
-    play_growth(instances, backends);
+    run_growth(instances, backends);
     if env::args().nth(3).is_none() {
-        play_moments(instances, backends);
+        run_scenarios(instances, backends);
     }
 }
--- a/crates/foxledge-gossip/src/heartbeat_handling.rs
+++ b/crates/foxledge-gossip/src/heartbeat_handling.rs
@@ -163,19 +163,16 @@
 
     /// Applies the newest confirmation of the list. Returns whether it is worth forwarding.
     pub(crate) fn update_confirmation(&mut self) -> bool {
-        let Some(confirmed_at) = self.election.latest_confirmation_at(self.list.head()) else {
+        let Some(at) = self.election.latest_confirmation_at(self.list.head()) else {
             return false;
         };
-        if self.list.head() == 0 || self.confirmed_at.is_some_and(|known| confirmed_at <= known) {
+        if self.list.head() == 0 || self.confirmed_at.is_some_and(|known| at <= known) {
             return false;
         }
-        self.confirmed_at = Some(confirmed_at);
-        self.next_confirmation_query_at =
-            Some(confirmed_at.after_millis(CONFIRMATION_QUERY_AGE_MS));
-        self.effects.push(FleetEffect::RecordConfirmation(confirmed_at));
-        self.announced_confirmation_at
-            .after_millis(MIN_CONFIRMATION_ADVANCE_MS)
-            .is_past(confirmed_at)
+        self.confirmed_at = Some(at);
+        self.next_confirmation_query_at = Some(at.after_millis(CONFIRMATION_QUERY_AGE_MS));
+        self.effects.push(FleetEffect::RecordConfirmation(at));
+        self.announced_confirmation_at.after_millis(MIN_CONFIRMATION_ADVANCE_MS).is_past(at)
     }
 
     /// Emits the rows that changed as an effect and an event, and removes expired tombstones.
--- a/crates/foxledge-gossip/src/load_reporting.rs
+++ b/crates/foxledge-gossip/src/load_reporting.rs
@@ -98,7 +98,7 @@
 #[derive(Debug)]
 pub(crate) struct LoadReporter {
     local_id: ReporterId,
-    local_centre: CentreName,
+    centre: CentreName,
     table: LoadTable,
     schedule: ReportSchedule,
     /// Number of other instances in the local data centre.
@@ -135,7 +135,7 @@
         let (address, incarnation) = (options.address, options.incarnation as u32);
         LoadReporter {
             local_id: ReporterId { address, incarnation },
-            local_centre: options.data_centre.clone(),
+            centre: options.data_centre.clone(),
             table: LoadTable::new(options.data_centre.clone()),
             schedule: ReportSchedule::new(now),
             peer_count: 0,
@@ -186,14 +186,13 @@
         let former_pace = self.schedule.pace(now);
         self.mean_load_ratio +=
             (load_ratio - self.mean_load_ratio) * (1.0 - (-age_s / LOAD_RATIO_MEAN_TIME_S).exp());
-        let was_loaded =
-            self.loaded_until.get(&self.local_centre).is_some_and(|at| !at.is_past(now));
+        let was_loaded = self.loaded_until.get(&self.centre).is_some_and(|at| !at.is_past(now));
         let sustained_ratio =
             if was_loaded { self.mean_load_ratio * SUSTAINED_LOAD_FACTOR } else { 0.0 };
         let load_ratio = sustained_ratio.max(load_ratio * self.significant_share(now));
         self.schedule.update_local_load(now, running, load_ratio);
         if self.schedule.is_loaded() {
-            let local_centre = self.local_centre.clone();
+            let local_centre = self.centre.clone();
             self.record_loaded_centre(
                 now,
                 local_centre,
@@ -262,7 +261,7 @@
         }
         self.add_aggregates(now, &mut message, &mut bytes, max_bytes);
         for (report, reported_at) in self.table.reports().skip(1).take(MAX_REPORTS - 1) {
-            let row = pack_report(now, report, reported_at, &self.local_centre, MAX_BODY_BYTES);
+            let row = pack_report(now, report, reported_at, &self.centre, MAX_BODY_BYTES);
             let size = field_bytes(row.encoded_len());
             if bytes + size > max_bytes {
                 break;
@@ -333,7 +332,7 @@
         let local_report = self.table.reports().take(1);
         local_report
             .map(|(report, reported_at)| {
-                pack_report(now, report, reported_at, &self.local_centre, budget)
+                pack_report(now, report, reported_at, &self.centre, budget)
             })
             .collect()
     }
@@ -360,7 +359,7 @@
         let (aggregate, reported_at) = unpack_aggregate(now, row);
         let data_centre = aggregate.data_centre.clone();
         let is_newer = self.table.apply_aggregate(now, aggregate, reported_at);
-        if is_newer && row.loaded_ms > 0 && data_centre != self.local_centre {
+        if is_newer && row.loaded_ms > 0 && data_centre != self.centre {
             let remaining_ms = u64::from(row.loaded_ms).min(LOADED_TTL_MS);
             let until = now.after_millis(remaining_ms);
             self.record_loaded_centre(now, data_centre, until, ReportTrigger::FirstCentreLoaded);
@@ -488,18 +487,17 @@
         let mut pace = sender_pace;
         for row in message.reports.iter().take(MAX_REPORTS) {
             let pace = std::mem::replace(&mut pace, ReportPace::Fast);
-            let Some((report, reported_at)) = unpack_report(now, row, &reporter.local_centre)
-            else {
+            let Some((report, time)) = unpack_report(now, row, &reporter.centre) else {
                 continue;
             };
             let ReporterId { address, incarnation } = report.reporter;
             if address == reporter.local_id.address || self.peers.has_left(&address, incarnation) {
                 continue;
             }
-            reporter.table.apply_report(now, report, reported_at, pace);
+            reporter.table.apply_report(now, report, time, pace);
         }
         if message.is_loaded {
-            let local_centre = reporter.local_centre.clone();
+            let local_centre = reporter.centre.clone();
             reporter.record_loaded_centre(
                 now,
                 local_centre,
@@ -511,21 +509,20 @@
     }
 
     /// Removes the report of an instance that left or restarted.
-    pub(crate) fn remove_peer_load(&mut self, change: PeerChange, descriptor: &PeerDescriptor) {
-        let (Some(reporter), Some(address)) = (&mut self.load_reporter, descriptor.address())
-        else {
+    pub(crate) fn remove_peer_load(&mut self, change: PeerChange, peer: &PeerDescriptor) {
+        let (Some(load), Some(address)) = (&mut self.load_reporter, peer.address()) else {
             return;
         };
         let is_gone = match change {
             PeerChange::Left => true,
-            PeerChange::Joined => reporter.table.reports().any(|(report, _)| {
+            PeerChange::Joined => load.table.reports().any(|(report, _)| {
                 let ReporterId { address: reporter_address, incarnation } = report.reporter;
-                reporter_address == address && incarnation != descriptor.incarnation as u32
+                reporter_address == address && incarnation != peer.incarnation as u32
             }),
             PeerChange::Unchanged | PeerChange::CentreReachable => false,
         };
         if is_gone {
-            reporter.table.remove_instance(&address);
+            load.table.remove_instance(&address);
         }
     }
 
--- a/crates/foxledge-gossip/tests/common/mod.rs
+++ b/crates/foxledge-gossip/tests/common/mod.rs
@@ -21,33 +21,33 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 /// Response time of the store, in microseconds.
-const STORE_US: u64 = 4_000;
+const STORE_RESPONSE_US: u64 = 4_000;
 const START_US: u64 = 3_600_000_000;
 /// Maximum number of items in one response.
-const PAGE_ITEMS: usize = 500;
+const MAX_PAGE_ITEMS: usize = 500;
 /// Number of recent datagrams that are kept.
-const NEWEST: usize = 200;
+const MAX_RECENT_DATAGRAMS: usize = 200;
 
 enum Event {
-    Wake {
-        member: usize,
+    Timer {
+        index: usize,
         timer: u64,
     },
     Datagram {
-        member: usize,
+        index: usize,
         from: SocketAddrV4,
         bytes: Vec<u8>,
     },
-    Answer {
-        member: usize,
-        start: u64,
-        order: StoreQuery,
-        answer: Result<ListReading, SourceError>,
+    StoreResponse {
+        index: usize,
+        start_number: u64,
+        query: StoreQuery,
+        response: Result<ListReading, SourceError>,
     },
-    WatchEnd {
-        member: usize,
-        start: u64,
-        order: StoreQuery,
+    WatchTimeout {
+        index: usize,
+        start_number: u64,
+        query: StoreQuery,
     },
 }
 
@@ -64,7 +64,7 @@
     items: BTreeMap<String, ItemChange>,
     log: Vec<(u64, ItemChange)>,
     pub head: u64,
-    pub floor: u64,
+    pub compacted_revision: u64,
     /// Incremented each time the store is restored from a backup.
     pub epoch: u64,
     pub calls: u64,
@@ -86,7 +86,7 @@
     pub address: SocketAddrV4,
     pub data_centre: String,
     /// Number of the start, so that responses to a former process are lost.
-    start: u64,
+    start_number: u64,
     pub paused_until_us: u64,
     pub events: Vec<(u64, FleetEvent)>,
     pub observations: Vec<HealthObservation>,
@@ -106,18 +106,18 @@
     /// Whether its next start enables load reports.
     pub reports_load: bool,
     /// Until when it processes what it has read, in microseconds.
-    busy_until: u64,
+    busy_until_us: u64,
     /// Number of the current timer; a member sets a new one after everything it does.
     timer: u64,
 }
 
 pub struct VirtualFleet {
     pub now_us: u64,
-    queue: BinaryHeap<Reverse<(u64, u64)>>,
+    event_queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: HashMap<u64, Event>,
-    count: u64,
+    event_count: u64,
     pub instances: Vec<VirtualInstance>,
-    by_address: HashMap<SocketAddrV4, usize>,
+    index_by_address: HashMap<SocketAddrV4, usize>,
     pub store: VirtualStore,
     pub store_state: HashMap<usize, StoreState>,
     watches: Vec<(usize, u64, StoreQuery)>,
@@ -139,7 +139,7 @@
     /// Processing time of a member for each message in or out, in microseconds.
     pub message_cost_us: u64,
     /// Until when responses occupy the store's link, in microseconds.
-    link_until: u64,
+    link_busy_until_us: u64,
     /// Time for which one item occupies the store's link, in nanoseconds.
     pub store_item_ns: u64,
     /// Time for each further page of a full read, in microseconds.
@@ -171,7 +171,7 @@
         self.head += 1;
         let limits = LimitsRow { version, idle_ms: 15_000 };
         let config = ConfigReading { limits, routes, services, ..ConfigReading::default() };
-        self.put("config".to_owned(), ItemChange::Config { revision: self.head, config });
+        self.put_item("config".to_owned(), ItemChange::Config { revision: self.head, config });
     }
 
     pub fn register(&mut self, number: u64, draining: bool) {
@@ -195,7 +195,7 @@
         };
         let id = format!("i-{number:x}");
         let item = ItemChange::Backend { revision: self.head, id: id.clone(), backend };
-        self.put(id, item);
+        self.put_item(id, item);
     }
 
     /// Overwrites a backend server's entry with invalid data, as another writer might.
@@ -204,7 +204,7 @@
         let id = format!("i-{number:x}");
         let fault = "no JSON".to_owned();
         let item = ItemChange::BackendInvalid { revision: self.head, id: id.clone(), fault };
-        self.put(id, item);
+        self.put_item(id, item);
     }
 
     pub fn remove(&mut self, number: u64) {
@@ -212,7 +212,7 @@
         let id = format!("i-{number:x}");
         self.items.remove(&id);
         self.log.push((self.head, ItemChange::BackendRemoved { revision: self.head, id }));
-        self.record();
+        self.record_history();
     }
 
     /// Begins the evacuation of a data centre.
@@ -221,7 +221,7 @@
         let data_centre = data_centre.to_owned();
         let item =
             ItemChange::EvacuationBegun { revision: self.head, data_centre: data_centre.clone() };
-        self.put(format!("evacuate-{data_centre}"), item);
+        self.put_item(format!("evacuate-{data_centre}"), item);
     }
 
     /// Ends the evacuation of a data centre, if it is evacuated.
@@ -233,7 +233,7 @@
         let data_centre = data_centre.to_owned();
         let item = ItemChange::EvacuationEnded { revision: self.head, data_centre };
         self.log.push((self.head, item));
-        self.record();
+        self.record_history();
     }
 
     /// Returns the revision as members know it.
@@ -243,7 +243,7 @@
 
     /// Compacts the history up to now.
     pub fn compact(&mut self) {
-        self.floor = self.head;
+        self.compacted_revision = self.head;
         self.log.clear();
     }
 
@@ -252,74 +252,78 @@
     pub fn restore(&mut self, revisions: u64) {
         let first = revision_of(self.epoch, 0);
         let until = revision_of(self.epoch, self.head.saturating_sub(revisions));
-        let mut copies = self.history.range(first..);
+        let mut backups = self.history.range(first..);
         // A backup is never older than the one from which the store was restored before.
-        let Some(oldest) = copies.next() else { return };
-        let (copy, items) = self.history.range(first..=until).next_back().unwrap_or(oldest);
-        let head = number_of(*copy);
-        (self.head, self.floor) = (head, head);
+        let Some(oldest) = backups.next() else { return };
+        let (backup, items) = self.history.range(first..=until).next_back().unwrap_or(oldest);
+        let head = number_of(*backup);
+        (self.head, self.compacted_revision) = (head, head);
         self.items = items.iter().map(|item| (key_of(item), item.clone())).collect();
         self.log.clear();
         self.epoch += 1;
-        self.record();
+        self.record_history();
     }
 
-    fn put(&mut self, key: String, item: ItemChange) {
+    fn put_item(&mut self, key: String, item: ItemChange) {
         self.items.insert(key, item.clone());
         self.log.push((self.head, item));
-        self.record();
+        self.record_history();
     }
 
     /// Counts the calls of a response with this many items, and returns their number.
     fn count_pages(&mut self, call: StoreCall, items: usize) -> u64 {
         let pages = match call.query {
-            StoreQuery::All(_) => items.div_ceil(PAGE_ITEMS).max(1) as u64,
+            StoreQuery::All(_) => items.div_ceil(MAX_PAGE_ITEMS).max(1) as u64,
             StoreQuery::FirstPage | StoreQuery::Watch { .. } => 1,
         };
         *self.page_counts.entry((call.query.as_str(), call.reason.as_str())).or_default() += pages;
         pages
     }
 
-    fn record(&mut self) {
+    fn record_history(&mut self) {
         if self.is_history_disabled {
             return;
         }
         self.history.insert(self.revision(), self.items.values().cloned().collect());
     }
 
-    fn all(&self) -> ListReading {
+    fn read_all(&self) -> ListReading {
         let items = self.items.values().cloned().collect();
         ListReading::complete(items, self.head).with_epoch(self.epoch)
     }
 
     /// Returns a full read; the store changes between its pages if `torn_revisions` is set.
-    fn all_in_pages(&mut self) -> ListReading {
-        let tear = std::mem::take(&mut self.torn_revisions);
+    fn read_pages(&mut self) -> ListReading {
+        let torn = std::mem::take(&mut self.torn_revisions);
         let first = revision_of(self.epoch, 0);
-        let until = revision_of(self.epoch, self.head.saturating_sub(tear));
+        let until = revision_of(self.epoch, self.head.saturating_sub(torn));
         let known = self.history.range(first..=until).next_back();
-        let Some((at, old)) = known.filter(|_| tear > 0) else { return self.all() };
+        let Some((revision, stale_items)) = known.filter(|_| torn > 0) else {
+            return self.read_all();
+        };
         let middle = self.items.keys().nth(self.items.len() / 2).cloned().unwrap_or_default();
-        let former = old.iter().filter(|item| key_of(item) < middle).cloned();
+        let former = stale_items.iter().filter(|item| key_of(item) < middle).cloned();
         let later = self.items.range(middle.clone()..).map(|(_, item)| item.clone());
         let items = former.chain(later).collect();
-        ListReading::complete(items, number_of(*at)).with_epoch(self.epoch)
+        ListReading::complete(items, number_of(*revision)).with_epoch(self.epoch)
     }
 
     /// Returns all items as they stood `stale_revisions` ago.
-    fn all_of_old(&self) -> ListReading {
+    fn read_stale(&self) -> ListReading {
         if self.is_history_disabled {
-            return self.all();
+            return self.read_all();
         }
         let until = ..=revision_of(self.epoch, self.head.saturating_sub(self.stale_revisions));
-        let Some((at, items)) = self.history.range(until).next_back() else { return self.all() };
-        ListReading::complete(items.clone(), number_of(*at)).with_epoch(epoch_of(*at))
+        let Some((revision, items)) = self.history.range(until).next_back() else {
+            return self.read_all();
+        };
+        ListReading::complete(items.clone(), number_of(*revision)).with_epoch(epoch_of(*revision))
     }
 
     fn after(&self, after: u64) -> Result<ListReading, SourceError> {
         let is_of_epoch = epoch_of(after) == self.epoch;
         let after = number_of(after);
-        if !is_of_epoch || after < self.floor || after > self.head {
+        if !is_of_epoch || after < self.compacted_revision || after > self.head {
             return Err(SourceError::HistoryGone);
         }
         let items = self.log.iter().filter(|(revision, _)| *revision > after);
@@ -345,11 +349,11 @@
     pub fn new(counts: &[usize], seed: u64) -> VirtualFleet {
         let mut fleet = VirtualFleet {
             now_us: START_US,
-            queue: BinaryHeap::new(),
+            event_queue: BinaryHeap::new(),
             events: HashMap::new(),
-            count: 0,
+            event_count: 0,
             instances: Vec::new(),
-            by_address: HashMap::new(),
+            index_by_address: HashMap::new(),
             store: VirtualStore::default(),
             store_state: HashMap::new(),
             watches: Vec::new(),
@@ -364,7 +368,7 @@
             remote_bytes_by_kind: BTreeMap::new(),
             bytes_by_kind: BTreeMap::new(),
             message_cost_us: 0,
-            link_until: 0,
+            link_busy_until_us: 0,
             store_item_ns: 0,
             store_page_us: 0,
         };
@@ -372,11 +376,11 @@
             for index in 0..*count {
                 let (high, low) = ((index / 250) as u8, (index % 250) as u8);
                 let ip = Ipv4Addr::new(10, 1 + centre as u8, high, 1 + low);
-                let seat = VirtualInstance {
+                let instance = VirtualInstance {
                     member: None,
                     address: SocketAddrV4::new(ip, 7_000),
                     data_centre: format!("centre-{centre}"),
-                    start: 0,
+                    start_number: 0,
                     paused_until_us: 0,
                     events: Vec::new(),
                     observations: Vec::new(),
@@ -389,11 +393,11 @@
                     receive_delay_us: 0,
                     link_mbps: 100,
                     reports_load: false,
-                    busy_until: 0,
+                    busy_until_us: 0,
                     timer: 0,
                 };
-                fleet.by_address.insert(seat.address, fleet.instances.len());
-                fleet.instances.push(seat);
+                fleet.index_by_address.insert(instance.address, fleet.instances.len());
+                fleet.instances.push(instance);
             }
         }
         let first: Vec<_> = counts
@@ -416,21 +420,21 @@
 
     pub fn start(&mut self, index: usize) {
         let seed = self.rng.random();
-        let seat = &mut self.instances[index];
-        seat.start += 1;
-        let options = MemberOptions::new(seat.address, CentreName::new(&seat.data_centre))
+        let instance = &mut self.instances[index];
+        instance.start_number += 1;
+        let options = MemberOptions::new(instance.address, CentreName::new(&instance.data_centre))
             .incarnation(self.rng.random())
-            .link_mbps(seat.link_mbps)
+            .link_mbps(instance.link_mbps)
             .seeds(self.seeds.clone())
             .seed(seed)
-            .report_load(seat.reports_load);
-        seat.member = Some(FleetMember::new(options, ClockTime::from_micros(self.now_us)));
+            .report_load(instance.reports_load);
+        instance.member = Some(FleetMember::new(options, ClockTime::from_micros(self.now_us)));
         self.wake_at(index, self.now_us);
     }
 
     pub fn kill(&mut self, index: usize) {
         self.instances[index].member = None;
-        self.watches.retain(|(member, ..)| *member != index);
+        self.watches.retain(|(watcher, ..)| *watcher != index);
     }
 
     pub fn isolate(&mut self, index: usize) {
@@ -446,24 +450,28 @@
 
     /// Runs for some milliseconds.
     pub fn run(&mut self, millis: u64) {
-        let end = self.now_us + millis * 1_000;
-        while let Some(Reverse((at, id))) = self.queue.peek().copied() {
-            if at > end {
+        let end_us = self.now_us + millis * 1_000;
+        while let Some(Reverse((time_us, id))) = self.event_queue.peek().copied() {
+            if time_us > end_us {
                 break;
             }
-            self.queue.pop();
-            self.now_us = at;
-            let event = self.events.remove(&id).expect("is queued");
-            self.handle(event);
+            self.event_queue.pop();
+            self.now_us = time_us;
+            let event = self.events.remove(&id).expect("event is queued");
+            self.handle_event(event);
         }
-        self.now_us = end;
+        self.now_us = end_us;
     }
 
     /// Runs until a condition holds. Returns the milliseconds that it took; none if the condition
     /// doesn't hold within `max_millis`.
-    pub fn run_until(&mut self, most: u64, holds: impl Fn(&VirtualFleet) -> bool) -> Option<u64> {
-        for millis in 0..=most {
-            if holds(self) {
+    pub fn run_until(
+        &mut self,
+        max_millis: u64,
+        condition: impl Fn(&VirtualFleet) -> bool,
+    ) -> Option<u64> {
+        for millis in 0..=max_millis {
+            if condition(self) {
                 return Some(millis);
             }
             self.run(1);
@@ -477,7 +485,7 @@
     }
 
     pub fn members(&self) -> impl Iterator<Item = &FleetMember> {
-        self.instances.iter().filter_map(|seat| seat.member.as_ref())
+        self.instances.iter().filter_map(|instance| instance.member.as_ref())
     }
 
     pub fn reader_count(&self) -> usize {
@@ -493,31 +501,31 @@
     }
 
     pub fn sent_messages(&self) -> u64 {
-        self.instances.iter().map(|seat| seat.sent_messages).sum()
+        self.instances.iter().map(|instance| instance.sent_messages).sum()
     }
 
     /// Answers watches that wait for a change, as the store does.
     pub fn answer_watches(&mut self) {
-        for (member, start, order) in std::mem::take(&mut self.watches) {
-            self.answer_watch(member, start, order);
+        for (index, start_number, query) in std::mem::take(&mut self.watches) {
+            self.answer_watch(index, start_number, query);
         }
     }
 
-    pub fn share_observation(&mut self, index: usize, note: HealthObservation) {
+    pub fn share_observation(&mut self, index: usize, observation: HealthObservation) {
         let now = self.now();
         if let Some(member) = &mut self.instances[index].member {
-            member.share_observations(now, &[note]);
+            member.share_observations(now, &[observation]);
         }
-        self.carry_out(index);
+        self.apply_effects(index);
     }
 
     /// Sets the load that a member measures.
-    pub fn set_local_load(&mut self, index: usize, load: LocalLoad, pressure: f64) {
+    pub fn set_local_load(&mut self, index: usize, load: LocalLoad, load_ratio: f64) {
         let now = self.now();
         if let Some(member) = &mut self.instances[index].member {
-            member.set_local_load(now, load, pressure);
+            member.set_local_load(now, load, load_ratio);
         }
-        self.carry_out(index);
+        self.apply_effects(index);
         self.set_timer(index);
     }
 
@@ -533,7 +541,7 @@
         if let Some(member) = &mut self.instances[index].member {
             member.query_removed_backends(now, tokens);
         }
-        self.carry_out(index);
+        self.apply_effects(index);
     }
 
     /// Lets a member relay a packet to another.
@@ -543,13 +551,13 @@
             Some(member) => member.relay_packet(now, packet),
             None => false,
         };
-        self.carry_out(index);
+        self.apply_effects(index);
         is_sent
     }
 
     /// Delivers a datagram that somebody replays.
-    pub fn inject_datagram(&mut self, member: usize, from: SocketAddrV4, bytes: Vec<u8>) {
-        self.push(self.now_us, Event::Datagram { member, from, bytes });
+    pub fn inject_datagram(&mut self, index: usize, from: SocketAddrV4, bytes: Vec<u8>) {
+        self.push(self.now_us, Event::Datagram { index, from, bytes });
     }
 
     pub fn leave(&mut self, index: usize) {
@@ -557,96 +565,101 @@
         if let Some(member) = &mut self.instances[index].member {
             member.announce_leave(now);
         }
-        self.carry_out(index);
+        self.apply_effects(index);
     }
 
-    fn push(&mut self, at: u64, event: Event) {
-        self.count += 1;
-        self.queue.push(Reverse((at, self.count)));
-        self.events.insert(self.count, event);
+    fn push(&mut self, time_us: u64, event: Event) {
+        self.event_count += 1;
+        self.event_queue.push(Reverse((time_us, self.event_count)));
+        self.events.insert(self.event_count, event);
     }
 
-    fn wake_at(&mut self, member: usize, at: u64) {
-        self.instances[member].timer += 1;
-        let timer = self.instances[member].timer;
-        self.push(at.max(self.now_us), Event::Wake { member, timer });
+    fn wake_at(&mut self, index: usize, time_us: u64) {
+        self.instances[index].timer += 1;
+        let timer = self.instances[index].timer;
+        self.push(time_us.max(self.now_us), Event::Timer { index, timer });
     }
 
     /// Sets the timer to the member's next deadline, as the daemon does.
-    fn set_timer(&mut self, member: usize) {
+    fn set_timer(&mut self, index: usize) {
         let now = self.now();
-        let Some(one) = &self.instances[member].member else { return };
-        let next = one.next_timer_at(now).as_micros().max(self.now_us + 5_000);
-        self.wake_at(member, next);
+        let Some(member) = &self.instances[index].member else { return };
+        let next_us = member.next_timer_at(now).as_micros().max(self.now_us + 5_000);
+        self.wake_at(index, next_us);
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.now();
         match event {
-            Event::Wake { member, timer } => {
-                if self.instances[member].timer != timer {
+            Event::Timer { index, timer } => {
+                if self.instances[index].timer != timer {
                     return;
                 }
-                if self.is_paused(member) {
-                    return self.wake_at(member, self.instances[member].paused_until_us);
+                if self.is_paused(index) {
+                    return self.wake_at(index, self.instances[index].paused_until_us);
                 }
-                let Some(one) = &mut self.instances[member].member else { return };
-                one.handle_timers(now);
-                self.carry_out(member);
-                self.set_timer(member);
+                let Some(member) = &mut self.instances[index].member else { return };
+                member.handle_timers(now);
+                self.apply_effects(index);
+                self.set_timer(index);
             }
-            Event::Datagram { member, from, bytes } => {
-                if self.is_paused(member) {
+            Event::Datagram { index, from, bytes } => {
+                if self.is_paused(index) {
                     return;
                 }
-                let busy_until = self.instances[member].busy_until;
-                if busy_until > self.now_us {
-                    return self.push(busy_until, Event::Datagram { member, from, bytes });
+                let busy_until_us = self.instances[index].busy_until_us;
+                if busy_until_us > self.now_us {
+                    return self.push(busy_until_us, Event::Datagram { index, from, bytes });
                 }
-                self.instances[member].busy_until = self.now_us + self.message_cost_us;
-                let Some(one) = &mut self.instances[member].member else { return };
-                assert!(one.handle_datagram(now, from, &bytes), "a member's message can't be read");
-                self.carry_out(member);
-                self.set_timer(member);
+                self.instances[index].busy_until_us = self.now_us + self.message_cost_us;
+                let Some(member) = &mut self.instances[index].member else { return };
+                assert!(
+                    member.handle_datagram(now, from, &bytes),
+                    "a member's message can't be decoded"
+                );
+                self.apply_effects(index);
+                self.set_timer(index);
             }
-            Event::Answer { member, start, order, answer } => {
-                let seat = &mut self.instances[member];
-                if seat.start != start {
+            Event::StoreResponse { index, start_number, query, response } => {
+                let instance = &mut self.instances[index];
+                if instance.start_number != start_number {
                     return;
                 }
-                let Some(one) = &mut seat.member else { return };
-                one.handle_store_response(now, order, answer);
-                self.carry_out(member);
-                self.set_timer(member);
+                let Some(member) = &mut instance.member else { return };
+                member.handle_store_response(now, query, response);
+                self.apply_effects(index);
+                self.set_timer(index);
             }
-            Event::WatchEnd { member, start, order } => {
-                let waits = |one: &(usize, u64, StoreQuery)| *one == (member, start, order);
+            Event::WatchTimeout { index, start_number, query } => {
+                let waits =
+                    |member: &(usize, u64, StoreQuery)| *member == (index, start_number, query);
                 if let Some(index) = self.watches.iter().position(waits) {
                     self.watches.swap_remove(index);
-                    self.answer_watch(member, start, order);
+                    self.answer_watch(index, start_number, query);
                 }
             }
         }
     }
 
-    fn is_paused(&self, member: usize) -> bool {
-        self.instances[member].paused_until_us > self.now_us
+    fn is_paused(&self, index: usize) -> bool {
+        self.instances[index].paused_until_us > self.now_us
     }
 
-    fn carry_out(&mut self, index: usize) {
+    fn apply_effects(&mut self, index: usize) {
         let Some(member) = &mut self.instances[index].member else { return };
         let effects = member.drain_effects();
-        let (start, address) = (self.instances[index].start, self.instances[index].address);
+        let (start_number, address) =
+            (self.instances[index].start_number, self.instances[index].address);
         for effect in effects {
             match effect {
                 FleetEffect::SendDatagram { to, bytes } => self.send(index, address, to, bytes),
-                FleetEffect::CallStore(call) => self.call(index, start, call),
+                FleetEffect::CallStore(call) => self.call_store(index, start_number, call),
                 FleetEffect::LogEvent(event) => {
                     let at = (self.now_us - START_US) / 1_000;
                     self.instances[index].events.push((at, event));
                 }
-                FleetEffect::RecordObservation(note) => {
-                    self.instances[index].observations.push(note)
+                FleetEffect::RecordObservation(observation) => {
+                    self.instances[index].observations.push(observation)
                 }
                 FleetEffect::HandlePacket(bytes) => {
                     self.instances[index].relayed_packets.push(bytes)
@@ -655,7 +668,7 @@
                     self.instances[index].row_changes += 1;
                     self.instances[index].applied_rows.extend(rows);
                     let member = self.instances[index].member.as_ref();
-                    let head = member.map_or(0, |one| one.list().head());
+                    let head = member.map_or(0, |member| member.list().head());
                     if head > 0 {
                         self.instances[index].applied_heads.push(head);
                     }
@@ -665,90 +678,99 @@
         }
     }
 
-    fn send(&mut self, index: usize, from: SocketAddrV4, to: SocketAddrV4, bytes: Vec<u8>) {
-        self.instances[index].sent_messages += 1;
-        let busy_from = self.instances[index].busy_until.max(self.now_us);
-        self.instances[index].busy_until = busy_from + self.message_cost_us;
-        self.instances[index].sent_bytes += bytes.len() as u64;
+    fn send(&mut self, sender: usize, from: SocketAddrV4, to: SocketAddrV4, bytes: Vec<u8>) {
+        self.instances[sender].sent_messages += 1;
+        let busy_from = self.instances[sender].busy_until_us.max(self.now_us);
+        self.instances[sender].busy_until_us = busy_from + self.message_cost_us;
+        self.instances[sender].sent_bytes += bytes.len() as u64;
         *self.bytes_by_kind.entry(kind_of(&bytes)).or_default() += bytes.len() as u64;
         self.max_datagram_bytes = self.max_datagram_bytes.max(bytes.len());
         self.recent_datagrams.push_back(bytes.clone());
-        if self.recent_datagrams.len() > NEWEST {
+        if self.recent_datagrams.len() > MAX_RECENT_DATAGRAMS {
             self.recent_datagrams.pop_front();
         }
-        let Some(member) = self.by_address.get(&to).copied() else { return };
-        if self.cut_links.contains(&(index, member)) || self.rng.random_bool(self.loss_rate) {
+        let Some(index) = self.index_by_address.get(&to).copied() else { return };
+        if self.cut_links.contains(&(sender, index)) || self.rng.random_bool(self.loss_rate) {
             return;
         }
-        let is_near = self.instances[index].data_centre == self.instances[member].data_centre;
-        if !is_near {
+        let is_same_centre =
+            self.instances[sender].data_centre == self.instances[index].data_centre;
+        if !is_same_centre {
             self.remote_bytes += bytes.len() as u64;
             *self.remote_bytes_by_kind.entry(kind_of(&bytes)).or_default() += bytes.len() as u64;
         }
-        let way = if is_near { 200 } else { 500 };
+        let delay_us = if is_same_centre { 200 } else { 500 };
         let jitter = if self.jitter_us > 0 { self.rng.random_range(0..self.jitter_us) } else { 0 };
-        let at = self.now_us + way + jitter + self.instances[member].receive_delay_us;
-        self.push(at, Event::Datagram { member, from, bytes });
+        let time_us = self.now_us + delay_us + jitter + self.instances[index].receive_delay_us;
+        self.push(time_us, Event::Datagram { index, from, bytes });
     }
 
-    fn call(&mut self, member: usize, start: u64, call: StoreCall) {
-        let order = call.query;
-        match order {
+    fn call_store(&mut self, index: usize, start_number: u64, call: StoreCall) {
+        let query = call.query;
+        match query {
             StoreQuery::FirstPage | StoreQuery::All(ReadMode::Serializable) => {
                 self.store.stale_read_calls += 1
             }
             _ => self.store.calls += 1,
         }
-        let state = self.store_state.get(&member).copied().unwrap_or(StoreState::Serving);
-        let answer = match (state, order) {
+        let state = self.store_state.get(&index).copied().unwrap_or(StoreState::Serving);
+        let response = match (state, query) {
             (StoreState::Unresponsive, _) => {
                 let error = Err(SourceError::Timeout(1_450));
                 return self.push(
                     self.now_us + 1_450_000,
-                    Event::Answer { member, start, order, answer: error },
+                    Event::StoreResponse { index, start_number, query, response: error },
                 );
             }
             (StoreState::Refusing, _) => Err(SourceError::UnexpectedStatus(503)),
             (StoreState::Serving, StoreQuery::FirstPage) => {
-                let mut reading = self.store.all_of_old();
-                reading.is_partial = reading.items.len() > PAGE_ITEMS;
-                reading.items.truncate(PAGE_ITEMS);
+                let mut reading = self.store.read_stale();
+                reading.is_partial = reading.items.len() > MAX_PAGE_ITEMS;
+                reading.items.truncate(MAX_PAGE_ITEMS);
                 Ok(reading)
             }
             (StoreState::Serving, StoreQuery::All(ReadMode::Serializable)) => {
-                Ok(self.store.all_of_old())
+                Ok(self.store.read_stale())
             }
             (StoreState::Serving, StoreQuery::All(ReadMode::Linearizable)) => {
-                Ok(self.store.all_in_pages())
+                Ok(self.store.read_pages())
             }
             (StoreState::Serving, StoreQuery::Watch { after, wait_ms }) => {
-                if self.store.revision() == after && self.store.floor <= self.store.head {
+                if self.store.revision() == after
+                    && self.store.compacted_revision <= self.store.head
+                {
                     self.store.count_pages(call, 0);
-                    self.watches.push((member, start, order));
-                    let end = self.now_us + wait_ms * 1_000;
-                    return self.push(end, Event::WatchEnd { member, start, order });
+                    self.watches.push((index, start_number, query));
+                    let end_us = self.now_us + wait_ms * 1_000;
+                    return self.push(end_us, Event::WatchTimeout { index, start_number, query });
                 }
                 self.store.after(after)
             }
         };
-        let items = answer.as_ref().map_or(0, |reading| reading.items.len());
+        let items = response.as_ref().map_or(0, |reading| reading.items.len());
         let pages = self.store.count_pages(call, items);
-        self.link_until =
-            self.link_until.max(self.now_us) + items as u64 * self.store_item_ns / 1_000;
-        let at = self.link_until + STORE_US + (pages - 1) * self.store_page_us;
-        self.push(at, Event::Answer { member, start, order, answer });
+        self.link_busy_until_us =
+            self.link_busy_until_us.max(self.now_us) + items as u64 * self.store_item_ns / 1_000;
+        let time_us =
+            self.link_busy_until_us + STORE_RESPONSE_US + (pages - 1) * self.store_page_us;
+        self.push(time_us, Event::StoreResponse { index, start_number, query, response });
     }
 
-    fn answer_watch(&mut self, member: usize, start: u64, order: StoreQuery) {
-        let StoreQuery::Watch { after, .. } = order else { return };
-        let state = self.store_state.get(&member).copied().unwrap_or(StoreState::Serving);
+    fn answer_watch(&mut self, index: usize, start_number: u64, query: StoreQuery) {
+        let StoreQuery::Watch { after, .. } = query else { return };
+        let state = self.store_state.get(&index).copied().unwrap_or(StoreState::Serving);
         if state == StoreState::Unresponsive {
-            let answer = Err(SourceError::Timeout(1_450));
-            return self
-                .push(self.now_us + 450_000, Event::Answer { member, start, order, answer });
+            let response = Err(SourceError::Timeout(1_450));
+            return self.push(
+                self.now_us + 450_000,
+                Event::StoreResponse { index, start_number, query, response },
+            );
         }
-        let answer = self.store.after(after);
-        self.push(self.now_us + STORE_US / 2, Event::Answer { member, start, order, answer });
+        let response = self.store.after(after);
+        self.push(
+            self.now_us + STORE_RESPONSE_US / 2,
+            Event::StoreResponse { index, start_number, query, response },
+        );
     }
 }
 
--- a/crates/foxledge-gossip/tests/evacuation_spread.rs
+++ b/crates/foxledge-gossip/tests/evacuation_spread.rs
@@ -18,30 +18,30 @@
     fleet.answer_watches();
 }
 
-fn take_back(fleet: &mut VirtualFleet) {
+fn end_evacuation(fleet: &mut VirtualFleet) {
     fleet.store.end_evacuation(CENTRE);
     fleet.answer_watches();
 }
 
 /// Returns whether all running instances know the evacuation, or none does.
-fn all_hold(fleet: &VirtualFleet, is_evacuated: bool) -> bool {
+fn all_agree(fleet: &VirtualFleet, is_evacuated: bool) -> bool {
     let key = evacuation_key(CENTRE);
     fleet.members().all(|member| member.list().contains(&key) == is_evacuated)
 }
 
-fn assert_soon(fleet: &mut VirtualFleet, is_evacuated: bool, case: &str) {
-    let took = fleet.run_until(BOUND_MS, |fleet| all_hold(fleet, is_evacuated));
-    assert!(took.is_some(), "{case}: not within {BOUND_MS} ms");
+fn assert_within_bound(fleet: &mut VirtualFleet, is_evacuated: bool, case: &str) {
+    let elapsed = fleet.run_until(BOUND_MS, |fleet| all_agree(fleet, is_evacuated));
+    assert!(elapsed.is_some(), "{case}: not known everywhere within {BOUND_MS} ms");
 }
 
 #[test]
-fn in_force_at_each_size() {
+fn evacuation_takes_effect_in_time_at_each_fleet_size() {
     for counts in SIZES {
         let mut fleet = settled_fleet(counts, 1);
         evacuate(&mut fleet);
-        assert_soon(&mut fleet, true, &format!("{counts:?}"));
-        take_back(&mut fleet);
-        assert_soon(&mut fleet, false, &format!("{counts:?}, taken back"));
+        assert_within_bound(&mut fleet, true, &format!("{counts:?}"));
+        end_evacuation(&mut fleet);
+        assert_within_bound(&mut fleet, false, &format!("{counts:?}, ended"));
     }
 }
 
@@ -49,21 +49,21 @@
 // store refuses them. It refuses a third of them, or doesn't answer them, from before the
 // evacuation.
 #[test]
-fn some_turned_away() {
+fn evacuation_reaches_instances_that_the_store_refuses() {
     for state in [StoreState::Refusing, StoreState::Unresponsive] {
         let mut fleet = settled_fleet(SIZES[1], 2);
         for member in (0..fleet.instances.len()).step_by(3) {
             fleet.store_state.insert(member, state);
         }
         evacuate(&mut fleet);
-        assert_soon(&mut fleet, true, &format!("{state:?}"));
+        assert_within_bound(&mut fleet, true, &format!("{state:?}"));
     }
 }
 
 // Guards against starting instances that send new flows to an evacuated data centre. They use
 // possibly stale reads of the store, and the store has compacted its history.
 #[test]
-fn starts_know() {
+fn starting_instances_learn_the_evacuation() {
     let mut fleet = settled_fleet(SIZES[1], 3);
     evacuate(&mut fleet);
     fleet.store.compact();
@@ -71,7 +71,7 @@
         fleet.kill(member);
         fleet.start(member);
     }
-    assert_soon(&mut fleet, true, "half started anew");
+    assert_within_bound(&mut fleet, true, "half of the instances restarted");
     for member in 0..fleet.instances.len() {
         fleet.kill(member);
     }
@@ -79,47 +79,47 @@
         fleet.start(member);
     }
     fleet.run(2_000);
-    assert!(all_hold(&fleet, true), "all started anew");
+    assert!(all_agree(&fleet, true), "all instances restarted");
 }
 
 // Guards against an evacuation that ends in only a part of the fleet. The data centre is
 // partitioned from the others when the evacuation ends; each part reads the store.
 #[test]
-fn taken_back_in_a_cut() {
+fn evacuation_ends_on_both_sides_of_a_partition() {
     let mut fleet = settled_fleet(&[6, 6, 6], 4);
     evacuate(&mut fleet);
-    assert_soon(&mut fleet, true, "before the cut");
+    assert_within_bound(&mut fleet, true, "before the partition");
     for (from, to) in (0..18).flat_map(|from| (0..18).map(move |to| (from, to))) {
         if (from < 6) != (to < 6) {
             fleet.cut_links.insert((from, to));
         }
     }
-    take_back(&mut fleet);
-    assert_soon(&mut fleet, false, "in the cut");
+    end_evacuation(&mut fleet);
+    assert_within_bound(&mut fleet, false, "during the partition");
     evacuate(&mut fleet);
-    assert_soon(&mut fleet, true, "again, in the cut");
+    assert_within_bound(&mut fleet, true, "again, during the partition");
     fleet.cut_links.clear();
     fleet.run(3_000);
-    assert!(all_hold(&fleet, true), "after the cut");
+    assert!(all_agree(&fleet, true), "after the partition");
 }
 
 // Guards against an instance that keeps an evacuation because it missed the end. It is paused while
 // the evacuation ends and the store compacts its history.
 #[test]
-fn sleeper_learns_end() {
+fn paused_instance_learns_the_end_of_an_evacuation() {
     let mut fleet = settled_fleet(&[6, 6], 5);
     evacuate(&mut fleet);
-    assert_soon(&mut fleet, true, "before");
+    assert_within_bound(&mut fleet, true, "before the pause");
     fleet.instances[3].paused_until_us = fleet.now_us + 4_000_000;
-    take_back(&mut fleet);
+    end_evacuation(&mut fleet);
     fleet.store.compact();
     fleet.run(4_000);
-    assert_soon(&mut fleet, false, "after the sleep");
+    assert_within_bound(&mut fleet, false, "after the pause");
 }
 
 // Two evacuations begin and end in alternation; the last state of each must be known everywhere.
 #[test]
-fn by_turns() {
+fn alternating_evacuations_converge_to_the_last_state() {
     let mut fleet = settled_fleet(SIZES[1], 6);
     for turn in 0..6 {
         match turn % 2 {
@@ -128,12 +128,12 @@
         }
         match turn % 3 {
             0 => evacuate(&mut fleet),
-            _ => take_back(&mut fleet),
+            _ => end_evacuation(&mut fleet),
         }
         fleet.run(150);
     }
     fleet.run(BOUND_MS);
     let key = evacuation_key("centre-1");
-    assert!(all_hold(&fleet, false));
+    assert!(all_agree(&fleet, false));
     assert!(fleet.members().all(|member| !member.list().contains(&key)));
 }
--- a/crates/foxledge-gossip/tests/load_faults.rs
+++ b/crates/foxledge-gossip/tests/load_faults.rs
@@ -14,13 +14,13 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Requests per slot in a full data centre, as measured by routers.
-const PRESSURE: f64 = 5.0;
+const FULL_LOAD_RATIO: f64 = 5.0;
 
 /// Returns a settled fleet in which the instances selected by `has_reports` report load.
-fn telling_fleet(counts: &[usize], tells: impl Fn(usize) -> bool) -> VirtualFleet {
+fn reporting_fleet(counts: &[usize], has_reports: impl Fn(usize) -> bool) -> VirtualFleet {
     let mut fleet = VirtualFleet::new(counts, 1);
-    let seats = fleet.instances.iter_mut().enumerate();
-    seats.for_each(|(index, seat)| seat.reports_load = tells(index));
+    let instances = fleet.instances.iter_mut().enumerate();
+    instances.for_each(|(index, instance)| instance.reports_load = has_reports(index));
     settle(fleet)
 }
 
@@ -37,29 +37,32 @@
 /// Lets the instances of a loaded fleet report the same load every 50 ms.
 fn report(fleet: &mut VirtualFleet, millis: u64, running: impl Fn(usize) -> f64) {
     for _ in 0..millis / 50 {
-        for seat in 0..fleet.instances.len() {
-            if fleet.instances[seat].paused_until_us > fleet.now_us {
+        for instance in 0..fleet.instances.len() {
+            if fleet.instances[instance].paused_until_us > fleet.now_us {
                 continue;
             }
-            let centre = fleet.instances[seat].data_centre.clone();
-            fleet.set_local_load(seat, running_in(&centre, running(seat)), PRESSURE);
+            let centre = fleet.instances[instance].data_centre.clone();
+            fleet.set_local_load(instance, running_in(&centre, running(instance)), FULL_LOAD_RATIO);
         }
         fleet.run(50);
     }
 }
 
 /// Returns the requests of a data centre's callers according to the view of an instance.
-fn viewed(fleet: &mut VirtualFleet, seat: usize, centre: &str) -> Option<f64> {
-    let view = fleet.load_view(seat)?;
+fn viewed_requests(fleet: &mut VirtualFleet, instance: usize, centre: &str) -> Option<f64> {
+    let view = fleet.load_view(instance)?;
     let load = view.centres.get(&CentreName::new(centre))?;
-    let running =
-        load.services.get(&model_service()).into_iter().flat_map(|one| one.running.values());
+    let running = load
+        .services
+        .get(&model_service())
+        .into_iter()
+        .flat_map(|service_load| service_load.running.values());
     Some(running.sum())
 }
 
-fn assert_viewed(fleet: &mut VirtualFleet, seat: usize, centre: &str, running: f64) {
-    let known = viewed(fleet, seat, centre).unwrap_or(f64::NAN);
-    assert!((known - running).abs() <= 0.01, "instance {seat}, {centre}: {known} requests");
+fn assert_viewed(fleet: &mut VirtualFleet, instance: usize, centre: &str, running: f64) {
+    let known = viewed_requests(fleet, instance, centre).unwrap_or(f64::NAN);
+    assert!((known - running).abs() <= 0.01, "instance {instance}, {centre}: {known} requests");
 }
 
 fn load_bytes(fleet: &VirtualFleet) -> u64 {
@@ -68,7 +71,7 @@
 
 /// Ways in which an instance stops reporting.
 #[derive(Clone, Copy, Debug)]
-enum TellerFault {
+enum ReporterFault {
     Death,
     Freeze,
     Leave,
@@ -77,27 +80,29 @@
 // Guards against the load of an instance that is gone, which would count for as long as others
 // relay it.
 #[test]
-fn silent_teller() {
-    for fault in [TellerFault::Death, TellerFault::Freeze, TellerFault::Leave] {
-        let mut fleet = telling_fleet(&[8], |_| true);
-        let running = |seat: usize| if seat == 7 { 80.0 } else { 4.0 };
+fn report_of_a_gone_instance_expires() {
+    for fault in [ReporterFault::Death, ReporterFault::Freeze, ReporterFault::Leave] {
+        let mut fleet = reporting_fleet(&[8], |_| true);
+        let running = |instance: usize| if instance == 7 { 80.0 } else { 4.0 };
         report(&mut fleet, 1_000, running);
-        let before = (0..7).filter_map(|seat| viewed(&mut fleet, seat, "centre-0"));
-        let most = before.fold(0.0, f64::max);
-        assert!(most >= 108.0 - 0.01, "{fault:?}: {most} requests");
+        let before =
+            (0..7).filter_map(|instance| viewed_requests(&mut fleet, instance, "centre-0"));
+        let max_requests = before.fold(0.0, f64::max);
+        assert!(max_requests >= 108.0 - 0.01, "{fault:?}: {max_requests} requests");
         match fault {
-            TellerFault::Death => fleet.kill(7),
-            TellerFault::Freeze => fleet.instances[7].paused_until_us = u64::MAX,
-            TellerFault::Leave => {
+            ReporterFault::Death => fleet.kill(7),
+            ReporterFault::Freeze => fleet.instances[7].paused_until_us = u64::MAX,
+            ReporterFault::Leave => {
                 fleet.leave(7);
                 fleet.kill(7);
             }
         }
         // A second, and the time until the failure is detected.
         report(&mut fleet, 1_100, running);
-        for seat in 0..7 {
-            let after = viewed(&mut fleet, seat, "centre-0").expect("knows its data centre");
-            assert!(after <= 33.0, "{fault:?}, instance {seat}: {after} requests");
+        for instance in 0..7 {
+            let after =
+                viewed_requests(&mut fleet, instance, "centre-0").expect("knows its data centre");
+            assert!(after <= 33.0, "{fault:?}, instance {instance}: {after} requests");
         }
     }
 }
@@ -105,23 +110,24 @@
 // Guards against the load of a former incarnation that counts in addition to that of the new one,
 // or instead of it.
 #[test]
-fn restarted_teller() {
-    let mut fleet = telling_fleet(&[8], |_| true);
-    let was_busy = |seat: usize| if seat == 7 { 80.0 } else { 4.0 };
-    report(&mut fleet, 1_000, was_busy);
+fn report_of_a_former_incarnation_is_replaced() {
+    let mut fleet = reporting_fleet(&[8], |_| true);
+    let running = |instance: usize| if instance == 7 { 80.0 } else { 4.0 };
+    report(&mut fleet, 1_000, running);
     fleet.kill(7);
     fleet.start(7);
     report(&mut fleet, 500, |_| 4.0);
-    for seat in 0..7 {
-        let after = viewed(&mut fleet, seat, "centre-0").expect("knows its data centre");
-        assert!((after - 32.0).abs() <= 1.0, "instance {seat}: {after} requests");
+    for instance in 0..7 {
+        let after =
+            viewed_requests(&mut fleet, instance, "centre-0").expect("knows its data centre");
+        assert!((after - 32.0).abs() <= 1.0, "instance {instance}: {after} requests");
     }
 }
 
 // Guards against views that degrade with the links: lost reports are replaced by the mean.
 #[test]
-fn lossy_links() {
-    let mut fleet = telling_fleet(&[20, 20, 20, 19], |_| true);
+fn views_stay_usable_when_30_percent_of_datagrams_are_lost() {
+    let mut fleet = reporting_fleet(&[20, 20, 20, 19], |_| true);
     let mut model = LoadModel::new(&fleet, 3.0, 1);
     model.run(&mut fleet, 4_000);
     fleet.loss_rate = 0.3;
@@ -130,64 +136,71 @@
     // Time within which overflow to other data centres must take effect.
     model.run(&mut fleet, 500);
     let full = 0.8 * model.centres[0].slots;
-    let mut knowing = 0;
-    for seat in 0..fleet.instances.len() {
-        let view = fleet.load_view(seat).expect("reports load");
-        knowing += usize::from(model.viewed_requests(&view, 0).is_some_and(|known| known >= full));
+    let mut informed = 0;
+    for instance in 0..fleet.instances.len() {
+        let view = fleet.load_view(instance).expect("reports load");
+        informed += usize::from(model.viewed_requests(&view, 0).is_some_and(|known| known >= full));
     }
-    assert!(knowing * 100 >= fleet.instances.len() * 95, "{knowing} know");
+    assert!(informed * 100 >= fleet.instances.len() * 95, "{informed} instances know");
     model.run(&mut fleet, 1_000);
-    for seat in 0..fleet.instances.len() {
-        assert!(fleet.load_view(seat).expect("reports load").is_reliable, "instance {seat}");
+    for instance in 0..fleet.instances.len() {
+        assert!(
+            fleet.load_view(instance).expect("reports load").is_reliable,
+            "instance {instance}"
+        );
     }
 }
 
 // Guards against a data centre that counts as known while it is partitioned, that loses its own
 // view, or that stays unknown afterwards.
 #[test]
-fn centre_cut_off() {
-    let mut fleet = telling_fleet(&[6, 6, 6], |_| true);
+fn partitioned_centre_is_unreported_until_it_returns() {
+    let mut fleet = reporting_fleet(&[6, 6, 6], |_| true);
     report(&mut fleet, 1_000, |_| 4.0);
-    let lost = CentreName::new("centre-2");
+    let partitioned = CentreName::new("centre-2");
     for inside in 12..18 {
         for outside in 0..12 {
             fleet.cut_links.extend([(inside, outside), (outside, inside)]);
         }
     }
     report(&mut fleet, 2_200, |_| 4.0);
-    for seat in 0..18 {
-        let view = fleet.load_view(seat).expect("reports load");
-        assert!(view.is_reliable, "instance {seat}");
-        assert_eq!(view.centres.contains_key(&lost), seat >= 12, "instance {seat}");
-        assert_eq!(view.unreported_centres.contains(&lost), seat < 12, "instance {seat}");
+    for instance in 0..18 {
+        let view = fleet.load_view(instance).expect("reports load");
+        assert!(view.is_reliable, "instance {instance}");
+        assert_eq!(view.centres.contains_key(&partitioned), instance >= 12, "instance {instance}");
+        assert_eq!(
+            view.unreported_centres.contains(&partitioned),
+            instance < 12,
+            "instance {instance}"
+        );
     }
     fleet.cut_links.clear();
     report(&mut fleet, 500, |_| 4.0);
-    for seat in 0..12 {
-        assert_viewed(&mut fleet, seat, "centre-2", 24.0);
+    for instance in 0..12 {
+        assert_viewed(&mut fleet, instance, "centre-2", 24.0);
     }
 }
 
 // Guards against older builds, which don't report load, that count as instances without load.
 #[test]
-fn mixed_builds() {
-    let mut fleet = telling_fleet(&[8, 8], |seat| seat % 2 == 0);
+fn instances_without_load_reports_are_extrapolated() {
+    let mut fleet = reporting_fleet(&[8, 8], |instance| instance % 2 == 0);
     report(&mut fleet, 1_000, |_| 4.0);
-    for seat in 0..16 {
-        let view = fleet.load_view(seat);
-        assert_eq!(view.is_some(), seat % 2 == 0, "instance {seat}");
+    for instance in 0..16 {
+        let view = fleet.load_view(instance);
+        assert_eq!(view.is_some(), instance % 2 == 0, "instance {instance}");
         let Some(view) = view else { continue };
-        assert!(view.is_reliable, "instance {seat}");
+        assert!(view.is_reliable, "instance {instance}");
         for centre in ["centre-0", "centre-1"] {
-            assert_viewed(&mut fleet, seat, centre, 32.0);
+            assert_viewed(&mut fleet, instance, centre, 32.0);
         }
     }
 }
 
 // Guards against load messages in fleets that haven't enabled them.
 #[test]
-fn off_is_silent() {
-    let mut fleet = telling_fleet(&[4, 4], |_| false);
+fn nothing_is_sent_when_load_reports_are_off() {
+    let mut fleet = reporting_fleet(&[4, 4], |_| false);
     report(&mut fleet, 1_000, |_| 50.0);
     assert_eq!(load_bytes(&fleet), 0);
     assert!(fleet.load_view(0).is_none());
@@ -195,16 +208,16 @@
 
 // Guards against reports of an instance that has measured nothing yet.
 #[test]
-fn nothing_before_own() {
-    let mut fleet = telling_fleet(&[4, 4], |_| true);
+fn nothing_is_sent_before_the_first_measurement() {
+    let mut fleet = reporting_fleet(&[4, 4], |_| true);
     fleet.run(3_000);
     assert_eq!(load_bytes(&fleet), 0);
 }
 
 // Guards against decisions based on the load of a single instance right after its start.
 #[test]
-fn start_unsure() {
-    let mut fleet = telling_fleet(&[8], |_| true);
+fn view_is_unreliable_right_after_a_start() {
+    let mut fleet = reporting_fleet(&[8], |_| true);
     report(&mut fleet, 1_000, |_| 4.0);
     fleet.kill(3);
     fleet.run(200);
@@ -220,8 +233,8 @@
 
 // Guards against the only instance of a fleet waiting for others.
 #[test]
-fn only_instance() {
-    let mut fleet = telling_fleet(&[1], |_| true);
+fn only_instance_has_a_reliable_view() {
+    let mut fleet = reporting_fleet(&[1], |_| true);
     report(&mut fleet, 200, |_| 4.0);
     assert!(fleet.load_view(0).expect("reports load").is_reliable);
     assert_eq!(load_bytes(&fleet), 0);
@@ -229,15 +242,15 @@
 
 // Guards against load reports that depend on the store.
 #[test]
-fn store_away() {
-    let mut fleet = telling_fleet(&[8, 8], |_| true);
-    fleet.store_state = (0..16).map(|seat| (seat, StoreState::Unresponsive)).collect();
+fn load_is_reported_while_the_store_is_unresponsive() {
+    let mut fleet = reporting_fleet(&[8, 8], |_| true);
+    fleet.store_state = (0..16).map(|instance| (instance, StoreState::Unresponsive)).collect();
     fleet.answer_watches();
     fleet.run(5_000);
     report(&mut fleet, 1_000, |_| 4.0);
-    for seat in 0..16 {
+    for instance in 0..16 {
         for centre in ["centre-0", "centre-1"] {
-            assert_viewed(&mut fleet, seat, centre, 32.0);
+            assert_viewed(&mut fleet, instance, centre, 32.0);
         }
     }
 }
@@ -252,21 +265,21 @@
 #[derive(Clone, PartialEq, Message)]
 struct ForgedLoad {
     #[prost(bool, tag = "1")]
-    is_far: bool,
+    is_remote: bool,
     #[prost(message, repeated, tag = "2")]
-    parts: Vec<ForgedPart>,
+    reports: Vec<ForgedReport>,
     #[prost(message, repeated, tag = "3")]
-    centres: Vec<ForgedCentre>,
+    aggregates: Vec<ForgedAggregate>,
     #[prost(uint32, tag = "4")]
-    turn_ms: u32,
+    fleet_clock_ms: u32,
     #[prost(bool, tag = "5")]
-    is_pressed: bool,
+    is_loaded: bool,
     #[prost(bool, tag = "6")]
-    is_busy: bool,
+    is_fast: bool,
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct ForgedPart {
+struct ForgedReport {
     #[prost(fixed32, tag = "1")]
     ip: u32,
     #[prost(uint32, tag = "2")]
@@ -278,13 +291,13 @@
     #[prost(message, repeated, tag = "6")]
     services: Vec<ForgedService>,
     #[prost(bytes = "vec", tag = "7")]
-    accounts: Vec<u8>,
+    sampled_accounts: Vec<u8>,
     #[prost(uint32, tag = "8")]
-    one_in: u32,
+    openings_per_sample: u32,
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct ForgedCentre {
+struct ForgedAggregate {
     #[prost(string, tag = "1")]
     data_centre: String,
     #[prost(uint32, tag = "2")]
@@ -294,13 +307,13 @@
     #[prost(message, repeated, tag = "5")]
     services: Vec<ForgedService>,
     #[prost(uint32, tag = "6")]
-    pressed_ms: u32,
+    loaded_ms: u32,
 }
 
 #[derive(Clone, PartialEq, Message)]
 struct ForgedService {
     #[prost(fixed32, tag = "1")]
-    service: u32,
+    service_hash: u32,
     #[prost(uint32, repeated, tag = "2")]
     arrivals: Vec<u32>,
     #[prost(uint32, repeated, tag = "3")]
@@ -316,66 +329,68 @@
     datagram
 }
 
-fn absurd_service(service: u32) -> ForgedService {
+fn absurd_service(service_hash: u32) -> ForgedService {
     // The last pair lacks its second element.
-    let words: Vec<_> = (0..41).map(|_| u32::MAX).collect();
+    let values: Vec<_> = (0..41).map(|_| u32::MAX).collect();
     let arrivals = (0..20).flat_map(|priority| [priority, u32::MAX]).collect();
-    ForgedService { service, arrivals, work_us: words, running: u32::MAX }
+    ForgedService { service_hash, arrivals, work_us: values, running: u32::MAX }
 }
 
 // Guards against values that no instance can have and that would fill the view permanently.
 #[test]
-fn absurd_values() {
-    let mut fleet = telling_fleet(&[8, 8], |_| true);
+fn absurd_values_are_bounded_and_expire() {
+    let mut fleet = reporting_fleet(&[8, 8], |_| true);
     report(&mut fleet, 1_000, |_| 4.0);
     let from: SocketAddrV4 = fleet.instances[5].address;
-    let part = |port: u32| ForgedPart {
+    let forged_report = |port: u32| ForgedReport {
         ip: u32::from(*from.ip()),
         port,
         serial: u32::MAX,
         age_ms: 0,
         services: (0..200).chain([model_service().0]).map(absurd_service).collect(),
-        accounts: vec![7; 1_001],
-        one_in: u32::MAX,
+        sampled_accounts: vec![7; 1_001],
+        openings_per_sample: u32::MAX,
     };
-    let centre = |name: &str| ForgedCentre {
+    let centre = |name: &str| ForgedAggregate {
         data_centre: name.to_owned(),
         serial: u32::MAX,
         instances: u32::MAX,
         services: vec![absurd_service(model_service().0)],
-        pressed_ms: u32::MAX,
+        loaded_ms: u32::MAX,
     };
     let load = ForgedLoad {
-        is_far: false,
-        parts: [0, 70_000, 7_000].into_iter().chain(20_000..20_100).map(part).collect(),
-        centres: ["", "nowhere", "centre-0", "centre-1"].map(centre).to_vec(),
-        turn_ms: u32::MAX / 3,
-        is_pressed: true,
-        is_busy: true,
+        is_remote: false,
+        reports: [0, 70_000, 7_000].into_iter().chain(20_000..20_100).map(forged_report).collect(),
+        aggregates: ["", "nowhere", "centre-0", "centre-1"].map(centre).to_vec(),
+        fleet_clock_ms: u32::MAX / 3,
+        is_loaded: true,
+        is_fast: true,
     };
     fleet.inject_datagram(0, from, datagram(load.clone()));
-    fleet.inject_datagram(1, from, datagram(ForgedLoad { is_far: true, ..load }));
+    fleet.inject_datagram(1, from, datagram(ForgedLoad { is_remote: true, ..load }));
     report(&mut fleet, 50, |_| 4.0);
-    for seat in 0..2 {
-        let view = fleet.load_view(seat).expect("reports load");
+    for instance in 0..2 {
+        let view = fleet.load_view(instance).expect("reports load");
         let names: Vec<_> = view.centres.keys().map(CentreName::as_str).collect();
         assert!(names.iter().all(|name| name.starts_with("centre-")), "{names:?}");
         for centre in view.centres.values() {
-            let most = 100_000.0 * f64::from(centre.instances);
+            let max_value = 100_000.0 * f64::from(centre.instances);
             for load in centre.services.values() {
                 let (arrivals, running) = (load.arrivals_per_s(), load.running.values().sum());
-                assert!((0.0..=most).contains(&arrivals), "{arrivals} a second");
-                assert!((0.0..=most).contains(&running), "{running} requests");
+                assert!((0.0..=max_value).contains(&arrivals), "{arrivals} a second");
+                assert!((0.0..=max_value).contains(&running), "{running} requests");
                 assert!(load.priorities.len() <= 8);
-                assert!(load.priorities.values().all(|one| one.work_us <= 60e6));
+                assert!(
+                    load.priorities.values().all(|priority_load| priority_load.work_us <= 60e6)
+                );
             }
         }
     }
     // Reports that aren't repeated expire, and so do aggregates.
     report(&mut fleet, 3_200, |_| 4.0);
-    for seat in 0..16 {
+    for instance in 0..16 {
         for centre in ["centre-0", "centre-1"] {
-            assert_viewed(&mut fleet, seat, centre, 32.0);
+            assert_viewed(&mut fleet, instance, centre, 32.0);
         }
     }
 }
--- a/crates/foxledge-gossip/tests/load_messages.rs
+++ b/crates/foxledge-gossip/tests/load_messages.rs
@@ -49,7 +49,7 @@
     sent.iter().map(Vec::len).collect()
 }
 
-fn service(running: f64, far: &[(&str, f64)]) -> ServiceLoad {
+fn service(running: f64, remote: &[(&str, f64)]) -> ServiceLoad {
     let priority = |arrivals_per_s, work_us| PriorityLoad { arrivals_per_s, work_us };
     let mut load = ServiceLoad {
         priorities: BTreeMap::from([
@@ -58,60 +58,61 @@
         ]),
         running: BTreeMap::from([(CentreName::new("toledo"), running)]),
     };
-    load.running.extend(far.iter().map(|(name, running)| (CentreName::new(name), *running)));
+    load.running.extend(remote.iter().map(|(name, running)| (CentreName::new(name), *running)));
     load
 }
 
 // Guards against values that change in transit.
 #[test]
-fn same_after_way() {
+fn load_is_unchanged_by_encoding() {
     let mut pair = pair();
-    let desk = ServiceKey::of("desk");
+    let service_key = ServiceKey::of("desk");
     let load = service(7.0, &[("dublin", 3.0)]);
     let accounts: Vec<_> = (0..12).map(|index| index * 0x0101_0101).collect();
-    let services = BTreeMap::from([(desk, load.clone())]);
-    let own = LocalLoad { services, sampled_accounts: accounts.clone(), openings_per_sample: 9 };
-    pair[0].set_local_load(start(), own, 0.0);
+    let services = BTreeMap::from([(service_key, load.clone())]);
+    let local_load =
+        LocalLoad { services, sampled_accounts: accounts.clone(), openings_per_sample: 9 };
+    pair[0].set_local_load(start(), local_load, 0.0);
     exchange(&mut pair, 0, start());
     pair[1].set_local_load(start(), LocalLoad::default(), 0.0);
     let view = pair[1].load_view(start()).expect("reports load");
-    let told = &view.centres[&CentreName::new("toledo")];
+    let centre_view = &view.centres[&CentreName::new("toledo")];
     // The mean of the report and an empty one, times two instances.
-    assert_eq!((told.instances, told.report_count), (2, 2));
-    assert_eq!(told.services[&desk], load);
+    assert_eq!((centre_view.instances, centre_view.report_count), (2, 2));
+    assert_eq!(centre_view.services[&service_key], load);
     assert_eq!(view.account_samples, accounts.iter().map(|one| (*one, 9)).collect::<Vec<_>>());
 }
 
 // Guards against messages larger than a datagram, and against losing the services with the most
 // load in messages that are truncated.
 #[test]
-fn large_loads_cut() {
+fn large_loads_are_truncated_to_the_message_size() {
     let mut pair = pair();
     let services = (0..500).map(|number| {
         let load = service(f64::from(number), &[("dublin", f64::from(number))]);
         (ServiceKey(number), load)
     });
-    let own = LocalLoad { services: services.collect(), ..LocalLoad::default() };
-    pair[0].set_local_load(start(), own.clone(), 10.0);
+    let local_load = LocalLoad { services: services.collect(), ..LocalLoad::default() };
+    pair[0].set_local_load(start(), local_load.clone(), 10.0);
     let sizes = exchange(&mut pair, 0, start());
     assert!(!sizes.is_empty());
     assert!(sizes.iter().all(|size| *size <= MAX_MESSAGE_BYTES), "{sizes:?}");
     pair[1].set_local_load(start(), LocalLoad::default(), 0.0);
     let view = pair[1].load_view(start()).expect("reports load");
-    let told = &view.centres[&CentreName::new("toledo")].services;
-    assert!((20..500).contains(&told.len()), "{} services", told.len());
-    let least = 500 - told.len() as u32;
-    assert!(told.keys().all(|key| key.0 >= least), "{:?}", told.keys());
+    let centre_view = &view.centres[&CentreName::new("toledo")].services;
+    assert!((20..500).contains(&centre_view.len()), "{} services", centre_view.len());
+    let smallest_key = 500 - centre_view.len() as u32;
+    assert!(centre_view.keys().all(|key| key.0 >= smallest_key), "{:?}", centre_view.keys());
     // The large report is relayed with others by an instance at the fast pace.
     let later = start().after_millis(500);
-    pair[1].set_local_load(later, own, 10.0);
+    pair[1].set_local_load(later, local_load, 10.0);
     let sizes = exchange(&mut pair, 1, later);
     assert!(sizes.iter().all(|size| *size <= MAX_MESSAGE_BYTES), "{sizes:?}");
 }
 
 // Guards against messages of an instance that has announced that it leaves.
 #[test]
-fn none_after_leaving() {
+fn nothing_is_sent_after_leaving() {
     let mut pair = pair();
     pair[0].set_local_load(start(), LocalLoad::default(), 0.0);
     exchange(&mut pair, 0, start());
--- a/crates/foxledge-gossip/tests/observation_merging.rs
+++ b/crates/foxledge-gossip/tests/observation_merging.rs
@@ -28,42 +28,44 @@
     ]
 }
 
-fn any_signs() -> impl Strategy<Value = Vec<ObservationRecord>> {
-    prop::collection::vec((any_kind(), 0..SPAN_MS), 1..12).prop_map(|seen| {
-        let sign = |(index, (kind, millis)): (usize, (ObservationKind, u64))| ObservationRecord {
+fn any_records() -> impl Strategy<Value = Vec<ObservationRecord>> {
+    prop::collection::vec((any_kind(), 0..SPAN_MS), 1..12).prop_map(|observed| {
+        let record = |(index, (kind, millis)): (usize, (ObservationKind, u64))| ObservationRecord {
             id: index as u16,
             kind,
             observed_at: at(millis),
         };
-        seen.into_iter().enumerate().map(sign).collect()
+        observed.into_iter().enumerate().map(record).collect()
     })
 }
 
-fn evidence_of<'a>(signs: impl IntoIterator<Item = &'a ObservationRecord>) -> BackendEvidence {
+fn evidence_of<'a>(records: impl IntoIterator<Item = &'a ObservationRecord>) -> BackendEvidence {
     let mut evidence = BackendEvidence::new(ObservationOrigin::SameCentre);
-    for sign in signs {
-        evidence.record(at(SPAN_MS), *sign);
+    for record in records {
+        evidence.record(at(SPAN_MS), *record);
     }
     evidence
 }
 
 /// Infers the health from a set of observations in the simplest possible way.
-fn meaning(signs: &[ObservationRecord]) -> InferredHealth {
-    let life = signs
+fn expected_health(records: &[ObservationRecord]) -> InferredHealth {
+    let newest_alive = records
         .iter()
-        .filter(|sign| sign.kind == ObservationKind::Alive)
-        .map(|sign| sign.observed_at)
+        .filter(|record| record.kind == ObservationKind::Alive)
+        .map(|record| record.observed_at)
         .max();
-    let standing = signs.iter().filter(|sign| life.is_none_or(|life| sign.observed_at > life));
-    let standing: Vec<_> = standing.collect();
-    let count = |kind| standing.iter().filter(|sign| sign.kind == kind).count();
-    let mut suspicions: Vec<_> = standing
+    let unrefuted = records
         .iter()
-        .filter(|sign| sign.kind == ObservationKind::Suspect)
-        .map(|sign| sign.observed_at.as_micros())
+        .filter(|record| newest_alive.is_none_or(|newest_alive| record.observed_at > newest_alive));
+    let unrefuted: Vec<_> = unrefuted.collect();
+    let count = |kind| unrefuted.iter().filter(|record| record.kind == kind).count();
+    let mut suspicions: Vec<_> = unrefuted
+        .iter()
+        .filter(|record| record.kind == ObservationKind::Suspect)
+        .map(|record| record.observed_at.as_micros())
         .collect();
     suspicions.sort_unstable();
-    let are_close = match suspicions[..] {
+    let are_overlapping = match suspicions[..] {
         [.., one, other] => other - one <= 300_000,
         _ => false,
     };
@@ -73,7 +75,7 @@
     ) {
         (2.., 1..) => InferredHealth::Dead,
         (1.., _) => InferredHealth::Unresponsive,
-        _ if are_close || count(ObservationKind::Ejected) > 0 => InferredHealth::Ejected,
+        _ if are_overlapping || count(ObservationKind::Ejected) > 0 => InferredHealth::Ejected,
         _ if !suspicions.is_empty() => InferredHealth::Suspected,
         _ => InferredHealth::Healthy,
     }
@@ -86,28 +88,28 @@
     // some send all new flows to a dead backend server. The result depended on the order in which
     // the observations arrived.
     #[test]
-    fn order_is_nothing((signs, shuffled) in any_signs().prop_flat_map(|signs| {
-        (Just(signs.clone()), Just(signs).prop_shuffle())
+    fn health_is_independent_of_the_order_of_observations((records, shuffled) in any_records().prop_flat_map(|records| {
+        (Just(records.clone()), Just(records).prop_shuffle())
     })) {
-        let belief = evidence_of(&signs).inferred_health();
-        prop_assert_eq!(belief, meaning(&signs));
-        prop_assert_eq!(evidence_of(&shuffled).inferred_health(), belief);
-        prop_assert_eq!(evidence_of(shuffled.iter().chain(&signs)).inferred_health(), belief);
+        let health = evidence_of(&records).inferred_health();
+        prop_assert_eq!(health, expected_health(&records));
+        prop_assert_eq!(evidence_of(&shuffled).inferred_health(), health);
+        prop_assert_eq!(evidence_of(shuffled.iter().chain(&records)).inferred_health(), health);
     }
 
     // The records that an instance disseminates suffice for another to infer a health at least as
     // bad, whatever it knew before.
     #[test]
-    fn told_is_enough(known in any_signs(), signs in any_signs()) {
-        let teller = evidence_of(&signs);
-        let told: Vec<_> = teller.disseminated_records(at(SPAN_MS)).collect();
-        prop_assert_eq!(evidence_of(&told).inferred_health(), teller.inferred_health());
-        let rename = |sign: &ObservationRecord| ObservationRecord { id: sign.id + 100, ..*sign };
+    fn disseminated_records_suffice(known in any_records(), records in any_records()) {
+        let sender = evidence_of(&records);
+        let sent: Vec<_> = sender.disseminated_records(at(SPAN_MS)).collect();
+        prop_assert_eq!(evidence_of(&sent).inferred_health(), sender.inferred_health());
+        let rename = |record: &ObservationRecord| ObservationRecord { id: record.id + 100, ..*record };
         let known: Vec<_> = known.iter().map(rename).collect();
-        let merged = evidence_of(known.iter().chain(&told)).inferred_health();
-        let union: Vec<_> = known.iter().chain(&signs).copied().collect();
+        let merged = evidence_of(known.iter().chain(&sent)).inferred_health();
+        let union: Vec<_> = known.iter().chain(&records).copied().collect();
         // Observations that weren't sent can make the inferred health worse, never better.
-        prop_assert!(merged <= meaning(&union), "{:?} of {:?}", merged, meaning(&union));
+        prop_assert!(merged <= expected_health(&union), "{:?} of {:?}", merged, expected_health(&union));
     }
 
     // Guards against one alive observation that is forwarded a thousand times and fills messages.
@@ -115,43 +117,43 @@
     // seems later at each hop; messages are lost and duplicated. A copy that seems later was taken
     // for another observation.
     #[test]
-    fn news_only_once(
-        signs in any_signs(),
+    fn each_observation_is_reported_once_per_instance(
+        records in any_records(),
         hops in prop::collection::vec((0..INSTANCES, 0..INSTANCES, 0..60_u64), 1..60),
     ) {
-        let mut all = vec![BackendEvidence::new(ObservationOrigin::SameCentre); INSTANCES];
-        let mut news = BTreeMap::new();
-        let mut signs = signs;
-        signs.sort_by_key(|sign| sign.observed_at);
-        let steps = signs.len().max(hops.len());
+        let mut instances = vec![BackendEvidence::new(ObservationOrigin::SameCentre); INSTANCES];
+        let mut reports = BTreeMap::new();
+        let mut records = records;
+        records.sort_by_key(|record| record.observed_at);
+        let steps = records.len().max(hops.len());
         for step in 0..steps {
             let now = at(SPAN_MS * step as u64 / steps as u64);
-            let seen = signs.iter().enumerate().filter(|(_, sign)| {
-                sign.observed_at <= now && !news.contains_key(&(sign.id, usize::MAX))
+            let observed = records.iter().enumerate().filter(|(_, record)| {
+                record.observed_at <= now && !reports.contains_key(&(record.id, usize::MAX))
             });
-            let seen: Vec<_> = seen.map(|(index, sign)| (index, *sign)).collect();
-            for (index, sign) in seen {
-                news.insert((sign.id, usize::MAX), 1);
-                if all[index % INSTANCES].record(now, sign).is_some() {
-                    *news.entry((sign.id, index % INSTANCES)).or_insert(0) += 1;
+            let observed: Vec<_> = observed.map(|(index, record)| (index, *record)).collect();
+            for (index, record) in observed {
+                reports.insert((record.id, usize::MAX), 1);
+                if instances[index % INSTANCES].record(now, record).is_some() {
+                    *reports.entry((record.id, index % INSTANCES)).or_insert(0) += 1;
                 }
             }
             let Some((from, to, late_ms)) = hops.get(step).copied() else { continue };
-            let told: Vec<_> = all[from].disseminated_records(now).collect();
-            for sign in told {
-                let late = ObservationRecord { observed_at: sign.observed_at.after_millis(late_ms), ..sign };
-                if all[to].record(now, late).is_some() {
-                    *news.entry((sign.id, to)).or_insert(0) += 1;
+            let sent: Vec<_> = instances[from].disseminated_records(now).collect();
+            for record in sent {
+                let late = ObservationRecord { observed_at: record.observed_at.after_millis(late_ms), ..record };
+                if instances[to].record(now, late).is_some() {
+                    *reports.entry((record.id, to)).or_insert(0) += 1;
                 }
             }
         }
-        prop_assert!(news.values().all(|times| *times == 1), "{:?}", news);
+        prop_assert!(reports.values().all(|times| *times == 1), "{:?}", reports);
     }
 }
 
 // Exhaustive small case: two instances, one backend server, and six observations in any order.
 #[test]
-fn all_orders_agree() {
+fn all_720_orders_infer_the_same_health() {
     let kinds = [
         (ObservationKind::DataUnanswered, 100),
         (ObservationKind::Alive, 200),
@@ -160,7 +162,7 @@
         (ObservationKind::DataUnanswered, 400),
         (ObservationKind::Suspect, 450),
     ];
-    let signs: Vec<_> = kinds
+    let records: Vec<_> = kinds
         .iter()
         .enumerate()
         .map(|(index, (kind, millis))| ObservationRecord {
@@ -170,19 +172,19 @@
         })
         .collect();
     let mut orders = vec![Vec::new()];
-    for _ in 0..signs.len() {
+    for _ in 0..records.len() {
         let longer = |order: Vec<usize>| {
-            let left: Vec<_> = (0..signs.len()).filter(|index| !order.contains(index)).collect();
+            let left: Vec<_> = (0..records.len()).filter(|index| !order.contains(index)).collect();
             left.into_iter().map(move |index| [order.clone(), vec![index]].concat())
         };
         orders = orders.into_iter().flat_map(longer).collect();
     }
     assert_eq!(orders.len(), 720);
     for order in orders {
-        let one = evidence_of(order.iter().map(|index| &signs[*index]));
+        let one = evidence_of(order.iter().map(|index| &records[*index]));
         assert_eq!(one.inferred_health(), InferredHealth::Dead, "{order:?}");
-        let told: Vec<_> = one.disseminated_records(at(SPAN_MS)).collect();
-        let other = evidence_of(order.iter().take(3).map(|index| &signs[*index]).chain(&told));
+        let sent: Vec<_> = one.disseminated_records(at(SPAN_MS)).collect();
+        let other = evidence_of(order.iter().take(3).map(|index| &records[*index]).chain(&sent));
         assert_eq!(other.inferred_health(), InferredHealth::Dead, "{order:?}");
     }
 }
--- a/crates/foxledge-gossip/tests/removed_backend_queries.rs
+++ b/crates/foxledge-gossip/tests/removed_backend_queries.rs
@@ -10,14 +10,14 @@
 
 const NUMBERS: std::ops::Range<u64> = 10..50;
 
-fn vanished_at(rows: &[ListRow]) -> usize {
-    let is_gone = |row: &&ListRow| match &row.value {
+fn removed_count(rows: &[ListRow]) -> usize {
+    let is_removed = |row: &&ListRow| match &row.value {
         Some(RowValue::Removed(removed)) => {
-            removed.backend.as_ref().is_some_and(|one| NUMBERS.contains(&one.number))
+            removed.backend.as_ref().is_some_and(|backend| NUMBERS.contains(&backend.number))
         }
         _ => false,
     };
-    rows.iter().filter(is_gone).count()
+    rows.iter().filter(is_removed).count()
 }
 
 // Guards against callers whose streams hang after power returns to a data centre, because its
@@ -25,48 +25,48 @@
 // removed, and its instances restart and read the store before others send them their list. Only
 // the other data centre remembers the removed ones.
 #[test]
-fn starters_ask() {
+fn starting_instances_resolve_tokens_of_removed_backends() {
     let mut fleet = settled_fleet(&[4, 4], 1);
     for number in NUMBERS {
         fleet.store.register(number, false);
     }
     fleet.answer_watches();
     fleet.run(2_000);
-    for member in 0..4 {
-        fleet.kill(member);
+    for index in 0..4 {
+        fleet.kill(index);
     }
     for number in NUMBERS {
         fleet.store.remove(number);
     }
     fleet.answer_watches();
     fleet.run(1_000);
-    let far = |one: usize, other: usize| (one < 4) != (other < 4);
+    let is_across_centres = |backend: usize, other: usize| (backend < 4) != (other < 4);
     let pairs = (0..8).flat_map(|from| (0..8).map(move |to| (from, to)));
-    fleet.cut_links = pairs.filter(|(from, to)| far(*from, *to)).collect();
-    for member in 0..4 {
-        fleet.start(member);
+    fleet.cut_links = pairs.filter(|(from, to)| is_across_centres(*from, *to)).collect();
+    for index in 0..4 {
+        fleet.start(index);
     }
     fleet.run(1_000);
     fleet.cut_links.clear();
     fleet.run(3_000);
-    for member in 0..4 {
-        fleet.instances[member].applied_rows.clear();
-        fleet.query_removed_backends(member, NUMBERS.map(token_of).collect());
+    for index in 0..4 {
+        fleet.instances[index].applied_rows.clear();
+        fleet.query_removed_backends(index, NUMBERS.map(token_of).collect());
     }
     fleet.run(100);
-    for member in 0..4 {
+    for index in 0..4 {
         assert_eq!(
-            vanished_at(&fleet.instances[member].applied_rows),
+            removed_count(&fleet.instances[index].applied_rows),
             NUMBERS.count(),
-            "instance {member}"
+            "instance {index}"
         );
     }
     // Known rows stay as they are, and a second response changes nothing.
-    for member in 0..4 {
-        fleet.instances[member].applied_rows.clear();
-        fleet.query_removed_backends(member, NUMBERS.map(token_of).collect());
+    for index in 0..4 {
+        fleet.instances[index].applied_rows.clear();
+        fleet.query_removed_backends(index, NUMBERS.map(token_of).collect());
     }
     fleet.run(100);
-    assert!((0..4).all(|member| fleet.instances[member].applied_rows.is_empty()));
+    assert!((0..4).all(|index| fleet.instances[index].applied_rows.is_empty()));
     assert!(fleet.all_have_list(fleet.store.head));
 }
