--- a/crates/foxledge-gossip/examples/fleet_scale.rs
+++ b/crates/foxledge-gossip/examples/fleet_scale.rs
@@ -120,7 +120,7 @@
 }
 
 /// Lets the store refuse the selected instances and all current readers.
-fn refuse(fleet: &mut VirtualFleet, is_selected: impl Fn(usize) -> bool) {
+fn refuse_calls(fleet: &mut VirtualFleet, is_selected: impl Fn(usize) -> bool) {
     let is_reader = |instance: &common::VirtualInstance| {
         instance.member.as_ref().is_some_and(|member| member.is_reading_store())
     };
@@ -181,32 +181,32 @@
     };
     run_scenario(fleet, "dropped amid changes", amid_changes, 10_000, 3_000);
     let restart = |fleet: &mut VirtualFleet| {
-        let some = (0..fleet.instances.len()).step_by(18);
-        some.clone().for_each(|index| fleet.kill(index));
+        let selected = (0..fleet.instances.len()).step_by(18);
+        selected.clone().for_each(|index| fleet.kill(index));
         fleet.run(2_000);
-        some.for_each(|index| fleet.start(index));
+        selected.for_each(|index| fleet.start(index));
         publish_changes(fleet, 1_000, 20, 50);
     };
     run_scenario(fleet, "one in eighteen starts", restart, 10_000, 3_000);
     let outage = |fleet: &mut VirtualFleet| {
-        refuse(fleet, |_| true);
+        refuse_calls(fleet, |_| true);
         fleet.run(4_500);
         fleet.store_state.clear();
         fleet.store.publish(2, ROUTES);
         fleet.answer_watches();
     };
     run_scenario(fleet, "store away 4.5 s", outage, 10_000, 3_000);
-    let some_turned_away = |fleet: &mut VirtualFleet| {
-        refuse(fleet, |index| index % 3 == 0);
+    let partial_outage = |fleet: &mut VirtualFleet| {
+        refuse_calls(fleet, |index| index % 3 == 0);
         publish_changes(fleet, 2_000, 90, 100);
         fleet.store_state.clear();
     };
-    run_scenario(fleet, "a third turned away 9 s", some_turned_away, 10_000, 3_000);
+    run_scenario(fleet, "a third turned away 9 s", partial_outage, 10_000, 3_000);
     let lose_power = |fleet: &mut VirtualFleet| {
-        let some = (0..fleet.instances.len()).filter(|index| index % 20 < 11);
-        some.clone().for_each(|index| fleet.kill(index));
+        let selected = (0..fleet.instances.len()).filter(|index| index % 20 < 11);
+        selected.clone().for_each(|index| fleet.kill(index));
         fleet.run(2_000);
-        some.for_each(|index| fleet.start(index));
+        selected.for_each(|index| fleet.start(index));
     };
     run_scenario(fleet, "55% lose power", lose_power, 20_000, 3_000);
 }
--- a/crates/foxledge-gossip/examples/load_scale.rs
+++ b/crates/foxledge-gossip/examples/load_scale.rs
@@ -77,7 +77,7 @@
             let now = fleet.now();
             self.views += 1;
             self.reliable += u64::from(view.is_reliable);
-            let member = fleet.instances[instance].member.as_ref().expect("lives");
+            let member = fleet.instances[instance].member.as_ref().expect("instance is running");
             self.fast += u64::from(member.load_report_pace(now).is_fast());
             for (centre_index, centre) in model.centres.iter().enumerate() {
                 let Some(viewed) = model.viewed_requests(&view, centre_index) else { continue };
@@ -98,24 +98,24 @@
     fn to_csv(&mut self) -> String {
         let share = |count: u64| count as f64 / self.views.max(1) as f64;
         let (reliable, fast) = (share(self.reliable), share(self.fast));
-        let values = [
+        let groups = [
             &mut self.local_errors,
             &mut self.remote_errors,
             &mut self.local_ages_ms,
             &mut self.remote_ages_ms,
         ];
-        let ends: Vec<_> = values
-            .map(|all| format!("{:.3},{:.3}", quantile(all, 0.5), quantile(all, 0.95)))
+        let quantiles: Vec<_> = groups
+            .map(|values| format!("{:.3},{:.3}", quantile(values, 0.5), quantile(values, 0.95)))
             .into();
-        format!("{reliable:.3},{fast:.3},{}", ends.join(","))
+        format!("{reliable:.3},{fast:.3},{}", quantiles.join(","))
     }
 }
 
 /// Returns the value at a quantile.
-fn quantile(all: &mut [f64], fraction: f64) -> f64 {
-    all.sort_by(f64::total_cmp);
-    let index = (all.len() as f64 * fraction) as usize;
-    all.get(index.min(all.len().saturating_sub(1))).copied().unwrap_or(f64::NAN)
+fn quantile(values: &mut [f64], fraction: f64) -> f64 {
+    values.sort_by(f64::total_cmp);
+    let index = (values.len() as f64 * fraction) as usize;
+    values.get(index.min(values.len().saturating_sub(1))).copied().unwrap_or(f64::NAN)
 }
 
 /// Returns the milliseconds until most local and remote instances know that a data centre is full.
@@ -137,8 +137,8 @@
             counts[index].0 += usize::from(is_known);
             counts[index].1 += 1;
         }
-        for (informed, (count, all)) in informed.iter_mut().zip(counts) {
-            if f64::from(count as u32) >= MIN_INFORMED_SHARE * f64::from(all as u32) {
+        for (informed, (count, total)) in informed.iter_mut().zip(counts) {
+            if f64::from(count as u32) >= MIN_INFORMED_SHARE * f64::from(total as u32) {
                 informed.get_or_insert(step * STEP_MS);
             }
         }
@@ -169,9 +169,9 @@
         model.run(fleet, 400);
         meter.add_views(fleet, model);
     }
-    let (count, all) = (fleet.instances.len(), model.centres.len());
+    let (instance_count, centre_count) = (fleet.instances.len(), model.centres.len());
     println!(
-        "{count},{all},{name},{},{},{}",
+        "{instance_count},{centre_count},{name},{},{},{}",
         informed.join(","),
         cost.rates(fleet),
         meter.to_csv()
@@ -182,7 +182,7 @@
 
 fn main() {
     let number = |index: usize, default: f64| {
-        env::args().nth(index).and_then(|format_ms| format_ms.parse().ok()).unwrap_or(default)
+        env::args().nth(index).and_then(|word| word.parse().ok()).unwrap_or(default)
     };
     let (instances, centres) = (number(1, 79.0) as usize, number(2, 4.0) as usize);
     let (slots, seed) = (number(3, 3.0), number(4, 1.0) as u64);
--- a/crates/foxledge-gossip/src/heartbeat_handling.rs
+++ b/crates/foxledge-gossip/src/heartbeat_handling.rs
@@ -163,9 +163,7 @@
 
     /// Applies the newest confirmation of the list. Returns whether it is worth forwarding.
     pub(crate) fn update_confirmation(&mut self) -> bool {
-        let Some(at) = self.election.latest_confirmation_at(self.list.head()) else {
-            return false;
-        };
+        let Some(at) = self.election.latest_confirmation_at(self.list.head()) else { return false };
         if self.list.head() == 0 || self.confirmed_at.is_some_and(|known| at <= known) {
             return false;
         }
--- a/crates/foxledge-gossip/src/load_reporting.rs
+++ b/crates/foxledge-gossip/src/load_reporting.rs
@@ -487,9 +487,7 @@
         let mut pace = sender_pace;
         for row in message.reports.iter().take(MAX_REPORTS) {
             let pace = std::mem::replace(&mut pace, ReportPace::Fast);
-            let Some((report, time)) = unpack_report(now, row, &reporter.centre) else {
-                continue;
-            };
+            let Some((report, time)) = unpack_report(now, row, &reporter.centre) else { continue };
             let ReporterId { address, incarnation } = report.reporter;
             if address == reporter.local_id.address || self.peers.has_left(&address, incarnation) {
                 continue;
@@ -510,9 +508,7 @@
 
     /// Removes the report of an instance that left or restarted.
     pub(crate) fn remove_peer_load(&mut self, change: PeerChange, peer: &PeerDescriptor) {
-        let (Some(load), Some(address)) = (&mut self.load_reporter, peer.address()) else {
-            return;
-        };
+        let (Some(load), Some(address)) = (&mut self.load_reporter, peer.address()) else { return };
         let is_gone = match change {
             PeerChange::Left => true,
             PeerChange::Joined => load.table.reports().any(|(report, _)| {
--- a/crates/foxledge-gossip/tests/common/load_model.rs
+++ b/crates/foxledge-gossip/tests/common/load_model.rs
@@ -13,8 +13,9 @@
 
 /// Step of the model in milliseconds.
 pub const STEP_MS: u64 = 5;
-/// Time between two measurements of a router, in milliseconds.
+/// Time between two measurements of a router at the fast pace, in milliseconds.
 const FAST_MEASURE_INTERVAL_MS: u64 = 50;
+/// Time between two measurements of a router at the slow pace, in milliseconds.
 pub const CALM_MEASURE_INTERVAL_MS: u64 = 50;
 /// Requests per slot under low load: 89 of 240.
 pub const CALM_REQUESTS_PER_SLOT: f64 = 0.37;
@@ -107,7 +108,7 @@
             .services
             .get(&model_service())
             .into_iter()
-            .flat_map(|view_load| view_load.running.values());
+            .flat_map(|service_load| service_load.running.values());
         Some(running.sum())
     }
 
@@ -131,14 +132,14 @@
             let centre = &self.centres[index];
             let mut free_capacity =
                 (centre.slots * MAX_REQUESTS_PER_SLOT - running).max(0.0) as u32;
-            let service_rate = (centre.slots / running.max(1.0)).min(1.0);
-            let calm_per_s = centre.slots * CALM_REQUESTS_PER_SLOT / mean_us * 1e6;
+            let progress_rate = (centre.slots / running.max(1.0)).min(1.0);
+            let calm_arrivals_per_s = centre.slots * CALM_REQUESTS_PER_SLOT / mean_us * 1e6;
             let started =
-                calm_per_s * centre.demand_factor * step_s / centre.instances.len() as f64;
+                calm_arrivals_per_s * centre.demand_factor * step_s / centre.instances.len() as f64;
             for instance in &centre.instances {
                 let router = &mut self.routers[*instance];
                 for (kind, (work_us, share)) in REQUEST_KINDS.iter().enumerate() {
-                    let end_probability = 1.0 - (-step_s * 1e6 / work_us * service_rate).exp();
+                    let end_probability = 1.0 - (-step_s * 1e6 / work_us * progress_rate).exp();
                     let ended =
                         (0..router.running[kind]).filter(|_| self.rng.random_bool(end_probability));
                     router.running[kind] -= ended.count() as u32;
--- a/crates/foxledge-gossip/tests/common/mod.rs
+++ b/crates/foxledge-gossip/tests/common/mod.rs
@@ -22,13 +22,14 @@
 
 /// Response time of the store, in microseconds.
 const STORE_RESPONSE_US: u64 = 4_000;
+/// Virtual time at which a simulation starts, in microseconds.
 const START_US: u64 = 3_600_000_000;
 /// Maximum number of items in one response.
 const MAX_PAGE_ITEMS: usize = 500;
 /// Number of recent datagrams that are kept.
 const MAX_RECENT_DATAGRAMS: usize = 200;
 
-enum Event {
+enum QueuedEvent {
     Timer {
         index: usize,
         timer: u64,
@@ -73,7 +74,7 @@
     pub history: BTreeMap<u64, Vec<ItemChange>>,
     /// Number of revisions by which possibly stale reads are behind.
     pub stale_revisions: u64,
-    /// Calls by order and reason; each page of a full read counts as one.
+    /// Calls by query and reason; each page of a full read counts as one.
     pub page_counts: BTreeMap<(&'static str, &'static str), u64>,
     /// Number of revisions by which the first half of the next full read is older than the rest.
     pub torn_revisions: u64,
@@ -85,7 +86,7 @@
     pub member: Option<FleetMember>,
     pub address: SocketAddrV4,
     pub data_centre: String,
-    /// Number of the start, so that responses to a former process are lost.
+    /// Number of times it was started; responses to a former process are dropped.
     start_number: u64,
     pub paused_until_us: u64,
     pub events: Vec<(u64, FleetEvent)>,
@@ -114,7 +115,7 @@
 pub struct VirtualFleet {
     pub now_us: u64,
     event_queue: BinaryHeap<Reverse<(u64, u64)>>,
-    events: HashMap<u64, Event>,
+    events: HashMap<u64, QueuedEvent>,
     event_count: u64,
     pub instances: Vec<VirtualInstance>,
     index_by_address: HashMap<SocketAddrV4, usize>,
@@ -287,7 +288,7 @@
         self.history.insert(self.revision(), self.items.values().cloned().collect());
     }
 
-    fn read_all(&self) -> ListReading {
+    fn read(&self) -> ListReading {
         let items = self.items.values().cloned().collect();
         ListReading::complete(items, self.head).with_epoch(self.epoch)
     }
@@ -298,29 +299,25 @@
         let first = revision_of(self.epoch, 0);
         let until = revision_of(self.epoch, self.head.saturating_sub(torn));
         let known = self.history.range(first..=until).next_back();
-        let Some((revision, stale_items)) = known.filter(|_| torn > 0) else {
-            return self.read_all();
-        };
+        let Some((head, stale)) = known.filter(|_| torn > 0) else { return self.read() };
         let middle = self.items.keys().nth(self.items.len() / 2).cloned().unwrap_or_default();
-        let former = stale_items.iter().filter(|item| key_of(item) < middle).cloned();
+        let former = stale.iter().filter(|item| key_of(item) < middle).cloned();
         let later = self.items.range(middle.clone()..).map(|(_, item)| item.clone());
         let items = former.chain(later).collect();
-        ListReading::complete(items, number_of(*revision)).with_epoch(self.epoch)
+        ListReading::complete(items, number_of(*head)).with_epoch(self.epoch)
     }
 
     /// Returns all items as they stood `stale_revisions` ago.
     fn read_stale(&self) -> ListReading {
         if self.is_history_disabled {
-            return self.read_all();
+            return self.read();
         }
         let until = ..=revision_of(self.epoch, self.head.saturating_sub(self.stale_revisions));
-        let Some((revision, items)) = self.history.range(until).next_back() else {
-            return self.read_all();
-        };
-        ListReading::complete(items.clone(), number_of(*revision)).with_epoch(epoch_of(*revision))
+        let Some((head, items)) = self.history.range(until).next_back() else { return self.read() };
+        ListReading::complete(items.clone(), number_of(*head)).with_epoch(epoch_of(*head))
     }
 
-    fn after(&self, after: u64) -> Result<ListReading, SourceError> {
+    fn changes_after(&self, after: u64) -> Result<ListReading, SourceError> {
         let is_of_epoch = epoch_of(after) == self.epoch;
         let after = number_of(after);
         if !is_of_epoch || after < self.compacted_revision || after > self.head {
@@ -557,7 +554,7 @@
 
     /// Delivers a datagram that somebody replays.
     pub fn inject_datagram(&mut self, index: usize, from: SocketAddrV4, bytes: Vec<u8>) {
-        self.push(self.now_us, Event::Datagram { index, from, bytes });
+        self.push(self.now_us, QueuedEvent::Datagram { index, from, bytes });
     }
 
     pub fn leave(&mut self, index: usize) {
@@ -568,7 +565,7 @@
         self.apply_effects(index);
     }
 
-    fn push(&mut self, time_us: u64, event: Event) {
+    fn push(&mut self, time_us: u64, event: QueuedEvent) {
         self.event_count += 1;
         self.event_queue.push(Reverse((time_us, self.event_count)));
         self.events.insert(self.event_count, event);
@@ -577,7 +574,7 @@
     fn wake_at(&mut self, index: usize, time_us: u64) {
         self.instances[index].timer += 1;
         let timer = self.instances[index].timer;
-        self.push(time_us.max(self.now_us), Event::Timer { index, timer });
+        self.push(time_us.max(self.now_us), QueuedEvent::Timer { index, timer });
     }
 
     /// Sets the timer to the member's next deadline, as the daemon does.
@@ -588,10 +585,10 @@
         self.wake_at(index, next_us);
     }
 
-    fn handle_event(&mut self, event: Event) {
+    fn handle_event(&mut self, event: QueuedEvent) {
         let now = self.now();
         match event {
-            Event::Timer { index, timer } => {
+            QueuedEvent::Timer { index, timer } => {
                 if self.instances[index].timer != timer {
                     return;
                 }
@@ -603,13 +600,13 @@
                 self.apply_effects(index);
                 self.set_timer(index);
             }
-            Event::Datagram { index, from, bytes } => {
+            QueuedEvent::Datagram { index, from, bytes } => {
                 if self.is_paused(index) {
                     return;
                 }
                 let busy_until_us = self.instances[index].busy_until_us;
                 if busy_until_us > self.now_us {
-                    return self.push(busy_until_us, Event::Datagram { index, from, bytes });
+                    return self.push(busy_until_us, QueuedEvent::Datagram { index, from, bytes });
                 }
                 self.instances[index].busy_until_us = self.now_us + self.message_cost_us;
                 let Some(member) = &mut self.instances[index].member else { return };
@@ -620,7 +617,7 @@
                 self.apply_effects(index);
                 self.set_timer(index);
             }
-            Event::StoreResponse { index, start_number, query, response } => {
+            QueuedEvent::StoreResponse { index, start_number, query, response } => {
                 let instance = &mut self.instances[index];
                 if instance.start_number != start_number {
                     return;
@@ -630,10 +627,10 @@
                 self.apply_effects(index);
                 self.set_timer(index);
             }
-            Event::WatchTimeout { index, start_number, query } => {
-                let waits =
-                    |member: &(usize, u64, StoreQuery)| *member == (index, start_number, query);
-                if let Some(index) = self.watches.iter().position(waits) {
+            QueuedEvent::WatchTimeout { index, start_number, query } => {
+                let is_same_watch =
+                    |watch: &(usize, u64, StoreQuery)| *watch == (index, start_number, query);
+                if let Some(index) = self.watches.iter().position(is_same_watch) {
                     self.watches.swap_remove(index);
                     self.answer_watch(index, start_number, query);
                 }
@@ -655,8 +652,8 @@
                 FleetEffect::SendDatagram { to, bytes } => self.send(index, address, to, bytes),
                 FleetEffect::CallStore(call) => self.call_store(index, start_number, call),
                 FleetEffect::LogEvent(event) => {
-                    let at = (self.now_us - START_US) / 1_000;
-                    self.instances[index].events.push((at, event));
+                    let time_ms = (self.now_us - START_US) / 1_000;
+                    self.instances[index].events.push((time_ms, event));
                 }
                 FleetEffect::RecordObservation(observation) => {
                     self.instances[index].observations.push(observation)
@@ -680,8 +677,8 @@
 
     fn send(&mut self, sender: usize, from: SocketAddrV4, to: SocketAddrV4, bytes: Vec<u8>) {
         self.instances[sender].sent_messages += 1;
-        let busy_from = self.instances[sender].busy_until_us.max(self.now_us);
-        self.instances[sender].busy_until_us = busy_from + self.message_cost_us;
+        let busy_from_us = self.instances[sender].busy_until_us.max(self.now_us);
+        self.instances[sender].busy_until_us = busy_from_us + self.message_cost_us;
         self.instances[sender].sent_bytes += bytes.len() as u64;
         *self.bytes_by_kind.entry(kind_of(&bytes)).or_default() += bytes.len() as u64;
         self.max_datagram_bytes = self.max_datagram_bytes.max(bytes.len());
@@ -702,7 +699,7 @@
         let delay_us = if is_same_centre { 200 } else { 500 };
         let jitter = if self.jitter_us > 0 { self.rng.random_range(0..self.jitter_us) } else { 0 };
         let time_us = self.now_us + delay_us + jitter + self.instances[index].receive_delay_us;
-        self.push(time_us, Event::Datagram { index, from, bytes });
+        self.push(time_us, QueuedEvent::Datagram { index, from, bytes });
     }
 
     fn call_store(&mut self, index: usize, start_number: u64, call: StoreCall) {
@@ -719,7 +716,7 @@
                 let error = Err(SourceError::Timeout(1_450));
                 return self.push(
                     self.now_us + 1_450_000,
-                    Event::StoreResponse { index, start_number, query, response: error },
+                    QueuedEvent::StoreResponse { index, start_number, query, response: error },
                 );
             }
             (StoreState::Refusing, _) => Err(SourceError::UnexpectedStatus(503)),
@@ -742,9 +739,10 @@
                     self.store.count_pages(call, 0);
                     self.watches.push((index, start_number, query));
                     let end_us = self.now_us + wait_ms * 1_000;
-                    return self.push(end_us, Event::WatchTimeout { index, start_number, query });
+                    return self
+                        .push(end_us, QueuedEvent::WatchTimeout { index, start_number, query });
                 }
-                self.store.after(after)
+                self.store.changes_after(after)
             }
         };
         let items = response.as_ref().map_or(0, |reading| reading.items.len());
@@ -753,7 +751,7 @@
             self.link_busy_until_us.max(self.now_us) + items as u64 * self.store_item_ns / 1_000;
         let time_us =
             self.link_busy_until_us + STORE_RESPONSE_US + (pages - 1) * self.store_page_us;
-        self.push(time_us, Event::StoreResponse { index, start_number, query, response });
+        self.push(time_us, QueuedEvent::StoreResponse { index, start_number, query, response });
     }
 
     fn answer_watch(&mut self, index: usize, start_number: u64, query: StoreQuery) {
@@ -763,13 +761,13 @@
             let response = Err(SourceError::Timeout(1_450));
             return self.push(
                 self.now_us + 450_000,
-                Event::StoreResponse { index, start_number, query, response },
+                QueuedEvent::StoreResponse { index, start_number, query, response },
             );
         }
-        let response = self.store.after(after);
+        let response = self.store.changes_after(after);
         self.push(
             self.now_us + STORE_RESPONSE_US / 2,
-            Event::StoreResponse { index, start_number, query, response },
+            QueuedEvent::StoreResponse { index, start_number, query, response },
         );
     }
 }
--- a/crates/foxledge-gossip/tests/load_faults.rs
+++ b/crates/foxledge-gossip/tests/load_faults.rs
@@ -35,7 +35,7 @@
 }
 
 /// Lets the instances of a loaded fleet report the same load every 50 ms.
-fn report(fleet: &mut VirtualFleet, millis: u64, running: impl Fn(usize) -> f64) {
+fn report_constant_load(fleet: &mut VirtualFleet, millis: u64, running: impl Fn(usize) -> f64) {
     for _ in 0..millis / 50 {
         for instance in 0..fleet.instances.len() {
             if fleet.instances[instance].paused_until_us > fleet.now_us {
@@ -84,7 +84,7 @@
     for fault in [ReporterFault::Death, ReporterFault::Freeze, ReporterFault::Leave] {
         let mut fleet = reporting_fleet(&[8], |_| true);
         let running = |instance: usize| if instance == 7 { 80.0 } else { 4.0 };
-        report(&mut fleet, 1_000, running);
+        report_constant_load(&mut fleet, 1_000, running);
         let before =
             (0..7).filter_map(|instance| viewed_requests(&mut fleet, instance, "centre-0"));
         let max_requests = before.fold(0.0, f64::max);
@@ -98,7 +98,7 @@
             }
         }
         // A second, and the time until the failure is detected.
-        report(&mut fleet, 1_100, running);
+        report_constant_load(&mut fleet, 1_100, running);
         for instance in 0..7 {
             let after =
                 viewed_requests(&mut fleet, instance, "centre-0").expect("knows its data centre");
@@ -113,10 +113,10 @@
 fn report_of_a_former_incarnation_is_replaced() {
     let mut fleet = reporting_fleet(&[8], |_| true);
     let running = |instance: usize| if instance == 7 { 80.0 } else { 4.0 };
-    report(&mut fleet, 1_000, running);
+    report_constant_load(&mut fleet, 1_000, running);
     fleet.kill(7);
     fleet.start(7);
-    report(&mut fleet, 500, |_| 4.0);
+    report_constant_load(&mut fleet, 500, |_| 4.0);
     for instance in 0..7 {
         let after =
             viewed_requests(&mut fleet, instance, "centre-0").expect("knows its data centre");
@@ -156,14 +156,14 @@
 #[test]
 fn partitioned_centre_is_unreported_until_it_returns() {
     let mut fleet = reporting_fleet(&[6, 6, 6], |_| true);
-    report(&mut fleet, 1_000, |_| 4.0);
+    report_constant_load(&mut fleet, 1_000, |_| 4.0);
     let partitioned = CentreName::new("centre-2");
     for inside in 12..18 {
         for outside in 0..12 {
             fleet.cut_links.extend([(inside, outside), (outside, inside)]);
         }
     }
-    report(&mut fleet, 2_200, |_| 4.0);
+    report_constant_load(&mut fleet, 2_200, |_| 4.0);
     for instance in 0..18 {
         let view = fleet.load_view(instance).expect("reports load");
         assert!(view.is_reliable, "instance {instance}");
@@ -175,7 +175,7 @@
         );
     }
     fleet.cut_links.clear();
-    report(&mut fleet, 500, |_| 4.0);
+    report_constant_load(&mut fleet, 500, |_| 4.0);
     for instance in 0..12 {
         assert_viewed(&mut fleet, instance, "centre-2", 24.0);
     }
@@ -185,7 +185,7 @@
 #[test]
 fn instances_without_load_reports_are_extrapolated() {
     let mut fleet = reporting_fleet(&[8, 8], |instance| instance % 2 == 0);
-    report(&mut fleet, 1_000, |_| 4.0);
+    report_constant_load(&mut fleet, 1_000, |_| 4.0);
     for instance in 0..16 {
         let view = fleet.load_view(instance);
         assert_eq!(view.is_some(), instance % 2 == 0, "instance {instance}");
@@ -201,7 +201,7 @@
 #[test]
 fn nothing_is_sent_when_load_reports_are_off() {
     let mut fleet = reporting_fleet(&[4, 4], |_| false);
-    report(&mut fleet, 1_000, |_| 50.0);
+    report_constant_load(&mut fleet, 1_000, |_| 50.0);
     assert_eq!(load_bytes(&fleet), 0);
     assert!(fleet.load_view(0).is_none());
 }
@@ -218,15 +218,15 @@
 #[test]
 fn view_is_unreliable_right_after_a_start() {
     let mut fleet = reporting_fleet(&[8], |_| true);
-    report(&mut fleet, 1_000, |_| 4.0);
+    report_constant_load(&mut fleet, 1_000, |_| 4.0);
     fleet.kill(3);
     fleet.run(200);
     fleet.start(3);
     fleet.set_local_load(3, running_in("centre-0", 4.0), 0.0);
     assert!(!fleet.load_view(3).expect("reports load").is_reliable);
-    report(&mut fleet, 500, |_| 4.0);
+    report_constant_load(&mut fleet, 500, |_| 4.0);
     assert!(fleet.load_view(3).expect("reports load").is_reliable);
-    report(&mut fleet, 3_000, |_| 4.0);
+    report_constant_load(&mut fleet, 3_000, |_| 4.0);
     let view = fleet.load_view(3).expect("reports load");
     assert_eq!(view.centres[&CentreName::new("centre-0")].instances, 8);
 }
@@ -235,7 +235,7 @@
 #[test]
 fn only_instance_has_a_reliable_view() {
     let mut fleet = reporting_fleet(&[1], |_| true);
-    report(&mut fleet, 200, |_| 4.0);
+    report_constant_load(&mut fleet, 200, |_| 4.0);
     assert!(fleet.load_view(0).expect("reports load").is_reliable);
     assert_eq!(load_bytes(&fleet), 0);
 }
@@ -247,7 +247,7 @@
     fleet.store_state = (0..16).map(|instance| (instance, StoreState::Unresponsive)).collect();
     fleet.answer_watches();
     fleet.run(5_000);
-    report(&mut fleet, 1_000, |_| 4.0);
+    report_constant_load(&mut fleet, 1_000, |_| 4.0);
     for instance in 0..16 {
         for centre in ["centre-0", "centre-1"] {
             assert_viewed(&mut fleet, instance, centre, 32.0);
@@ -340,7 +340,7 @@
 #[test]
 fn absurd_values_are_bounded_and_expire() {
     let mut fleet = reporting_fleet(&[8, 8], |_| true);
-    report(&mut fleet, 1_000, |_| 4.0);
+    report_constant_load(&mut fleet, 1_000, |_| 4.0);
     let from: SocketAddrV4 = fleet.instances[5].address;
     let forged_report = |port: u32| ForgedReport {
         ip: u32::from(*from.ip()),
@@ -368,7 +368,7 @@
     };
     fleet.inject_datagram(0, from, datagram(load.clone()));
     fleet.inject_datagram(1, from, datagram(ForgedLoad { is_remote: true, ..load }));
-    report(&mut fleet, 50, |_| 4.0);
+    report_constant_load(&mut fleet, 50, |_| 4.0);
     for instance in 0..2 {
         let view = fleet.load_view(instance).expect("reports load");
         let names: Vec<_> = view.centres.keys().map(CentreName::as_str).collect();
@@ -387,7 +387,7 @@
         }
     }
     // Reports that aren't repeated expire, and so do aggregates.
-    report(&mut fleet, 3_200, |_| 4.0);
+    report_constant_load(&mut fleet, 3_200, |_| 4.0);
     for instance in 0..16 {
         for centre in ["centre-0", "centre-1"] {
             assert_viewed(&mut fleet, instance, centre, 32.0);
--- a/crates/foxledge-gossip/tests/load_messages.rs
+++ b/crates/foxledge-gossip/tests/load_messages.rs
@@ -99,10 +99,14 @@
     assert!(sizes.iter().all(|size| *size <= MAX_MESSAGE_BYTES), "{sizes:?}");
     pair[1].set_local_load(start(), LocalLoad::default(), 0.0);
     let view = pair[1].load_view(start()).expect("reports load");
-    let centre_view = &view.centres[&CentreName::new("toledo")].services;
-    assert!((20..500).contains(&centre_view.len()), "{} services", centre_view.len());
-    let smallest_key = 500 - centre_view.len() as u32;
-    assert!(centre_view.keys().all(|key| key.0 >= smallest_key), "{:?}", centre_view.keys());
+    let received_services = &view.centres[&CentreName::new("toledo")].services;
+    assert!((20..500).contains(&received_services.len()), "{} services", received_services.len());
+    let smallest_key = 500 - received_services.len() as u32;
+    assert!(
+        received_services.keys().all(|key| key.0 >= smallest_key),
+        "{:?}",
+        received_services.keys()
+    );
     // The large report is relayed with others by an instance at the fast pace.
     let later = start().after_millis(500);
     pair[1].set_local_load(later, local_load, 10.0);
--- a/crates/foxledge-gossip/tests/load_spread.rs
+++ b/crates/foxledge-gossip/tests/load_spread.rs
@@ -8,7 +8,7 @@
 use load_model::{LoadModel, STEP_MS};
 
 /// 79 instances in four data centres.
-const COUNTS: [usize; 4] = [20, 20, 20, 19];
+const INSTANCE_COUNTS: [usize; 4] = [20, 20, 20, 19];
 /// Slots of backend servers per instance.
 const SLOTS_PER_INSTANCE: f64 = 3.0;
 /// Requests per slot above which requests overflow to other data centres.
@@ -70,9 +70,9 @@
 fn assert_known_in_time(counts: &[usize], seed: u64) {
     let (mut fleet, mut model) = calm_fleet(counts, seed);
     let [full, local, remote] = simulate_burst(&mut fleet, &mut model);
-    println!("{counts:?}, seed {seed}: full {full:?} ms, near {local:?} ms, far {remote:?} ms");
-    assert!(local.is_some_and(|ms| ms <= 200), "seed {seed}: near {local:?} ms");
-    assert!(remote.is_some_and(|ms| ms <= 500), "seed {seed}: far {remote:?} ms");
+    println!("{counts:?}, seed {seed}: full {full:?} ms, local {local:?} ms, remote {remote:?} ms");
+    assert!(local.is_some_and(|ms| ms <= 200), "seed {seed}: local {local:?} ms");
+    assert!(remote.is_some_and(|ms| ms <= 500), "seed {seed}: remote {remote:?} ms");
 }
 
 fn load_bytes(fleet: &VirtualFleet) -> [u64; 2] {
@@ -84,7 +84,7 @@
 #[test]
 fn burst_is_known_in_time() {
     for seed in 1..=3 {
-        assert_known_in_time(&COUNTS, seed);
+        assert_known_in_time(&INSTANCE_COUNTS, seed);
     }
 }
 
@@ -99,7 +99,7 @@
 // data centres under low load.
 #[test]
 fn calm_fleet_stays_within_its_byte_budget() {
-    let (mut fleet, mut model) = calm_fleet(&COUNTS, 1);
+    let (mut fleet, mut model) = calm_fleet(&INSTANCE_COUNTS, 1);
     let [before, remote_before] = load_bytes(&fleet);
     model.run(&mut fleet, 10_000);
     let [after, remote_after] = load_bytes(&fleet);
@@ -112,7 +112,7 @@
 // Guards against an instance that exceeds its byte budget while all data centres are full.
 #[test]
 fn loaded_fleet_stays_within_its_byte_budget() {
-    let (mut fleet, mut model) = calm_fleet(&COUNTS, 1);
+    let (mut fleet, mut model) = calm_fleet(&INSTANCE_COUNTS, 1);
     model.centres.iter_mut().for_each(|centre| centre.demand_factor = 3.5);
     model.run(&mut fleet, 500);
     let before: Vec<_> = fleet.instances.iter().map(|instance| instance.sent_bytes).collect();
@@ -127,7 +127,7 @@
 // Guards against a fleet that stays at the fast pace because the end of a burst isn't detected.
 #[test]
 fn reports_slow_down_after_a_burst() {
-    let (mut fleet, mut model) = calm_fleet(&COUNTS, 1);
+    let (mut fleet, mut model) = calm_fleet(&INSTANCE_COUNTS, 1);
     model.centres.iter_mut().for_each(|centre| centre.demand_factor = 3.5);
     model.run(&mut fleet, 2_000);
     model.centres.iter_mut().for_each(|centre| centre.demand_factor = 1.0);
@@ -146,7 +146,7 @@
 #[test]
 fn loaded_state_is_not_refreshed_by_relaying() {
     for seed in 1..=3 {
-        let (mut fleet, mut model) = calm_fleet(&COUNTS, seed);
+        let (mut fleet, mut model) = calm_fleet(&INSTANCE_COUNTS, seed);
         fleet.jitter_us = 8_000;
         model.centres.iter_mut().for_each(|centre| centre.demand_factor = 3.5);
         model.run(&mut fleet, 3_000);
@@ -171,7 +171,7 @@
 // old for admission control.
 #[test]
 fn views_are_recent_and_unbiased() {
-    let (mut fleet, mut model) = calm_fleet(&COUNTS, 1);
+    let (mut fleet, mut model) = calm_fleet(&INSTANCE_COUNTS, 1);
     model.centres[0].demand_factor = 2.2;
     model.run(&mut fleet, 2_000);
     let (mut viewed, mut true_sum, mut ages) = ([0.0; 2], [0.0; 2], [vec![], vec![]]);
@@ -181,7 +181,10 @@
             let view = fleet.load_view(instance).expect("reports load");
             let centre = model.centre_of(instance);
             let local_view = &view.centres[&model.centres[centre].name];
-            assert_eq!(local_view.instances as usize, COUNTS[centre], "instance {instance}");
+            assert_eq!(
+                local_view.instances as usize, INSTANCE_COUNTS[centre],
+                "instance {instance}"
+            );
             let index = usize::from(centre != 0);
             let Some(known) = model.viewed_requests(&view, 0) else { continue };
             viewed[index] += known;
--- a/crates/foxledge-gossip/tests/mass_deaths.rs
+++ b/crates/foxledge-gossip/tests/mass_deaths.rs
@@ -19,12 +19,12 @@
     maximum: u64,
 }
 
-/// Limits within one data centre: callers give up after a second or more, and open a new flow.
+/// Limits within one data centre: callers give up after a second or more, and send their request again.
 const LOCAL_LIMIT: DelayLimit = DelayLimit { median: 300, maximum: 1_000 };
 /// Limits for all data centres.
 const GLOBAL_LIMIT: DelayLimit = DelayLimit { median: 500, maximum: 1_500 };
 /// Maximum bytes a second that one instance may send however many backend servers die: 6% of a link
-/// of 20 Mbit/s for evidence, and its other traffic.
+/// of 20 Mbit/s for evidence, plus its other traffic.
 const MAX_BYTES_PER_S: u64 = 170_000;
 
 /// Observations by time in milliseconds and observing instance.
@@ -35,9 +35,11 @@
     states: HashMap<(usize, u64), HealthState>,
     /// Number of observations of each instance that have been applied.
     applied: Vec<usize>,
-    /// When each death could be known, and when each instance knew it.
+    /// When two observations of each death had been made.
     provable_at: HashMap<u64, ClockTime>,
+    /// Number of observations of unanswered packets by backend server.
     unanswered: HashMap<u64, u32>,
+    /// When each instance knew each death.
     known_at: HashMap<(usize, u64), ClockTime>,
 }
 
@@ -90,10 +92,10 @@
     /// until each of some instances knew it; none for instances that never did.
     fn delays(&self, instances: std::ops::Range<usize>) -> Vec<Option<u64>> {
         let mut delays = Vec::new();
-        for (number, provable) in &self.provable_at {
+        for (number, provable_at) in &self.provable_at {
             for index in instances.clone() {
                 let known_at = self.known_at.get(&(index, *number));
-                delays.push(known_at.map(|time| time.since(*provable).as_millis() as u64));
+                delays.push(known_at.map(|time| time.since(*provable_at).as_millis() as u64));
             }
         }
         delays.sort_by_key(|delay| delay.unwrap_or(u64::MAX));
@@ -119,8 +121,9 @@
     ];
     for number in numbers {
         let opened = rng.random_range(40..300);
-        let retransmitted = rng.random_range(600..900);
-        let times = [opened, opened + 160, retransmitted, retransmitted + rng.random_range(0..200)];
+        let data_unanswered = rng.random_range(600..900);
+        let times =
+            [opened, opened + 160, data_unanswered, data_unanswered + rng.random_range(0..200)];
         for (time_ms, kind) in times.into_iter().zip(kinds) {
             let instance = rng.random_range(instances.clone());
             let observation =
@@ -170,9 +173,9 @@
 /// Simulates observations and bounds the bytes of the busiest instance.
 fn simulate_bounded(fleet: &mut VirtualFleet, plan: ObservationPlan) -> HealthModel {
     fleet.run(6_000);
-    let quiet = fleet.remote_bytes;
+    let quiet_bytes = fleet.remote_bytes;
     fleet.run(3_000);
-    println!("quiet: {} far in 3 s", fleet.remote_bytes - quiet);
+    println!("quiet: {} bytes to other data centres in 3 s", fleet.remote_bytes - quiet_bytes);
     let before: Vec<_> = fleet.instances.iter().map(|instance| instance.sent_bytes).collect();
     let remote = fleet.remote_bytes;
     let mut model = HealthModel::new(fleet);
@@ -183,7 +186,10 @@
         sent.fold((0, 0), |(total, max_bytes), bytes| (total + bytes, bytes.max(max_bytes)));
     let count = fleet.instances.len() as u64;
     let remote = fleet.remote_bytes - remote;
-    println!("bytes of 3 s: {} an instance, {max_bytes} the busiest, {remote} far", total / count);
+    println!(
+        "bytes in 3 s: {} per instance, {max_bytes} by the busiest, {remote} to other data centres",
+        total / count
+    );
     assert!(max_bytes <= 3 * MAX_BYTES_PER_S, "{max_bytes} bytes");
     model
 }
@@ -213,9 +219,11 @@
     let mut plan = deaths(FIRST_NUMBER..FIRST_NUMBER + 120, 0..50, 3);
     let later = deaths(FIRST_NUMBER + 200..FIRST_NUMBER + 320, 0..300, 4);
     plan.extend(
-        later.into_iter().map(|(at, instance, observation)| (at + 700, instance, observation)),
+        later
+            .into_iter()
+            .map(|(time_ms, instance, observation)| (time_ms + 700, instance, observation)),
     );
-    plan.sort_by_key(|(at, instance, observation)| (*at, *instance, observation.number));
+    plan.sort_by_key(|(time_ms, instance, observation)| (*time_ms, *instance, observation.number));
     let model = simulate_bounded(&mut fleet, plan);
     assert_delays(&model, 0..300, &GLOBAL_LIMIT, "all");
 }
@@ -233,10 +241,10 @@
 #[test]
 fn deaths_are_known_around_a_cut_between_data_centres() {
     let mut fleet = settled_fleet(&[50; 6], 6);
-    for one in 0..50 {
-        for other in 50..100 {
-            fleet.cut_links.insert((one, other));
-            fleet.cut_links.insert((other, one));
+    for first in 0..50 {
+        for second in 50..100 {
+            fleet.cut_links.insert((first, second));
+            fleet.cut_links.insert((second, first));
         }
     }
     let model = simulate_bounded(&mut fleet, deaths(FIRST_NUMBER..FIRST_NUMBER + 120, 0..50, 6));
--- a/crates/foxledge-gossip/tests/observation_merging.rs
+++ b/crates/foxledge-gossip/tests/observation_merging.rs
@@ -14,7 +14,7 @@
 const SPAN_MS: u64 = 2_000;
 const INSTANCES: usize = 3;
 
-fn at(millis: u64) -> ClockTime {
+fn clock_at(millis: u64) -> ClockTime {
     ClockTime::from_micros(3_600_000_000 + millis * 1_000)
 }
 
@@ -33,7 +33,7 @@
         let record = |(index, (kind, millis)): (usize, (ObservationKind, u64))| ObservationRecord {
             id: index as u16,
             kind,
-            observed_at: at(millis),
+            observed_at: clock_at(millis),
         };
         observed.into_iter().enumerate().map(record).collect()
     })
@@ -42,7 +42,7 @@
 fn evidence_of<'a>(records: impl IntoIterator<Item = &'a ObservationRecord>) -> BackendEvidence {
     let mut evidence = BackendEvidence::new(ObservationOrigin::SameCentre);
     for record in records {
-        evidence.record(at(SPAN_MS), *record);
+        evidence.record(clock_at(SPAN_MS), *record);
     }
     evidence
 }
@@ -66,7 +66,7 @@
         .collect();
     suspicions.sort_unstable();
     let are_overlapping = match suspicions[..] {
-        [.., one, other] => other - one <= 300_000,
+        [.., earlier, later] => later - earlier <= 300_000,
         _ => false,
     };
     match (
@@ -88,9 +88,11 @@
     // some send all new flows to a dead backend server. The result depended on the order in which
     // the observations arrived.
     #[test]
-    fn health_is_independent_of_the_order_of_observations((records, shuffled) in any_records().prop_flat_map(|records| {
-        (Just(records.clone()), Just(records).prop_shuffle())
-    })) {
+    fn health_is_independent_of_the_order_of_observations(
+        (records, shuffled) in any_records().prop_flat_map(|records| {
+            (Just(records.clone()), Just(records).prop_shuffle())
+        })
+    ) {
         let health = evidence_of(&records).inferred_health();
         prop_assert_eq!(health, expected_health(&records));
         prop_assert_eq!(evidence_of(&shuffled).inferred_health(), health);
@@ -102,14 +104,17 @@
     #[test]
     fn disseminated_records_suffice(known in any_records(), records in any_records()) {
         let sender = evidence_of(&records);
-        let sent: Vec<_> = sender.disseminated_records(at(SPAN_MS)).collect();
+        let sent: Vec<_> = sender.disseminated_records(clock_at(SPAN_MS)).collect();
         prop_assert_eq!(evidence_of(&sent).inferred_health(), sender.inferred_health());
-        let rename = |record: &ObservationRecord| ObservationRecord { id: record.id + 100, ..*record };
+        let rename =
+            |record: &ObservationRecord| ObservationRecord { id: record.id + 100, ..*record };
         let known: Vec<_> = known.iter().map(rename).collect();
         let merged = evidence_of(known.iter().chain(&sent)).inferred_health();
         let union: Vec<_> = known.iter().chain(&records).copied().collect();
         // Observations that weren't sent can make the inferred health worse, never better.
-        prop_assert!(merged <= expected_health(&union), "{:?} of {:?}", merged, expected_health(&union));
+        prop_assert!(
+            merged <= expected_health(&union), "{:?} of {:?}", merged, expected_health(&union)
+        );
     }
 
     // Guards against one alive observation that is forwarded a thousand times and fills messages.
@@ -127,7 +132,7 @@
         records.sort_by_key(|record| record.observed_at);
         let steps = records.len().max(hops.len());
         for step in 0..steps {
-            let now = at(SPAN_MS * step as u64 / steps as u64);
+            let now = clock_at(SPAN_MS * step as u64 / steps as u64);
             let observed = records.iter().enumerate().filter(|(_, record)| {
                 record.observed_at <= now && !reports.contains_key(&(record.id, usize::MAX))
             });
@@ -141,7 +146,9 @@
             let Some((from, to, late_ms)) = hops.get(step).copied() else { continue };
             let sent: Vec<_> = instances[from].disseminated_records(now).collect();
             for record in sent {
-                let late = ObservationRecord { observed_at: record.observed_at.after_millis(late_ms), ..record };
+                let late = ObservationRecord {
+                    observed_at: record.observed_at.after_millis(late_ms), ..record
+                };
                 if instances[to].record(now, late).is_some() {
                     *reports.entry((record.id, to)).or_insert(0) += 1;
                 }
@@ -168,7 +175,7 @@
         .map(|(index, (kind, millis))| ObservationRecord {
             id: index as u16,
             kind: *kind,
-            observed_at: at(*millis),
+            observed_at: clock_at(*millis),
         })
         .collect();
     let mut orders = vec![Vec::new()];
@@ -181,10 +188,10 @@
     }
     assert_eq!(orders.len(), 720);
     for order in orders {
-        let one = evidence_of(order.iter().map(|index| &records[*index]));
-        assert_eq!(one.inferred_health(), InferredHealth::Dead, "{order:?}");
-        let sent: Vec<_> = one.disseminated_records(at(SPAN_MS)).collect();
-        let other = evidence_of(order.iter().take(3).map(|index| &records[*index]).chain(&sent));
-        assert_eq!(other.inferred_health(), InferredHealth::Dead, "{order:?}");
+        let sender = evidence_of(order.iter().map(|index| &records[*index]));
+        assert_eq!(sender.inferred_health(), InferredHealth::Dead, "{order:?}");
+        let sent: Vec<_> = sender.disseminated_records(clock_at(SPAN_MS)).collect();
+        let receiver = evidence_of(order.iter().take(3).map(|index| &records[*index]).chain(&sent));
+        assert_eq!(receiver.inferred_health(), InferredHealth::Dead, "{order:?}");
     }
 }
