--- a/crates/foxledge-gossip/examples/load_scale.rs
+++ b/crates/foxledge-gossip/examples/load_scale.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    fn to_csv(&mut self) -> String {
+    fn csv_fields(&mut self) -> String {
         let share = |count: u64| count as f64 / self.views.max(1) as f64;
         let (reliable, fast) = (share(self.reliable), share(self.fast));
         let groups = [
@@ -174,7 +174,7 @@
         "{instance_count},{centre_count},{name},{},{},{}",
         informed.join(","),
         cost.rates(fleet),
-        meter.to_csv()
+        meter.csv_fields()
     );
     model.centres.iter_mut().for_each(|centre| centre.demand_factor = 1.0);
     model.run(fleet, 8_000);
--- a/crates/foxledge-gossip/tests/mass_deaths.rs
+++ b/crates/foxledge-gossip/tests/mass_deaths.rs
@@ -19,7 +19,8 @@
     maximum: u64,
 }
 
-/// Limits within one data centre: callers give up after a second or more, and send their request again.
+/// Limits within one data centre: callers give up after a second or more, and send their request
+/// again.
 const LOCAL_LIMIT: DelayLimit = DelayLimit { median: 300, maximum: 1_000 };
 /// Limits for all data centres.
 const GLOBAL_LIMIT: DelayLimit = DelayLimit { median: 500, maximum: 1_500 };
--- a/crates/foxledge-gossip/tests/removed_backend_queries.rs
+++ b/crates/foxledge-gossip/tests/removed_backend_queries.rs
@@ -40,7 +40,7 @@
     }
     fleet.answer_watches();
     fleet.run(1_000);
-    let is_across_centres = |backend: usize, other: usize| (backend < 4) != (other < 4);
+    let is_across_centres = |first: usize, second: usize| (first < 4) != (second < 4);
     let pairs = (0..8).flat_map(|from| (0..8).map(move |to| (from, to)));
     fleet.cut_links = pairs.filter(|(from, to)| is_across_centres(*from, *to)).collect();
     for index in 0..4 {
