--- a/crates/foxledge-gossip/src/load_reporting.rs
+++ b/crates/foxledge-gossip/src/load_reporting.rs
@@ -27,10 +27,10 @@
 
 /// Instances of the local data centre that receive a regular report.
 const REPORT_FANOUT: usize = 2;
-/// Instances that are asked for their reports when the local load has jumped: together with the
+/// Instances that are queried for their reports when the local load has jumped: together with the
 /// local report they are enough to tell a burst from statistical noise.
 const QUERY_FANOUT: usize = 18;
-/// Instances that are told immediately that a data centre has become loaded.
+/// Instances that are informed immediately that a data centre has become loaded.
 const LOADED_FANOUT: usize = 4;
 /// Minimum time between two responses with the local report, in milliseconds.
 const MIN_RESPONSE_INTERVAL_MS: u64 = 20;
@@ -241,14 +241,14 @@
         *known = until.max(*known);
     }
 
-    /// Returns the message of the slow pace, which contains the local report only.
-    fn slow_message(&self, now: ClockTime) -> LoadMessage {
+    /// Returns a message that contains the local report only.
+    fn local_message(&self, now: ClockTime) -> LoadMessage {
         LoadMessage { reports: self.local_row(now), ..self.empty_message(now) }
     }
 
-    /// Returns the message of the fast pace to instances of the local data centre, with relayed
-    /// reports and aggregates up to a size of about `max_bytes`.
-    fn fast_message(
+    /// Returns a message to instances of the local data centre that contains the local report, and
+    /// relayed reports and aggregates up to a size of about `max_bytes`.
+    fn relay_message(
         &mut self,
         now: ClockTime,
         trigger: Option<ReportTrigger>,
@@ -422,11 +422,11 @@
         reporter.schedule.record_report_sent(now);
         reporter.table.remove_expired(now);
         let message = match reporter.schedule.pace(now) {
-            ReportPace::Slow => reporter.slow_message(now),
+            ReportPace::Slow => reporter.local_message(now),
             ReportPace::Fast if reporter.is_any_centre_loaded(now) => {
-                reporter.fast_message(now, trigger, max_bytes)
+                reporter.relay_message(now, trigger, max_bytes)
             }
-            ReportPace::Fast => reporter.slow_message(now),
+            ReportPace::Fast => reporter.local_message(now),
         };
         let has_remote_message =
             reporter.is_any_centre_loaded(now) && reporter.table.is_reliable(now);
@@ -476,7 +476,7 @@
             return;
         }
         reporter.next_response_at = now.after_millis(MIN_RESPONSE_INTERVAL_MS);
-        let message = reporter.slow_message(now);
+        let message = reporter.local_message(now);
         self.send_load_message(vec![to], message);
     }
 
--- a/crates/foxledge-gossip/tests/common/mod.rs
+++ b/crates/foxledge-gossip/tests/common/mod.rs
@@ -552,7 +552,7 @@
         is_sent
     }
 
-    /// Delivers a datagram that somebody replays.
+    /// Delivers a replayed or forged datagram.
     pub fn inject_datagram(&mut self, index: usize, from: SocketAddrV4, bytes: Vec<u8>) {
         self.push(self.now_us, QueuedEvent::Datagram { index, from, bytes });
     }
--- a/crates/foxledge-gossip/tests/evidence_dissemination.rs
+++ b/crates/foxledge-gossip/tests/evidence_dissemination.rs
@@ -34,7 +34,8 @@
 }
 
 // Guards against callers that wait on flows to a backend server although two instances have
-// observed its death. Each has a single observation, and nobody combined the two.
+// observed its death. Each has a single observation, and no instance combined the
+// two.
 #[test]
 fn observations_of_two_instances_add_up_to_a_death() {
     let mut fleet = settled_fleet(&[3, 3, 3], 1);
