--- a/crates/foxledge-gossip/tests/common/mod.rs
+++ b/crates/foxledge-gossip/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet in virtual time: members, a store, and links that delay, lose and cut.
+//! Simulation of a fleet in virtual time: members, a store, and links that delay, lose or cut off
+//! datagrams.
 #![allow(dead_code)]
 
 use std::{
@@ -19,38 +20,39 @@
 use foxledge_load::{LoadView, LocalLoad};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// Time that the store takes for an answer, in microseconds.
-const STORE_US: u64 = 4_000;
+/// Response time of the store, in microseconds.
+const STORE_RESPONSE_US: u64 = 4_000;
+/// Virtual time at which a simulation starts, in microseconds.
 const START_US: u64 = 3_600_000_000;
-/// Items of one answer.
-const PAGE_ITEMS: usize = 500;
-/// Datagrams that are kept.
-const NEWEST: usize = 200;
-
-enum Event {
-    Wake {
-        member: usize,
+/// Maximum number of items in one response.
+const MAX_PAGE_ITEMS: usize = 500;
+/// Number of recent datagrams that are kept.
+const MAX_RECENT_DATAGRAMS: usize = 200;
+
+enum QueuedEvent {
+    Timer {
+        index: usize,
         timer: u64,
     },
     Datagram {
-        member: usize,
+        index: usize,
         from: SocketAddrV4,
         bytes: Vec<u8>,
     },
-    Answer {
-        member: usize,
-        start: u64,
-        order: StoreQuery,
-        answer: Result<ListReading, SourceError>,
+    StoreResponse {
+        index: usize,
+        start_number: u64,
+        query: StoreQuery,
+        response: Result<ListReading, SourceError>,
     },
-    WatchEnd {
-        member: usize,
-        start: u64,
-        order: StoreQuery,
+    WatchTimeout {
+        index: usize,
+        start_number: u64,
+        query: StoreQuery,
     },
 }
 
-/// `StoreState` is how the store answers a member.
+/// How the store responds to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreState {
     Serving,
@@ -63,18 +65,18 @@
     items: BTreeMap<String, ItemChange>,
     log: Vec<(u64, ItemChange)>,
     pub head: u64,
-    pub floor: u64,
-    /// Rises each time the store comes back from a copy.
+    pub compacted_revision: u64,
+    /// Incremented each time the store is restored from a backup.
     pub epoch: u64,
     pub calls: u64,
     pub stale_read_calls: u64,
-    /// Everything that was published, as it stood at each revision as members know it.
+    /// Everything that was published, as it stood at each revision, by revision as members know it.
     pub history: BTreeMap<u64, Vec<ItemChange>>,
-    /// Revisions by which a reading is behind that may be old.
+    /// Number of revisions by which possibly stale reads are behind.
     pub stale_revisions: u64,
-    /// Calls by what was asked, each page of a whole reading one.
+    /// Calls by query and reason; each page of a full read counts as one.
     pub page_counts: BTreeMap<(&'static str, &'static str), u64>,
-    /// Revisions by which the first half of the next whole reading is older than the rest.
+    /// Number of revisions by which the first half of the next full read is older than the rest.
     pub torn_revisions: u64,
     /// Keeps no history: that of thousands of items would fill the memory.
     pub is_history_disabled: bool,
@@ -84,39 +86,39 @@
     pub member: Option<FleetMember>,
     pub address: SocketAddrV4,
     pub data_centre: String,
-    /// Counts starts, so that answers to a former process are lost.
-    start: u64,
+    /// Number of times it was started; responses to a former process are dropped.
+    start_number: u64,
     pub paused_until_us: u64,
     pub events: Vec<(u64, FleetEvent)>,
     pub observations: Vec<HealthObservation>,
-    /// Packets that others handed to it.
+    /// Packets that other instances relayed to it.
     pub relayed_packets: Vec<Vec<u8>>,
     pub sent_messages: u64,
     pub sent_bytes: u64,
-    /// Times that rows of its list changed.
+    /// Number of times that rows of its list changed.
     pub row_changes: u64,
     /// All rows that were put in force.
     pub applied_rows: Vec<ListRow>,
     /// Revisions of the list after each change.
     pub applied_heads: Vec<u64>,
-    /// Time that messages to it wait before they are read.
+    /// Time that received messages wait before they are read.
     pub receive_delay_us: u64,
     pub link_mbps: u32,
-    /// Its next start reports load.
+    /// Whether its next start enables load reports.
     pub reports_load: bool,
-    /// Until when it works on what it has read.
-    busy_until: u64,
-    /// The timer that counts; a member sets it anew after everything it does.
+    /// Until when it processes what it has read, in microseconds.
+    busy_until_us: u64,
+    /// Number of the current timer; a member sets a new one after everything it does.
     timer: u64,
 }
 
 pub struct VirtualFleet {
     pub now_us: u64,
-    queue: BinaryHeap<Reverse<(u64, u64)>>,
-    events: HashMap<u64, Event>,
-    count: u64,
+    event_queue: BinaryHeap<Reverse<(u64, u64)>>,
+    events: HashMap<u64, QueuedEvent>,
+    event_count: u64,
     pub instances: Vec<VirtualInstance>,
-    by_address: HashMap<SocketAddrV4, usize>,
+    index_by_address: HashMap<SocketAddrV4, usize>,
     pub store: VirtualStore,
     pub store_state: HashMap<usize, StoreState>,
     watches: Vec<(usize, u64, StoreQuery)>,
@@ -125,23 +127,23 @@
     rng: StdRng,
     seeds: Vec<SocketAddrV4>,
     pub max_datagram_bytes: usize,
-    /// The newest datagrams, for tests that damage them.
+    /// The most recent datagrams, for tests that damage or replay them.
     pub recent_datagrams: std::collections::VecDeque<Vec<u8>>,
-    /// Longest time by which a datagram is later than others sent with it.
+    /// Maximum random delay of a datagram relative to others sent at the same time.
     pub jitter_us: u64,
-    /// Bytes that went from one data centre to another.
+    /// Bytes sent from one data centre to another.
     pub remote_bytes: u64,
-    /// The same by kind of message: heartbeats, questions, pages, evidence.
+    /// The same by kind of message: heartbeats, pulls, pages, evidence.
     pub remote_bytes_by_kind: BTreeMap<&'static str, u64>,
-    /// Bytes that members sent, by kind of message.
+    /// Bytes sent by members, by kind of message.
     pub bytes_by_kind: BTreeMap<&'static str, u64>,
-    /// Work of a member for each message in or out, in microseconds.
+    /// Processing time of a member for each message in or out, in microseconds.
     pub message_cost_us: u64,
-    /// Until when the store's link is taken by answers.
-    link_until: u64,
-    /// Time that the store's link takes for one item, in nanoseconds.
+    /// Until when responses occupy the store's link, in microseconds.
+    link_busy_until_us: u64,
+    /// Time for which one item occupies the store's link, in nanoseconds.
     pub store_item_ns: u64,
-    /// Time that each further page of a whole reading takes, in microseconds.
+    /// Time for each further page of a full read, in microseconds.
     pub store_page_us: u64,
 }
 
@@ -170,14 +172,14 @@
         self.head += 1;
         let limits = LimitsRow { version, idle_ms: 15_000 };
         let config = ConfigReading { limits, routes, services, ..ConfigReading::default() };
-        self.put("config".to_owned(), ItemChange::Config { revision: self.head, config });
+        self.put_item("config".to_owned(), ItemChange::Config { revision: self.head, config });
     }
 
     pub fn register(&mut self, number: u64, draining: bool) {
         self.register_incarnation(number, draining, 0);
     }
 
-    /// Registers a backend server that tells which start of it this is.
+    /// Registers a backend server with its incarnation.
     pub fn register_incarnation(&mut self, number: u64, draining: bool, incarnation: u64) {
         self.head += 1;
         let backend = BackendRow {
@@ -194,16 +196,16 @@
         };
         let id = format!("i-{number:x}");
         let item = ItemChange::Backend { revision: self.head, id: id.clone(), backend };
-        self.put(id, item);
+        self.put_item(id, item);
     }
 
-    /// Lets another writer overwrite a backend server's entry.
+    /// Overwrites a backend server's entry with invalid data, as another writer might.
     pub fn corrupt_entry(&mut self, number: u64) {
         self.head += 1;
         let id = format!("i-{number:x}");
         let fault = "no JSON".to_owned();
         let item = ItemChange::BackendInvalid { revision: self.head, id: id.clone(), fault };
-        self.put(id, item);
+        self.put_item(id, item);
     }
 
     pub fn remove(&mut self, number: u64) {
@@ -211,19 +213,19 @@
         let id = format!("i-{number:x}");
         self.items.remove(&id);
         self.log.push((self.head, ItemChange::BackendRemoved { revision: self.head, id }));
-        self.record();
+        self.record_history();
     }
 
-    /// Evacuates a data centre.
+    /// Begins the evacuation of a data centre.
     pub fn evacuate(&mut self, data_centre: &str) {
         self.head += 1;
         let data_centre = data_centre.to_owned();
         let item =
             ItemChange::EvacuationBegun { revision: self.head, data_centre: data_centre.clone() };
-        self.put(format!("evacuate-{data_centre}"), item);
+        self.put_item(format!("evacuate-{data_centre}"), item);
     }
 
-    /// Takes a data centre back, if it is evacuated.
+    /// Ends the evacuation of a data centre, if it is evacuated.
     pub fn end_evacuation(&mut self, data_centre: &str) {
         if self.items.remove(&format!("evacuate-{data_centre}")).is_none() {
             return;
@@ -232,93 +234,93 @@
         let data_centre = data_centre.to_owned();
         let item = ItemChange::EvacuationEnded { revision: self.head, data_centre };
         self.log.push((self.head, item));
-        self.record();
+        self.record_history();
     }
 
-    /// The revision as members know it.
+    /// Returns the revision as members know it.
     pub fn revision(&self) -> u64 {
         revision_of(self.epoch, self.head)
     }
 
-    /// Forgets the history up to now.
+    /// Compacts the history up to now.
     pub fn compact(&mut self) {
-        self.floor = self.head;
+        self.compacted_revision = self.head;
         self.log.clear();
     }
 
-    /// Comes back from a copy some revisions old: what was written since is gone, and its
-    /// revisions are given out again.
+    /// Restores the store from a backup that is some revisions old: later writes are lost, and
+    /// their revisions are assigned again.
     pub fn restore(&mut self, revisions: u64) {
         let first = revision_of(self.epoch, 0);
         let until = revision_of(self.epoch, self.head.saturating_sub(revisions));
-        let mut copies = self.history.range(first..);
-        // A copy is never older than the one from which the store came back before.
-        let Some(oldest) = copies.next() else { return };
-        let (copy, items) = self.history.range(first..=until).next_back().unwrap_or(oldest);
-        let head = number_of(*copy);
-        (self.head, self.floor) = (head, head);
+        let mut backups = self.history.range(first..);
+        // A backup is never older than the one from which the store was restored before.
+        let Some(oldest) = backups.next() else { return };
+        let (backup, items) = self.history.range(first..=until).next_back().unwrap_or(oldest);
+        let head = number_of(*backup);
+        (self.head, self.compacted_revision) = (head, head);
         self.items = items.iter().map(|item| (key_of(item), item.clone())).collect();
         self.log.clear();
         self.epoch += 1;
-        self.record();
+        self.record_history();
     }
 
-    fn put(&mut self, key: String, item: ItemChange) {
+    fn put_item(&mut self, key: String, item: ItemChange) {
         self.items.insert(key, item.clone());
         self.log.push((self.head, item));
-        self.record();
+        self.record_history();
     }
 
-    /// Counts the calls of an answer with so many items; returns them.
+    /// Counts the calls of a response with this many items, and returns their number.
     fn count_pages(&mut self, call: StoreCall, items: usize) -> u64 {
         let pages = match call.query {
-            StoreQuery::All(_) => items.div_ceil(PAGE_ITEMS).max(1) as u64,
+            StoreQuery::All(_) => items.div_ceil(MAX_PAGE_ITEMS).max(1) as u64,
             StoreQuery::FirstPage | StoreQuery::Watch { .. } => 1,
         };
         *self.page_counts.entry((call.query.as_str(), call.reason.as_str())).or_default() += pages;
         pages
     }
 
-    fn record(&mut self) {
+    fn record_history(&mut self) {
         if self.is_history_disabled {
             return;
         }
         self.history.insert(self.revision(), self.items.values().cloned().collect());
     }
 
-    fn all(&self) -> ListReading {
+    fn read(&self) -> ListReading {
         let items = self.items.values().cloned().collect();
         ListReading::complete(items, self.head).with_epoch(self.epoch)
     }
 
-    /// A whole reading; the store changes between its pages when `tear` is set.
-    fn all_in_pages(&mut self) -> ListReading {
-        let tear = std::mem::take(&mut self.torn_revisions);
+    /// Returns a full read; the store changes between its pages if `torn_revisions` is set.
+    fn read_pages(&mut self) -> ListReading {
+        let torn = std::mem::take(&mut self.torn_revisions);
         let first = revision_of(self.epoch, 0);
-        let until = revision_of(self.epoch, self.head.saturating_sub(tear));
+        let until = revision_of(self.epoch, self.head.saturating_sub(torn));
         let known = self.history.range(first..=until).next_back();
-        let Some((at, old)) = known.filter(|_| tear > 0) else { return self.all() };
+        let Some((head, stale)) = known.filter(|_| torn > 0) else { return self.read() };
         let middle = self.items.keys().nth(self.items.len() / 2).cloned().unwrap_or_default();
-        let former = old.iter().filter(|item| key_of(item) < middle).cloned();
+        let former = stale.iter().filter(|item| key_of(item) < middle).cloned();
         let later = self.items.range(middle.clone()..).map(|(_, item)| item.clone());
         let items = former.chain(later).collect();
-        ListReading::complete(items, number_of(*at)).with_epoch(self.epoch)
+        ListReading::complete(items, number_of(*head)).with_epoch(self.epoch)
     }
 
-    /// Everything as it stood some revisions ago.
-    fn all_of_old(&self) -> ListReading {
+    /// Returns all items as they stood `stale_revisions` ago.
+    fn read_stale(&self) -> ListReading {
         if self.is_history_disabled {
-            return self.all();
+            return self.read();
         }
         let until = ..=revision_of(self.epoch, self.head.saturating_sub(self.stale_revisions));
-        let Some((at, items)) = self.history.range(until).next_back() else { return self.all() };
-        ListReading::complete(items.clone(), number_of(*at)).with_epoch(epoch_of(*at))
+        let Some((head, items)) = self.history.range(until).next_back() else { return self.read() };
+        ListReading::complete(items.clone(), number_of(*head)).with_epoch(epoch_of(*head))
     }
 
-    fn after(&self, after: u64) -> Result<ListReading, SourceError> {
+    fn changes_after(&self, after: u64) -> Result<ListReading, SourceError> {
         let is_of_epoch = epoch_of(after) == self.epoch;
         let after = number_of(after);
-        if !is_of_epoch || after < self.floor || after > self.head {
+        if !is_of_epoch || after < self.compacted_revision || after > self.head {
             return Err(SourceError::HistoryGone);
         }
         let items = self.log.iter().filter(|(revision, _)| *revision > after);
@@ -327,7 +329,7 @@
     }
 }
 
-/// The key under which the store holds an item.
+/// Returns the key under which the store keeps an item.
 fn key_of(item: &ItemChange) -> String {
     match item {
         ItemChange::Backend { id, .. }
@@ -340,15 +342,15 @@
 }
 
 impl VirtualFleet {
-    /// `counts` is the number of members in each data centre; all start at once.
+    /// Creates a fleet with `counts` members per data centre, none of which has been started.
     pub fn new(counts: &[usize], seed: u64) -> VirtualFleet {
         let mut fleet = VirtualFleet {
             now_us: START_US,
-            queue: BinaryHeap::new(),
+            event_queue: BinaryHeap::new(),
             events: HashMap::new(),
-            count: 0,
+            event_count: 0,
             instances: Vec::new(),
-            by_address: HashMap::new(),
+            index_by_address: HashMap::new(),
             store: VirtualStore::default(),
             store_state: HashMap::new(),
             watches: Vec::new(),
@@ -363,7 +365,7 @@
             remote_bytes_by_kind: BTreeMap::new(),
             bytes_by_kind: BTreeMap::new(),
             message_cost_us: 0,
-            link_until: 0,
+            link_busy_until_us: 0,
             store_item_ns: 0,
             store_page_us: 0,
         };
@@ -371,11 +373,11 @@
             for index in 0..*count {
                 let (high, low) = ((index / 250) as u8, (index % 250) as u8);
                 let ip = Ipv4Addr::new(10, 1 + centre as u8, high, 1 + low);
-                let seat = VirtualInstance {
+                let instance = VirtualInstance {
                     member: None,
                     address: SocketAddrV4::new(ip, 7_000),
                     data_centre: format!("centre-{centre}"),
-                    start: 0,
+                    start_number: 0,
                     paused_until_us: 0,
                     events: Vec::new(),
                     observations: Vec::new(),
@@ -388,11 +390,11 @@
                     receive_delay_us: 0,
                     link_mbps: 100,
                     reports_load: false,
-                    busy_until: 0,
+                    busy_until_us: 0,
                     timer: 0,
                 };
-                fleet.by_address.insert(seat.address, fleet.instances.len());
-                fleet.instances.push(seat);
+                fleet.index_by_address.insert(instance.address, fleet.instances.len());
+                fleet.instances.push(instance);
             }
         }
         let first: Vec<_> = counts
@@ -415,21 +417,21 @@
 
     pub fn start(&mut self, index: usize) {
         let seed = self.rng.random();
-        let seat = &mut self.instances[index];
-        seat.start += 1;
-        let options = MemberOptions::new(seat.address, CentreName::new(&seat.data_centre))
+        let instance = &mut self.instances[index];
+        instance.start_number += 1;
+        let options = MemberOptions::new(instance.address, CentreName::new(&instance.data_centre))
             .incarnation(self.rng.random())
-            .link_mbps(seat.link_mbps)
+            .link_mbps(instance.link_mbps)
             .seeds(self.seeds.clone())
             .seed(seed)
-            .report_load(seat.reports_load);
-        seat.member = Some(FleetMember::new(options, ClockTime::from_micros(self.now_us)));
+            .report_load(instance.reports_load);
+        instance.member = Some(FleetMember::new(options, ClockTime::from_micros(self.now_us)));
         self.wake_at(index, self.now_us);
     }
 
     pub fn kill(&mut self, index: usize) {
         self.instances[index].member = None;
-        self.watches.retain(|(member, ..)| *member != index);
+        self.watches.retain(|(watcher, ..)| *watcher != index);
     }
 
     pub fn isolate(&mut self, index: usize) {
@@ -445,23 +447,28 @@
 
     /// Runs for some milliseconds.
     pub fn run(&mut self, millis: u64) {
-        let end = self.now_us + millis * 1_000;
-        while let Some(Reverse((at, id))) = self.queue.peek().copied() {
-            if at > end {
+        let end_us = self.now_us + millis * 1_000;
+        while let Some(Reverse((time_us, id))) = self.event_queue.peek().copied() {
+            if time_us > end_us {
                 break;
             }
-            self.queue.pop();
-            self.now_us = at;
-            let event = self.events.remove(&id).expect("is queued");
-            self.handle(event);
+            self.event_queue.pop();
+            self.now_us = time_us;
+            let event = self.events.remove(&id).expect("event is queued");
+            self.handle_event(event);
         }
-        self.now_us = end;
+        self.now_us = end_us;
     }
 
-    /// Runs until a condition holds; the milliseconds it took, or none after `most`.
-    pub fn run_until(&mut self, most: u64, holds: impl Fn(&VirtualFleet) -> bool) -> Option<u64> {
-        for millis in 0..=most {
-            if holds(self) {
+    /// Runs until a condition holds. Returns the milliseconds that it took; none if the condition
+    /// doesn't hold within `max_millis`.
+    pub fn run_until(
+        &mut self,
+        max_millis: u64,
+        condition: impl Fn(&VirtualFleet) -> bool,
+    ) -> Option<u64> {
+        for millis in 0..=max_millis {
+            if condition(self) {
                 return Some(millis);
             }
             self.run(1);
@@ -469,20 +476,20 @@
         None
     }
 
-    /// True when every living member knows the list up to `head`.
+    /// Returns whether every running member knows the list up to `head`.
     pub fn all_have_list(&self, head: u64) -> bool {
         self.members().all(|member| member.list().head() >= head)
     }
 
     pub fn members(&self) -> impl Iterator<Item = &FleetMember> {
-        self.instances.iter().filter_map(|seat| seat.member.as_ref())
+        self.instances.iter().filter_map(|instance| instance.member.as_ref())
     }
 
     pub fn reader_count(&self) -> usize {
         self.members().filter(|member| member.is_reading_store()).count()
     }
 
-    /// Age of the oldest confirmation in milliseconds; none when one has none.
+    /// Returns the age of the oldest confirmation in milliseconds; none if a member has none.
     pub fn max_confirmation_age_ms(&self) -> Option<u64> {
         let ages = self
             .members()
@@ -491,63 +498,63 @@
     }
 
     pub fn sent_messages(&self) -> u64 {
-        self.instances.iter().map(|seat| seat.sent_messages).sum()
+        self.instances.iter().map(|instance| instance.sent_messages).sum()
     }
 
-    /// Ends watches that wait for a change, as the store does.
+    /// Answers watches that wait for a change, as the store does.
     pub fn answer_watches(&mut self) {
-        for (member, start, order) in std::mem::take(&mut self.watches) {
-            self.answer_watch(member, start, order);
+        for (index, start_number, query) in std::mem::take(&mut self.watches) {
+            self.answer_watch(index, start_number, query);
         }
     }
 
-    pub fn share_observation(&mut self, index: usize, note: HealthObservation) {
+    pub fn share_observation(&mut self, index: usize, observation: HealthObservation) {
         let now = self.now();
         if let Some(member) = &mut self.instances[index].member {
-            member.share_observations(now, &[note]);
+            member.share_observations(now, &[observation]);
         }
-        self.carry_out(index);
+        self.apply_effects(index);
     }
 
-    /// Sets the load that a member sees.
-    pub fn set_local_load(&mut self, index: usize, load: LocalLoad, pressure: f64) {
+    /// Sets the load that a member measures.
+    pub fn set_local_load(&mut self, index: usize, load: LocalLoad, load_ratio: f64) {
         let now = self.now();
         if let Some(member) = &mut self.instances[index].member {
-            member.set_local_load(now, load, pressure);
+            member.set_local_load(now, load, load_ratio);
         }
-        self.carry_out(index);
+        self.apply_effects(index);
         self.set_timer(index);
     }
 
-    /// Load as a member knows it.
+    /// Returns the load known to a member.
     pub fn load_view(&mut self, index: usize) -> Option<Arc<LoadView>> {
         let now = self.now();
         self.instances[index].member.as_mut()?.load_view(now)
     }
 
-    /// Lets a member ask others which backend servers these tokens named.
+    /// Lets a member query others for the backend servers that these tokens named.
     pub fn query_removed_backends(&mut self, index: usize, tokens: Vec<u32>) {
         let now = self.now();
         if let Some(member) = &mut self.instances[index].member {
             member.query_removed_backends(now, tokens);
         }
-        self.carry_out(index);
+        self.apply_effects(index);
     }
 
-    /// Lets a member hand a packet to another.
+    /// Lets a member relay a packet to another.
     pub fn relay_packet(&mut self, index: usize, packet: &[u8]) -> bool {
         let now = self.now();
         let is_sent = match &mut self.instances[index].member {
             Some(member) => member.relay_packet(now, packet),
             None => false,
         };
-        self.carry_out(index);
+        self.apply_effects(index);
         is_sent
     }
 
-    /// Lets a member have a datagram that somebody sends again.
-    pub fn inject_datagram(&mut self, member: usize, from: SocketAddrV4, bytes: Vec<u8>) {
-        self.push(self.now_us, Event::Datagram { member, from, bytes });
+    /// Delivers a replayed or forged datagram.
+    pub fn inject_datagram(&mut self, index: usize, from: SocketAddrV4, bytes: Vec<u8>) {
+        self.push(self.now_us, QueuedEvent::Datagram { index, from, bytes });
     }
 
     pub fn leave(&mut self, index: usize) {
@@ -555,96 +562,101 @@
         if let Some(member) = &mut self.instances[index].member {
             member.announce_leave(now);
         }
-        self.carry_out(index);
+        self.apply_effects(index);
     }
 
-    fn push(&mut self, at: u64, event: Event) {
-        self.count += 1;
-        self.queue.push(Reverse((at, self.count)));
-        self.events.insert(self.count, event);
+    fn push(&mut self, time_us: u64, event: QueuedEvent) {
+        self.event_count += 1;
+        self.event_queue.push(Reverse((time_us, self.event_count)));
+        self.events.insert(self.event_count, event);
     }
 
-    fn wake_at(&mut self, member: usize, at: u64) {
-        self.instances[member].timer += 1;
-        let timer = self.instances[member].timer;
-        self.push(at.max(self.now_us), Event::Wake { member, timer });
+    fn wake_at(&mut self, index: usize, time_us: u64) {
+        self.instances[index].timer += 1;
+        let timer = self.instances[index].timer;
+        self.push(time_us.max(self.now_us), QueuedEvent::Timer { index, timer });
     }
 
-    /// Sets the timer to when the member is due next, as the daemon does.
-    fn set_timer(&mut self, member: usize) {
+    /// Sets the timer to the member's next deadline, as the daemon does.
+    fn set_timer(&mut self, index: usize) {
         let now = self.now();
-        let Some(one) = &self.instances[member].member else { return };
-        let next = one.next_timer_at(now).as_micros().max(self.now_us + 5_000);
-        self.wake_at(member, next);
+        let Some(member) = &self.instances[index].member else { return };
+        let next_us = member.next_timer_at(now).as_micros().max(self.now_us + 5_000);
+        self.wake_at(index, next_us);
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle_event(&mut self, event: QueuedEvent) {
         let now = self.now();
         match event {
-            Event::Wake { member, timer } => {
-                if self.instances[member].timer != timer {
+            QueuedEvent::Timer { index, timer } => {
+                if self.instances[index].timer != timer {
                     return;
                 }
-                if self.is_paused(member) {
-                    return self.wake_at(member, self.instances[member].paused_until_us);
+                if self.is_paused(index) {
+                    return self.wake_at(index, self.instances[index].paused_until_us);
                 }
-                let Some(one) = &mut self.instances[member].member else { return };
-                one.handle_timers(now);
-                self.carry_out(member);
-                self.set_timer(member);
+                let Some(member) = &mut self.instances[index].member else { return };
+                member.handle_timers(now);
+                self.apply_effects(index);
+                self.set_timer(index);
             }
-            Event::Datagram { member, from, bytes } => {
-                if self.is_paused(member) {
+            QueuedEvent::Datagram { index, from, bytes } => {
+                if self.is_paused(index) {
                     return;
                 }
-                let busy_until = self.instances[member].busy_until;
-                if busy_until > self.now_us {
-                    return self.push(busy_until, Event::Datagram { member, from, bytes });
+                let busy_until_us = self.instances[index].busy_until_us;
+                if busy_until_us > self.now_us {
+                    return self.push(busy_until_us, QueuedEvent::Datagram { index, from, bytes });
                 }
-                self.instances[member].busy_until = self.now_us + self.message_cost_us;
-                let Some(one) = &mut self.instances[member].member else { return };
-                assert!(one.handle_datagram(now, from, &bytes), "a member's message can't be read");
-                self.carry_out(member);
-                self.set_timer(member);
+                self.instances[index].busy_until_us = self.now_us + self.message_cost_us;
+                let Some(member) = &mut self.instances[index].member else { return };
+                assert!(
+                    member.handle_datagram(now, from, &bytes),
+                    "a member's message can't be decoded"
+                );
+                self.apply_effects(index);
+                self.set_timer(index);
             }
-            Event::Answer { member, start, order, answer } => {
-                let seat = &mut self.instances[member];
-                if seat.start != start {
+            QueuedEvent::StoreResponse { index, start_number, query, response } => {
+                let instance = &mut self.instances[index];
+                if instance.start_number != start_number {
                     return;
                 }
-                let Some(one) = &mut seat.member else { return };
-                one.handle_store_response(now, order, answer);
-                self.carry_out(member);
-                self.set_timer(member);
+                let Some(member) = &mut instance.member else { return };
+                member.handle_store_response(now, query, response);
+                self.apply_effects(index);
+                self.set_timer(index);
             }
-            Event::WatchEnd { member, start, order } => {
-                let waits = |one: &(usize, u64, StoreQuery)| *one == (member, start, order);
-                if let Some(index) = self.watches.iter().position(waits) {
+            QueuedEvent::WatchTimeout { index, start_number, query } => {
+                let is_same_watch =
+                    |watch: &(usize, u64, StoreQuery)| *watch == (index, start_number, query);
+                if let Some(index) = self.watches.iter().position(is_same_watch) {
                     self.watches.swap_remove(index);
-                    self.answer_watch(member, start, order);
+                    self.answer_watch(index, start_number, query);
                 }
             }
         }
     }
 
-    fn is_paused(&self, member: usize) -> bool {
-        self.instances[member].paused_until_us > self.now_us
+    fn is_paused(&self, index: usize) -> bool {
+        self.instances[index].paused_until_us > self.now_us
     }
 
-    fn carry_out(&mut self, index: usize) {
+    fn apply_effects(&mut self, index: usize) {
         let Some(member) = &mut self.instances[index].member else { return };
         let effects = member.drain_effects();
-        let (start, address) = (self.instances[index].start, self.instances[index].address);
+        let (start_number, address) =
+            (self.instances[index].start_number, self.instances[index].address);
         for effect in effects {
             match effect {
                 FleetEffect::SendDatagram { to, bytes } => self.send(index, address, to, bytes),
-                FleetEffect::CallStore(call) => self.call(index, start, call),
+                FleetEffect::CallStore(call) => self.call_store(index, start_number, call),
                 FleetEffect::LogEvent(event) => {
-                    let at = (self.now_us - START_US) / 1_000;
-                    self.instances[index].events.push((at, event));
+                    let time_ms = (self.now_us - START_US) / 1_000;
+                    self.instances[index].events.push((time_ms, event));
                 }
-                FleetEffect::RecordObservation(note) => {
-                    self.instances[index].observations.push(note)
+                FleetEffect::RecordObservation(observation) => {
+                    self.instances[index].observations.push(observation)
                 }
                 FleetEffect::HandlePacket(bytes) => {
                     self.instances[index].relayed_packets.push(bytes)
@@ -653,7 +665,7 @@
                     self.instances[index].row_changes += 1;
                     self.instances[index].applied_rows.extend(rows);
                     let member = self.instances[index].member.as_ref();
-                    let head = member.map_or(0, |one| one.list().head());
+                    let head = member.map_or(0, |member| member.list().head());
                     if head > 0 {
                         self.instances[index].applied_heads.push(head);
                     }
@@ -663,94 +675,104 @@
         }
     }
 
-    fn send(&mut self, index: usize, from: SocketAddrV4, to: SocketAddrV4, bytes: Vec<u8>) {
-        self.instances[index].sent_messages += 1;
-        let busy_from = self.instances[index].busy_until.max(self.now_us);
-        self.instances[index].busy_until = busy_from + self.message_cost_us;
-        self.instances[index].sent_bytes += bytes.len() as u64;
+    fn send(&mut self, sender: usize, from: SocketAddrV4, to: SocketAddrV4, bytes: Vec<u8>) {
+        self.instances[sender].sent_messages += 1;
+        let busy_from_us = self.instances[sender].busy_until_us.max(self.now_us);
+        self.instances[sender].busy_until_us = busy_from_us + self.message_cost_us;
+        self.instances[sender].sent_bytes += bytes.len() as u64;
         *self.bytes_by_kind.entry(kind_of(&bytes)).or_default() += bytes.len() as u64;
         self.max_datagram_bytes = self.max_datagram_bytes.max(bytes.len());
         self.recent_datagrams.push_back(bytes.clone());
-        if self.recent_datagrams.len() > NEWEST {
+        if self.recent_datagrams.len() > MAX_RECENT_DATAGRAMS {
             self.recent_datagrams.pop_front();
         }
-        let Some(member) = self.by_address.get(&to).copied() else { return };
-        if self.cut_links.contains(&(index, member)) || self.rng.random_bool(self.loss_rate) {
+        let Some(index) = self.index_by_address.get(&to).copied() else { return };
+        if self.cut_links.contains(&(sender, index)) || self.rng.random_bool(self.loss_rate) {
             return;
         }
-        let is_near = self.instances[index].data_centre == self.instances[member].data_centre;
-        if !is_near {
+        let is_same_centre =
+            self.instances[sender].data_centre == self.instances[index].data_centre;
+        if !is_same_centre {
             self.remote_bytes += bytes.len() as u64;
             *self.remote_bytes_by_kind.entry(kind_of(&bytes)).or_default() += bytes.len() as u64;
         }
-        let way = if is_near { 200 } else { 500 };
+        let delay_us = if is_same_centre { 200 } else { 500 };
         let jitter = if self.jitter_us > 0 { self.rng.random_range(0..self.jitter_us) } else { 0 };
-        let at = self.now_us + way + jitter + self.instances[member].receive_delay_us;
-        self.push(at, Event::Datagram { member, from, bytes });
+        let time_us = self.now_us + delay_us + jitter + self.instances[index].receive_delay_us;
+        self.push(time_us, QueuedEvent::Datagram { index, from, bytes });
     }
 
-    fn call(&mut self, member: usize, start: u64, call: StoreCall) {
-        let order = call.query;
-        match order {
+    fn call_store(&mut self, index: usize, start_number: u64, call: StoreCall) {
+        let query = call.query;
+        match query {
             StoreQuery::FirstPage | StoreQuery::All(ReadMode::Serializable) => {
                 self.store.stale_read_calls += 1
             }
             _ => self.store.calls += 1,
         }
-        let state = self.store_state.get(&member).copied().unwrap_or(StoreState::Serving);
-        let answer = match (state, order) {
+        let state = self.store_state.get(&index).copied().unwrap_or(StoreState::Serving);
+        let response = match (state, query) {
             (StoreState::Unresponsive, _) => {
                 let error = Err(SourceError::Timeout(1_450));
                 return self.push(
                     self.now_us + 1_450_000,
-                    Event::Answer { member, start, order, answer: error },
+                    QueuedEvent::StoreResponse { index, start_number, query, response: error },
                 );
             }
             (StoreState::Refusing, _) => Err(SourceError::UnexpectedStatus(503)),
             (StoreState::Serving, StoreQuery::FirstPage) => {
-                let mut reading = self.store.all_of_old();
-                reading.is_partial = reading.items.len() > PAGE_ITEMS;
-                reading.items.truncate(PAGE_ITEMS);
+                let mut reading = self.store.read_stale();
+                reading.is_partial = reading.items.len() > MAX_PAGE_ITEMS;
+                reading.items.truncate(MAX_PAGE_ITEMS);
                 Ok(reading)
             }
             (StoreState::Serving, StoreQuery::All(ReadMode::Serializable)) => {
-                Ok(self.store.all_of_old())
+                Ok(self.store.read_stale())
             }
             (StoreState::Serving, StoreQuery::All(ReadMode::Linearizable)) => {
-                Ok(self.store.all_in_pages())
+                Ok(self.store.read_pages())
             }
             (StoreState::Serving, StoreQuery::Watch { after, wait_ms }) => {
-                if self.store.revision() == after && self.store.floor <= self.store.head {
+                if self.store.revision() == after
+                    && self.store.compacted_revision <= self.store.head
+                {
                     self.store.count_pages(call, 0);
-                    self.watches.push((member, start, order));
-                    let end = self.now_us + wait_ms * 1_000;
-                    return self.push(end, Event::WatchEnd { member, start, order });
+                    self.watches.push((index, start_number, query));
+                    let end_us = self.now_us + wait_ms * 1_000;
+                    return self
+                        .push(end_us, QueuedEvent::WatchTimeout { index, start_number, query });
                 }
-                self.store.after(after)
+                self.store.changes_after(after)
             }
         };
-        let items = answer.as_ref().map_or(0, |reading| reading.items.len());
+        let items = response.as_ref().map_or(0, |reading| reading.items.len());
         let pages = self.store.count_pages(call, items);
-        self.link_until =
-            self.link_until.max(self.now_us) + items as u64 * self.store_item_ns / 1_000;
-        let at = self.link_until + STORE_US + (pages - 1) * self.store_page_us;
-        self.push(at, Event::Answer { member, start, order, answer });
+        self.link_busy_until_us =
+            self.link_busy_until_us.max(self.now_us) + items as u64 * self.store_item_ns / 1_000;
+        let time_us =
+            self.link_busy_until_us + STORE_RESPONSE_US + (pages - 1) * self.store_page_us;
+        self.push(time_us, QueuedEvent::StoreResponse { index, start_number, query, response });
     }
 
-    fn answer_watch(&mut self, member: usize, start: u64, order: StoreQuery) {
-        let StoreQuery::Watch { after, .. } = order else { return };
-        let state = self.store_state.get(&member).copied().unwrap_or(StoreState::Serving);
+    fn answer_watch(&mut self, index: usize, start_number: u64, query: StoreQuery) {
+        let StoreQuery::Watch { after, .. } = query else { return };
+        let state = self.store_state.get(&index).copied().unwrap_or(StoreState::Serving);
         if state == StoreState::Unresponsive {
-            let answer = Err(SourceError::Timeout(1_450));
-            return self
-                .push(self.now_us + 450_000, Event::Answer { member, start, order, answer });
+            let response = Err(SourceError::Timeout(1_450));
+            return self.push(
+                self.now_us + 450_000,
+                QueuedEvent::StoreResponse { index, start_number, query, response },
+            );
         }
-        let answer = self.store.after(after);
-        self.push(self.now_us + STORE_US / 2, Event::Answer { member, start, order, answer });
+        let response = self.store.changes_after(after);
+        self.push(
+            self.now_us + STORE_RESPONSE_US / 2,
+            QueuedEvent::StoreResponse { index, start_number, query, response },
+        );
     }
 }
 
-/// The kind of a message, by the tag after its digest.
+/// Returns the kind of a message according to the tag after its digest.
 fn kind_of(datagram: &[u8]) -> &'static str {
     match datagram.get(8).map(|tag| tag >> 3) {
         Some(1) => "beat",
@@ -762,12 +784,12 @@
     }
 }
 
-/// A fleet that has run for some seconds on a list of some routes and backend servers.
+/// Returns a fleet that has run for some seconds on a list of some routes and backend servers.
 pub fn settled_fleet(counts: &[usize], seed: u64) -> VirtualFleet {
     settle(VirtualFleet::new(counts, seed))
 }
 
-/// Publishes a first list, starts a fleet and runs it for some seconds.
+/// Publishes a first list, starts the fleet and runs it for some seconds.
 pub fn settle(mut fleet: VirtualFleet) -> VirtualFleet {
     for number in 1..=18 {
         fleet.store.register(number, false);
