--- a/crates/foxledge-members/src/lib.rs
+++ b/crates/foxledge-members/src/lib.rs
@@ -8,11 +8,11 @@
 mod centres;
 mod effects;
 mod hints;
-mod news;
+mod observed_peers;
 mod options;
 mod rings;
 mod table;
-mod watch;
+mod update_queue;
 
 pub mod lists;
 pub mod membership;
--- a/crates/foxledge-members/src/lists.rs
+++ b/crates/foxledge-members/src/lists.rs
@@ -2,13 +2,13 @@
 
 mod audit;
 mod builder;
-mod held;
 mod options;
 mod parts;
+mod snapshot;
 mod sources;
 mod store;
 
 pub use builder::ListBuilder;
-pub use held::ListSnapshot;
 pub use options::{ListOptions, StaleLists};
+pub use snapshot::ListSnapshot;
 pub use store::ListStore;
--- a/crates/foxledge-members/src/lists/store.rs
+++ b/crates/foxledge-members/src/lists/store.rs
@@ -12,9 +12,9 @@
 
 use super::{
     audit::{audit, change_text, finding_text},
-    held::{HeldList, ListSnapshot},
     options::{ListOptions, StaleLists},
     parts::PartTable,
+    snapshot::{HeldList, ListSnapshot},
     sources::SourceTable,
 };
 use crate::{ListEffect, ListSource};
--- a/crates/foxledge-members/src/membership.rs
+++ b/crates/foxledge-members/src/membership.rs
@@ -7,10 +7,10 @@
 //! suspicion mechanism of SWIM (Das, Gupta and Motivala, "SWIM: scalable
 //! weakly-consistent infection-style process group membership protocol", DSN 2002).
 
-mod beats;
+mod anti_entropy;
 mod claims;
-mod deaths;
-mod exchange;
+mod failure_detection;
+mod heartbeats;
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -27,15 +27,15 @@
 };
 use rand::{SeedableRng, rngs::StdRng};
 
-use self::{beats::BeatRound, exchange::TableExchange};
+use self::{anti_entropy::TableExchange, heartbeats::BeatRound};
 use crate::{
     MemberEffect, MemberOptions, ProbeResult,
     centres::{CentreTable, is_elected},
     hints::HintTable,
-    news::NewsQueue,
+    observed_peers::WatchList,
     rings::{HashRings, name_salt},
     table::MemberTable,
-    watch::WatchList,
+    update_queue::NewsQueue,
 };
 
 /// Key under which the readers of the platform are drawn.
