--- a/crates/foxledge-members/src/lists.rs
+++ b/crates/foxledge-members/src/lists.rs
@@ -1,14 +1,14 @@
-//! The newest accepted list, and the fetching of newer ones.
+//! Storage of the newest accepted rule list, and fetching of newer ones.
 
 mod audit;
 mod builder;
-mod held;
 mod options;
 mod parts;
+mod snapshot;
 mod sources;
 mod store;
 
 pub use builder::ListBuilder;
-pub use held::ListSnapshot;
 pub use options::{ListOptions, StaleLists};
+pub use snapshot::ListSnapshot;
 pub use store::ListStore;
