--- a/crates/foxledge-policy/src/admission.rs
+++ b/crates/foxledge-policy/src/admission.rs
@@ -1,4 +1,4 @@
-//! Work comes in, waits and is sent out.
+//! Submission, queueing and dispatch of work items.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,50 +7,53 @@
 
 use crate::{
     demand::WorkTier,
-    dispatches::{CallerState, DispatchPhase, RunningDispatch, SlotHold},
+    dispatches::{CallerState, DispatchPhase, RunningDispatch, SlotState},
     effects::{RefuseReason, RunState, SchedulerEffect, WorkRefusal},
     policies::TargetState,
     scheduler::{ShardScheduler, WorkClass},
-    targets::{SlowWait, TargetSample, leave_out_tried},
+    targets::{TargetSample, WaitEstimate, exclude_tried_targets},
     work::{PendingWork, WorkItem},
 };
 
-// Bounds of what callers are told to wait before they come back.
-const LEAST_RETRY_AFTER: Duration = Duration::from_millis(50);
-const MOST_RETRY_AFTER: Duration = Duration::from_secs(5);
-// When no target takes work there is no drain rate to go by.
+// Bounds of the retry delay that a refused caller is given.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
+// Without an open target there is no service rate to derive the delay from.
 const NO_TARGET_RETRY_AFTER: Duration = Duration::from_secs(1);
-// Work is refused at the door when this part of its expected wait is longer
-// than its time left; the estimate is rough, so only clear cases count.
-const SURE_PART: f64 = 0.5;
-// Usual run times that must be left at the start: of exponential ones, 98 in
-// 100 then end in time.
-const RESERVE_RUNS: u32 = 4;
-// Part of the slots that is kept free of excess work.
-const RESERVED_PART: f64 = 0.04;
+// A work item is refused on submission when its expected wait times this factor
+// exceeds its time left. The estimate is rough, so only clear cases are refused.
+const WAIT_ESTIMATE_FACTOR: f64 = 0.5;
+// The mean run times that must be left before the deadline when a work item starts.
+// With exponential run times, 98 in 100 items then end in time.
+const RESERVED_RUN_TIMES: u32 = 4;
+// The fraction of the open slots that is closed to excess work.
+const RESERVED_SLOT_FRACTION: f64 = 0.04;
 
 impl ShardScheduler {
-    /// Takes work; it is dispatched, queued or refused at once.
+    /// Submits a work item, which is dispatched, queued or refused at once.
+    ///
+    /// An item whose id is already queued or dispatched is ignored.
     pub fn submit(&mut self, now: ClockTime, item: WorkItem) -> Vec<SchedulerEffect> {
         let mut effects = Vec::new();
-        if self.holds(&item) {
+        if self.contains(&item) {
             return effects;
         }
         self.counters.offered += 1;
-        let start_by = item.start_by(now, self.times.usual(item.kind) * RESERVE_RUNS);
+        let latest_start =
+            item.latest_start(now, self.times.mean_run_time(item.kind) * RESERVED_RUN_TIMES);
         let tier = self.tier_of(now, &item);
-        let pending = PendingWork::new(item, start_by, tier);
-        let refused = self.reason_against(now, &pending);
-        // Refusing counts one less for the member, so it is counted first.
-        self.hold_member(&pending.item);
-        if let Some(reason) = refused {
+        let pending = PendingWork::new(item, latest_start, tier);
+        let refusal_reason = self.refusal_reason(now, &pending);
+        // `refuse` decrements the count of the member, so it is incremented first.
+        self.add_outstanding(&pending.item);
+        if let Some(reason) = refusal_reason {
             self.refuse(&pending, RunState::NotRun, reason, &mut effects);
             return effects;
         }
         let item = &pending.item;
         let (work, kind, when_full) = (item.id, item.kind, item.when_full);
         self.enqueue(pending, &mut effects);
-        self.pump(now, &mut effects);
+        self.dispatch_queued(now, &mut effects);
         if when_full == FullAction::Refuse
             && let Some(pending) = self.queue_of(kind).remove(work)
         {
@@ -60,91 +63,93 @@
         effects
     }
 
-    /// The caller gave up.
+    /// Cancels a work item whose caller gave up: a queued item is refused, a running one cancelled
+    /// at its target.
     pub fn cancel(&mut self, now: ClockTime, work: u64) -> Vec<SchedulerEffect> {
         let mut effects = Vec::new();
-        let queued = self.requests.remove(work).or_else(|| self.feeds.remove(work));
+        let queued = self.request_queue.remove(work).or_else(|| self.feed_queue.remove(work));
         if let Some(pending) = queued {
             let reason = RefuseReason::Cancelled;
             self.refuse(&pending, RunState::NotRun, reason, &mut effects);
             return effects;
         }
-        let Some(&dispatch) = self.out.get(&work) else {
+        let Some(&dispatch) = self.dispatch_by_work.get(&work) else {
             return effects;
         };
-        self.tell_target(now, dispatch, CallerState::Cancelled, &mut effects);
+        self.send_cancel(now, dispatch, CallerState::Cancelled, &mut effects);
         effects
     }
 
-    /// Sends out what waits while targets have room.
-    pub(crate) fn pump(&mut self, now: ClockTime, effects: &mut Vec<SchedulerEffect>) {
+    /// Dispatches queued work items until the queues are empty or no target has capacity.
+    pub(crate) fn dispatch_queued(&mut self, now: ClockTime, effects: &mut Vec<SchedulerEffect>) {
         self.refuse_expired(now, effects);
         while self.dispatch_next(now, TrafficKind::Bid, effects) {}
         while self.dispatch_next(now, TrafficKind::Feed, effects) {}
     }
 
-    /// Refuses what waits and can't be started any more.
+    /// Refuses the queued work items whose latest start has passed.
     pub(crate) fn refuse_expired(&mut self, now: ClockTime, effects: &mut Vec<SchedulerEffect>) {
-        let expired = self.requests.take_expired(now).into_iter();
-        for pending in expired.chain(self.feeds.take_expired(now)).collect::<Vec<_>>() {
+        let expired = self.request_queue.drain_expired(now).into_iter();
+        for pending in expired.chain(self.feed_queue.drain_expired(now)).collect::<Vec<_>>() {
             let reason = RefuseReason::DeadlinePassed;
             self.refuse(&pending, RunState::NotRun, reason, effects);
         }
     }
 
-    /// Gives the final answer to work that the desk holds.
+    /// Sends the final refusal of a work item and stops counting it for its member.
     pub(crate) fn refuse(
         &mut self,
         pending: &PendingWork,
-        ran: RunState,
+        run_state: RunState,
         reason: RefuseReason,
         effects: &mut Vec<SchedulerEffect>,
     ) {
         let item = &pending.item;
-        self.release_member(item);
-        let ran = ran.max(pending.ran);
+        self.remove_outstanding(item);
+        let run_state = run_state.max(pending.run_state);
         *self.counters.refused.entry(reason).or_default() += 1;
-        let retry_after = self.retry_after(pending, ran, reason);
-        let refusal = WorkRefusal { run_state: ran, reason, retry_after };
+        let retry_after = self.retry_after(pending, run_state, reason);
+        let refusal = WorkRefusal { run_state, reason, retry_after };
         effects.push(SchedulerEffect::Refuse { work: item.id, refusal });
     }
 
-    fn hold_member(&mut self, item: &WorkItem) {
-        *self.held.entry(held_key(item)).or_default() += 1;
+    fn add_outstanding(&mut self, item: &WorkItem) {
+        *self.outstanding.entry(outstanding_key(item)).or_default() += 1;
     }
 
-    /// The work no longer counts for its member.
-    pub(crate) fn release_member(&mut self, item: &WorkItem) {
-        let key = held_key(item);
-        if let Some(count) = self.held.get_mut(&key) {
+    /// Stops counting a work item against the limit of its member.
+    pub(crate) fn remove_outstanding(&mut self, item: &WorkItem) {
+        let key = outstanding_key(item);
+        if let Some(count) = self.outstanding.get_mut(&key) {
             *count -= 1;
             if *count == 0 {
-                self.held.remove(&key);
+                self.outstanding.remove(&key);
             }
         }
     }
 
-    // The same offer may come twice, as the network makes copies.
-    fn holds(&self, item: &WorkItem) -> bool {
-        self.out.contains_key(&item.id)
-            || self.requests.contains(item.id)
-            || self.feeds.contains(item.id)
+    // The network duplicates datagrams, so the same item may be submitted twice.
+    fn contains(&self, item: &WorkItem) -> bool {
+        self.dispatch_by_work.contains_key(&item.id)
+            || self.request_queue.contains(item.id)
+            || self.feed_queue.contains(item.id)
     }
 
-    fn reason_against(&self, now: ClockTime, pending: &PendingWork) -> Option<RefuseReason> {
+    fn refusal_reason(&self, now: ClockTime, pending: &PendingWork) -> Option<RefuseReason> {
         let item = &pending.item;
-        if pending.start_by.is_past(now) {
+        if pending.latest_start.is_past(now) {
             return Some(RefuseReason::DeadlinePassed);
         }
-        if !self.table.takes_work() {
+        if !self.table.has_open_target() {
             return Some(RefuseReason::NoTarget);
         }
-        let held = self.held.get(&held_key(item)).copied().unwrap_or(0);
-        if item.member_limit > 0 && held >= item.member_limit {
+        let outstanding = self.outstanding.get(&outstanding_key(item)).copied().unwrap_or(0);
+        if item.member_limit > 0 && outstanding >= item.member_limit {
             return Some(RefuseReason::Limit);
         }
         if !item.is_feed()
-            && self.expected_wait(pending).mul_f64(SURE_PART) > pending.start_by.remaining(now)
+            && self.expected_wait(pending).mul_f64(WAIT_ESTIMATE_FACTOR)
+                > pending.latest_start.remaining(now)
         {
             return Some(RefuseReason::DeadlinePassed);
         }
@@ -155,13 +160,13 @@
         let limit = self.options.queue_limit as usize;
         let queue = self.queue_of(pending.item.kind);
         if queue.len() < limit.max(1) {
-            queue.push(pending);
+            queue.push_back(pending);
             return;
         }
         let displaced = queue.displace_for(&pending);
         let refused = match displaced {
             Some(displaced) => {
-                queue.push(pending);
+                queue.push_back(pending);
                 displaced
             }
             None => pending,
@@ -170,32 +175,32 @@
         self.refuse(&refused, RunState::NotRun, reason, effects);
     }
 
-    // True when something was dispatched.
+    // Dispatches the next queued work item of a kind. Returns whether one was dispatched.
     fn dispatch_next(
         &mut self,
         now: ClockTime,
         kind: TrafficKind,
         effects: &mut Vec<SchedulerEffect>,
     ) -> bool {
-        let wait = self.slow_wait(kind);
+        let estimate = self.wait_estimate(kind);
         if self.queue_of(kind).is_empty() {
             return false;
         }
-        let sample = TargetSample { size: self.policy.sample_size(), start: self.random.random() };
-        let mut states = self.table.candidates(now, kind, wait, sample, &self.options);
-        let last = self.last_tier(&states, kind);
-        let Some(pending) = self.queue_of(kind).peek(last).cloned() else {
+        let sample = TargetSample { size: self.policy.sample_size(), offset: self.random.random() };
+        let mut states = self.table.candidates(now, kind, estimate, sample, &self.options);
+        let max_tier = self.max_tier(&states, kind);
+        let Some(pending) = self.queue_of(kind).peek(max_tier).cloned() else {
             return false;
         };
-        leave_out_tried(&mut states, &pending);
+        exclude_tried_targets(&mut states, &pending);
         let Some(picked) = self.policy.pick(now, &states, &pending.item) else {
             return false;
         };
         let Some(state) = states.get(picked) else {
             return false;
         };
-        let cost = self.times.cost(pending.item.kind);
-        let Some(pending) = self.queue_of(kind).pop(last, cost) else {
+        let cost = self.times.queue_cost(pending.item.kind);
+        let Some(pending) = self.queue_of(kind).pop(max_tier, cost) else {
             return false;
         };
         self.dispatch(now, pending, state, effects);
@@ -209,14 +214,14 @@
         state: &TargetState,
         effects: &mut Vec<SchedulerEffect>,
     ) {
-        let dispatch = self.new_dispatch();
+        let dispatch = self.new_dispatch_id();
         let Some(entry) = self.table.get_mut(state.id) else {
             return;
         };
         let target = Arc::clone(&entry.spec);
-        self.table.take(state.id, pending.item.kind);
-        if pending.tried.is_empty() {
-            self.budget.earn();
+        self.table.occupy(state.id, pending.item.kind);
+        if pending.tried_targets.is_empty() {
+            self.budget.deposit();
             self.counters.dispatched += 1;
         } else {
             self.counters.retried += 1;
@@ -225,74 +230,80 @@
         let running = RunningDispatch {
             lease_deadline: pending.item.deadline.after(self.options.lease_grace),
             pending,
-            target: state.id,
+            target_id: state.id,
             spec: Arc::clone(&target),
             phase: DispatchPhase::Sent,
             caller: CallerState::Waiting,
-            hold: SlotHold::Held,
-            unanswered: 0,
-            sendings: 1,
+            slot: SlotState::Held,
+            unanswered_sends: 0,
+            send_count: 1,
             sent_at: now,
-            check_at: now.after(self.options.ack_timeout),
+            next_check_at: now.after(self.options.ack_timeout),
             resend_deadline: now.after(self.options.resend_window),
         };
-        self.out.insert(work, dispatch);
+        self.dispatch_by_work.insert(work, dispatch);
         self.dispatches.insert(dispatch, running);
         effects.push(SchedulerEffect::Dispatch { work, dispatch, target });
     }
 
-    // The last free slots are kept for fair parts.
+    // Returns the highest tier that may be dispatched: the last free slots are reserved for
+    // the fair tier.
     //
-    // With excess in every slot each fair request has to wait for one to become
-    // free, and those of the lowest priority for several. A few slots kept free
-    // make up for that (trunk reservation, Key, "Optimal control and trunk
-    // reservation in loss networks", Probability in the Engineering and
-    // Informational Sciences 4(2), 1990).
-    fn last_tier(&self, states: &[TargetState], kind: TrafficKind) -> WorkTier {
+    // If excess work could take every slot, each fair request would wait for a slot to become
+    // free, and those of the lowest priority for several. Reserving a few slots avoids that
+    // (trunk reservation, Key, "Optimal control and trunk reservation in loss networks",
+    // Probability in the Engineering and Informational Sciences 4(2), 1990).
+    fn max_tier(&self, states: &[TargetState], kind: TrafficKind) -> WorkTier {
         if kind == TrafficKind::Feed {
             return WorkTier::Excess;
         }
         let free: u32 = states.iter().map(TargetState::free_slots).sum();
-        let reserved = ((f64::from(self.table.open_slots()) * RESERVED_PART) as u32).max(1);
-        // Of a sample of the targets only its part of the reserve is asked.
+        let reserved =
+            ((f64::from(self.table.open_slots()) * RESERVED_SLOT_FRACTION) as u32).max(1);
+        // `states` may be a sample of the targets, which need not have the whole reserve free.
         if free > reserved.min(states.len() as u32) { WorkTier::Excess } else { WorkTier::Fair }
     }
 
-    fn slow_wait(&self, kind: TrafficKind) -> SlowWait {
-        let usual_run = match kind {
+    fn wait_estimate(&self, kind: TrafficKind) -> WaitEstimate {
+        let mean_run_time = match kind {
             TrafficKind::Feed => Duration::ZERO,
-            TrafficKind::Bid | TrafficKind::Upload => self.times.usual_slot(),
+            TrafficKind::Bid | TrafficKind::Upload => self.times.mean_slot_time(),
         };
-        SlowWait { queue: self.queue_wait(), usual_run }
+        WaitEstimate { queue_wait: self.expected_queue_wait(), mean_run_time }
     }
 
-    // Expected wait of that work if it came now, in fair order.
+    // Returns the expected wait of a work item that is queued now, in fair order.
     fn expected_wait(&self, pending: &PendingWork) -> Duration {
-        self.drain_interval().mul_f64(self.requests.ahead_of(pending))
+        self.slot_release_interval().mul_f64(self.request_queue.expected_ahead_of(pending))
     }
 
     fn tier_of(&mut self, now: ClockTime, item: &WorkItem) -> WorkTier {
         if item.is_feed() {
             return WorkTier::Fair;
         }
-        let usual_run = self.times.usual_slot();
-        let own_run = self.times.usual(item.kind).as_secs_f64();
-        let cost = own_run / usual_run.as_secs_f64().max(f64::EPSILON);
-        self.demand.classify(now, &item.member, item.weight, cost, usual_run)
+        let mean_run_time = self.times.mean_slot_time();
+        let kind_run_time = self.times.mean_run_time(item.kind).as_secs_f64();
+        let cost = kind_run_time / mean_run_time.as_secs_f64().max(f64::EPSILON);
+        self.demand.classify(now, &item.member, item.weight, cost, mean_run_time)
     }
 
-    fn retry_after(&self, pending: &PendingWork, ran: RunState, reason: RefuseReason) -> Duration {
-        if ran == RunState::Unknown || reason == RefuseReason::Cancelled {
+    fn retry_after(
+        &self,
+        pending: &PendingWork,
+        run_state: RunState,
+        reason: RefuseReason,
+    ) -> Duration {
+        if run_state == RunState::Unknown || reason == RefuseReason::Cancelled {
             return Duration::ZERO;
         }
         if reason == RefuseReason::NoTarget {
             return NO_TARGET_RETRY_AFTER;
         }
-        self.expected_wait(pending).clamp(LEAST_RETRY_AFTER, MOST_RETRY_AFTER)
+        self.expected_wait(pending).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 }
 
-fn held_key(item: &WorkItem) -> (MemberName, WorkClass) {
+fn outstanding_key(item: &WorkItem) -> (MemberName, WorkClass) {
     let class = if item.is_feed() { WorkClass::Feed } else { WorkClass::Request };
     (item.member.clone(), class)
 }
--- a/crates/foxledge-policy/src/demand.rs
+++ b/crates/foxledge-policy/src/demand.rs
@@ -1,188 +1,191 @@
-//! Which part of a member's work goes beyond its fair part.
+//! Measurement of each member's demand, and its split into a fair share and an excess.
 
 use std::{collections::HashMap, time::Duration};
 
 use foxledge_core::{names::MemberName, time::ClockTime};
 use serde::Serialize;
 
-// Demand is taken over this time, or over this many usual runs if that is longer.
-const DEMAND_TIME: Duration = Duration::from_secs(5);
-const DEMAND_RUNS: u32 = 200;
-// A member's fair part is the median member's demand and this many standard
-// deviations, which keeps chance differences between equal members below it.
-const FAIR_DEVIATIONS: f64 = 2.0;
-// A member above this many fair parts is heavy beyond chance.
+// Demand is averaged over this time, or over this many mean run times if that is longer.
+const DEMAND_WINDOW: Duration = Duration::from_secs(5);
+const DEMAND_WINDOW_RUNS: u32 = 200;
+// The fair share is the demand of the median member plus this many standard deviations,
+// so that random differences between equal members stay below it.
+const FAIR_SHARE_DEVIATIONS: f64 = 2.0;
+// A member whose demand exceeds this many fair shares is heavy, beyond random variation.
 const HEAVY_FACTOR: f64 = 2.0;
-// Part of the demand time whose fair part may come at once.
-const BURST_PART: f64 = 0.1;
-// The median counts from this many works on.
-const LEAST_LEVEL: f64 = 3.0;
-// How often the median is taken.
-const MEDIAN_PERIOD: Duration = Duration::from_millis(100);
-// Members whose demand has faded to this part of the highest are forgotten.
-const FADED_PART: f64 = 1e-4;
+// The fraction of the demand window whose fair share may arrive in one burst.
+const BURST_FRACTION: f64 = 0.1;
+// The median demand, in work items of mean cost, below which no fair share is set.
+const MIN_MEDIAN_LEVEL: f64 = 3.0;
+// The time between updates of the median.
+const MEDIAN_INTERVAL: Duration = Duration::from_millis(100);
+// Members whose demand has decayed below this fraction of the highest are removed.
+const IDLE_DEMAND_FRACTION: f64 = 1e-4;
 
-/// `WorkTier` is whether work is within its member's fair part.
+/// Whether a work item is within the fair share of its member.
 ///
-/// Paid priority alone doesn't keep one member's traffic from starving
-/// another's: a member of a higher priority that sends ten times its share
-/// takes what lower priorities live on. So what goes beyond a member's fair
-/// part is served from what the fair parts leave, whatever it paid.
+/// Paid priority alone doesn't keep one member from starving another: a member of a higher
+/// priority that sends ten times its share would take the capacity that lower priorities
+/// depend on. Work beyond the fair share is therefore served from the capacity that work
+/// within the fair shares leaves, whatever its priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkTier {
-    /// Within.
+    /// Within the fair share.
     Fair,
-    /// Beyond.
+    /// Beyond the fair share.
     Excess,
 }
 
-/// `DemandMeter` knows how much each member asked for lately.
+/// Measures the recent demand of each member and classifies work items by it.
 ///
-/// The fair part is set against the other members' demand and not against an
-/// equal split of the slots: when all members ask for twice what there is,
-/// nobody is beyond and paid priority decides.
+/// The fair share is relative to the demand of the other members and not an equal split of
+/// the slots: when all members request twice the capacity, no work is excess and paid
+/// priority decides.
 #[derive(Debug, Default)]
 pub struct DemandMeter {
-    places: HashMap<MemberName, usize>,
+    indexes: HashMap<MemberName, usize>,
     demands: Vec<MemberDemand>,
-    // None with fewer than two members.
-    fair_part: Option<FairPart>,
-    next_median: ClockTime,
-    // When the first work came.
-    began_at: Option<ClockTime>,
+    // `None` with fewer than two members or too little demand.
+    fair_share: Option<FairShare>,
+    next_median_at: ClockTime,
+    // When the median was updated first, which is at the first work item.
+    started_at: Option<ClockTime>,
 }
 
-/// `FairPart` is what a member of weight 1 may ask for over the demand time.
+/// The cost that a member of weight 1 may request per demand window.
 #[derive(Clone, Copy, Debug)]
-struct FairPart {
+struct FairShare {
     median: f64,
     limit: f64,
 }
 
-/// `MemberDemand` is what one member asked for, by unit of weight.
+/// The demand of one member per unit of weight.
 #[derive(Clone, Debug)]
 struct MemberDemand {
     member: MemberName,
-    // Cost asked for, fading over the demand time.
+    // The requested cost, which decays exponentially over the demand window.
     level: f64,
-    // Cost that may still come at once.
+    // The cost that still counts as fair at once: a token bucket.
     allowance: f64,
-    // Until when both are worked out.
-    at: ClockTime,
+    // The time that `level` and `allowance` refer to.
+    updated_at: ClockTime,
 }
 
 impl DemandMeter {
-    /// Makes a meter that saw nothing.
+    /// Creates a meter without any recorded demand.
     pub fn new() -> DemandMeter {
         DemandMeter::default()
     }
 
-    /// Counts work of `member` and says whether it is within the fair part.
+    /// Records a work item of `member` and returns whether it is within the fair share.
     ///
-    /// `cost` is the work's usual run as a multiple of `usual_run`, that of all work.
+    /// `cost` is the mean run time of the item's kind divided by `mean_run_time`, that of all
+    /// requests.
     pub fn classify(
         &mut self,
         now: ClockTime,
         member: &MemberName,
         weight: u32,
         cost: f64,
-        usual_run: Duration,
+        mean_run_time: Duration,
     ) -> WorkTier {
-        let time = DEMAND_TIME.max(usual_run * DEMAND_RUNS).as_secs_f64();
-        self.take_median(now, time);
-        let fair_part = self.fair_part;
-        let place = self.place_of(member, now);
-        let demand = &mut self.demands[place];
-        let share = cost / f64::from(weight.max(1));
-        demand.fade(now, time, fair_part);
-        demand.level += share;
-        if fair_part.is_none() {
+        let window_s = DEMAND_WINDOW.max(mean_run_time * DEMAND_WINDOW_RUNS).as_secs_f64();
+        self.update_median(now, window_s);
+        let fair_share = self.fair_share;
+        let index = self.index_of(member, now);
+        let demand = &mut self.demands[index];
+        let weighted_cost = cost / f64::from(weight.max(1));
+        demand.decay(now, window_s, fair_share);
+        demand.level += weighted_cost;
+        if fair_share.is_none() {
             return WorkTier::Fair;
         }
-        if demand.allowance < share {
+        if demand.allowance < weighted_cost {
             return WorkTier::Excess;
         }
-        demand.allowance -= share;
+        demand.allowance -= weighted_cost;
         WorkTier::Fair
     }
 
-    fn place_of(&mut self, member: &MemberName, now: ClockTime) -> usize {
-        if let Some(&place) = self.places.get(member) {
-            return place;
+    fn index_of(&mut self, member: &MemberName, now: ClockTime) -> usize {
+        if let Some(&index) = self.indexes.get(member) {
+            return index;
         }
-        let allowance = self.fair_part.map_or(0.0, |part| part.limit * BURST_PART);
-        let demand = MemberDemand { member: member.clone(), level: 0.0, allowance, at: now };
-        self.places.insert(member.clone(), self.demands.len());
+        let allowance = self.fair_share.map_or(0.0, |share| share.limit * BURST_FRACTION);
+        let demand =
+            MemberDemand { member: member.clone(), level: 0.0, allowance, updated_at: now };
+        self.indexes.insert(member.clone(), self.demands.len());
         self.demands.push(demand);
         self.demands.len() - 1
     }
 
-    fn take_median(&mut self, now: ClockTime, time: f64) {
-        if !self.next_median.is_past(now) {
+    fn update_median(&mut self, now: ClockTime, window_s: f64) {
+        if !self.next_median_at.is_past(now) {
             return;
         }
-        self.next_median = now.after(MEDIAN_PERIOD);
-        let began_at = *self.began_at.get_or_insert(now);
+        self.next_median_at = now.after(MEDIAN_INTERVAL);
+        let started_at = *self.started_at.get_or_insert(now);
         for demand in &mut self.demands {
-            demand.fade(now, time, self.fair_part);
+            demand.decay(now, window_s, self.fair_share);
         }
-        self.forget_faded();
+        self.remove_idle();
         let mut levels: Vec<_> = self.demands.iter().map(|demand| demand.level).collect();
         levels.sort_by(f64::total_cmp);
-        // Of an even number the lower one, so that of two members the smaller counts.
+        // The lower median: with two members, the smaller demand counts.
         let median = levels.get(levels.len().saturating_sub(1) / 2).copied();
-        // Fading sums start at zero: until they have filled they are scaled up.
-        let filled = 1.0 - (-now.since(began_at).as_secs_f64() / time).exp();
-        let is_known = levels.len() > 1 && median >= Some(LEAST_LEVEL);
-        let was_known = self.fair_part.is_some();
-        let part = |level| FairPart { median: level / filled, limit: with_margin(level) / filled };
-        self.fair_part = median.filter(|_| is_known).map(part);
-        if !was_known {
-            self.fill_allowances(filled);
+        // Decaying sums start at zero, so they are scaled up until they cover the window.
+        let coverage = 1.0 - (-now.since(started_at).as_secs_f64() / window_s).exp();
+        let is_defined = levels.len() > 1 && median >= Some(MIN_MEDIAN_LEVEL);
+        let was_defined = self.fair_share.is_some();
+        let share_of =
+            |level| FairShare { median: level / coverage, limit: with_margin(level) / coverage };
+        self.fair_share = median.filter(|_| is_defined).map(share_of);
+        if !was_defined {
+            self.fill_allowances(coverage);
         }
     }
 
-    // What each member may still ask for at once when the fair part becomes known.
-    fn fill_allowances(&mut self, filled: f64) {
-        let Some(part) = self.fair_part else {
+    // Sets the allowance of each member when the fair share becomes known.
+    fn fill_allowances(&mut self, coverage: f64) {
+        let Some(fair_share) = self.fair_share else {
             return;
         };
         for demand in &mut self.demands {
-            let left = part.limit * filled - demand.level;
-            demand.allowance = left.clamp(0.0, part.limit * BURST_PART);
+            let remaining = fair_share.limit * coverage - demand.level;
+            demand.allowance = remaining.clamp(0.0, fair_share.limit * BURST_FRACTION);
         }
     }
 
-    fn forget_faded(&mut self) {
+    fn remove_idle(&mut self) {
         let highest = self.demands.iter().map(|demand| demand.level).fold(0.0, f64::max);
-        let least = highest * FADED_PART;
-        if self.demands.iter().all(|demand| demand.level >= least) {
+        let min_level = highest * IDLE_DEMAND_FRACTION;
+        if self.demands.iter().all(|demand| demand.level >= min_level) {
             return;
         }
-        self.demands.retain(|demand| demand.level >= least);
-        let places = self.demands.iter().enumerate();
-        self.places = places.map(|(place, demand)| (demand.member.clone(), place)).collect();
+        self.demands.retain(|demand| demand.level >= min_level);
+        let indexed = self.demands.iter().enumerate();
+        self.indexes = indexed.map(|(index, demand)| (demand.member.clone(), index)).collect();
     }
 }
 
-// A fading count of Poisson arrivals has half its mean as variance.
+// The variance of an exponentially decaying count of Poisson arrivals is half its mean.
 fn with_margin(level: f64) -> f64 {
-    level + FAIR_DEVIATIONS * (level / 2.0).sqrt()
+    level + FAIR_SHARE_DEVIATIONS * (level / 2.0).sqrt()
 }
 
 impl MemberDemand {
-    fn fade(&mut self, now: ClockTime, time: f64, fair_part: Option<FairPart>) {
-        let passed = now.since(self.at).as_secs_f64();
-        self.at = now;
-        self.level *= (-passed / time).exp();
-        let Some(fair_part) = fair_part else {
+    fn decay(&mut self, now: ClockTime, window_s: f64, fair_share: Option<FairShare>) {
+        let elapsed_s = now.since(self.updated_at).as_secs_f64();
+        self.updated_at = now;
+        self.level *= (-elapsed_s / window_s).exp();
+        let Some(fair_share) = fair_share else {
             return;
         };
-        // The margin is for chance; a member that asks for twice as much gets none.
-        let is_heavy = self.level > fair_part.limit * HEAVY_FACTOR;
-        let part = if is_heavy { fair_part.median } else { fair_part.limit };
-        let most = part * BURST_PART;
-        self.allowance = (self.allowance + part * passed / time).min(most);
+        // The margin covers random variation; a member above twice the share gets none.
+        let is_heavy = self.level > fair_share.limit * HEAVY_FACTOR;
+        let refill = if is_heavy { fair_share.median } else { fair_share.limit };
+        let max_allowance = refill * BURST_FRACTION;
+        self.allowance = (self.allowance + refill * elapsed_s / window_s).min(max_allowance);
     }
 }
--- a/crates/foxledge-policy/src/dispatch_events.rs
+++ b/crates/foxledge-policy/src/dispatch_events.rs
@@ -1,23 +1,25 @@
-//! What targets say of dispatches, and what happens when they say nothing.
+//! Responses of targets to dispatches, and timeouts without a response.
 
 use std::sync::Arc;
 
 use foxledge_core::{time::ClockTime, traffic::TrafficKind};
 
 use crate::{
-    dispatches::{CallerState, DispatchPhase, RunningDispatch, SlotHold},
+    dispatches::{CallerState, DispatchPhase, RunningDispatch, SlotState},
     effects::{RefuseReason, RunState, SchedulerEffect, TargetLoad, TargetSignal},
-    health::HealthVerdict,
+    health::HealthDecision,
     scheduler::ShardScheduler,
 };
 
-// Work that took this many usual runs has most likely ended: of exponential
-// ones one in 3,000 is longer.
-const PRESUMED_RUNS: u32 = 8;
+// The mean run times after which a request has most likely ended: with exponential run times,
+// one in 3,000 is longer.
+const PRESUMED_END_RUN_TIMES: u32 = 8;
 
 impl ShardScheduler {
-    /// Takes what a target said of a dispatch; a dispatch that the desk
-    /// doesn't hold any more is ignored.
+    /// Handles the state of a dispatch reported by its target, with the load of the target if
+    /// the response carries it.
+    ///
+    /// A response to a dispatch that is no longer in the table is ignored.
     pub fn on_signal(
         &mut self,
         now: ClockTime,
@@ -26,14 +28,14 @@
         load: Option<TargetLoad>,
     ) -> Vec<SchedulerEffect> {
         let mut effects = Vec::new();
-        let Some(target) = self.dispatches.get(dispatch).map(|running| running.target) else {
+        let Some(target_id) = self.dispatches.get(dispatch).map(|running| running.target_id) else {
             return effects;
         };
-        if let Some(entry) = self.table.get_mut(target) {
-            entry.health.on_answer(now);
+        if let Some(entry) = self.table.get_mut(target_id) {
+            entry.health.on_response(now);
         }
         if let Some(load) = load {
-            self.take_load(now, target, load, &mut effects);
+            self.apply_load_report(now, target_id, load, &mut effects);
         }
         match signal {
             TargetSignal::Accepted => self.on_accepted(now, dispatch),
@@ -41,30 +43,34 @@
             TargetSignal::NotRun(reason) => self.on_not_run(now, dispatch, reason, &mut effects),
             TargetSignal::Unknown => self.on_unknown(now, dispatch, &mut effects),
         }
-        self.pump(now, &mut effects);
+        self.dispatch_queued(now, &mut effects);
         effects
     }
 
-    /// Looks at the dispatches whose deadlines have passed.
-    pub(crate) fn check_dispatches(&mut self, now: ClockTime, effects: &mut Vec<SchedulerEffect>) {
-        for dispatch in self.dispatches.due(now) {
+    /// Handles the dispatches whose next deadline has passed.
+    pub(crate) fn handle_due_dispatches(
+        &mut self,
+        now: ClockTime,
+        effects: &mut Vec<SchedulerEffect>,
+    ) {
+        for dispatch in self.dispatches.due_dispatches(now) {
             let Some(running) = self.dispatches.get(dispatch) else {
                 continue;
             };
             if running.lease_deadline.is_past(now) {
-                self.end_lease(dispatch, effects);
+                self.expire_lease(dispatch, effects);
             } else if running.is_overdue(now) {
-                self.tell_target(now, dispatch, CallerState::Overdue, effects);
-            } else if running.unanswered >= self.options.max_retransmissions {
-                self.blame(now, running.target, effects);
+                self.send_cancel(now, dispatch, CallerState::Overdue, effects);
+            } else if running.unanswered_sends >= self.options.max_retransmissions {
+                self.record_loss(now, running.target_id, effects);
                 self.on_lost(now, dispatch, effects);
             } else if running.phase == DispatchPhase::Sent && running.resend_deadline.is_past(now) {
-                // This process was paused for long. The target may have
-                // forgotten the dispatch and would run a copy as new work, so
-                // it isn't asked; nor is it to blame.
+                // This process was suspended for a long time. The target may no longer know
+                // the dispatch and would run a retransmission as new work, so none is sent.
+                // The loss doesn't count against the target either.
                 self.on_lost(now, dispatch, effects);
             } else {
-                self.ask_again(now, dispatch, effects);
+                self.retransmit(now, dispatch, effects);
             }
         }
     }
@@ -77,29 +83,29 @@
             }
             let kind = running.kind();
             if kind == TrafficKind::Feed {
-                // A feed's deadline is for its opening; it then stays open.
+                // The deadline of a feed applies to its opening; then it stays open.
                 running.lease_deadline = ClockTime::MAX;
             }
             running.resend_deadline = now.after(options.resend_window);
             running.phase = DispatchPhase::Accepted;
-            running.unanswered = 0;
-            running.check_at = options.next_check(now, kind);
+            running.unanswered_sends = 0;
+            running.next_check_at = options.next_check_at(now, kind);
         });
     }
 
     fn on_ended(&mut self, now: ClockTime, dispatch: u64) {
-        let Some(running) = self.take_out(dispatch) else {
+        let Some(running) = self.remove_dispatch(dispatch) else {
             return;
         };
-        let ratio = self.times.on_run(running.kind(), running.run_time(now));
+        let ratio = self.times.record_run(running.kind(), running.elapsed(now));
         if !running.pending.item.is_feed()
-            && let Some(entry) = self.table.get_mut(running.target)
+            && let Some(entry) = self.table.get_mut(running.target_id)
         {
-            entry.health.on_run(now, ratio);
+            entry.health.on_run_ended(now, ratio);
         }
         if running.caller != CallerState::Answered {
             self.counters.ended += 1;
-            self.release_member(&running.pending.item);
+            self.remove_outstanding(&running.pending.item);
         }
     }
 
@@ -110,19 +116,19 @@
         reason: RefuseReason,
         effects: &mut Vec<SchedulerEffect>,
     ) {
-        let Some(running) = self.take_out(dispatch) else {
+        let Some(running) = self.remove_dispatch(dispatch) else {
             return;
         };
         if reason == RefuseReason::TargetShed
-            && let Some(entry) = self.table.get_mut(running.target)
+            && let Some(entry) = self.table.get_mut(running.target_id)
         {
-            entry.health.on_shed(now, self.times.usual_slot(), &self.options);
+            entry.health.on_shed(now, self.times.mean_slot_time(), &self.options);
         }
         if reason == RefuseReason::WrongTarget {
-            self.blame(now, running.target, effects);
+            self.record_loss(now, running.target_id, effects);
         }
-        if reason == RefuseReason::WrongTarget && !self.believes_wrong_target(now, &running) {
-            self.give_up_unknown(now, running, RefuseReason::TargetLost, effects);
+        if reason == RefuseReason::WrongTarget && !self.proves_not_run(now, &running) {
+            self.retry_or_refuse_unknown(now, running, RefuseReason::TargetLost, effects);
             return;
         }
         match running.caller {
@@ -139,23 +145,27 @@
         }
     }
 
-    // Another process that took the address over answers a copy by "wrong
-    // target" although the former process may have run the work. So the word
-    // counts only for a single sending, and only so soon after it that no
-    // process can have been replaced in between; later it means "unknown".
-    fn believes_wrong_target(&self, now: ClockTime, running: &RunningDispatch) -> bool {
-        let replaced_by = running.sent_at.after(self.options.ack_timeout);
-        running.sendings == 1 && running.phase == DispatchPhase::Sent && !replaced_by.is_past(now)
+    // Returns whether the response "wrong target" proves that the work item did not run.
+    //
+    // A new process at the same address answers "wrong target" to a retransmission, although
+    // the former process may have run the work. The response is therefore a proof only if one
+    // packet was sent, and so recently that no process can have been replaced in between.
+    // Otherwise the run state is unknown.
+    fn proves_not_run(&self, now: ClockTime, running: &RunningDispatch) -> bool {
+        let replaceable_at = running.sent_at.after(self.options.ack_timeout);
+        running.send_count == 1
+            && running.phase == DispatchPhase::Sent
+            && !replaceable_at.is_past(now)
     }
 
     fn on_unknown(&mut self, now: ClockTime, dispatch: u64, effects: &mut Vec<SchedulerEffect>) {
-        if let Some(running) = self.take_out(dispatch) {
-            self.give_up_unknown(now, running, RefuseReason::TargetLost, effects);
+        if let Some(running) = self.remove_dispatch(dispatch) {
+            self.retry_or_refuse_unknown(now, running, RefuseReason::TargetLost, effects);
         }
     }
 
-    // The work may have run: only idempotent work goes on elsewhere.
-    fn give_up_unknown(
+    // The work item may have run, so only an idempotent one is retried.
+    fn retry_or_refuse_unknown(
         &mut self,
         now: ClockTime,
         running: RunningDispatch,
@@ -173,13 +183,16 @@
                 let reason = RefuseReason::DeadlinePassed;
                 self.refuse(pending, RunState::Unknown, reason, effects);
             }
-            CallerState::Waiting if pending.item.idempotent && self.may_retry(now, &running) => {
-                self.try_elsewhere(running, RunState::Unknown);
+            CallerState::Waiting
+                if pending.item.idempotent && self.try_acquire_retry(now, &running) =>
+            {
+                self.requeue(running, RunState::Unknown);
             }
             CallerState::Waiting => self.refuse(pending, RunState::Unknown, reason, effects),
         }
     }
 
+    // The work item did not run, so it may be retried even if it is not idempotent.
     fn retry_or_refuse(
         &mut self,
         now: ClockTime,
@@ -187,62 +200,63 @@
         reason: RefuseReason,
         effects: &mut Vec<SchedulerEffect>,
     ) {
-        if reason != RefuseReason::DeadlinePassed && self.may_retry(now, &running) {
-            self.try_elsewhere(running, RunState::NotRun);
+        if reason != RefuseReason::DeadlinePassed && self.try_acquire_retry(now, &running) {
+            self.requeue(running, RunState::NotRun);
             return;
         }
         self.refuse(&running.pending, RunState::NotRun, reason, effects);
     }
 
-    fn may_retry(&mut self, now: ClockTime, running: &RunningDispatch) -> bool {
-        let tries = running.pending.tried.len() as u32 + 1;
-        // The opening packet of accepted work is only kept where it is asked about.
-        let is_kept = running.phase == DispatchPhase::Sent || self.options.checks_runs();
-        let in_time = !running.pending.start_by.is_past(now);
-        tries < self.options.max_attempts
-            && is_kept
+    // Takes a retry out of the budget if the work item may be sent to another target.
+    fn try_acquire_retry(&mut self, now: ClockTime, running: &RunningDispatch) -> bool {
+        let attempts = running.pending.tried_targets.len() as u32 + 1;
+        // Callers keep the opening packet of accepted work only if accepted work is queried.
+        let has_packet = running.phase == DispatchPhase::Sent || self.options.checks_requests();
+        let in_time = !running.pending.latest_start.is_past(now);
+        attempts < self.options.max_attempts
+            && has_packet
             && in_time
-            && self.table.takes_work()
-            && self.budget.spend()
+            && self.table.has_open_target()
+            && self.budget.withdraw()
     }
 
-    fn try_elsewhere(&mut self, running: RunningDispatch, ran: RunState) {
+    fn requeue(&mut self, running: RunningDispatch, run_state: RunState) {
         let mut pending = running.pending;
-        pending.ran = pending.ran.max(ran);
-        pending.tried.push(running.target);
-        self.queue_of(pending.item.kind).push_again(pending);
+        pending.run_state = pending.run_state.max(run_state);
+        pending.tried_targets.push(running.target_id);
+        self.queue_of(pending.item.kind).push_front(pending);
     }
 
-    /// Tells a target that nobody waits for a dispatch any more.
+    /// Cancels a dispatch at its target, because the caller no longer waits for it.
     ///
-    /// Work that waits in the target's own queue is then known not to run at
-    /// once, instead of when the target comes to it.
-    pub(crate) fn tell_target(
+    /// For work in the target's own queue, the target then reports at once that it did not
+    /// run, and not only when its turn comes.
+    pub(crate) fn send_cancel(
         &mut self,
         now: ClockTime,
         dispatch: u64,
         caller: CallerState,
         effects: &mut Vec<SchedulerEffect>,
     ) {
-        let check_at = now.after(self.options.ack_timeout);
+        let next_check_at = now.after(self.options.ack_timeout);
         self.dispatches.update(dispatch, |running| {
             running.caller = caller;
-            running.unanswered = 0;
-            running.sendings += 1;
-            running.check_at = check_at;
+            running.unanswered_sends = 0;
+            running.send_count += 1;
+            running.next_check_at = next_check_at;
             let target = Arc::clone(&running.spec);
             effects.push(SchedulerEffect::Cancel { dispatch, target });
         });
     }
 
-    // Sends the same dispatch to the same target again; a copy starts nothing
-    // there, so this is safe for non-idempotent work.
-    fn ask_again(&mut self, now: ClockTime, dispatch: u64, effects: &mut Vec<SchedulerEffect>) {
-        let check_at = now.after(self.options.ack_timeout);
+    // Sends a packet of the same dispatch to the same target again. The target ignores
+    // duplicates of a dispatch, so this is safe for non-idempotent work.
+    fn retransmit(&mut self, now: ClockTime, dispatch: u64, effects: &mut Vec<SchedulerEffect>) {
+        let next_check_at = now.after(self.options.ack_timeout);
         self.dispatches.update(dispatch, |running| {
-            running.unanswered += 1;
-            running.sendings += 1;
-            running.check_at = check_at;
+            running.unanswered_sends += 1;
+            running.send_count += 1;
+            running.next_check_at = next_check_at;
             let target = Arc::clone(&running.spec);
             let work = running.pending.item.id;
             effects.push(match running.caller {
@@ -258,39 +272,39 @@
         self.counters.resent += 1;
     }
 
-    // The target says nothing any more. The caller is answered at once; the
-    // slot stays taken for a while, as the work may still be running there.
+    // Handles a dispatch whose target stopped responding. The work item is retried or refused
+    // at once; the slot stays occupied for a while, as the work may still be running.
     fn on_lost(&mut self, now: ClockTime, dispatch: u64, effects: &mut Vec<SchedulerEffect>) {
-        let Some(mut running) = self.take_out(dispatch) else {
+        let Some(mut running) = self.remove_dispatch(dispatch) else {
             return;
         };
         if running.caller == CallerState::Answered {
             return;
         }
-        // The caller of an open feed notices the silence itself and reopens it;
-        // opening it elsewhere on its behalf would feed it twice.
+        // The caller of an open feed notices the loss itself and reopens the feed. Opening it
+        // at another target on its behalf would deliver the feed twice.
         if running.pending.item.is_feed() && running.phase == DispatchPhase::Accepted {
             self.counters.ended += 1;
-            self.release_member(&running.pending.item);
+            self.remove_outstanding(&running.pending.item);
             effects.push(SchedulerEffect::Discard { work: running.pending.item.id });
             return;
         }
         effects.push(SchedulerEffect::Cancel { dispatch, target: Arc::clone(&running.spec) });
         let lost = running.clone();
-        self.give_up_unknown(now, lost, RefuseReason::TargetLost, effects);
+        self.retry_or_refuse_unknown(now, lost, RefuseReason::TargetLost, effects);
         running.caller = CallerState::Answered;
-        running.check_at = ClockTime::MAX;
+        running.next_check_at = ClockTime::MAX;
         running.lease_deadline = running.lease_deadline.min(now.after(self.options.lost_slot_hold));
-        if running.hold == SlotHold::Held {
-            self.table.take(running.target, running.kind());
+        if running.slot == SlotState::Held {
+            self.table.occupy(running.target_id, running.kind());
             self.dispatches.insert(dispatch, running);
         }
     }
 
-    // The caller's deadline and the grace have passed: the slot is given back,
-    // or work whose end was lost would hold it for good.
-    fn end_lease(&mut self, dispatch: u64, effects: &mut Vec<SchedulerEffect>) {
-        let Some(running) = self.take_out(dispatch) else {
+    // Releases the slot once the caller's deadline and the grace time have passed. Otherwise
+    // work whose end was lost would hold it for good.
+    fn expire_lease(&mut self, dispatch: u64, effects: &mut Vec<SchedulerEffect>) {
+        let Some(running) = self.remove_dispatch(dispatch) else {
             return;
         };
         if running.caller == CallerState::Answered {
@@ -301,52 +315,54 @@
         self.refuse(&running.pending, RunState::Unknown, reason, effects);
     }
 
-    /// Gives the slots of old requests back when their target reports fewer in
-    /// use than are counted.
+    /// Releases the slots of old requests whose target reports fewer busy slots than are
+    /// counted.
     ///
-    /// When an end gets lost its slot would stay taken until the caller's
-    /// deadline, and one lost datagram in a hundred would cost more than half
-    /// of all slots. A report that misleads costs little: a target without
-    /// room sheds what is sent too much, which is then "not run".
-    pub(crate) fn presume_ended(&mut self, now: ClockTime, target: u64, load: TargetLoad) {
-        let Some(entry) = self.table.get_mut(target) else {
+    /// If the report of an end is lost, the slot would stay occupied until the caller's
+    /// deadline, and a loss of one datagram in a hundred would cost more than half of all
+    /// slots. A wrong load report costs little: a target without capacity sheds the surplus
+    /// work, which is then "not run".
+    pub(crate) fn reclaim_ended_slots(&mut self, now: ClockTime, target_id: u64, load: TargetLoad) {
+        let Some(entry) = self.table.get_mut(target_id) else {
             return;
         };
         let busy = load.busy_slots + load.queued;
         let excess = entry.ledger.busy().saturating_sub(busy);
-        // What was seen speaks against the report of a target that is slow or sheds.
+        // The report of a target that is slow or sheds is contradicted by observation.
         let is_trusted = entry.health.trusted_report(now, &self.options).is_some();
-        if excess == 0 || !is_trusted || !entry.health.review_due(now) {
+        if excess == 0 || !is_trusted || !entry.health.try_start_reconcile(now) {
             return;
         }
-        let usual_run = self.times.usual_slot().mul_f64(entry.health.pace().max(1.0));
-        let age = self.options.presumed_end_age.max(usual_run * PRESUMED_RUNS).as_micros();
-        let sent_before = ClockTime::from_micros(now.as_micros().saturating_sub(age as u64));
-        let old = self.dispatches.old_requests(target, sent_before);
-        for dispatch in old.into_iter().take(excess as usize) {
-            self.dispatches.update(dispatch, |running| running.hold = SlotHold::Presumed);
-            self.table.give(target, TrafficKind::Bid);
+        let mean_run_time =
+            self.times.mean_slot_time().mul_f64(entry.health.run_time_ratio().max(1.0));
+        let min_age_us =
+            self.options.presumed_end_age.max(mean_run_time * PRESUMED_END_RUN_TIMES).as_micros();
+        let sent_before = ClockTime::from_micros(now.as_micros().saturating_sub(min_age_us as u64));
+        let old_requests = self.dispatches.requests_sent_before(target_id, sent_before);
+        for dispatch in old_requests.into_iter().take(excess as usize) {
+            self.dispatches.update(dispatch, |running| running.slot = SlotState::Reclaimed);
+            self.table.release(target_id, TrafficKind::Bid);
         }
     }
 
-    fn blame(&mut self, now: ClockTime, target: u64, effects: &mut Vec<SchedulerEffect>) {
-        let Some(entry) = self.table.get_mut(target) else {
+    fn record_loss(&mut self, now: ClockTime, target_id: u64, effects: &mut Vec<SchedulerEffect>) {
+        let Some(entry) = self.table.get_mut(target_id) else {
             return;
         };
-        if entry.health.on_loss(&self.options) == HealthVerdict::Eject {
-            let change = self.table.eject(now, target, "dispatches unanswered", &self.options);
+        if entry.health.on_loss(&self.options) == HealthDecision::Eject {
+            let change = self.table.eject(now, target_id, "dispatches unanswered", &self.options);
             effects.extend(change.map(SchedulerEffect::Audit));
         }
     }
 
-    // Takes a dispatch out of the table and gives its slot back.
-    fn take_out(&mut self, dispatch: u64) -> Option<RunningDispatch> {
+    // Removes a dispatch from the table and releases its slot.
+    fn remove_dispatch(&mut self, dispatch: u64) -> Option<RunningDispatch> {
         let running = self.dispatches.remove(dispatch)?;
-        if running.hold == SlotHold::Held {
-            self.table.give(running.target, running.kind());
+        if running.slot == SlotState::Held {
+            self.table.release(running.target_id, running.kind());
         }
         if running.caller != CallerState::Answered {
-            self.out.remove(&running.pending.item.id);
+            self.dispatch_by_work.remove(&running.pending.item.id);
         }
         Some(running)
     }
--- a/crates/foxledge-policy/src/dispatches.rs
+++ b/crates/foxledge-policy/src/dispatches.rs
@@ -1,4 +1,4 @@
-//! What a desk sent out and waits for.
+//! The dispatches that a scheduler waits for.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -10,100 +10,100 @@
 
 use crate::work::PendingWork;
 
-/// `DispatchTable` is every dispatch that holds a slot or connection.
+/// Holds every dispatch that has not ended, and orders them by their next deadline.
 #[derive(Debug, Default)]
 pub struct DispatchTable {
     dispatches: HashMap<u64, RunningDispatch>,
-    // Invariant: one entry for each dispatch whose next deadline isn't far.
+    // Invariant: one entry for each dispatch, with its next deadline.
     deadlines: BTreeSet<(ClockTime, u64)>,
 }
 
-/// `RunningDispatch` is one work at one target.
+/// One work item sent to one target.
 #[derive(Clone, Debug)]
 pub struct RunningDispatch {
-    /// The work.
+    /// The work item.
     pub pending: PendingWork,
-    /// The desk's number of the target.
-    pub target: u64,
-    /// The target as it was published then.
+    /// The id of the target in the target table.
+    pub target_id: u64,
+    /// The target as it was published at the time of the dispatch.
     pub spec: Arc<TargetSpec>,
-    /// Whether the target has it.
+    /// Whether the target has acknowledged the dispatch.
     pub phase: DispatchPhase,
-    /// Whether the caller still waits.
+    /// Whether the caller still waits for the work item.
     pub caller: CallerState,
-    /// Whether it is counted in the target's ledger.
-    pub hold: SlotHold,
-    /// Sendings since the last sign of the target.
-    pub unanswered: u32,
-    /// All sendings.
-    pub sendings: u32,
-    /// When it was sent first.
+    /// Whether the dispatch is counted in the slot ledger of the target.
+    pub slot: SlotState,
+    /// Retransmissions since the last response of the target, or since the cancellation.
+    pub unanswered_sends: u32,
+    /// The number of packets sent for this dispatch, the first one included.
+    pub send_count: u32,
+    /// When the dispatch was sent first.
     pub sent_at: ClockTime,
-    /// When it is asked about next.
-    pub check_at: ClockTime,
-    /// Until when it may be sent again to the same target.
+    /// When the next retransmission or status query is sent.
+    pub next_check_at: ClockTime,
+    /// The time after which the opening packet must not be sent to the same target again.
     pub resend_deadline: ClockTime,
-    /// When the slot is given back whatever happens.
+    /// When the slot is released even without a response.
     pub lease_deadline: ClockTime,
 }
 
-/// `DispatchPhase` is whether a target has a dispatch.
+/// The progress of a dispatch at its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DispatchPhase {
-    /// Sent.
+    /// Sent, but not acknowledged.
     Sent,
-    /// The target said so.
+    /// Acknowledged by the target.
     Accepted,
 }
 
-/// `CallerState` is whether a dispatch's caller still waits.
+/// The state of the caller of a dispatched work item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallerState {
-    /// Waits.
+    /// Waits for the work item.
     Waiting,
-    /// Gave up; the target was told so.
+    /// Gave up; a cancellation was sent to the target.
     Cancelled,
-    /// Its deadline has passed; the target was told so.
+    /// Passed its deadline; a cancellation was sent to the target.
     Overdue,
-    /// Has its final answer; only the slot is still held.
+    /// Received the final response; only the slot is still held.
     Answered,
 }
 
-/// `SlotHold` is whether a dispatch is counted in its target's ledger.
+/// Whether a dispatch is counted in the slot ledger of its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SlotHold {
-    /// Counted.
+pub enum SlotState {
+    /// Counted in the ledger.
     Held,
-    /// Its end seems to be lost; the slot was given back before.
-    Presumed,
+    /// Released early, because the report of the end is presumed lost.
+    Reclaimed,
 }
 
 impl RunningDispatch {
-    /// Kind of traffic.
+    /// Returns the kind of traffic.
     pub fn kind(&self) -> TrafficKind {
         self.pending.item.kind
     }
 
-    /// Time since it was sent.
-    pub fn run_time(&self, now: ClockTime) -> Duration {
+    /// Returns the time since the dispatch was sent.
+    pub fn elapsed(&self, now: ClockTime) -> Duration {
         now.since(self.sent_at)
     }
 
-    /// True when the caller's deadline has passed and the target wasn't told yet.
+    /// Returns whether the caller's deadline has passed without a cancellation sent so far.
     pub fn is_overdue(&self, now: ClockTime) -> bool {
-        self.caller == CallerState::Waiting && self.give_up_at().is_past(now)
+        self.caller == CallerState::Waiting && self.caller_deadline().is_past(now)
     }
 
-    // Until when the caller waits; the deadline of a feed is for its opening.
-    fn give_up_at(&self) -> ClockTime {
+    // The deadline of a feed applies to its opening only.
+    fn caller_deadline(&self) -> ClockTime {
         let is_open = self.pending.item.is_feed() && self.phase == DispatchPhase::Accepted;
         if is_open { ClockTime::MAX } else { self.pending.item.deadline }
     }
 
     fn next_deadline(&self) -> ClockTime {
-        let deadline = self.check_at.min(self.lease_deadline);
+        let deadline = self.next_check_at.min(self.lease_deadline);
         match self.caller {
-            CallerState::Waiting => deadline.min(self.give_up_at()),
+            CallerState::Waiting => deadline.min(self.caller_deadline()),
             _ => deadline,
         }
     }
@@ -116,17 +116,17 @@
         self.dispatches.insert(dispatch, running);
     }
 
-    /// True when the table holds it.
+    /// Returns whether the dispatch is in the table.
     pub fn contains(&self, dispatch: u64) -> bool {
         self.dispatches.contains_key(&dispatch)
     }
 
-    /// The dispatch.
+    /// Returns the dispatch with this id.
     pub fn get(&self, dispatch: u64) -> Option<&RunningDispatch> {
         self.dispatches.get(&dispatch)
     }
 
-    /// Changes a dispatch and keeps its deadline in order.
+    /// Changes a dispatch and updates its position in the deadline order.
     pub fn update(&mut self, dispatch: u64, change: impl FnOnce(&mut RunningDispatch)) {
         let Some(running) = self.dispatches.get_mut(&dispatch) else {
             return;
@@ -136,25 +136,25 @@
         self.deadlines.insert((running.next_deadline(), dispatch));
     }
 
-    /// Takes a dispatch out.
+    /// Removes a dispatch and returns it.
     pub fn remove(&mut self, dispatch: u64) -> Option<RunningDispatch> {
         let running = self.dispatches.remove(&dispatch)?;
         self.deadlines.remove(&(running.next_deadline(), dispatch));
         Some(running)
     }
 
-    /// The dispatches whose next deadline has passed.
-    pub fn due(&self, now: ClockTime) -> Vec<u64> {
+    /// Returns the ids of the dispatches whose next deadline has passed.
+    pub fn due_dispatches(&self, now: ClockTime) -> Vec<u64> {
         let due = self.deadlines.iter().take_while(|(deadline, _)| deadline.is_past(now));
         due.map(|&(_, dispatch)| dispatch).collect()
     }
 
-    /// Requests at a target that hold a slot and were sent before `sent_before`,
-    /// the oldest first.
-    pub fn old_requests(&self, target: u64, sent_before: ClockTime) -> Vec<u64> {
+    /// Returns the ids of the requests that hold a slot of a target and were sent before
+    /// `sent_before`, the oldest first.
+    pub fn requests_sent_before(&self, target_id: u64, sent_before: ClockTime) -> Vec<u64> {
         let is_old = |running: &RunningDispatch| {
-            running.target == target
-                && running.hold == SlotHold::Held
+            running.target_id == target_id
+                && running.slot == SlotState::Held
                 && !running.pending.item.is_feed()
                 && running.sent_at < sent_before
         };
@@ -164,7 +164,7 @@
         old.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Every dispatch, in no order.
+    /// Returns every dispatch, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &RunningDispatch> {
         self.dispatches.values()
     }
--- a/crates/foxledge-policy/src/effects.rs
+++ b/crates/foxledge-policy/src/effects.rs
@@ -1,141 +1,141 @@
-//! What a desk is told and what it wants done.
+//! The inputs from targets and the effects that a scheduler requests.
 
 use std::{sync::Arc, time::Duration};
 
 use foxledge_core::{audit::AuditChange, lists::TargetSpec};
 use serde::Serialize;
 
-/// `SchedulerEffect` is one thing that the desk wants done.
+/// An action that the owner of the scheduler has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SchedulerEffect {
-    /// Send the work to the target under a new dispatch.
+    /// Send the work item to the target under a new dispatch.
     Dispatch {
-        /// The work.
+        /// The id of the work item.
         work: u64,
-        /// The dispatch; random and never 0.
+        /// The id of the dispatch; random and never 0.
         dispatch: u64,
-        /// Where to.
+        /// The target to send to.
         target: Arc<TargetSpec>,
     },
     /// Send the opening packet of the same dispatch to the same target again.
     Resend {
-        /// The work.
+        /// The id of the work item.
         work: u64,
-        /// The dispatch.
+        /// The id of the dispatch.
         dispatch: u64,
-        /// Where to.
+        /// The target to send to.
         target: Arc<TargetSpec>,
     },
-    /// Ask the target what became of a dispatch that it has accepted.
+    /// Query the target for the state of a dispatch that it has accepted.
     ///
-    /// It must start nothing at a target that has forgotten the dispatch: the
-    /// opening packet sent again would run there as new work.
+    /// The query must not start anything at a target that no longer knows the dispatch: the
+    /// opening packet, sent again, would run there as new work.
     Check {
-        /// The work.
+        /// The id of the work item.
         work: u64,
-        /// The dispatch.
+        /// The id of the dispatch.
         dispatch: u64,
-        /// Whom.
+        /// The target to query.
         target: Arc<TargetSpec>,
     },
-    /// Give the caller the final answer at once.
+    /// Send the final refusal to the caller.
     Refuse {
-        /// The work.
+        /// The id of the work item.
         work: u64,
-        /// The answer.
+        /// The refusal.
         refusal: WorkRefusal,
     },
-    /// Pass on that nobody waits for the dispatch any more.
+    /// Cancel the dispatch at the target, because the caller no longer waits for it.
     Cancel {
-        /// The dispatch.
+        /// The id of the dispatch.
         dispatch: u64,
-        /// Where to.
+        /// The target to send to.
         target: Arc<TargetSpec>,
     },
-    /// The desk holds the work no longer, and nobody needs to be told: an open
-    /// feed whose target fell silent, which its caller notices itself.
+    /// Discard the state of the work item without a response: it is an open feed whose target
+    /// stopped responding, which its caller notices itself.
     Discard {
-        /// The work.
+        /// The id of the work item.
         work: u64,
     },
-    /// Ask the target for its load.
+    /// Request a load report from the target.
     Probe {
-        /// Whom.
+        /// The target to query.
         target: Arc<TargetSpec>,
     },
-    /// Record a change.
+    /// Record a change in the audit log.
     Audit(AuditChange),
 }
 
-/// `WorkRefusal` is the final answer to work that the desk gave up.
+/// The final response to a work item that the scheduler refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkRefusal {
-    /// Whether it may have run.
+    /// Whether the work item may have run.
     pub run_state: RunState,
-    /// Why.
+    /// The reason of the refusal.
     pub reason: RefuseReason,
-    /// When to come back; zero means no hint.
+    /// The time after which the caller should retry; zero means no hint.
     pub retry_after: Duration,
 }
 
-/// `RunState` is whether refused work ran.
+/// Whether a refused work item ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
-    /// It did not run and never will.
+    /// It did not run and will not run later.
     NotRun,
     /// It may have run.
     Unknown,
 }
 
-/// `RefuseReason` is why work was refused.
+/// The reason why a work item was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefuseReason {
-    /// The queue has no place for this member.
+    /// The queue is full for this member, or the work item must not be queued.
     QueueFull,
-    /// It can't start before its deadline, or did not end in time.
+    /// It could not start before its deadline, or did not end in time.
     DeadlinePassed,
-    /// No target takes work.
+    /// No target is open for new work.
     NoTarget,
-    /// The target had no room.
+    /// The target had no capacity and shed the work item.
     TargetShed,
-    /// The target fell silent.
+    /// The target stopped responding.
     TargetLost,
-    /// The member holds all that it may.
+    /// The member has reached its limit of outstanding work items.
     Limit,
-    /// The caller gave up.
+    /// The caller cancelled it.
     Cancelled,
-    /// The target is another one than published.
+    /// Another process than the published one responded at the address of the target.
     WrongTarget,
 }
 
-/// `TargetSignal` is what a target said of a dispatch.
+/// The state of a dispatch as reported by its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetSignal {
-    /// It has the work.
+    /// The target accepted the work item.
     Accepted,
-    /// The work ended, or the feed closed.
+    /// The request ended, or the feed was closed.
     Ended,
-    /// The work did not run and never will under this dispatch.
+    /// The work item did not run and will not run under this dispatch.
     NotRun(RefuseReason),
-    /// The work may have run.
+    /// The work item may have run.
     Unknown,
 }
 
-/// `TargetLoad` is what a target says of its own load; it may lag or mislead.
+/// The load that a target reports of itself, which may be stale or wrong.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct TargetLoad {
-    /// Slots in use, by whomever.
+    /// Slots in use, by the dispatches of any scheduler.
     pub busy_slots: u32,
     /// Open connections.
     pub connections: u32,
-    /// Requests in its own short queue.
+    /// Requests in the target's own short queue.
     pub queued: u32,
-    /// It is leaving: no new work.
+    /// The target is draining and takes no new work.
     pub draining: bool,
-    /// It is cold and slow.
+    /// The target is cold, and therefore slow.
     pub cold: bool,
-    /// It calls itself healthy.
+    /// The target considers itself healthy.
     pub healthy: bool,
 }
--- a/crates/foxledge-policy/src/errors.rs
+++ b/crates/foxledge-policy/src/errors.rs
@@ -2,21 +2,21 @@
 
 use thiserror::Error;
 
-/// `Result` is the crate's result type.
+/// The result type of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is what can go wrong when a desk is set up.
+/// An error in the setup of a scheduler.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Error {
-    /// No target policy has that name.
+    /// There is no target policy with this name.
     #[error("unknown target policy \"{name}\"")]
     UnknownPolicy {
-        /// The name.
+        /// The requested name.
         name: String,
     },
 }
 
-/// Makes an [`Error::UnknownPolicy`].
+/// Creates an [`Error::UnknownPolicy`].
 pub fn unknown_policy(name: &str) -> Error {
     Error::UnknownPolicy { name: name.to_owned() }
 }
--- a/crates/foxledge-policy/src/lib.rs
+++ b/crates/foxledge-policy/src/lib.rs
@@ -1,6 +1,11 @@
-//! Admission at a home: slots, fair order, target choice, health and retries.
+//! Scheduling of the work of a service shard: admission, fair queueing, slot accounting, choice
+//! of targets, target health and retries.
 //!
-//! [`ShardScheduler`] is pure: time and seeds come in, [`SchedulerEffect`]s go out.
+//! A target is a backend server, and a member is a client account. A work item is a request or a
+//! feed that a caller submits; a dispatch is one attempt to run it at a target.
+//!
+//! [`ShardScheduler`] does no I/O: it takes the time and a random seed as arguments, and returns
+//! [`SchedulerEffect`]s.
 
 mod admission;
 pub mod demand;
--- a/crates/foxledge-policy/src/options.rs
+++ b/crates/foxledge-policy/src/options.rs
@@ -1,10 +1,10 @@
-//! Settings of a desk.
+//! The settings of a scheduler.
 
 use std::time::Duration;
 
 use foxledge_core::{time::ClockTime, traffic::TrafficKind};
 
-/// `SchedulerOptions` are the settings of a desk, with defaults for targets of two slots.
+/// The settings of a scheduler. The defaults are for targets of two slots.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SchedulerOptions {
     pub(crate) queue_limit: u32,
@@ -67,70 +67,72 @@
 }
 
 impl SchedulerOptions {
-    /// Makes the defaults.
+    /// Creates the default settings.
     pub fn new() -> SchedulerOptions {
         SchedulerOptions::default()
     }
 
-    /// When accepted work is asked about next.
-    pub(crate) fn next_check(&self, now: ClockTime, kind: TrafficKind) -> ClockTime {
-        let period = if kind == TrafficKind::Feed {
+    /// Returns when the state of an accepted work item is queried next.
+    pub(crate) fn next_check_at(&self, now: ClockTime, kind: TrafficKind) -> ClockTime {
+        let interval = if kind == TrafficKind::Feed {
             self.feed_check_interval
         } else {
             self.request_check_interval
         };
-        if period == Duration::MAX { ClockTime::MAX } else { now.after(period) }
+        if interval == Duration::MAX { ClockTime::MAX } else { now.after(interval) }
     }
 
-    /// True when accepted work is asked about.
-    pub(crate) fn checks_runs(&self) -> bool {
+    /// Returns whether the state of accepted requests is queried.
+    pub(crate) fn checks_requests(&self) -> bool {
         self.request_check_interval != Duration::MAX
     }
 
     setters! {
-        /// Most requests, and most feeds, that wait.
+        /// Sets the maximum of queued requests, and of queued feeds.
         queue_limit: u32,
-        /// How long a target may take to say that it has a dispatch. It must be shorter than
-        /// the replacement of a process under its address takes.
+        /// Sets the time after which a dispatch without an acknowledgement is retransmitted. It
+        /// must be shorter than the time in which a process can be replaced at its address.
         ack_timeout: Duration,
-        /// How often a silent dispatch is sent again before its target counts as silent.
+        /// Sets the number of unanswered retransmissions after which a dispatch counts as lost.
         max_retransmissions: u32,
-        /// How often an accepted request is asked about by [`Check`](crate::SchedulerEffect::Check);
-        /// [`Duration::MAX`], the default, is never. It needs a caller that keeps the opening
-        /// packet of accepted requests, which may then be placed elsewhere.
+        /// Sets the interval at which the state of an accepted request is queried by
+        /// [`Check`](crate::SchedulerEffect::Check); [`Duration::MAX`], the default, means never.
+        /// The caller has to keep the opening packet of accepted requests for this, as they may
+        /// then be dispatched to another target.
         request_check_interval: Duration,
-        /// How often an open feed is asked about, in the same way.
+        /// Sets the interval at which the state of an open feed is queried in the same way.
         feed_check_interval: Duration,
-        /// How long after a target's last sign a dispatch may be sent again. It must be
-        /// shorter than targets remember dispatches (30 s), or a copy runs as new work.
+        /// Sets the time after the last response of a target within which a dispatch may be
+        /// retransmitted. It must be shorter than the time for which targets remember dispatches
+        /// (30 s); otherwise a retransmission runs as new work.
         resend_window: Duration,
-        /// Age from which a request's slot is given back when its target reports fewer
-        /// slots in use than this desk counts.
+        /// Sets the minimum age at which the slot of a request is released if its target reports
+        /// fewer busy slots than this scheduler counts.
         presumed_end_age: Duration,
-        /// How long after the caller's deadline a slot is still leased.
+        /// Sets the time after the caller's deadline at which the lease of a slot expires.
         lease_grace: Duration,
-        /// How long a slot stays taken by work whose target fell silent.
+        /// Sets the time for which a slot stays occupied after its dispatch was lost.
         lost_slot_hold: Duration,
-        /// Most targets that one work is sent to.
+        /// Sets the maximum number of dispatches of one work item.
         max_attempts: u32,
-        /// Retries allowed per dispatch, over time.
+        /// Sets the number of retries that each first dispatch allows.
         retry_ratio: f64,
-        /// Retries that may be saved up.
+        /// Sets the maximum of retries in the budget.
         retry_burst: f64,
-        /// How often each target is probed.
+        /// Sets the interval between probes of a target.
         probe_interval: Duration,
-        /// How long a load report counts.
+        /// Sets the time after which a load report expires.
         report_ttl: Duration,
-        /// Losses in a row after which a target is ejected.
+        /// Sets the number of consecutive losses after which a target is ejected.
         ejection_threshold: u32,
-        /// How long a first ejection lasts; it doubles with each further one.
+        /// Sets the duration of a first ejection, which doubles with each further one.
         base_ejection_time: Duration,
-        /// How long a new target gets less.
+        /// Sets the duration of the slow start of a new or readmitted target.
         slow_start: Duration,
-        /// How long a target that shed is left alone at least; it doubles while it
-        /// sheds. With zero it isn't left alone at all.
+        /// Sets the minimum backoff after a shed, which doubles with each further one. Zero
+        /// means no backoff.
         shed_backoff: Duration,
-        /// A target this many times slower than the median gets less.
+        /// Sets the run time ratio from which a target is slow and gets less work.
         slow_run_time_ratio: f64,
     }
 }
--- a/crates/foxledge-policy/src/policies.rs
+++ b/crates/foxledge-policy/src/policies.rs
@@ -1,4 +1,4 @@
-//! Which target gets a work.
+//! Policies that choose the target of a work item.
 
 use foxledge_core::{
     hash::rendezvous_weight, names::TargetName, time::ClockTime, traffic::TrafficKind,
@@ -11,17 +11,18 @@
     work::WorkItem,
 };
 
-/// `TargetPolicy` chooses a target among those that have room.
+/// Chooses a target among those that have capacity.
 pub trait TargetPolicy {
-    /// The name used in settings.
+    /// Returns the name of the policy in the settings.
     fn name(&self) -> &'static str;
 
-    /// Most candidates that it wants to see; of more it sees a random run.
+    /// Returns the maximum number of candidates that the policy evaluates; of more, it gets a
+    /// random selection.
     fn sample_size(&self) -> usize {
         usize::MAX
     }
 
-    /// Index into `candidates`, or none to let the work wait.
+    /// Returns an index into `candidates`, or `None` to leave the work item in the queue.
     fn pick(
         &mut self,
         now: ClockTime,
@@ -30,36 +31,36 @@
     ) -> Option<usize>;
 }
 
-/// `TargetState` is what a policy sees of a target that has room.
+/// The state of a candidate target as a policy sees it.
 #[derive(Clone, Debug)]
 pub struct TargetState {
-    /// Its name.
+    /// The name of the target.
     pub name: TargetName,
-    /// Slots that this desk may use of it now.
+    /// Slots that this scheduler may use now.
     pub slots: u32,
-    /// Slots that this desk's dispatches hold.
+    /// Slots that dispatches of this scheduler occupy.
     pub busy: u32,
-    /// Connections that this desk's feeds hold.
+    /// Connections that feeds of this scheduler occupy.
     pub connections: u32,
-    /// Connections that it can hold.
+    /// Connections that the target accepts.
     pub connection_limit: u32,
-    /// Its last report, unless that is too old or what was seen speaks against it.
-    pub reported: Option<TargetLoad>,
-    /// Its run time as a multiple of the usual for the kind of traffic; 1 is usual.
-    pub pace: f64,
-    /// From 0 (new or cold) to 1 (warm).
-    pub warmth: f64,
-    /// The desk's number of the target.
+    /// The last load report, unless it has expired or observations contradict it.
+    pub report: Option<TargetLoad>,
+    /// The ratio of run times at the target to the mean of their kind.
+    pub run_time_ratio: f64,
+    /// The progress of the slow start, from 0 (new or cold) to 1 (warm).
+    pub warmup_progress: f64,
+    /// The id of the target in the target table.
     pub(crate) id: u64,
 }
 
 impl TargetState {
-    /// Slots that are free as far as this desk knows.
+    /// Returns the slots that are free by the count of this scheduler.
     pub fn free_slots(&self) -> u32 {
         self.slots.saturating_sub(self.busy)
     }
 
-    fn room_used(&self, kind: TrafficKind) -> f64 {
+    fn utilization(&self, kind: TrafficKind) -> f64 {
         match kind {
             TrafficKind::Feed => {
                 f64::from(self.connections) / f64::from(self.connection_limit.max(1))
@@ -70,16 +71,20 @@
         }
     }
 
-    // Slots that others' dispatches seem to hold.
-    fn foreign_busy(&self) -> u32 {
-        let Some(load) = self.reported else {
+    // Returns the slots that dispatches of other schedulers occupy according to the load report.
+    fn other_busy(&self) -> u32 {
+        let Some(load) = self.report else {
             return 0;
         };
         (load.busy_slots + load.queued).saturating_sub(self.busy)
     }
 }
 
-/// Makes the policy of that name.
+/// Creates the policy with this name.
+///
+/// # Errors
+///
+/// Returns [`Error::UnknownPolicy`](crate::Error::UnknownPolicy) if no policy has this name.
 pub fn policy_by_name(name: &str, seed: u64) -> Result<Box<dyn TargetPolicy>> {
     let random = StdRng::seed_from_u64(seed);
     match name {
@@ -91,11 +96,12 @@
     }
 }
 
-// The freest of this many is hardly busier than the freest of all, and the
-// cost of a request doesn't grow with the service.
-const FREEST_SAMPLE: usize = 64;
+// The least utilized of this many targets is hardly busier than the least utilized of all, and
+// the cost of a request doesn't grow with the size of the service.
+const FREEST_SAMPLE_SIZE: usize = 64;
 
-/// `FreestTarget` takes the target with the smallest used part, the quicker of equals.
+/// Chooses the target with the lowest utilization, with a penalty for slow and cold targets and
+/// for slots that other schedulers occupy.
 struct FreestTarget {
     random: StdRng,
 }
@@ -106,7 +112,7 @@
     }
 
     fn sample_size(&self) -> usize {
-        FREEST_SAMPLE
+        FREEST_SAMPLE_SIZE
     }
 
     fn pick(
@@ -116,19 +122,19 @@
         work: &WorkItem,
     ) -> Option<usize> {
         let mut best: Option<(usize, f64)> = None;
-        let mut equals = 0u32;
+        let mut equal_count = 0u32;
         for (index, state) in candidates.iter().enumerate() {
             let score = freest_score(state, work.kind);
             match best {
-                Some((_, least)) if score > least => continue,
-                Some((_, least)) if score == least => {
-                    // Each of the equals is kept with the same chance (reservoir sampling).
-                    equals += 1;
-                    if self.random.random_range(0..equals) != 0 {
+                Some((_, lowest)) if score > lowest => continue,
+                Some((_, lowest)) if score == lowest => {
+                    // Chooses among equal scores uniformly (reservoir sampling).
+                    equal_count += 1;
+                    if self.random.random_range(0..equal_count) != 0 {
                         continue;
                     }
                 }
-                _ => equals = 1,
+                _ => equal_count = 1,
             }
             best = Some((index, score));
         }
@@ -136,15 +142,15 @@
     }
 }
 
-// Paces within a quarter count as equal, so that chance differences don't
-// send every request to one target.
+// Run time ratios are rounded to quarters, so that random differences don't direct every request
+// to one target.
 fn freest_score(state: &TargetState, kind: TrafficKind) -> f64 {
-    let pace = (state.pace * 4.0).round() / 4.0;
-    let penalty = (pace - 1.0).max(0.0) + (1.0 - state.warmth);
-    state.room_used(kind) + penalty * 0.25 + f64::from(state.foreign_busy().min(4)) * 0.1
+    let ratio = (state.run_time_ratio * 4.0).round() / 4.0;
+    let penalty = (ratio - 1.0).max(0.0) + (1.0 - state.warmup_progress);
+    state.utilization(kind) + penalty * 0.25 + f64::from(state.other_busy().min(4)) * 0.1
 }
 
-/// `HashTarget` takes the target that the flow hashes to.
+/// Chooses the target by rendezvous hashing of the flow id.
 struct HashTarget;
 
 impl TargetPolicy for HashTarget {
@@ -163,7 +169,7 @@
     }
 }
 
-/// `RoundRobin` takes the targets in turn.
+/// Chooses the targets in turn.
 struct RoundRobin {
     next: u64,
 }
@@ -179,15 +185,15 @@
         candidates: &[TargetState],
         _work: &WorkItem,
     ) -> Option<usize> {
-        // The turn goes by the desk's numbers, as the candidates change between picks.
-        let at_or_after = candidates.iter().position(|state| state.id >= self.next);
-        let picked = at_or_after.or(if candidates.is_empty() { None } else { Some(0) })?;
+        // The order is by target ids, as the candidates change between calls.
+        let next_index = candidates.iter().position(|state| state.id >= self.next);
+        let picked = next_index.or(if candidates.is_empty() { None } else { Some(0) })?;
         self.next = candidates[picked].id + 1;
         Some(picked)
     }
 }
 
-/// `TwoChoices` takes the less loaded of two random targets, by what they reported.
+/// Chooses the less loaded of two random targets, according to their load reports.
 ///
 /// Mitzenmacher, "The power of two choices in randomized load balancing",
 /// IEEE Transactions on Parallel and Distributed Systems 12(10), 2001.
@@ -217,7 +223,7 @@
 }
 
 fn reported_load(state: &TargetState, kind: TrafficKind) -> u32 {
-    let load = state.reported.unwrap_or_default();
+    let load = state.report.unwrap_or_default();
     match kind {
         TrafficKind::Feed => load.connections.max(state.connections),
         TrafficKind::Bid | TrafficKind::Upload => (load.busy_slots + load.queued).max(state.busy),
--- a/crates/foxledge-policy/src/queue.rs
+++ b/crates/foxledge-policy/src/queue.rs
@@ -1,8 +1,8 @@
-//! The bounded queue in fair order.
+//! A fair queue of work items.
 //!
-//! Start-time fair queueing on two levels: classes share by tier and paid
-//! priority ([`FAIR_SHARE`], [`PRIORITY_SHARES`]), members of one class by
-//! their weights. Goyal, Vin and Cheng, "Start-time fair queueing: a scheduling algorithm for integrated
+//! Start-time fair queueing on two levels: classes of tier and paid priority share the service
+//! by [`FAIR_TIER_WEIGHT`] and [`PRIORITY_WEIGHTS`], members of one class by their weights.
+//! Goyal, Vin and Cheng, "Start-time fair queueing: a scheduling algorithm for integrated
 //! services packet switching networks", ACM SIGCOMM 1996.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -11,30 +11,30 @@
 
 use crate::{demand::WorkTier, work::PendingWork};
 
-/// Shares of paid priorities 0 to 7 while all of them wait.
+/// The weights of paid priorities 0 to 7 while all of them have queued work.
 ///
-/// Each level gets twice the share of the one below. A share is a floor too:
-/// the lowest priority goes on being served while higher ones overload the
-/// service, which strict order would not do.
-pub const PRIORITY_SHARES: [u64; 8] = [1, 2, 4, 8, 16, 32, 64, 128];
+/// Each priority has twice the weight of the one below. A weight also guarantees a minimum: the
+/// lowest priority is still served while higher ones overload the service, unlike with strict
+/// priority order.
+pub const PRIORITY_WEIGHTS: [u64; 8] = [1, 2, 4, 8, 16, 32, 64, 128];
 
-/// Share of the fair tier beside the excess tier of the same priority.
+/// The weight of the fair tier relative to the excess tier of the same priority.
 ///
-/// The lowest priority's fair part so goes before the highest's excess, and
-/// the excess still has a floor.
-pub const FAIR_SHARE: u64 = 256;
+/// With this factor, fair work of the lowest priority has more weight than excess work of the
+/// highest, and excess work still has a guaranteed minimum.
+pub const FAIR_TIER_WEIGHT: u64 = 256;
 
-// The fair tier's classes come after the excess tier's.
-const PRIORITIES: usize = PRIORITY_SHARES.len();
+// The classes of the fair tier come after those of the excess tier.
+const PRIORITIES: usize = PRIORITY_WEIGHTS.len();
 const CLASSES: usize = 2 * PRIORITIES;
 
-// Virtual time of one unit of cost at share 1.
+// The virtual time of one unit of cost at weight 1.
 const TAG_SCALE: u64 = 1 << 16;
 
-// Idle members that are remembered before the list is cleared.
-const IDLE_MEMBERS: usize = 1024;
+// The number of members above which an idle class drops its member queues.
+const MAX_IDLE_MEMBERS: usize = 1024;
 
-/// `FairQueue` is the waiting work of a desk in fair order.
+/// The queued work items of a scheduler in fair order.
 #[derive(Debug, Default)]
 pub struct FairQueue {
     entries: HashMap<u64, PendingWork>,
@@ -43,83 +43,83 @@
     virtual_time: u64,
 }
 
-/// `QueueShare` is the work of one member that waits in one priority.
+/// The number of queued work items of one member in one priority and tier.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct QueueShare {
-    /// Paid priority.
+pub struct MemberBacklog {
+    /// The paid priority.
     pub priority: u8,
-    /// Whether it is within the member's fair part.
+    /// Whether the work items are within the fair share of the member.
     pub tier: WorkTier,
-    /// The member.
+    /// The name of the member.
     pub member: MemberName,
-    /// How many works wait.
+    /// The number of queued work items.
     pub queued: usize,
 }
 
 impl FairQueue {
-    /// Makes an empty queue.
+    /// Creates an empty queue.
     pub fn new() -> FairQueue {
         FairQueue::default()
     }
 
-    /// Number of works that wait.
+    /// Returns the number of queued work items.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// True when nothing waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// True when that work waits.
+    /// Returns whether the work item with this id is queued.
     pub fn contains(&self, work: u64) -> bool {
         self.entries.contains_key(&work)
     }
 
-    /// Adds work behind its member's other work.
-    pub fn push(&mut self, pending: PendingWork) {
+    /// Adds a work item behind those of the same member.
+    pub fn push_back(&mut self, pending: PendingWork) {
         self.insert(pending, QueueEnd::Back);
     }
 
-    /// Adds work that a target gave back in front of its member's other work.
-    pub fn push_again(&mut self, pending: PendingWork) {
+    /// Adds a work item that is retried in front of those of the same member.
+    pub fn push_front(&mut self, pending: PendingWork) {
         self.insert(pending, QueueEnd::Front);
     }
 
-    /// The work whose turn it is among the tiers up to `last`.
-    pub fn peek(&self, last: WorkTier) -> Option<&PendingWork> {
-        let class = &self.classes[self.next_class(last)?];
+    /// Returns the next work item of the tiers up to `max_tier`.
+    pub fn peek(&self, max_tier: WorkTier) -> Option<&PendingWork> {
+        let class = &self.classes[self.next_class(max_tier)?];
         self.entries.get(&class.next_work()?)
     }
 
-    /// Takes the work whose turn it is among the tiers up to `last`, and charges
-    /// its member `cost`.
-    pub fn pop(&mut self, last: WorkTier, cost: u64) -> Option<PendingWork> {
-        let number = self.next_class(last)?;
-        let class = &mut self.classes[number];
+    /// Removes the next work item of the tiers up to `max_tier`, and charges `cost` to its class
+    /// and member.
+    pub fn pop(&mut self, max_tier: WorkTier, cost: u64) -> Option<PendingWork> {
+        let index = self.next_class(max_tier)?;
+        let class = &mut self.classes[index];
         let work = class.pop(cost)?;
-        // The class's virtual time moves to the start tag of what is served,
-        // its own tag by the cost over its share.
-        self.virtual_time = class.start;
-        class.finish = class.start + cost * TAG_SCALE / share_of(number);
-        class.start = class.finish;
-        let pending = self.forget(work);
-        self.settle();
+        // The virtual time advances to the start tag of the served class, and the tags of that
+        // class advance by the cost divided by its weight.
+        self.virtual_time = class.start_tag;
+        class.finish_tag = class.start_tag + cost * TAG_SCALE / class_weight(index);
+        class.start_tag = class.finish_tag;
+        let pending = self.remove_entry(work);
+        self.end_busy_period();
         pending
     }
 
-    /// Takes work out of its place.
+    /// Removes the work item with this id from any position.
     pub fn remove(&mut self, work: u64) -> Option<PendingWork> {
-        let pending = self.forget(work)?;
-        let class = &mut self.classes[class_of(pending.item.priority, pending.tier)];
+        let pending = self.remove_entry(work)?;
+        let class = &mut self.classes[class_index(pending.item.priority, pending.tier)];
         class.remove(&pending.item.member, work);
-        self.settle();
+        self.end_busy_period();
         Some(pending)
     }
 
-    /// Takes out the work that can't be started any more.
-    pub fn take_expired(&mut self, now: ClockTime) -> Vec<PendingWork> {
+    /// Removes the work items whose latest start has passed.
+    pub fn drain_expired(&mut self, now: ClockTime) -> Vec<PendingWork> {
         let mut expired = Vec::new();
         while let Some(&(deadline, work)) = self.expiries.first() {
             if !deadline.is_past(now) {
@@ -130,97 +130,101 @@
         expired
     }
 
-    /// Takes out all work, in the order of deadlines.
-    pub fn take_all(&mut self) -> Vec<PendingWork> {
-        self.take_expired(ClockTime::MAX)
+    /// Removes all work items, in the order of their latest start.
+    pub fn drain_all(&mut self) -> Vec<PendingWork> {
+        self.drain_expired(ClockTime::MAX)
     }
 
-    /// Takes out the newest work of the heaviest member, if that member is
-    /// heavier than the member of `pending` would be with it.
+    /// Removes the newest work item of the class or member with the largest backlog relative to
+    /// its weight, if that backlog is larger than the one of `pending` would be.
     ///
-    /// Without it a member that sends ten times its share fills the queue, and
-    /// the others' work is refused at the door, however fair the order inside.
+    /// Without displacement, a member that sends ten times its share fills the queue, and the
+    /// work of the others is refused on submission, however fair the order in the queue is.
     pub fn displace_for(&mut self, pending: &PendingWork) -> Option<PendingWork> {
-        let own = class_of(pending.item.priority, pending.tier);
-        let own_load = (self.classes[own].queued as u64 + 1) * shares_product(own);
+        let own_index = class_index(pending.item.priority, pending.tier);
+        let own_backlog =
+            (self.classes[own_index].queued as u64 + 1) * inverse_class_weight(own_index);
         let heaviest = (0..self.classes.len())
-            .filter(|&number| self.classes[number].queued > 0)
-            .max_by_key(|&number| self.classes[number].queued as u64 * shares_product(number))?;
-        let heaviest_load = self.classes[heaviest].queued as u64 * shares_product(heaviest);
-        let work = if heaviest != own && heaviest_load > own_load {
+            .filter(|&index| self.classes[index].queued > 0)
+            .max_by_key(|&index| self.classes[index].queued as u64 * inverse_class_weight(index))?;
+        let heaviest_backlog =
+            self.classes[heaviest].queued as u64 * inverse_class_weight(heaviest);
+        let work = if heaviest != own_index && heaviest_backlog > own_backlog {
             self.classes[heaviest].newest_of_heaviest()?
         } else {
-            self.classes[own].newest_of_heavier(&pending.item.member, pending.item.weight)?
+            self.classes[own_index].newest_if_heavier(&pending.item.member, pending.item.weight)?
         };
         self.remove(work)
     }
 
-    /// How many works would go before that one if it came now, in fair order.
-    pub fn ahead_of(&self, pending: &PendingWork) -> f64 {
+    /// Returns the estimated number of work items that would be served before this one if it
+    /// were queued now.
+    pub fn expected_ahead_of(&self, pending: &PendingWork) -> f64 {
         let item = &pending.item;
-        let own = class_of(item.priority, pending.tier);
-        let waiting = |number: &usize| *number == own || self.classes[*number].queued > 0;
-        let shares: u64 = (0..CLASSES).filter(waiting).map(share_of).sum();
-        let class_part = share_of(own) as f64 / shares as f64;
-        let (queued, member_part) = self.classes[own].part_of(&item.member, item.weight);
-        let in_turn = (queued as f64 + 1.0) / (class_part * member_part) - 1.0;
-        in_turn.min(self.len() as f64)
+        let own_index = class_index(item.priority, pending.tier);
+        let is_waiting = |index: &usize| *index == own_index || self.classes[*index].queued > 0;
+        let total_weight: u64 = (0..CLASSES).filter(is_waiting).map(class_weight).sum();
+        let class_share = class_weight(own_index) as f64 / total_weight as f64;
+        let (queued, member_share) =
+            self.classes[own_index].member_share(&item.member, item.weight);
+        let ahead = (queued as f64 + 1.0) / (class_share * member_share) - 1.0;
+        ahead.min(self.len() as f64)
     }
 
-    /// What waits, by priority and member.
-    pub fn shares(&self) -> Vec<QueueShare> {
-        let mut shares = Vec::new();
-        for (number, class) in self.classes.iter().enumerate() {
-            for line in class.lines.iter().filter(|line| !line.works.is_empty()) {
-                let member = line.member.clone();
-                let queued = line.works.len();
-                let priority = (number % PRIORITIES) as u8;
-                let tier = if number < PRIORITIES { WorkTier::Excess } else { WorkTier::Fair };
-                shares.push(QueueShare { priority, tier, member, queued });
+    /// Returns the backlogs by priority, tier and member.
+    pub fn backlogs(&self) -> Vec<MemberBacklog> {
+        let mut backlogs = Vec::new();
+        for (index, class) in self.classes.iter().enumerate() {
+            for queue in class.queues.iter().filter(|queue| !queue.work_ids.is_empty()) {
+                let member = queue.member.clone();
+                let queued = queue.work_ids.len();
+                let priority = (index % PRIORITIES) as u8;
+                let tier = if index < PRIORITIES { WorkTier::Excess } else { WorkTier::Fair };
+                backlogs.push(MemberBacklog { priority, tier, member, queued });
             }
         }
-        shares
+        backlogs
     }
 
     fn insert(&mut self, pending: PendingWork, end: QueueEnd) {
         let item = &pending.item;
-        let (work, number) = (item.id, class_of(item.priority, pending.tier));
-        let class = &mut self.classes[number];
+        let (work, index) = (item.id, class_index(item.priority, pending.tier));
+        let class = &mut self.classes[index];
         if class.queued == 0 {
-            class.start = class.finish.max(self.virtual_time);
+            class.start_tag = class.finish_tag.max(self.virtual_time);
         }
         class.push(&item.member, item.weight, work, end);
-        self.expiries.insert((pending.start_by, work));
+        self.expiries.insert((pending.latest_start, work));
         self.entries.insert(work, pending);
     }
 
-    fn forget(&mut self, work: u64) -> Option<PendingWork> {
+    fn remove_entry(&mut self, work: u64) -> Option<PendingWork> {
         let pending = self.entries.remove(&work)?;
-        self.expiries.remove(&(pending.start_by, work));
+        self.expiries.remove(&(pending.latest_start, work));
         Some(pending)
     }
 
-    fn next_class(&self, last: WorkTier) -> Option<usize> {
-        let first = match last {
+    fn next_class(&self, max_tier: WorkTier) -> Option<usize> {
+        let first = match max_tier {
             WorkTier::Fair => PRIORITIES,
             WorkTier::Excess => 0,
         };
-        // Of equal tags the higher priority goes first.
+        // With equal start tags, the class of the higher priority is served first.
         (first..CLASSES)
             .rev()
-            .filter(|&number| self.classes[number].queued > 0)
-            .min_by_key(|&number| self.classes[number].start)
+            .filter(|&index| self.classes[index].queued > 0)
+            .min_by_key(|&index| self.classes[index].start_tag)
     }
 
-    // At the end of a busy period the virtual time moves to the highest finish
-    // tag given, so that nobody owes for the past.
-    fn settle(&mut self) {
+    // At the end of a busy period the virtual time advances to the highest finish tag, so that
+    // earlier service has no effect on the next period.
+    fn end_busy_period(&mut self) {
         if !self.entries.is_empty() {
             return;
         }
         for class in &mut self.classes {
-            self.virtual_time = self.virtual_time.max(class.finish);
-            class.settle();
+            self.virtual_time = self.virtual_time.max(class.finish_tag);
+            class.end_busy_period();
         }
     }
 }
@@ -231,7 +235,7 @@
     Back,
 }
 
-fn class_of(priority: PaidPriority, tier: WorkTier) -> usize {
+fn class_index(priority: PaidPriority, tier: WorkTier) -> usize {
     let level = usize::from(priority.0.min(PaidPriority::HIGHEST.0));
     match tier {
         WorkTier::Excess => level,
@@ -239,157 +243,158 @@
     }
 }
 
-fn share_of(class: usize) -> u64 {
-    let share = PRIORITY_SHARES[class % PRIORITIES];
-    if class < PRIORITIES { share } else { share * FAIR_SHARE }
+fn class_weight(class: usize) -> u64 {
+    let weight = PRIORITY_WEIGHTS[class % PRIORITIES];
+    if class < PRIORITIES { weight } else { weight * FAIR_TIER_WEIGHT }
 }
 
-// Loads of classes are compared as queued / share, in whole numbers.
-fn shares_product(number: usize) -> u64 {
-    share_of(CLASSES - 1) / share_of(number)
+// Backlogs of classes are compared as queued / weight, in integers.
+fn inverse_class_weight(index: usize) -> u64 {
+    class_weight(CLASSES - 1) / class_weight(index)
 }
 
-/// `PriorityClass` is the waiting work of one paid priority.
+/// The queued work items of one paid priority and tier.
 #[derive(Debug, Default)]
 struct PriorityClass {
-    lines: Vec<MemberLine>,
-    places: HashMap<MemberName, usize>,
-    // Start tag and place of each member that waits, the next one first.
-    turns: BTreeSet<(u64, usize)>,
-    weights: u64,
+    queues: Vec<MemberQueue>,
+    indexes: HashMap<MemberName, usize>,
+    // The start tag and the queue index of each member with queued work, the next one first.
+    start_tags: BTreeSet<(u64, usize)>,
+    total_weight: u64,
     queued: usize,
     virtual_time: u64,
-    start: u64,
-    finish: u64,
+    start_tag: u64,
+    finish_tag: u64,
 }
 
-/// `MemberLine` is the waiting work of one member in one priority.
+/// The queued work items of one member in one class, first in, first out.
 #[derive(Debug)]
-struct MemberLine {
+struct MemberQueue {
     member: MemberName,
-    works: VecDeque<u64>,
+    work_ids: VecDeque<u64>,
     weight: u64,
-    start: u64,
-    finish: u64,
+    start_tag: u64,
+    finish_tag: u64,
 }
 
 impl PriorityClass {
     fn push(&mut self, member: &MemberName, weight: u32, work: u64, end: QueueEnd) {
-        let place = self.place_of(member);
-        let line = &mut self.lines[place];
-        if line.works.is_empty() {
-            line.weight = u64::from(weight.max(1));
-            line.start = line.finish.max(self.virtual_time);
-            self.turns.insert((line.start, place));
-            self.weights += line.weight;
+        let index = self.index_of(member);
+        let queue = &mut self.queues[index];
+        if queue.work_ids.is_empty() {
+            queue.weight = u64::from(weight.max(1));
+            queue.start_tag = queue.finish_tag.max(self.virtual_time);
+            self.start_tags.insert((queue.start_tag, index));
+            self.total_weight += queue.weight;
         }
         match end {
-            QueueEnd::Front => line.works.push_front(work),
-            QueueEnd::Back => line.works.push_back(work),
+            QueueEnd::Front => queue.work_ids.push_front(work),
+            QueueEnd::Back => queue.work_ids.push_back(work),
         }
         self.queued += 1;
     }
 
-    fn place_of(&mut self, member: &MemberName) -> usize {
-        if let Some(&place) = self.places.get(member) {
-            return place;
+    fn index_of(&mut self, member: &MemberName) -> usize {
+        if let Some(&index) = self.indexes.get(member) {
+            return index;
         }
-        let place = self.lines.len();
+        let index = self.queues.len();
         let member = member.clone();
-        self.places.insert(member.clone(), place);
-        let works = VecDeque::new();
-        self.lines.push(MemberLine { member, works, weight: 1, start: 0, finish: 0 });
-        place
+        self.indexes.insert(member.clone(), index);
+        let work_ids = VecDeque::new();
+        self.queues.push(MemberQueue { member, work_ids, weight: 1, start_tag: 0, finish_tag: 0 });
+        index
     }
 
     fn next_work(&self) -> Option<u64> {
-        let &(_, place) = self.turns.first()?;
-        self.lines[place].works.front().copied()
+        let &(_, index) = self.start_tags.first()?;
+        self.queues[index].work_ids.front().copied()
     }
 
     fn pop(&mut self, cost: u64) -> Option<u64> {
-        let (start, place) = self.turns.pop_first()?;
+        let (start, index) = self.start_tags.pop_first()?;
         self.virtual_time = start;
-        let line = &mut self.lines[place];
-        let work = line.works.pop_front()?;
-        line.finish = start + cost * TAG_SCALE / line.weight;
-        line.start = line.finish;
+        let queue = &mut self.queues[index];
+        let work = queue.work_ids.pop_front()?;
+        queue.finish_tag = start + cost * TAG_SCALE / queue.weight;
+        queue.start_tag = queue.finish_tag;
         self.queued -= 1;
-        self.keep_turn(place);
+        self.update_start_tag(index);
         Some(work)
     }
 
     fn remove(&mut self, member: &MemberName, work: u64) {
-        let Some(&place) = self.places.get(member) else {
+        let Some(&index) = self.indexes.get(member) else {
             return;
         };
-        let line = &mut self.lines[place];
-        // Displaced work is the newest and expired work mostly the oldest.
-        let found = if line.works.back() == Some(&work) {
-            Some(line.works.len() - 1)
+        let queue = &mut self.queues[index];
+        // A displaced work item is the newest one, an expired one mostly the oldest.
+        let found = if queue.work_ids.back() == Some(&work) {
+            Some(queue.work_ids.len() - 1)
         } else {
-            line.works.iter().position(|&other| other == work)
+            queue.work_ids.iter().position(|&other| other == work)
         };
         let Some(position) = found else {
             return;
         };
-        line.works.remove(position);
-        self.turns.remove(&(line.start, place));
+        queue.work_ids.remove(position);
+        self.start_tags.remove(&(queue.start_tag, index));
         self.queued -= 1;
-        self.keep_turn(place);
+        self.update_start_tag(index);
     }
 
-    // Invariant: `turns` and `weights` hold exactly the members that wait.
-    fn keep_turn(&mut self, place: usize) {
-        let line = &self.lines[place];
-        if line.works.is_empty() {
-            self.weights -= line.weight;
+    // Invariant: `start_tags` and `total_weight` cover exactly the members with queued work.
+    fn update_start_tag(&mut self, index: usize) {
+        let queue = &self.queues[index];
+        if queue.work_ids.is_empty() {
+            self.total_weight -= queue.weight;
         } else {
-            self.turns.insert((line.start, place));
+            self.start_tags.insert((queue.start_tag, index));
         }
     }
 
     fn newest_of_heaviest(&self) -> Option<u64> {
-        self.heaviest()?.works.back().copied()
+        self.heaviest()?.work_ids.back().copied()
     }
 
-    fn newest_of_heavier(&self, member: &MemberName, weight: u32) -> Option<u64> {
+    fn newest_if_heavier(&self, member: &MemberName, weight: u32) -> Option<u64> {
         let heaviest = self.heaviest()?;
-        let queued = self.places.get(member).map_or(0, |&place| self.lines[place].works.len());
-        let own = (queued as u64 + 1) * heaviest.weight;
-        let other = heaviest.works.len() as u64 * u64::from(weight.max(1));
-        if heaviest.member == *member || other <= own {
+        let queued = self.indexes.get(member).map_or(0, |&index| self.queues[index].work_ids.len());
+        let own_index = (queued as u64 + 1) * heaviest.weight;
+        let other = heaviest.work_ids.len() as u64 * u64::from(weight.max(1));
+        if heaviest.member == *member || other <= own_index {
             return None;
         }
-        heaviest.works.back().copied()
+        heaviest.work_ids.back().copied()
     }
 
-    fn heaviest(&self) -> Option<&MemberLine> {
-        let waiting = self.turns.iter().map(|&(_, place)| &self.lines[place]);
-        // Compares queued / weight; of equals the one whose turn is last.
-        waiting.max_by(|a, b| {
-            let left = a.works.len() as u64 * b.weight;
-            let right = b.works.len() as u64 * a.weight;
+    fn heaviest(&self) -> Option<&MemberQueue> {
+        let is_waiting = self.start_tags.iter().map(|&(_, index)| &self.queues[index]);
+        // Compares queued / weight; of equal ones, the one that is served last.
+        is_waiting.max_by(|a, b| {
+            let left = a.work_ids.len() as u64 * b.weight;
+            let right = b.work_ids.len() as u64 * a.weight;
             left.cmp(&right)
         })
     }
 
-    // Work of the member that waits, and its part of the class if it waits too.
-    fn part_of(&self, member: &MemberName, weight: u32) -> (usize, f64) {
-        let line = self.places.get(member).map(|&place| &self.lines[place]);
-        let queued = line.map_or(0, |line| line.works.len());
+    // Returns the number of queued work items of the member, and the fraction of the service of
+    // the class that the member gets while it has queued work.
+    fn member_share(&self, member: &MemberName, weight: u32) -> (usize, f64) {
+        let queue = self.indexes.get(member).map(|&index| &self.queues[index]);
+        let queued = queue.map_or(0, |queue| queue.work_ids.len());
         let weight = u64::from(weight.max(1));
-        let weights = if queued == 0 { self.weights + weight } else { self.weights };
-        (queued, (weight as f64 / weights.max(1) as f64).min(1.0))
+        let total_weight = if queued == 0 { self.total_weight + weight } else { self.total_weight };
+        (queued, (weight as f64 / total_weight.max(1) as f64).min(1.0))
     }
 
-    fn settle(&mut self) {
-        for line in &self.lines {
-            self.virtual_time = self.virtual_time.max(line.finish);
+    fn end_busy_period(&mut self) {
+        for queue in &self.queues {
+            self.virtual_time = self.virtual_time.max(queue.finish_tag);
         }
-        if self.lines.len() > IDLE_MEMBERS {
-            self.lines.clear();
-            self.places.clear();
+        if self.queues.len() > MAX_IDLE_MEMBERS {
+            self.queues.clear();
+            self.indexes.clear();
         }
     }
 }
--- a/crates/foxledge-policy/src/retries.rs
+++ b/crates/foxledge-policy/src/retries.rs
@@ -1,29 +1,30 @@
-//! The retry budget.
+//! The budget that limits retries.
 
-/// `RetryBudget` is a token bucket that bounds retries to a share of dispatches.
+/// A token bucket that limits retries to a fraction of the first dispatches.
 ///
-/// Without it a service whose targets all shed gets each request several
-/// times over, which keeps it overloaded after the cause has gone.
+/// Without it, a service whose targets all shed would get each request several times, which
+/// keeps it overloaded after the cause has gone.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    share: f64,
+    ratio: f64,
     burst: f64,
     tokens: f64,
 }
 
 impl RetryBudget {
-    /// Makes a budget of `share` retries per dispatch with `burst` saved up.
-    pub fn new(share: f64, burst: f64) -> RetryBudget {
-        RetryBudget { share, burst, tokens: burst }
+    /// Creates a budget of `ratio` retries per first dispatch, which holds `burst` retries at
+    /// most and at first.
+    pub fn new(ratio: f64, burst: f64) -> RetryBudget {
+        RetryBudget { ratio, burst, tokens: burst }
     }
 
-    /// Counts a first dispatch.
-    pub fn earn(&mut self) {
-        self.tokens = (self.tokens + self.share).min(self.burst);
+    /// Adds the retries that one first dispatch allows.
+    pub fn deposit(&mut self) {
+        self.tokens = (self.tokens + self.ratio).min(self.burst);
     }
 
-    /// Takes one retry out of the budget; false when there is none.
-    pub fn spend(&mut self) -> bool {
+    /// Takes one retry out of the budget; returns false if less than one is left.
+    pub fn withdraw(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
         }
@@ -31,8 +32,8 @@
         true
     }
 
-    /// Retries left.
-    pub fn left(&self) -> f64 {
+    /// Returns the number of retries left.
+    pub fn remaining(&self) -> f64 {
         self.tokens
     }
 }
--- a/crates/foxledge-policy/src/run_times.rs
+++ b/crates/foxledge-policy/src/run_times.rs
@@ -1,26 +1,26 @@
-//! How long work usually runs.
+//! Mean run times of requests.
 
 use std::time::Duration;
 
 use foxledge_core::traffic::TrafficKind;
 
-// Assumed before anything was seen.
-const FIRST_GUESS: Duration = Duration::from_millis(50);
-// Weight of a new run time once enough were seen.
+// The run time assumed before the first request has ended.
+const INITIAL_RUN_TIME: Duration = Duration::from_millis(50);
+// The weight of a new run time in the mean after the first 64 runs.
 const MEAN_GAIN: f64 = 1.0 / 64.0;
-// Unit of the cost charged in the fair queue.
+// The run time that costs one unit in the fair queue.
 const COST_UNIT: Duration = Duration::from_micros(100);
-const MOST_COST: u64 = 100_000;
+const MAX_COST: u64 = 100_000;
 
-/// `RunTimes` is the usual run time of each kind of request, and of all.
+/// The mean run time of each kind of request, and of all requests.
 #[derive(Clone, Debug)]
 pub struct RunTimes {
     bids: MeanTime,
     uploads: MeanTime,
-    all: MeanTime,
+    requests: MeanTime,
 }
 
-/// `MeanTime` is a moving mean.
+/// An exponential moving average of run times.
 #[derive(Clone, Copy, Debug)]
 struct MeanTime {
     seconds: f64,
@@ -28,49 +28,49 @@
 }
 
 impl RunTimes {
-    /// Makes the first guess.
+    /// Creates run times of which all are at the initial assumption.
     pub fn new() -> RunTimes {
-        let first = MeanTime { seconds: FIRST_GUESS.as_secs_f64(), runs: 0 };
-        RunTimes { bids: first, uploads: first, all: first }
+        let initial = MeanTime { seconds: INITIAL_RUN_TIME.as_secs_f64(), runs: 0 };
+        RunTimes { bids: initial, uploads: initial, requests: initial }
     }
 
-    /// Takes a run into account and returns it as a multiple of the usual.
-    pub fn on_run(&mut self, kind: TrafficKind, run: Duration) -> f64 {
+    /// Records a run time and returns its ratio to the mean of its kind; 1 for feeds.
+    pub fn record_run(&mut self, kind: TrafficKind, run: Duration) -> f64 {
         let mean = match kind {
             TrafficKind::Feed => return 1.0,
             TrafficKind::Bid => &mut self.bids,
             TrafficKind::Upload => &mut self.uploads,
         };
-        mean.add(run);
+        mean.record(run);
         let ratio = run.as_secs_f64() / mean.seconds.max(1e-6);
-        self.all.add(run);
+        self.requests.record(run);
         ratio
     }
 
-    /// Usual run time of that kind; zero for feeds.
-    pub fn usual(&self, kind: TrafficKind) -> Duration {
+    /// Returns the mean run time of a kind of traffic; zero for feeds.
+    pub fn mean_run_time(&self, kind: TrafficKind) -> Duration {
         match kind {
             TrafficKind::Feed => Duration::ZERO,
-            TrafficKind::Bid => self.bids.get(),
-            TrafficKind::Upload => self.uploads.get(),
+            TrafficKind::Bid => self.bids.mean(),
+            TrafficKind::Upload => self.uploads.mean(),
         }
     }
 
-    /// Usual time that a slot is taken for.
-    pub fn usual_slot(&self) -> Duration {
-        self.all.get()
+    /// Returns the mean time for which a request occupies a slot.
+    pub fn mean_slot_time(&self) -> Duration {
+        self.requests.mean()
     }
 
-    /// What a work of that kind costs its member in the fair queue.
+    /// Returns the cost of a work item of this kind in the fair queue.
     ///
-    /// By usual time and not by number, or a member's uploads, which hold a
-    /// slot for long, would take most of the slots in their turns.
-    pub fn cost(&self, kind: TrafficKind) -> u64 {
+    /// The cost is proportional to the mean run time. If each item had the same cost, a member's
+    /// uploads, which hold a slot for long, would take most of the slots in their turns.
+    pub fn queue_cost(&self, kind: TrafficKind) -> u64 {
         if kind == TrafficKind::Feed {
             return 1;
         }
-        let units = self.usual(kind).as_micros() / COST_UNIT.as_micros();
-        (units as u64).clamp(1, MOST_COST)
+        let units = self.mean_run_time(kind).as_micros() / COST_UNIT.as_micros();
+        (units as u64).clamp(1, MAX_COST)
     }
 }
 
@@ -81,13 +81,13 @@
 }
 
 impl MeanTime {
-    fn add(&mut self, run: Duration) {
+    fn record(&mut self, run: Duration) {
         let gain = MEAN_GAIN.max(1.0 / f64::from(self.runs + 1));
         self.seconds += (run.as_secs_f64() - self.seconds) * gain;
         self.runs = self.runs.saturating_add(1);
     }
 
-    fn get(&self) -> Duration {
+    fn mean(&self) -> Duration {
         Duration::from_secs_f64(self.seconds.max(0.0))
     }
 }
--- a/crates/foxledge-policy/src/scheduler.rs
+++ b/crates/foxledge-policy/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! A home's desk: the only place that counts a service shard's slots.
+//! The scheduler of a service shard, which alone counts the slots of the shard.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -21,34 +21,36 @@
     retries::RetryBudget,
     run_times::RunTimes,
     status::{SchedulerCounters, SchedulerStatus, TargetStatus, WaitingStatus},
-    targets::{TargetEntry, TargetStand, TargetTable},
+    targets::{TargetEntry, TargetListing, TargetTable},
 };
 
-/// `ShardScheduler` admits work for one service shard: it counts the slots of its
-/// targets, keeps the queue in fair order, and waits for what it sent out.
+/// Admits and dispatches the work of one service shard.
 ///
-/// Invariants: every work that was offered ends in exactly one of ended and
-/// refused; a work is in the queue or under one dispatch whose caller waits,
-/// never both; non-idempotent work is dispatched again only after the former
-/// dispatch was answered "not run".
+/// It counts the occupied slots of the targets, queues work items in fair order, and tracks each
+/// dispatch until it ends. It does no I/O: methods take the time and return the effects that are
+/// to be carried out.
+///
+/// Invariants: every submitted work item either ends or is refused, exactly once. A work item is
+/// either queued or has one dispatch whose caller waits, never both. A non-idempotent work item
+/// is dispatched again only after its target reported "not run" for the former dispatch.
 pub struct ShardScheduler {
     pub(crate) options: SchedulerOptions,
     pub(crate) policy: Box<dyn TargetPolicy>,
     pub(crate) random: StdRng,
-    pub(crate) requests: FairQueue,
-    pub(crate) feeds: FairQueue,
+    pub(crate) request_queue: FairQueue,
+    pub(crate) feed_queue: FairQueue,
     pub(crate) table: TargetTable,
     pub(crate) dispatches: DispatchTable,
-    // The dispatch of each work that is out and whose caller waits.
-    pub(crate) out: HashMap<u64, u64>,
-    pub(crate) held: HashMap<(MemberName, WorkClass), u32>,
+    // The dispatch of each dispatched work item whose caller waits, by the id of the work item.
+    pub(crate) dispatch_by_work: HashMap<u64, u64>,
+    pub(crate) outstanding: HashMap<(MemberName, WorkClass), u32>,
     pub(crate) demand: DemandMeter,
     pub(crate) budget: RetryBudget,
     pub(crate) times: RunTimes,
     pub(crate) counters: SchedulerCounters,
 }
 
-/// `WorkClass` is what a member's limit is counted over.
+/// The class of work items over which the limit of a member is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum WorkClass {
     Request,
@@ -56,7 +58,7 @@
 }
 
 impl ShardScheduler {
-    /// Makes a desk without targets.
+    /// Creates a scheduler without targets.
     pub fn new(
         options: SchedulerOptions,
         policy: Box<dyn TargetPolicy>,
@@ -67,12 +69,12 @@
             options,
             policy,
             random: StdRng::seed_from_u64(seed),
-            requests: FairQueue::new(),
-            feeds: FairQueue::new(),
+            request_queue: FairQueue::new(),
+            feed_queue: FairQueue::new(),
             table: TargetTable::default(),
             dispatches: DispatchTable::default(),
-            out: HashMap::new(),
-            held: HashMap::new(),
+            dispatch_by_work: HashMap::new(),
+            outstanding: HashMap::new(),
             demand: DemandMeter::new(),
             budget,
             times: RunTimes::new(),
@@ -80,28 +82,28 @@
         }
     }
 
-    /// Takes the published targets over.
+    /// Applies a published list of targets.
     ///
-    /// Dispatches at a target that is no longer published go on; an address
-    /// under a new incarnation is another target.
+    /// Dispatches at a target that is no longer published continue. An address with a new
+    /// incarnation is another target.
     pub fn set_targets(
         &mut self,
         now: ClockTime,
         specs: Vec<Arc<TargetSpec>>,
     ) -> Vec<SchedulerEffect> {
-        self.table.replace(now, specs, &self.options);
+        self.table.replace_targets(now, specs, &self.options);
         let mut effects = Vec::new();
-        self.refuse_hopeless(&mut effects);
-        self.pump(now, &mut effects);
+        self.refuse_if_no_target(&mut effects);
+        self.dispatch_queued(now, &mut effects);
         effects
     }
 
-    /// Sets how much may wait.
+    /// Sets the maximum of queued requests, and of queued feeds.
     pub fn set_queue_limit(&mut self, limit: u32) {
         self.options.queue_limit = limit;
     }
 
-    /// Takes a target's report of its load.
+    /// Handles a load report that a target sent on its own or in response to a probe.
     pub fn on_load_report(
         &mut self,
         now: ClockTime,
@@ -109,62 +111,64 @@
         load: TargetLoad,
     ) -> Vec<SchedulerEffect> {
         let mut effects = Vec::new();
-        let Some((id, _)) = self.table.find_mut(target) else {
+        let Some((id, _)) = self.table.find_listed_mut(target) else {
             return effects;
         };
-        self.take_load(now, id, load, &mut effects);
-        self.presume_ended(now, id, load);
-        self.pump(now, &mut effects);
+        self.apply_load_report(now, id, load, &mut effects);
+        self.reclaim_ended_slots(now, id, load);
+        self.dispatch_queued(now, &mut effects);
         effects
     }
 
-    /// Does what became due: refuses, resends, gives leases back, probes.
+    /// Handles all deadlines that have passed: expired work items, retransmissions, slot leases
+    /// and probes.
     pub fn on_tick(&mut self, now: ClockTime) -> Vec<SchedulerEffect> {
         let mut effects = Vec::new();
         self.refuse_expired(now, &mut effects);
-        self.check_dispatches(now, &mut effects);
+        self.handle_due_dispatches(now, &mut effects);
         let probe = |spec: &Arc<TargetSpec>| {
             effects.push(SchedulerEffect::Probe { target: Arc::clone(spec) });
         };
-        let changes = self.table.tend(now, &self.options, probe);
+        let changes = self.table.check_targets(now, &self.options, probe);
         effects.extend(changes.into_iter().map(SchedulerEffect::Audit));
-        self.table.drop_unused();
-        self.pump(now, &mut effects);
+        self.table.remove_unused();
+        self.dispatch_queued(now, &mut effects);
         effects
     }
 
-    /// True when some target can be expected to take work.
+    /// Returns whether a target is in service and answers its probes.
     pub fn has_responsive_target(&self) -> bool {
-        self.table.has_answering()
+        self.table.has_responsive_target()
     }
 
-    /// Works that still need this desk: what waits, and requests that run.
+    /// Returns the number of work items that still need this scheduler: those queued, and
+    /// dispatched requests whose caller waits.
     ///
-    /// Open feeds don't count, as they go on without it.
+    /// Dispatched feeds don't count, as open feeds continue without the scheduler.
     pub fn unfinished_count(&self) -> usize {
-        let runs = self.dispatches.iter().filter(|running| {
+        let requests = self.dispatches.iter().filter(|running| {
             running.caller == CallerState::Waiting && !running.pending.item.is_feed()
         });
-        self.queued() + runs.count()
+        self.queued_count() + requests.count()
     }
 
-    /// The desk at this moment.
+    /// Returns a snapshot for operators.
     pub fn status(&self, now: ClockTime) -> SchedulerStatus {
-        let shares = self.requests.shares().into_iter().chain(self.feeds.shares());
-        let waiting = shares.map(|share| WaitingStatus {
-            priority: share.priority,
-            tier: share.tier,
-            member: share.member,
-            queued: share.queued,
+        let backlogs = self.request_queue.backlogs().into_iter().chain(self.feed_queue.backlogs());
+        let waiting = backlogs.map(|backlog| WaitingStatus {
+            priority: backlog.priority,
+            tier: backlog.tier,
+            member: backlog.member,
+            queued: backlog.queued,
         });
         SchedulerStatus {
             policy: self.policy.name(),
-            queued: self.queued(),
+            queued: self.queued_count(),
             queue_limit: self.options.queue_limit,
             waiting: waiting.collect(),
-            running: self.out.len(),
-            expected_wait_us: self.queue_wait().as_micros() as u64,
-            retries_left: self.budget.left(),
+            running: self.dispatch_by_work.len(),
+            expected_wait_us: self.expected_queue_wait().as_micros() as u64,
+            retries_left: self.budget.remaining(),
             counters: self.counters.clone(),
             targets: self.table.iter().map(|entry| self.target_status(now, entry)).collect(),
         }
@@ -177,35 +181,35 @@
             busy: entry.ledger.busy(),
             slots: entry.spec.slots,
             connections: entry.ledger.connections(),
-            state: state_word(now, entry),
-            run_time_ratio: entry.health.pace(),
-            warmup_progress: entry.health.warmth(now, &self.options),
+            state: state_name(now, entry),
+            run_time_ratio: entry.health.run_time_ratio(),
+            warmup_progress: entry.health.warmup_progress(now, &self.options),
         }
     }
 
-    pub(crate) fn queued(&self) -> usize {
-        self.requests.len() + self.feeds.len()
+    pub(crate) fn queued_count(&self) -> usize {
+        self.request_queue.len() + self.feed_queue.len()
     }
 
-    /// Expected wait of a request behind all that wait.
-    pub(crate) fn queue_wait(&self) -> Duration {
-        self.drain_interval() * self.requests.len() as u32
+    /// Returns the expected wait of a request behind all queued ones.
+    pub(crate) fn expected_queue_wait(&self) -> Duration {
+        self.slot_release_interval() * self.request_queue.len() as u32
     }
 
-    /// Expected time between two slots that become free.
-    pub(crate) fn drain_interval(&self) -> Duration {
-        self.times.usual_slot() / self.table.open_slots().max(1)
+    /// Returns the expected time between the releases of two slots.
+    pub(crate) fn slot_release_interval(&self) -> Duration {
+        self.times.mean_slot_time() / self.table.open_slots().max(1)
     }
 
     pub(crate) fn queue_of(&mut self, kind: TrafficKind) -> &mut FairQueue {
         match kind {
-            TrafficKind::Feed => &mut self.feeds,
-            TrafficKind::Bid | TrafficKind::Upload => &mut self.requests,
+            TrafficKind::Feed => &mut self.feed_queue,
+            TrafficKind::Bid | TrafficKind::Upload => &mut self.request_queue,
         }
     }
 
-    // Takes over what a target said of itself, with its answer or by probe.
-    pub(crate) fn take_load(
+    // Applies a load report of a target, which came with a response or from a probe.
+    pub(crate) fn apply_load_report(
         &mut self,
         now: ClockTime,
         id: u64,
@@ -215,41 +219,41 @@
         let Some(entry) = self.table.get_mut(id) else {
             return;
         };
-        let was_leaving = entry.health.reports_draining();
-        let was_doubtful = entry.health.is_doubtful(now);
+        let was_draining = entry.health.reports_draining();
+        let was_suspect = entry.health.is_suspect(now);
         entry.health.on_report(now, load, &self.options);
-        if was_doubtful != entry.health.is_doubtful(now) {
-            self.table.sum_up(now);
+        if was_suspect != entry.health.is_suspect(now) {
+            self.table.update_summary(now);
         }
-        if was_leaving == load.draining {
+        if was_draining == load.draining {
             return;
         }
         let Some(entry) = self.table.get_mut(id) else {
             return;
         };
-        let words = if load.draining { ("open", "draining") } else { ("draining", "open") };
+        let states = if load.draining { ("open", "draining") } else { ("draining", "open") };
         let change = AuditChange::new(AuditKind::TargetDraining, entry.spec.name.as_str())
-            .with_values(words.0, words.1)
+            .with_values(states.0, states.1)
             .with_cause("reported", "observation");
         effects.push(SchedulerEffect::Audit(change));
-        self.table.sum_up(now);
-        self.refuse_hopeless(effects);
+        self.table.update_summary(now);
+        self.refuse_if_no_target(effects);
     }
 
-    // When no target takes work, what waits is refused at once: its callers
-    // would otherwise wait for nothing until their deadlines.
-    fn refuse_hopeless(&mut self, effects: &mut Vec<SchedulerEffect>) {
-        if self.table.takes_work() {
+    // Refuses all queued work items if no target is open. Otherwise their callers would wait
+    // until their deadlines in vain.
+    fn refuse_if_no_target(&mut self, effects: &mut Vec<SchedulerEffect>) {
+        if self.table.has_open_target() {
             return;
         }
-        let waiting = self.requests.take_all().into_iter().chain(self.feeds.take_all());
+        let waiting = self.request_queue.drain_all().into_iter().chain(self.feed_queue.drain_all());
         for pending in waiting.collect::<Vec<_>>() {
             self.refuse(&pending, RunState::NotRun, RefuseReason::NoTarget, effects);
         }
     }
 
-    /// A dispatch id that is random, not 0 and not in use.
-    pub(crate) fn new_dispatch(&mut self) -> u64 {
+    /// Returns a random dispatch id that is not 0 and not in use.
+    pub(crate) fn new_dispatch_id(&mut self) -> u64 {
         loop {
             let dispatch = self.random.random();
             if dispatch != 0 && !self.dispatches.contains(dispatch) {
@@ -259,14 +263,14 @@
     }
 }
 
-fn state_word(now: ClockTime, entry: &TargetEntry) -> &'static str {
-    if entry.stand == TargetStand::Retired {
+fn state_name(now: ClockTime, entry: &TargetEntry) -> &'static str {
+    if entry.listing == TargetListing::Unlisted {
         "retired"
     } else if !entry.is_open() {
         "draining"
     } else if entry.health.is_ejected() {
         "ejected"
-    } else if entry.health.is_held(now) {
+    } else if entry.health.is_backing_off(now) {
         "shedding"
     } else {
         "open"
--- a/crates/foxledge-policy/src/slots.rs
+++ b/crates/foxledge-policy/src/slots.rs
@@ -1,11 +1,11 @@
-//! Slots and connections that a desk's own dispatches hold.
+//! Slots and connections that the dispatches of a scheduler occupy.
 
 use foxledge_core::traffic::TrafficKind;
 
-/// `SlotLedger` counts what this desk's dispatches hold of one target.
+/// Counts the slots and connections of one target that the dispatches of this scheduler occupy.
 ///
-/// Invariant: every dispatch that the desk knows of is counted exactly once,
-/// from its dispatch until it ended or its lease ran out.
+/// Invariant: every dispatch in the dispatch table is counted exactly once, from its start until
+/// it ended, its lease expired or its slot was reclaimed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SlotLedger {
     busy: u32,
@@ -13,33 +13,33 @@
 }
 
 impl SlotLedger {
-    /// Slots held.
+    /// Returns the number of occupied slots.
     pub fn busy(&self) -> u32 {
         self.busy
     }
 
-    /// Connections held.
+    /// Returns the number of occupied connections.
     pub fn connections(&self) -> u32 {
         self.connections
     }
 
-    /// True when nothing is held.
+    /// Returns whether neither slots nor connections are occupied.
     pub fn is_idle(&self) -> bool {
         self.busy == 0 && self.connections == 0
     }
 
-    /// Takes what work of that kind holds.
-    pub fn take(&mut self, kind: TrafficKind) {
-        *self.count_of(kind) += 1;
+    /// Occupies a connection for a feed, or a slot for other kinds.
+    pub fn occupy(&mut self, kind: TrafficKind) {
+        *self.counter_mut(kind) += 1;
     }
 
-    /// Gives back what work of that kind held.
-    pub fn give(&mut self, kind: TrafficKind) {
-        let count = self.count_of(kind);
+    /// Releases a connection for a feed, or a slot for other kinds.
+    pub fn release(&mut self, kind: TrafficKind) {
+        let count = self.counter_mut(kind);
         *count = count.saturating_sub(1);
     }
 
-    fn count_of(&mut self, kind: TrafficKind) -> &mut u32 {
+    fn counter_mut(&mut self, kind: TrafficKind) -> &mut u32 {
         match kind {
             TrafficKind::Feed => &mut self.connections,
             TrafficKind::Bid | TrafficKind::Upload => &mut self.busy,
--- a/crates/foxledge-policy/src/status.rs
+++ b/crates/foxledge-policy/src/status.rs
@@ -1,4 +1,4 @@
-//! What a desk tells operators.
+//! The status of a scheduler for operators.
 
 use std::collections::BTreeMap;
 
@@ -7,78 +7,78 @@
 
 use crate::{demand::WorkTier, effects::RefuseReason};
 
-/// `SchedulerStatus` is a desk at one moment.
+/// A snapshot of a scheduler.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct SchedulerStatus {
-    /// Name of the target policy.
+    /// The name of the target policy.
     pub policy: &'static str,
-    /// Requests and feeds that wait.
+    /// The number of queued requests and feeds.
     pub queued: usize,
-    /// Most that may wait.
+    /// The maximum of queued requests, and of queued feeds.
     pub queue_limit: u32,
-    /// What waits, by priority and member.
+    /// The queued work items by priority, tier and member.
     pub waiting: Vec<WaitingStatus>,
-    /// Dispatches whose caller waits, feeds included.
+    /// The number of dispatches whose caller waits, feeds included.
     pub running: usize,
-    /// Expected wait of a newcomer that is served last, in microseconds.
+    /// The expected wait of a new request behind all queued ones, in microseconds.
     pub expected_wait_us: u64,
-    /// Retries left in the budget.
+    /// The retries left in the budget.
     pub retries_left: f64,
-    /// Totals since the desk began.
+    /// The totals since the start of the scheduler.
     pub counters: SchedulerCounters,
-    /// The targets.
+    /// The status of each target.
     pub targets: Vec<TargetStatus>,
 }
 
-/// `WaitingStatus` is the waiting work of one member in one priority.
+/// The queued work items of one member in one priority and tier.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct WaitingStatus {
-    /// Paid priority.
+    /// The paid priority.
     pub priority: u8,
-    /// Whether it is within the member's fair part.
+    /// Whether the work items are within the fair share of the member.
     pub tier: WorkTier,
-    /// The member.
+    /// The name of the member.
     pub member: MemberName,
-    /// How many works wait.
+    /// The number of queued work items.
     pub queued: usize,
 }
 
-/// `TargetStatus` is what the desk believes of one target.
+/// The state of one target as seen by the scheduler.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TargetStatus {
-    /// Its name.
+    /// The name of the target.
     pub name: TargetName,
-    /// Its incarnation.
+    /// The incarnation of the target.
     pub incarnation: u64,
-    /// Slots held.
+    /// The slots that dispatches of this scheduler occupy.
     pub busy: u32,
-    /// Slots published.
+    /// The published number of slots.
     pub slots: u32,
-    /// Connections held.
+    /// The connections that feeds of this scheduler occupy.
     pub connections: u32,
-    /// Why it gets no work, or "open".
+    /// "open", or the reason why the target gets no new work.
     pub state: &'static str,
-    /// Run time as a multiple of the usual.
+    /// The ratio of run times at the target to the mean of their kind.
     #[serde(rename = "pace")]
     pub run_time_ratio: f64,
-    /// From 0 (new or cold) to 1 (warm).
+    /// The progress of the slow start, from 0 (new or cold) to 1 (warm).
     #[serde(rename = "warmth")]
     pub warmup_progress: f64,
 }
 
-/// `SchedulerCounters` are totals since a desk began.
+/// The totals since the start of a scheduler.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct SchedulerCounters {
-    /// Works offered.
+    /// Submitted work items.
     pub offered: u64,
     /// First dispatches.
     pub dispatched: u64,
-    /// Further dispatches of the same work.
+    /// Further dispatches of the same work item.
     pub retried: u64,
-    /// Sendings of the same dispatch after the first.
+    /// Retransmissions, status queries and repeated cancellations.
     pub resent: u64,
-    /// Works that ended.
+    /// Work items that ended.
     pub ended: u64,
-    /// Works refused, by reason.
+    /// Refused work items by reason.
     pub refused: BTreeMap<RefuseReason, u64>,
 }
--- a/crates/foxledge-policy/src/targets.rs
+++ b/crates/foxledge-policy/src/targets.rs
@@ -1,4 +1,4 @@
-//! The targets of a desk.
+//! The targets of a scheduler.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,214 +15,217 @@
 };
 
 use crate::{
-    health::{HealthVerdict, TargetHealth},
+    health::{HealthDecision, TargetHealth},
     options::SchedulerOptions,
     policies::TargetState,
     slots::SlotLedger,
     work::PendingWork,
 };
 
-/// `TargetTable` is every target that a desk sends work to or waits for.
+/// Holds every target that is published or has running dispatches.
 #[derive(Debug, Default)]
 pub struct TargetTable {
     entries: BTreeMap<u64, TargetEntry>,
-    // Invariant: the targets with fewer busy slots than published ones. A
-    // service whose slots are all taken then costs no look at any target.
-    roomy: BTreeSet<u64>,
+    // Invariant: the ids of the targets with fewer busy slots than published ones. If all slots
+    // of a service are busy, no target has to be checked.
+    free_ids: BTreeSet<u64>,
     summary: TableSummary,
     last_id: u64,
-    listed: bool,
+    has_list: bool,
 }
 
-/// `TableSummary` is what is worked out over all targets, at each tick and
-/// when targets change, so that not every request costs a look at them all.
+/// Values computed over all targets, at each tick and when targets change, so that a request
+/// doesn't have to check all of them.
 #[derive(Clone, Copy, Debug, Default)]
 struct TableSummary {
     open_slots: u32,
-    takes_work: bool,
-    believes_doubts: bool,
+    has_open_target: bool,
+    trusts_unhealthy_reports: bool,
 }
 
-/// `TargetEntry` is one process behind a target's name.
+/// One process that serves, or served, under the name of a target.
 #[derive(Debug)]
 pub struct TargetEntry {
-    /// As published.
+    /// The target as published.
     pub spec: Arc<TargetSpec>,
-    /// What this desk's dispatches hold of it.
+    /// The slots and connections that dispatches of this scheduler occupy.
     pub ledger: SlotLedger,
-    /// What is believed of it.
+    /// The health of the target.
     pub health: TargetHealth,
-    /// Whether it is still published.
-    pub stand: TargetStand,
+    /// Whether the target is still published.
+    pub listing: TargetListing,
 }
 
-/// `TargetStand` is whether a target is still published.
+/// Whether a target is still published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TargetStand {
+pub enum TargetListing {
     /// Published.
     Listed,
-    /// No longer published; kept while its dispatches last.
-    Retired,
+    /// No longer published, and kept until its dispatches have ended.
+    Unlisted,
 }
 
-/// `SlowWait` is how long the queue is expected to be, which decides whether
-/// slow targets help.
+/// The expected wait in the queue, by which slow targets are used or not.
 #[derive(Clone, Copy, Debug)]
-pub struct SlowWait {
-    /// Expected wait for a free slot of a usual target.
-    pub queue: Duration,
-    /// Usual run time.
-    pub usual_run: Duration,
+pub struct WaitEstimate {
+    /// The expected wait for a free slot of a target of mean speed.
+    pub queue_wait: Duration,
+    /// The mean run time.
+    pub mean_run_time: Duration,
 }
 
-/// `TargetSample` is how many candidates a policy wants, and where a run of them begins.
+/// The number of candidates that a policy requests, and where their selection begins.
 #[derive(Clone, Copy, Debug)]
 pub struct TargetSample {
-    /// Most candidates.
+    /// The maximum number of candidates.
     pub size: usize,
-    /// Any number.
-    pub start: u64,
+    /// A random number, from which the first id of the selection is derived.
+    pub offset: u64,
 }
 
 impl TargetTable {
-    /// Takes a published list over.
-    pub fn replace(
+    /// Applies a published list of targets.
+    ///
+    /// Targets that are not in the list stay in the table until their dispatches have ended.
+    pub fn replace_targets(
         &mut self,
         now: ClockTime,
         specs: Vec<Arc<TargetSpec>>,
         options: &SchedulerOptions,
     ) {
         for entry in self.entries.values_mut() {
-            entry.stand = TargetStand::Retired;
+            entry.listing = TargetListing::Unlisted;
         }
         for spec in specs {
             match self.entries.values_mut().find(|entry| is_same_process(&entry.spec, &spec)) {
                 Some(entry) => {
                     entry.spec = spec;
-                    entry.stand = TargetStand::Listed;
+                    entry.listing = TargetListing::Listed;
                 }
-                None => self.add(now, spec, options),
+                None => self.add_target(now, spec, options),
             }
         }
-        self.listed = true;
-        self.drop_unused();
-        let roomy = self.entries.iter().filter(|(_, entry)| entry.is_roomy());
-        self.roomy = roomy.map(|(&id, _)| id).collect();
-        self.sum_up(now);
+        self.has_list = true;
+        self.remove_unused();
+        let free_entries = self.entries.iter().filter(|(_, entry)| entry.has_free_slot());
+        self.free_ids = free_entries.map(|(&id, _)| id).collect();
+        self.update_summary(now);
     }
 
-    /// Takes what work of that kind holds of a target.
-    pub fn take(&mut self, id: u64, kind: TrafficKind) {
+    /// Occupies a slot, or a connection for a feed, of a target.
+    pub fn occupy(&mut self, id: u64, kind: TrafficKind) {
         if let Some(entry) = self.entries.get_mut(&id) {
-            entry.ledger.take(kind);
-            self.note_room(id);
+            entry.ledger.occupy(kind);
+            self.update_free_ids(id);
         }
     }
 
-    /// Gives back what work of that kind held of a target.
-    pub fn give(&mut self, id: u64, kind: TrafficKind) {
+    /// Releases a slot, or a connection for a feed, of a target.
+    pub fn release(&mut self, id: u64, kind: TrafficKind) {
         if let Some(entry) = self.entries.get_mut(&id) {
-            entry.ledger.give(kind);
-            self.note_room(id);
+            entry.ledger.release(kind);
+            self.update_free_ids(id);
         }
     }
 
-    /// Works out what is kept over all targets.
-    pub fn sum_up(&mut self, now: ClockTime) {
+    /// Recomputes the values that depend on all targets.
+    pub fn update_summary(&mut self, now: ClockTime) {
         let open = || self.entries.values().filter(|entry| entry.is_open());
-        let fit = open().filter(|entry| !entry.health.is_ejected());
+        let in_service = open().filter(|entry| !entry.health.is_ejected());
         self.summary = TableSummary {
-            open_slots: fit.map(|entry| entry.spec.slots).sum(),
-            takes_work: open().next().is_some(),
-            believes_doubts: self.may_doubt(now),
+            open_slots: in_service.map(|entry| entry.spec.slots).sum(),
+            has_open_target: open().next().is_some(),
+            trusts_unhealthy_reports: self.trusts_unhealthy_reports(now),
         };
     }
 
-    fn note_room(&mut self, id: u64) {
-        if self.entries.get(&id).is_some_and(TargetEntry::is_roomy) {
-            self.roomy.insert(id);
+    fn update_free_ids(&mut self, id: u64) {
+        if self.entries.get(&id).is_some_and(TargetEntry::has_free_slot) {
+            self.free_ids.insert(id);
         } else {
-            self.roomy.remove(&id);
+            self.free_ids.remove(&id);
         }
     }
 
-    /// Drops targets that are neither published nor used.
-    pub fn drop_unused(&mut self) {
+    /// Removes the targets that are neither published nor have dispatches.
+    pub fn remove_unused(&mut self) {
         self.entries
-            .retain(|_, entry| entry.stand == TargetStand::Listed || !entry.ledger.is_idle());
-        self.roomy.retain(|id| self.entries.contains_key(id));
+            .retain(|_, entry| entry.listing == TargetListing::Listed || !entry.ledger.is_idle());
+        self.free_ids.retain(|id| self.entries.contains_key(id));
     }
 
-    /// The entry of that id.
+    /// Returns the target with this id.
     pub fn get_mut(&mut self, id: u64) -> Option<&mut TargetEntry> {
         self.entries.get_mut(&id)
     }
 
-    /// The published entry of that name, with its id.
-    pub fn find_mut(&mut self, name: &TargetName) -> Option<(u64, &mut TargetEntry)> {
+    /// Returns the published target with this name, and its id.
+    pub fn find_listed_mut(&mut self, name: &TargetName) -> Option<(u64, &mut TargetEntry)> {
         self.entries
             .iter_mut()
-            .find(|(_, entry)| entry.stand == TargetStand::Listed && entry.spec.name == *name)
+            .find(|(_, entry)| entry.listing == TargetListing::Listed && entry.spec.name == *name)
             .map(|(&id, entry)| (id, entry))
     }
 
-    /// Every entry.
+    /// Returns all targets.
     pub fn iter(&self) -> impl Iterator<Item = &TargetEntry> {
         self.entries.values()
     }
 
-    /// True when some target is published and not leaving.
-    pub fn takes_work(&self) -> bool {
-        self.summary.takes_work
+    /// Returns whether a target is published and not draining, as of the last summary.
+    pub fn has_open_target(&self) -> bool {
+        self.summary.has_open_target
     }
 
-    /// True when some target is published, not leaving, in service and answers its probes.
-    pub fn has_answering(&self) -> bool {
-        self.entries
-            .values()
-            .any(|entry| entry.is_open() && !entry.health.is_ejected() && !entry.health.is_silent())
+    /// Returns whether a target is published, not draining, not ejected and answers its probes.
+    pub fn has_responsive_target(&self) -> bool {
+        self.entries.values().any(|entry| {
+            entry.is_open() && !entry.health.is_ejected() && !entry.health.is_unresponsive()
+        })
     }
 
-    /// Slots of all targets that are published, not leaving and not out.
+    /// Returns the slots of all targets that are published, not draining and not ejected, as of
+    /// the last summary.
     pub fn open_slots(&self) -> u32 {
         self.summary.open_slots
     }
 
-    /// The targets that have room for work of that kind now.
+    /// Returns the targets that have capacity for work of this kind now, at most `sample.size`
+    /// of them unless the work is a feed.
     pub fn candidates(
         &self,
         now: ClockTime,
         kind: TrafficKind,
-        wait: SlowWait,
+        estimate: WaitEstimate,
         sample: TargetSample,
         options: &SchedulerOptions,
     ) -> Vec<TargetState> {
-        let believe_doubts = self.summary.believes_doubts;
-        let usable = |entry: &TargetEntry| {
-            let shunned = entry.health.is_ejected()
-                || entry.health.is_held(now)
-                || (believe_doubts && entry.health.is_doubtful(now));
+        let avoids_suspects = self.summary.trusts_unhealthy_reports;
+        let is_usable = |entry: &TargetEntry| {
+            let is_avoided = entry.health.is_ejected()
+                || entry.health.is_backing_off(now)
+                || (avoids_suspects && entry.health.is_suspect(now));
             entry.is_open()
-                && !shunned
-                && entry.has_room(now, kind, options)
-                && entry.is_quick_enough(now, kind, wait, options)
+                && !is_avoided
+                && entry.has_capacity(now, kind, options)
+                && entry.is_fast_enough(now, kind, estimate, options)
         };
-        let state = |(&id, entry): (&u64, &TargetEntry)| entry.state(now, id, options);
+        let state = |(&id, entry): (&u64, &TargetEntry)| entry.to_state(now, id, options);
         if kind == TrafficKind::Feed {
-            return self.entries.iter().filter(|(_, entry)| usable(entry)).map(state).collect();
+            return self.entries.iter().filter(|(_, entry)| is_usable(entry)).map(state).collect();
         }
-        // The run begins anywhere and goes once round.
+        // The selection begins at a random id and wraps around.
         let first =
-            if self.roomy.len() > sample.size { sample.start % (self.last_id + 1) } else { 0 };
-        let ids = self.roomy.range(first..).chain(self.roomy.range(..first));
-        let roomy = ids.filter_map(|id| self.entries.get_key_value(id));
-        roomy.filter(|(_, entry)| usable(entry)).take(sample.size).map(state).collect()
+            if self.free_ids.len() > sample.size { sample.offset % (self.last_id + 1) } else { 0 };
+        let ids = self.free_ids.range(first..).chain(self.free_ids.range(..first));
+        let free_entries = ids.filter_map(|id| self.entries.get_key_value(id));
+        free_entries.filter(|(_, entry)| is_usable(entry)).take(sample.size).map(state).collect()
     }
 
-    /// Ejects a target if at least half of the open targets stay.
+    /// Ejects a target if at least half of the open targets stay in service.
     ///
-    /// Without the floor a fault that hits the answers of all targets, such as
-    /// a cut link of this instance, would leave no target at all.
+    /// Without this minimum, a fault that affects the responses of all targets, such as a broken
+    /// link of this instance, would leave no target in service.
     pub fn eject(
         &mut self,
         now: ClockTime,
@@ -231,38 +234,38 @@
         options: &SchedulerOptions,
     ) -> Option<AuditChange> {
         let open = self.entries.values().filter(|entry| entry.is_open());
-        let (count, out) = open.fold((0, 0), |(count, out), entry| {
-            (count + 1, out + usize::from(entry.health.is_ejected()))
+        let (count, ejected) = open.fold((0, 0), |(count, ejected), entry| {
+            (count + 1, ejected + usize::from(entry.health.is_ejected()))
         });
-        if (out + 1) * 2 > count {
+        if (ejected + 1) * 2 > count {
             return None;
         }
         let entry = self.entries.get_mut(&id)?;
         entry.health.eject(now, options);
         let name = entry.spec.name.clone();
-        self.sum_up(now);
+        self.update_summary(now);
         let change = AuditChange::new(AuditKind::TargetEjected, name.as_str());
         Some(change.with_values("in", "out").with_cause(cause, "observation"))
     }
 
-    /// Sets due probes and takes ejected targets back; calls `probe` for each
-    /// target to be asked.
-    pub fn tend(
+    /// Starts due probes, ejects unresponsive targets, and ends ejections. Calls `probe` for
+    /// each target to be probed.
+    pub fn check_targets(
         &mut self,
         now: ClockTime,
         options: &SchedulerOptions,
         mut probe: impl FnMut(&Arc<TargetSpec>),
     ) -> Vec<AuditChange> {
         let mut changes = Vec::new();
-        let mut silent = Vec::new();
+        let mut unresponsive = Vec::new();
         for (&id, entry) in &mut self.entries {
-            if entry.stand == TargetStand::Retired {
+            if entry.listing == TargetListing::Unlisted {
                 continue;
             }
-            if let Some(verdict) = entry.health.probe_due(now, options) {
+            if let Some(decision) = entry.health.try_start_probe(now, options) {
                 probe(&entry.spec);
-                if verdict == HealthVerdict::Eject {
-                    silent.push(id);
+                if decision == HealthDecision::Eject {
+                    unresponsive.push(id);
                 }
             }
             if entry.health.readmit(now, options) {
@@ -273,49 +276,50 @@
             }
         }
         let eject = |id| self.eject(now, id, "probes unanswered", options);
-        changes.extend(silent.into_iter().filter_map(eject));
-        self.sum_up(now);
+        changes.extend(unresponsive.into_iter().filter_map(eject));
+        self.update_summary(now);
         changes
     }
 
-    fn add(&mut self, now: ClockTime, spec: Arc<TargetSpec>, options: &SchedulerOptions) {
+    fn add_target(&mut self, now: ClockTime, spec: Arc<TargetSpec>, options: &SchedulerOptions) {
         self.last_id += 1;
-        // The targets of the first list have been running for all the desk
-        // knows; one that comes later is new and may be cold.
-        let warm_at = if self.listed { now.after(options.slow_start) } else { now };
-        // First probes are spread over the period.
+        // The targets of the first list are assumed to have been running for a while; a later
+        // one is new and may be cold.
+        let warm_at = if self.has_list { now.after(options.slow_start) } else { now };
+        // The first probes are spread over the interval.
         let step = options.probe_interval / 16;
-        let next_probe = now.after(step * (self.last_id % 16) as u32);
-        let health = TargetHealth::new(warm_at, next_probe);
+        let next_probe_at = now.after(step * (self.last_id % 16) as u32);
+        let health = TargetHealth::new(warm_at, next_probe_at);
         let ledger = SlotLedger::default();
-        let entry = TargetEntry { spec, ledger, health, stand: TargetStand::Listed };
+        let entry = TargetEntry { spec, ledger, health, listing: TargetListing::Listed };
         self.entries.insert(self.last_id, entry);
     }
 
-    // Doubts are believed only while at least half of the open targets are
-    // beyond doubt: health endpoints mislead, and all at once is no news.
-    fn may_doubt(&self, now: ClockTime) -> bool {
+    // Reports of unhealthy targets are used only while at least half of the open targets are
+    // neither suspect nor ejected: health endpoints can be wrong, and reports of most targets
+    // at once say nothing about a single one.
+    fn trusts_unhealthy_reports(&self, now: ClockTime) -> bool {
         let open = self.entries.values().filter(|entry| entry.is_open());
-        let (count, doubtful) = open.fold((0, 0), |(count, doubtful), entry| {
-            let out = entry.health.is_ejected() || entry.health.is_doubtful(now);
-            (count + 1, doubtful + usize::from(out))
+        let (count, suspects) = open.fold((0, 0), |(count, suspects), entry| {
+            let ejected = entry.health.is_ejected() || entry.health.is_suspect(now);
+            (count + 1, suspects + usize::from(ejected))
         });
-        doubtful * 2 <= count
+        suspects * 2 <= count
     }
 }
 
 impl TargetEntry {
-    /// True when it is published and not leaving.
+    /// Returns whether the target is published and not draining.
     pub fn is_open(&self) -> bool {
-        let leaving = self.spec.draining || self.health.reports_draining();
-        self.stand == TargetStand::Listed && !leaving
+        let is_draining = self.spec.draining || self.health.reports_draining();
+        self.listing == TargetListing::Listed && !is_draining
     }
 
-    fn is_roomy(&self) -> bool {
+    fn has_free_slot(&self) -> bool {
         self.ledger.busy() < self.spec.slots
     }
 
-    fn has_room(&self, now: ClockTime, kind: TrafficKind, options: &SchedulerOptions) -> bool {
+    fn has_capacity(&self, now: ClockTime, kind: TrafficKind, options: &SchedulerOptions) -> bool {
         match kind {
             TrafficKind::Feed => self.ledger.connections() < self.spec.connections,
             TrafficKind::Bid | TrafficKind::Upload => {
@@ -324,60 +328,59 @@
         }
     }
 
-    // A cold or new target gets half its slots, a slow one on trial or one that
-    // sheds a single one.
+    // Returns the slots that may be used now: half of them for a new or cold target, and one
+    // for a slow target on trial or a target that sheds persistently.
     fn allowed_slots(&self, now: ClockTime, options: &SchedulerOptions) -> u32 {
         let slots = self.spec.slots;
-        let on_trial = self.health.wants_trial(now, options) || self.health.sheds_on();
-        if on_trial {
+        let is_on_trial = self.health.needs_trial(now, options) || self.health.sheds_persistently();
+        if is_on_trial {
             return slots.min(1);
         }
-        if self.health.warmth(now, options) < 0.5 {
+        if self.health.warmup_progress(now, options) < 0.5 {
             return slots.div_ceil(2);
         }
         slots
     }
 
-    // A slow target is worth its slot only when waiting for a quick one would
-    // take longer than what it is slower. Lin and Kumar, "Optimal control of a
-    // queueing system with two heterogeneous servers", IEEE Transactions on
-    // Automatic Control 29(8), 1984.
-    fn is_quick_enough(
+    // A slow target is used only if the wait for a faster one exceeds the additional run time.
+    // Lin and Kumar, "Optimal control of a queueing system with two heterogeneous servers",
+    // IEEE Transactions on Automatic Control 29(8), 1984.
+    fn is_fast_enough(
         &self,
         now: ClockTime,
         kind: TrafficKind,
-        wait: SlowWait,
+        estimate: WaitEstimate,
         options: &SchedulerOptions,
     ) -> bool {
         if kind == TrafficKind::Feed || !self.health.is_slow(now, options) {
             return true;
         }
-        wait.queue > wait.usual_run.mul_f64(self.health.pace() - 1.0)
+        estimate.queue_wait > estimate.mean_run_time.mul_f64(self.health.run_time_ratio() - 1.0)
     }
 
-    fn state(&self, now: ClockTime, id: u64, options: &SchedulerOptions) -> TargetState {
-        // A trial is made as if the target were as quick as the others, or a
-        // policy that prefers quick ones would never find out that it is again.
-        let on_trial = self.health.wants_trial(now, options);
+    fn to_state(&self, now: ClockTime, id: u64, options: &SchedulerOptions) -> TargetState {
+        // For a trial, the target is presented as fast as the others. Otherwise a policy that
+        // prefers fast targets would never notice its recovery.
+        let is_on_trial = self.health.needs_trial(now, options);
         TargetState {
             name: self.spec.name.clone(),
             slots: self.allowed_slots(now, options),
             busy: self.ledger.busy(),
             connections: self.ledger.connections(),
             connection_limit: self.spec.connections,
-            reported: self.health.trusted_report(now, options),
-            pace: if on_trial { 1.0 } else { self.health.pace() },
-            warmth: self.health.warmth(now, options),
+            report: self.health.trusted_report(now, options),
+            run_time_ratio: if is_on_trial { 1.0 } else { self.health.run_time_ratio() },
+            warmup_progress: self.health.warmup_progress(now, options),
             id,
         }
     }
 }
 
-/// Leaves out the targets that had the work already, if others are left.
-pub fn leave_out_tried(states: &mut Vec<TargetState>, pending: &PendingWork) {
-    let is_new = |state: &TargetState| !pending.tried.contains(&state.id);
-    if !pending.tried.is_empty() && states.iter().any(is_new) {
-        states.retain(is_new);
+/// Removes the targets of earlier dispatches of the work item, unless no other is left.
+pub fn exclude_tried_targets(states: &mut Vec<TargetState>, pending: &PendingWork) {
+    let is_untried = |state: &TargetState| !pending.tried_targets.contains(&state.id);
+    if !pending.tried_targets.is_empty() && states.iter().any(is_untried) {
+        states.retain(is_untried);
     }
 }
 
--- a/crates/foxledge-policy/src/work.rs
+++ b/crates/foxledge-policy/src/work.rs
@@ -1,4 +1,4 @@
-//! What a home is offered.
+//! Work items: the requests and feeds that are submitted to a scheduler.
 
 use std::time::Duration;
 
@@ -11,74 +11,81 @@
 
 use crate::{demand::WorkTier, effects::RunState};
 
-// A reserve is at most one of this many parts of the time left.
-const LARGEST_RESERVE: u32 = 4;
+// The time reserved for the run is at most the time left divided by this.
+const MAX_RESERVE_DIVISOR: u32 = 4;
 
-/// `WorkItem` is one request or feed that asks for a backend server.
+/// One request or feed that is to be dispatched to a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkItem {
-    /// Names the work at this desk; an id that the desk still holds is not taken twice.
+    /// The id, unique within the scheduler; a second item with an outstanding id is ignored.
     pub id: u64,
-    /// The flow, for policies that hash it.
+    /// The flow id, for policies that hash it.
     pub flow: u64,
-    /// Whom the work is counted for.
+    /// The client account that the work item belongs to.
     pub member: MemberName,
-    /// Kind of traffic: a feed holds a connection, the others a slot.
+    /// The kind of traffic: a feed occupies a connection, other kinds a slot.
     pub kind: TrafficKind,
-    /// Paid priority.
+    /// The paid priority.
     pub priority: PaidPriority,
-    /// Share among members of one priority, from 1.
+    /// The weight of the member among those of the same priority, at least 1.
     pub weight: u32,
-    /// Most work of the member in slots and queue, by request or feed; 0 means no limit.
+    /// The maximum of outstanding work items of the member, queued or dispatched, counted
+    /// separately for requests and feeds; 0 means no limit.
     pub member_limit: u32,
-    /// What to do when no slot is free.
+    /// Whether the work item is queued or refused if no slot is free.
     pub when_full: FullAction,
-    /// True when a second run does no harm.
+    /// Whether the work item may run twice.
     pub idempotent: bool,
-    /// When the caller gives up.
+    /// The time at which the caller stops waiting.
     pub deadline: ClockTime,
-    /// Until when the work may be started; [`ClockTime::FAR`] without a ticket.
+    /// The time until which the work item may be started; [`ClockTime::MAX`] without a ticket.
     pub start_deadline: ClockTime,
 }
 
 impl WorkItem {
-    /// The latest start that leaves `reserve` until the caller's deadline, though
-    /// never more than a part of the time that is left now.
+    /// Returns the latest start that leaves `reserve`, or a quarter of the time left now if
+    /// that is shorter, until the caller's deadline.
     ///
-    /// Under overload the lowest priority waits until its deadline. Work that
-    /// is started just before it takes a slot and ends for nobody, and its
-    /// caller is told "unknown" instead of "not run".
-    pub fn start_by(&self, now: ClockTime, reserve: Duration) -> ClockTime {
-        let reserve = reserve.min(self.deadline.remaining(now) / LARGEST_RESERVE);
+    /// Under overload, work of the lowest priority waits until its deadline. If it were started
+    /// just before, it would occupy a slot without a caller that waits for the result, and the
+    /// caller would get the run state "unknown" instead of "not run".
+    pub fn latest_start(&self, now: ClockTime, reserve: Duration) -> ClockTime {
+        let reserve = reserve.min(self.deadline.remaining(now) / MAX_RESERVE_DIVISOR);
         let micros = self.deadline.as_micros() - reserve.as_micros() as u64;
         self.start_deadline.min(ClockTime::from_micros(micros))
     }
 
-    /// True for work that holds a connection instead of a slot.
+    /// Returns whether the work item is a feed, which occupies a connection instead of a slot.
     pub fn is_feed(&self) -> bool {
         self.kind == TrafficKind::Feed
     }
 }
 
-/// `PendingWork` is a work item with the targets that it was sent to before.
+/// A work item with the state of its earlier dispatches.
 #[derive(Clone, Debug)]
 pub struct PendingWork {
-    /// The work.
+    /// The work item.
     pub item: WorkItem,
-    /// Targets that had it and gave it back, the last one last.
-    pub tried: Vec<u64>,
-    /// Unknown once an earlier dispatch may have run: a later refusal must not
-    /// say "not run" then, whatever the last target said.
-    pub ran: RunState,
-    /// It isn't started at or after this point.
-    pub start_by: ClockTime,
-    /// Whether it is within its member's fair part.
+    /// The ids of the targets of its earlier dispatches, in order.
+    pub tried_targets: Vec<u64>,
+    /// [`RunState::Unknown`] once an earlier dispatch may have run. A later refusal must not say
+    /// "not run" then, even if the last target did.
+    pub run_state: RunState,
+    /// The time from which on the work item is not started any more.
+    pub latest_start: ClockTime,
+    /// Whether the work item is within the fair share of its member.
     pub tier: WorkTier,
 }
 
 impl PendingWork {
-    /// Makes work that no target had yet.
-    pub fn new(item: WorkItem, start_by: ClockTime, tier: WorkTier) -> PendingWork {
-        PendingWork { item, tried: Vec::new(), ran: RunState::NotRun, start_by, tier }
+    /// Creates pending work without earlier dispatches.
+    pub fn new(item: WorkItem, latest_start: ClockTime, tier: WorkTier) -> PendingWork {
+        PendingWork {
+            item,
+            tried_targets: Vec::new(),
+            run_state: RunState::NotRun,
+            latest_start,
+            tier,
+        }
     }
 }
