--- a/crates/foxledge-policy/tests/common/fake_target.rs
+++ b/crates/foxledge-policy/tests/common/fake_target.rs
@@ -1,97 +1,101 @@
-//! A target that remembers what it was told of each dispatch.
+//! A simulated target that remembers the state of each dispatch.
 
 use std::collections::BTreeMap;
 
 use foxledge_core::{lists::TargetSpec, time::ClockTime};
 use foxledge_policy::{RefuseReason, TargetSignal};
 
-/// `FakeTarget` is one process behind a target's name.
+/// One process that serves under the name of a target.
 #[derive(Debug, Default)]
 pub struct FakeTarget {
     incarnation: u64,
-    /// It refuses new work.
+    /// Whether it sheds new work.
     pub sheds: bool,
-    known: BTreeMap<u64, TargetSignal>,
+    dispatches: BTreeMap<u64, TargetSignal>,
 }
 
-/// `RunStart` is whether an opening packet started a run.
+/// Whether an opening packet started a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RunStart {
-    /// It did.
-    New,
-    /// It was refused, or a copy.
+pub enum StartResult {
+    /// It started a run.
+    Started,
+    /// It was refused or a duplicate.
     None,
 }
 
 impl FakeTarget {
-    /// Makes a process that knows no dispatch.
+    /// Creates a process without dispatches.
     pub fn new(incarnation: u64) -> FakeTarget {
         FakeTarget { incarnation, ..FakeTarget::default() }
     }
 
-    /// Takes an opening packet.
+    /// Handles an opening packet.
     pub fn open(
         &mut self,
         now: ClockTime,
         dispatch: u64,
         target: &TargetSpec,
-        give_up: ClockTime,
-    ) -> (TargetSignal, RunStart) {
-        let signal = self.answer_open(now, dispatch, target, give_up);
-        let is_new = self.known.insert(dispatch, signal).is_none();
+        deadline: ClockTime,
+    ) -> (TargetSignal, StartResult) {
+        let signal = self.open_response(now, dispatch, target, deadline);
+        let is_new = self.dispatches.insert(dispatch, signal).is_none();
         let is_started = is_new && signal == TargetSignal::Accepted;
-        (signal, if is_started { RunStart::New } else { RunStart::None })
+        (signal, if is_started { StartResult::Started } else { StartResult::None })
     }
 
-    /// Takes the word that nobody waits for a dispatch any more.
+    /// Handles the cancellation of a dispatch.
     pub fn cancel(&mut self, dispatch: u64, target: &TargetSpec) -> TargetSignal {
-        let reason =
-            if self.is_other(target) { RefuseReason::WrongTarget } else { RefuseReason::Cancelled };
-        let known = self.known.entry(dispatch).or_insert(TargetSignal::NotRun(reason));
-        if *known == TargetSignal::Accepted {
-            *known = TargetSignal::Unknown;
+        let reason = if self.is_other_process(target) {
+            RefuseReason::WrongTarget
+        } else {
+            RefuseReason::Cancelled
+        };
+        let state = self.dispatches.entry(dispatch).or_insert(TargetSignal::NotRun(reason));
+        if *state == TargetSignal::Accepted {
+            *state = TargetSignal::Unknown;
         }
-        *known
+        *state
     }
 
-    /// Says what became of a dispatch.
+    /// Returns the state of a dispatch.
     pub fn check(&self, dispatch: u64, target: &TargetSpec) -> TargetSignal {
-        if self.is_other(target) {
+        if self.is_other_process(target) {
             return TargetSignal::Unknown;
         }
-        match self.known.get(&dispatch) {
+        match self.dispatches.get(&dispatch) {
             Some(TargetSignal::Accepted) => TargetSignal::Accepted,
             _ => TargetSignal::Ended,
         }
     }
 
-    /// Dispatches that run.
+    /// Returns the running dispatches.
     pub fn running(&self) -> impl Iterator<Item = u64> {
-        let open = self.known.iter().filter(|(_, signal)| **signal == TargetSignal::Accepted);
-        open.map(|(&dispatch, _)| dispatch)
+        let running =
+            self.dispatches.iter().filter(|(_, signal)| **signal == TargetSignal::Accepted);
+        running.map(|(&dispatch, _)| dispatch)
     }
 
-    /// Ends a run.
-    pub fn end(&mut self, dispatch: u64) {
-        if let Some(signal) = self.known.get_mut(&dispatch) {
+    /// Ends the run of a dispatch.
+    pub fn end_run(&mut self, dispatch: u64) {
+        if let Some(signal) = self.dispatches.get_mut(&dispatch) {
             *signal = TargetSignal::Ended;
         }
     }
 
-    fn answer_open(
+    fn open_response(
         &self,
         now: ClockTime,
         dispatch: u64,
         target: &TargetSpec,
-        give_up: ClockTime,
+        deadline: ClockTime,
     ) -> TargetSignal {
-        if self.is_other(target) {
+        if self.is_other_process(target) {
             return TargetSignal::NotRun(RefuseReason::WrongTarget);
         }
-        if let Some(signal) = self.known.get(&dispatch) {
+        if let Some(signal) = self.dispatches.get(&dispatch) {
             return *signal;
         }
-        if give_up.is_past(now) {
+        if deadline.is_past(now) {
             TargetSignal::NotRun(RefuseReason::DeadlinePassed)
         } else if self.sheds {
             TargetSignal::NotRun(RefuseReason::TargetShed)
@@ -100,7 +104,7 @@
         }
     }
 
-    fn is_other(&self, target: &TargetSpec) -> bool {
+    fn is_other_process(&self, target: &TargetSpec) -> bool {
         target.incarnation != self.incarnation
     }
 }
--- a/crates/foxledge-policy/tests/common/mod.rs
+++ b/crates/foxledge-policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A desk with a clock, for the tests of this crate.
+//! A scheduler with a simulated clock, for the tests of this crate.
 #![allow(dead_code)]
 
 pub mod fake_target;
@@ -16,104 +16,104 @@
     WorkRefusal, policy_by_name,
 };
 
-/// A desk under test, its time, and what it wanted done so far.
-pub struct DeskTrial {
-    pub desk: ShardScheduler,
+/// A scheduler under test, its time, and its effects so far.
+pub struct SchedulerHarness {
+    pub scheduler: ShardScheduler,
     pub now: ClockTime,
-    /// (work, dispatch, target) in order.
-    pub sent: Vec<(u64, u64, String)>,
-    pub refused: BTreeMap<u64, WorkRefusal>,
+    /// The work item, dispatch and target of each dispatch, in order.
+    pub dispatched: Vec<(u64, u64, String)>,
+    pub refusals: BTreeMap<u64, WorkRefusal>,
     pub resent: Vec<u64>,
-    pub checked: Vec<u64>,
-    pub forgotten: Vec<u64>,
+    pub queried: Vec<u64>,
+    pub discarded: Vec<u64>,
     pub cancelled: Vec<u64>,
     pub probed: Vec<String>,
     pub audited: Vec<String>,
 }
 
-impl DeskTrial {
-    pub fn new(options: SchedulerOptions, targets: usize) -> DeskTrial {
+impl SchedulerHarness {
+    pub fn new(options: SchedulerOptions, targets: usize) -> SchedulerHarness {
         let policy = policy_by_name("freest", 1).expect("known policy");
-        let mut trial = DeskTrial {
-            desk: ShardScheduler::new(options, policy, 1),
+        let mut harness = SchedulerHarness {
+            scheduler: ShardScheduler::new(options, policy, 1),
             now: ClockTime::from_micros(1_000_000),
-            sent: Vec::new(),
-            refused: BTreeMap::new(),
+            dispatched: Vec::new(),
+            refusals: BTreeMap::new(),
             resent: Vec::new(),
-            checked: Vec::new(),
-            forgotten: Vec::new(),
+            queried: Vec::new(),
+            discarded: Vec::new(),
             cancelled: Vec::new(),
             probed: Vec::new(),
             audited: Vec::new(),
         };
-        trial.publish((0..targets).map(target_spec).collect());
-        trial
+        harness.publish((0..targets).map(target_spec).collect());
+        harness
     }
 
     pub fn publish(&mut self, specs: Vec<TargetSpec>) {
         let specs = specs.into_iter().map(Arc::new).collect();
-        let effects = self.desk.set_targets(self.now, specs);
-        self.note(effects);
+        let effects = self.scheduler.set_targets(self.now, specs);
+        self.record_effects(effects);
     }
 
-    pub fn offer(&mut self, item: WorkItem) {
-        let effects = self.desk.submit(self.now, item);
-        self.note(effects);
+    pub fn submit(&mut self, item: WorkItem) {
+        let effects = self.scheduler.submit(self.now, item);
+        self.record_effects(effects);
     }
 
     pub fn signal(&mut self, dispatch: u64, signal: TargetSignal) {
-        let effects = self.desk.on_signal(self.now, dispatch, signal, None);
-        self.note(effects);
+        let effects = self.scheduler.on_signal(self.now, dispatch, signal, None);
+        self.record_effects(effects);
     }
 
-    pub fn load(&mut self, target: &str, load: TargetLoad) {
-        let effects = self.desk.on_load_report(self.now, &TargetName::new(target), load);
-        self.note(effects);
+    pub fn report_load(&mut self, target: &str, load: TargetLoad) {
+        let effects = self.scheduler.on_load_report(self.now, &TargetName::new(target), load);
+        self.record_effects(effects);
     }
 
     pub fn cancel(&mut self, work: u64) {
-        let effects = self.desk.cancel(self.now, work);
-        self.note(effects);
+        let effects = self.scheduler.cancel(self.now, work);
+        self.record_effects(effects);
     }
 
-    /// Moves the time on in ticks of 10 ms.
-    pub fn pass(&mut self, millis: u64) {
+    /// Advances the time in ticks of 10 ms.
+    pub fn advance(&mut self, millis: u64) {
         for _ in 0..millis.div_ceil(10) {
             self.now = self.now.after_millis(10);
-            let effects = self.desk.on_tick(self.now);
-            self.note(effects);
+            let effects = self.scheduler.on_tick(self.now);
+            self.record_effects(effects);
         }
     }
 
-    /// The last dispatch of that work.
+    /// Returns the last dispatch of a work item.
     pub fn dispatch_of(&self, work: u64) -> u64 {
-        self.last_of(work).map(|sent| sent.1).expect("the work was dispatched")
+        self.last_dispatch_of(work).map(|sent| sent.1).expect("the work was dispatched")
     }
 
-    /// The last target of that work.
+    /// Returns the last target of a work item.
     pub fn target_of(&self, work: u64) -> String {
-        self.last_of(work).map(|sent| sent.2.clone()).expect("the work was dispatched")
+        self.last_dispatch_of(work).map(|sent| sent.2.clone()).expect("the work was dispatched")
     }
 
-    pub fn times_sent(&self, work: u64) -> usize {
-        self.sent.iter().filter(|sent| sent.0 == work).count()
+    pub fn dispatch_count(&self, work: u64) -> usize {
+        self.dispatched.iter().filter(|sent| sent.0 == work).count()
     }
 
-    fn last_of(&self, work: u64) -> Option<&(u64, u64, String)> {
-        self.sent.iter().rev().find(|sent| sent.0 == work)
+    fn last_dispatch_of(&self, work: u64) -> Option<&(u64, u64, String)> {
+        self.dispatched.iter().rev().find(|sent| sent.0 == work)
     }
 
-    fn note(&mut self, effects: Vec<SchedulerEffect>) {
+    fn record_effects(&mut self, effects: Vec<SchedulerEffect>) {
         for effect in effects {
             match effect {
                 SchedulerEffect::Dispatch { work, dispatch, target } => {
-                    self.sent.push((work, dispatch, target.name.to_string()));
+                    self.dispatched.push((work, dispatch, target.name.to_string()));
                 }
                 SchedulerEffect::Resend { dispatch, .. } => self.resent.push(dispatch),
-                SchedulerEffect::Check { dispatch, .. } => self.checked.push(dispatch),
-                SchedulerEffect::Discard { work } => self.forgotten.push(work),
+                SchedulerEffect::Check { dispatch, .. } => self.queried.push(dispatch),
+                SchedulerEffect::Discard { work } => self.discarded.push(work),
                 SchedulerEffect::Refuse { work, refusal } => {
-                    let earlier = self.refused.insert(work, refusal);
+                    let earlier = self.refusals.insert(work, refusal);
                     assert_eq!(earlier, None, "work {work} was refused twice");
                 }
                 SchedulerEffect::Cancel { dispatch, .. } => self.cancelled.push(dispatch),
@@ -138,8 +138,8 @@
     }
 }
 
-/// A bid of `member` that isn't idempotent and has 10 s.
-pub fn bid(trial: &DeskTrial, id: u64, member: &str) -> WorkItem {
+/// Returns a non-idempotent bid of `member` with a deadline in 10 s.
+pub fn bid(harness: &SchedulerHarness, id: u64, member: &str) -> WorkItem {
     WorkItem {
         id,
         flow: id,
@@ -150,7 +150,7 @@
         member_limit: 0,
         when_full: FullAction::Queue,
         idempotent: false,
-        deadline: trial.now.after_millis(10_000),
+        deadline: harness.now.after_millis(10_000),
         start_deadline: ClockTime::MAX,
     }
 }
--- a/crates/foxledge-policy/tests/fair_order.rs
+++ b/crates/foxledge-policy/tests/fair_order.rs
@@ -1,191 +1,187 @@
-//! The order of the queue: paid priority, members, limits.
+//! Fair order of the queue: paid priority, member weights and limits.
 
 mod common;
 
-use common::{DeskTrial, bid};
+use common::{SchedulerHarness, bid};
 use foxledge_core::lists::{FullAction, PaidPriority};
 use foxledge_policy::{RefuseReason, RunState, SchedulerOptions, TargetSignal};
 
-/// Ends the oldest running work `count` times; returns the works sent in turn.
-fn serve(trial: &mut DeskTrial, count: usize) -> Vec<u64> {
-    let first = trial.sent.len();
+/// Ends the oldest dispatch `count` times; returns the ids of the work items dispatched then.
+fn serve(harness: &mut SchedulerHarness, count: usize) -> Vec<u64> {
+    let first = harness.dispatched.len();
     for turn in 0..count {
-        let dispatch = trial.sent[turn].1;
-        trial.now = trial.now.after_millis(5);
-        trial.signal(dispatch, TargetSignal::Ended);
+        let dispatch = harness.dispatched[turn].1;
+        harness.now = harness.now.after_millis(5);
+        harness.signal(dispatch, TargetSignal::Ended);
     }
-    trial.sent[first..].iter().map(|sent| sent.0).collect()
+    harness.dispatched[first..].iter().map(|sent| sent.0).collect()
 }
 
 #[test]
-fn members_of_one_priority_take_turns() {
-    let mut trial = DeskTrial::new(SchedulerOptions::new(), 1);
+fn serves_members_of_one_priority_in_turn() {
+    let mut harness = SchedulerHarness::new(SchedulerOptions::new(), 1);
     for id in 0..22 {
-        trial.offer(bid(&trial, id, "heavy"));
+        harness.submit(bid(&harness, id, "heavy"));
     }
     for id in 100..105 {
-        trial.offer(bid(&trial, id, "light"));
+        harness.submit(bid(&harness, id, "light"));
     }
-    let served = serve(&mut trial, 10);
+    let served = serve(&mut harness, 10);
     let light = served.iter().filter(|&&id| id >= 100).count();
-    assert_eq!(light, 5, "of ten turns the light member got {light}: {served:?}");
+    assert_eq!(light, 5, "the light member got {light} of ten turns: {served:?}");
 }
 
 #[test]
-fn weights_share_within_a_priority() {
-    let mut trial = DeskTrial::new(SchedulerOptions::new(), 1);
+fn shares_a_priority_by_member_weight() {
+    let mut harness = SchedulerHarness::new(SchedulerOptions::new(), 1);
     for id in 0..100 {
-        let mut item = bid(&trial, id, if id % 2 == 0 { "one" } else { "three" });
+        let mut item = bid(&harness, id, if id % 2 == 0 { "one" } else { "three" });
         item.weight = if id % 2 == 0 { 1 } else { 3 };
-        trial.offer(item);
+        harness.submit(item);
     }
-    let served = serve(&mut trial, 40);
+    let served = serve(&mut harness, 40);
     let three = served.iter().filter(|&&id| id % 2 == 1).count();
     assert!((29..=31).contains(&three), "weight 3 of 4 got {three} of 40");
 }
 
 #[test]
-fn paid_priority_goes_first_and_the_lowest_has_a_floor() {
-    let mut trial = DeskTrial::new(SchedulerOptions::new(), 1);
+fn serves_high_priorities_more_and_the_lowest_a_minimum() {
+    let mut harness = SchedulerHarness::new(SchedulerOptions::new(), 1);
     for id in 0..300 {
-        let mut item = bid(&trial, id, "m");
+        let mut item = bid(&harness, id, "m");
         item.priority = PaidPriority([0, 2, 5][id as usize % 3]);
-        trial.offer(item);
+        harness.submit(item);
     }
-    let served = serve(&mut trial, 74);
+    let served = serve(&mut harness, 74);
     let count = |class: u64| served.iter().filter(|&&id| id % 3 == class).count();
     assert!(count(2) > count(1) && count(1) > count(0), "shares {served:?}");
     assert!(count(0) >= 2, "the lowest priority was starved: {served:?}");
 }
 
-// Symptom: light members are refused while one member's burst is let in.
-// Sequence: a member fills the queue; then another one's single bid arrives.
-// Cause: without displacement the full queue refuses whoever comes last.
+// Without displacement, a queue that one member has filled refuses the single bid of another
+// member, while the burst of the first one is queued.
 #[test]
-fn a_light_member_displaces_the_newest_of_the_heaviest() {
-    let mut trial = DeskTrial::new(SchedulerOptions::new().queue_limit(10), 1);
+fn displaces_the_newest_work_of_the_heaviest_member_for_a_light_one() {
+    let mut harness = SchedulerHarness::new(SchedulerOptions::new().queue_limit(10), 1);
     for id in 0..12 {
-        trial.offer(bid(&trial, id, "heavy"));
+        harness.submit(bid(&harness, id, "heavy"));
     }
-    assert!(trial.refused.is_empty());
-    trial.offer(bid(&trial, 50, "light"));
-    let refusal = trial.refused[&11];
+    assert!(harness.refusals.is_empty());
+    harness.submit(bid(&harness, 50, "light"));
+    let refusal = harness.refusals[&11];
     assert_eq!((refusal.run_state, refusal.reason), (RunState::NotRun, RefuseReason::QueueFull));
     assert!(refusal.retry_after > std::time::Duration::ZERO);
-    // The heavy member can't push back in.
-    trial.offer(bid(&trial, 13, "heavy"));
-    assert!(trial.refused.contains_key(&13) && !trial.refused.contains_key(&50));
+    // The heavy member can't displace the light one in turn.
+    harness.submit(bid(&harness, 13, "heavy"));
+    assert!(harness.refusals.contains_key(&13) && !harness.refusals.contains_key(&50));
 }
 
 #[test]
-fn a_full_queue_of_a_high_priority_leaves_the_lowest_its_places() {
-    let mut trial = DeskTrial::new(SchedulerOptions::new().queue_limit(33), 1);
+fn keeps_a_queue_slot_for_the_lowest_priority_when_a_high_one_fills_the_queue() {
+    let mut harness = SchedulerHarness::new(SchedulerOptions::new().queue_limit(33), 1);
     for id in 0..35 {
-        let mut item = bid(&trial, id, "high");
+        let mut item = bid(&harness, id, "high");
         item.priority = PaidPriority(5);
-        trial.offer(item);
+        harness.submit(item);
     }
     for id in 100..110 {
-        trial.offer(bid(&trial, id, "low"));
+        harness.submit(bid(&harness, id, "low"));
     }
-    let kept = (100..110).filter(|id| !trial.refused.contains_key(id)).count();
-    assert_eq!(kept, 1, "one of 33 places is the floor beside share 32");
+    let kept = (100..110).filter(|id| !harness.refusals.contains_key(id)).count();
+    assert_eq!(kept, 1, "weights 1 and 32 leave the lowest priority one of 33 queue slots");
 }
 
 #[test]
-fn a_member_limit_counts_slots_and_queue() {
-    let mut trial = DeskTrial::new(SchedulerOptions::new(), 1);
+fn counts_dispatched_and_queued_work_against_the_member_limit() {
+    let mut harness = SchedulerHarness::new(SchedulerOptions::new(), 1);
     for id in 0..6 {
-        let mut item = bid(&trial, id, "m");
+        let mut item = bid(&harness, id, "m");
         item.member_limit = 5;
-        trial.offer(item);
+        harness.submit(item);
     }
-    assert_eq!(trial.refused[&5].reason, RefuseReason::Limit);
-    trial.signal(trial.dispatch_of(0), TargetSignal::Ended);
-    let mut item = bid(&trial, 7, "m");
+    assert_eq!(harness.refusals[&5].reason, RefuseReason::Limit);
+    harness.signal(harness.dispatch_of(0), TargetSignal::Ended);
+    let mut item = bid(&harness, 7, "m");
     item.member_limit = 5;
-    trial.offer(item);
-    assert!(!trial.refused.contains_key(&7));
+    harness.submit(item);
+    assert!(!harness.refusals.contains_key(&7));
 }
 
 #[test]
-fn when_full_refuse_does_not_wait() {
-    let mut trial = DeskTrial::new(SchedulerOptions::new(), 1);
+fn refuses_work_instead_of_queueing_it_with_full_action_refuse() {
+    let mut harness = SchedulerHarness::new(SchedulerOptions::new(), 1);
     for id in 0..3 {
-        let mut item = bid(&trial, id, "m");
+        let mut item = bid(&harness, id, "m");
         item.when_full = FullAction::Refuse;
-        trial.offer(item);
+        harness.submit(item);
     }
-    assert_eq!(trial.sent.len(), 2);
-    assert_eq!(trial.refused[&2].reason, RefuseReason::QueueFull);
+    assert_eq!(harness.dispatched.len(), 2);
+    assert_eq!(harness.refusals[&2].reason, RefuseReason::QueueFull);
 }
 
 #[test]
-fn work_that_cannot_start_in_time_is_refused_within_a_tick() {
-    let mut trial = DeskTrial::new(SchedulerOptions::new(), 1);
+fn refuses_queued_work_within_a_tick_after_its_latest_start() {
+    let mut harness = SchedulerHarness::new(SchedulerOptions::new(), 1);
     for id in 0..2 {
-        trial.offer(bid(&trial, id, "m"));
+        harness.submit(bid(&harness, id, "m"));
     }
-    let mut late = bid(&trial, 2, "m");
-    // A quarter of its time is kept for its run, as the usual one is longer.
-    late.deadline = trial.now.after_millis(273);
-    trial.offer(late);
-    let mut ticket = bid(&trial, 3, "m");
-    ticket.start_deadline = trial.now.after_millis(405);
-    trial.offer(ticket);
-    trial.pass(200);
-    assert!(trial.refused.is_empty());
-    trial.pass(10);
-    assert_eq!(trial.refused[&2].reason, RefuseReason::DeadlinePassed);
-    assert_eq!(trial.refused[&2].run_state, RunState::NotRun);
-    trial.pass(200);
-    assert!(trial.refused.contains_key(&3));
+    let mut late = bid(&harness, 2, "m");
+    // A quarter of its time is reserved for its run, as four mean run times are longer.
+    late.deadline = harness.now.after_millis(273);
+    harness.submit(late);
+    let mut ticket = bid(&harness, 3, "m");
+    ticket.start_deadline = harness.now.after_millis(405);
+    harness.submit(ticket);
+    harness.advance(200);
+    assert!(harness.refusals.is_empty());
+    harness.advance(10);
+    assert_eq!(harness.refusals[&2].reason, RefuseReason::DeadlinePassed);
+    assert_eq!(harness.refusals[&2].run_state, RunState::NotRun);
+    harness.advance(200);
+    assert!(harness.refusals.contains_key(&3));
 }
 
-// Symptom: under overload slots run work whose callers have gone, and those
-// are told "unknown".
-// Sequence: a bid waits until just before its deadline and is then started.
-// Cause: nothing was kept for the run itself.
+// Under overload, a bid waits until just before its deadline. If no time is reserved for its run,
+// it is started then, occupies a slot after its caller has gone, and ends as "unknown".
 #[test]
-fn work_that_cannot_end_in_time_is_not_started() {
-    let mut trial = DeskTrial::new(SchedulerOptions::new(), 1);
+fn refuses_queued_work_that_cannot_end_before_its_deadline() {
+    let mut harness = SchedulerHarness::new(SchedulerOptions::new(), 1);
     for id in 0..3 {
-        trial.offer(bid(&trial, id, "m"));
+        harness.submit(bid(&harness, id, "m"));
         if id < 2 {
-            trial.now = trial.now.after_millis(100);
-            trial.signal(trial.dispatch_of(id), TargetSignal::Ended);
+            harness.now = harness.now.after_millis(100);
+            harness.signal(harness.dispatch_of(id), TargetSignal::Ended);
         }
     }
-    // Runs of 100 ms are usual now, so 400 ms are kept.
-    trial.offer(bid(&trial, 3, "m"));
+    // The mean run time is 100 ms now, so 400 ms are reserved.
+    harness.submit(bid(&harness, 3, "m"));
     for id in 2..4 {
-        trial.signal(trial.dispatch_of(id), TargetSignal::Accepted);
+        harness.signal(harness.dispatch_of(id), TargetSignal::Accepted);
     }
-    let mut late = bid(&trial, 4, "m");
-    late.deadline = trial.now.after_millis(2000);
-    trial.offer(late);
-    trial.pass(1590);
-    assert!(trial.refused.is_empty());
-    trial.pass(20);
-    assert_eq!(trial.refused[&4].run_state, RunState::NotRun);
+    let mut late = bid(&harness, 4, "m");
+    late.deadline = harness.now.after_millis(2000);
+    harness.submit(late);
+    harness.advance(1590);
+    assert!(harness.refusals.is_empty());
+    harness.advance(20);
+    assert_eq!(harness.refusals[&4].run_state, RunState::NotRun);
 }
 
-// Symptom: a caller waits for its whole deadline and is then refused.
-// Sequence: a long queue; a bid with little time left arrives.
-// Cause: its expected wait was known to be longer than its time left.
+// A bid with little time left arrives at a long queue. If it is queued although its expected wait
+// exceeds the time left, its caller waits for the whole deadline and is refused then.
 #[test]
-fn work_without_a_chance_is_refused_at_the_door() {
-    let mut trial = DeskTrial::new(SchedulerOptions::new(), 1);
+fn refuses_work_on_submission_if_its_expected_wait_exceeds_its_deadline() {
+    let mut harness = SchedulerHarness::new(SchedulerOptions::new(), 1);
     for id in 0..100 {
-        trial.offer(bid(&trial, id, "m"));
+        harness.submit(bid(&harness, id, "m"));
     }
-    let mut hopeless = bid(&trial, 200, "m");
-    hopeless.deadline = trial.now.after_millis(300);
-    trial.offer(hopeless);
-    assert_eq!(trial.refused[&200].reason, RefuseReason::DeadlinePassed);
-    // The same bid of another member has its turn soon and is let in.
-    let mut other = bid(&trial, 201, "other");
-    other.deadline = trial.now.after_millis(300);
-    trial.offer(other);
-    assert!(!trial.refused.contains_key(&201));
+    let mut unservable = bid(&harness, 200, "m");
+    unservable.deadline = harness.now.after_millis(300);
+    harness.submit(unservable);
+    assert_eq!(harness.refusals[&200].reason, RefuseReason::DeadlinePassed);
+    // The same bid of another member is served soon and is queued.
+    let mut other = bid(&harness, 201, "other");
+    other.deadline = harness.now.after_millis(300);
+    harness.submit(other);
+    assert!(!harness.refusals.contains_key(&201));
 }
--- a/crates/foxledge-policy/tests/target_health.rs
+++ b/crates/foxledge-policy/tests/target_health.rs
@@ -1,11 +1,11 @@
-//! What the desk believes of targets: losses, reports, slowness, warmth.
+//! Health of targets: losses, load reports, run times and slow start.
 
 mod common;
 
-use common::{DeskTrial, bid, target_spec};
+use common::{SchedulerHarness, bid, target_spec};
 use foxledge_policy::{RefuseReason, RunState, SchedulerOptions, TargetLoad, TargetSignal};
 
-const FIT: TargetLoad = TargetLoad {
+const HEALTHY: TargetLoad = TargetLoad {
     busy_slots: 0,
     connections: 0,
     queued: 0,
@@ -14,246 +14,252 @@
     healthy: true,
 };
 
-/// Offers `count` bids, each ended after `run(target)` ms; returns how many each target got.
-fn serve(trial: &mut DeskTrial, first: u64, count: u64, run: impl Fn(&str) -> u64) -> Vec<usize> {
-    let targets = trial.desk.status(trial.now).targets.len();
+/// Submits `count` bids, each of which ends after `run_ms(target)`; returns how many each target
+/// got.
+fn serve(
+    harness: &mut SchedulerHarness,
+    first: u64,
+    count: u64,
+    run_ms: impl Fn(&str) -> u64,
+) -> Vec<usize> {
+    let targets = harness.scheduler.status(harness.now).targets.len();
     let mut got = vec![0; targets];
-    let mut open: Vec<(u64, u64)> = Vec::new();
+    let mut open_dispatches: Vec<(u64, u64)> = Vec::new();
     for id in first..first + count {
-        trial.offer(bid(trial, id, "m"));
-        if trial.times_sent(id) > 0 {
-            let target = trial.target_of(id);
+        harness.submit(bid(harness, id, "m"));
+        if harness.dispatch_count(id) > 0 {
+            let target = harness.target_of(id);
             got[target[1..].parse::<usize>().expect("a number")] += 1;
-            let ends = trial.now.as_micros() / 1000 + run(&target);
-            open.push((ends, trial.dispatch_of(id)));
+            let end_ms = harness.now.as_micros() / 1000 + run_ms(&target);
+            open_dispatches.push((end_ms, harness.dispatch_of(id)));
         }
-        trial.pass(10);
-        let clock = trial.now.as_micros() / 1000;
-        for &(_, dispatch) in open.iter().filter(|(ends, _)| *ends <= clock) {
-            trial.signal(dispatch, TargetSignal::Ended);
+        harness.advance(10);
+        let now_ms = harness.now.as_micros() / 1000;
+        for &(_, dispatch) in open_dispatches.iter().filter(|(end_ms, _)| *end_ms <= now_ms) {
+            harness.signal(dispatch, TargetSignal::Ended);
         }
-        open.retain(|(ends, _)| *ends > clock);
+        open_dispatches.retain(|(end_ms, _)| *end_ms > now_ms);
     }
-    for (_, dispatch) in open {
-        trial.signal(dispatch, TargetSignal::Ended);
+    for (_, dispatch) in open_dispatches {
+        harness.signal(dispatch, TargetSignal::Ended);
     }
     got
 }
 
-/// Lets seconds pass in which every target answers its probes.
-fn rest(trial: &mut DeskTrial, seconds: u64) {
+/// Advances by some seconds in which every target answers its probes.
+fn advance_with_probe_responses(harness: &mut SchedulerHarness, seconds: u64) {
     for _ in 0..seconds {
-        for target in trial.desk.status(trial.now).targets {
-            trial.load(&target.name, FIT);
+        for target in harness.scheduler.status(harness.now).targets {
+            harness.report_load(&target.name, HEALTHY);
         }
-        trial.pass(1000);
+        harness.advance(1000);
     }
 }
 
-fn state(trial: &DeskTrial, number: usize) -> &'static str {
-    trial.desk.status(trial.now).targets[number].state
+fn state(harness: &SchedulerHarness, number: usize) -> &'static str {
+    harness.scheduler.status(harness.now).targets[number].state
 }
 
-// Symptom: every third bid ends UNKNOWN after a target died.
-// Sequence: a target falls silent; the others go on.
-// Cause: it kept its turn, as nothing counted the losses against it.
+// One of three targets stops responding. If its losses have no consequence, it still gets a third
+// of the bids, which end as UNKNOWN.
 #[test]
-fn a_silent_target_is_ejected_and_comes_back_by_probe_and_deadline() {
-    let mut trial = DeskTrial::new(SchedulerOptions::new(), 3);
+fn ejects_an_unresponsive_target_until_a_deadline_and_an_answered_probe() {
+    let mut harness = SchedulerHarness::new(SchedulerOptions::new(), 3);
     for id in 0..6 {
-        trial.offer(bid(&trial, id, "m"));
+        harness.submit(bid(&harness, id, "m"));
     }
-    let silent = |trial: &DeskTrial, id: u64| trial.target_of(id) == "t1";
+    let is_unresponsive = |harness: &SchedulerHarness, id: u64| harness.target_of(id) == "t1";
     for id in 0..6 {
-        if !silent(&trial, id) {
-            trial.signal(trial.dispatch_of(id), TargetSignal::Ended);
+        if !is_unresponsive(&harness, id) {
+            harness.signal(harness.dispatch_of(id), TargetSignal::Ended);
         }
     }
-    trial.pass(450);
-    assert_eq!(state(&trial, 1), "ejected");
-    assert!(trial.audited.contains(&"t1 out".to_owned()));
-    let got = serve(&mut trial, 100, 60, |_| 5);
+    harness.advance(450);
+    assert_eq!(state(&harness, 1), "ejected");
+    assert!(harness.audited.contains(&"t1 out".to_owned()));
+    let got = serve(&mut harness, 100, 60, |_| 5);
     assert_eq!(got[1], 0);
-    // A probe alone is too early, the deadline alone isn't enough.
-    trial.load("t1", FIT);
-    trial.pass(10);
-    assert_eq!(state(&trial, 1), "ejected");
-    trial.pass(2000);
-    assert_eq!(state(&trial, 1), "open");
-    assert!(trial.audited.contains(&"t1 in".to_owned()));
+    // The ejection lasts until its deadline although a probe is answered before; the deadline
+    // alone would not end it either.
+    harness.report_load("t1", HEALTHY);
+    harness.advance(10);
+    assert_eq!(state(&harness, 1), "ejected");
+    harness.advance(2000);
+    assert_eq!(state(&harness, 1), "open");
+    assert!(harness.audited.contains(&"t1 in".to_owned()));
 }
 
 #[test]
-fn ejection_without_an_answered_probe_lasts() {
-    let mut trial = DeskTrial::new(SchedulerOptions::new(), 3);
-    trial.pass(9000);
-    // No target answered any probe, yet at least half stay.
-    let out = (0..3).filter(|&number| state(&trial, number) == "ejected").count();
-    assert_eq!(out, 1);
+fn keeps_a_target_ejected_without_an_answered_probe() {
+    let mut harness = SchedulerHarness::new(SchedulerOptions::new(), 3);
+    harness.advance(9000);
+    // No target answered any probe, but at least half of them stay in service.
+    let ejected = (0..3).filter(|&number| state(&harness, number) == "ejected").count();
+    assert_eq!(ejected, 1);
 }
 
 #[test]
-fn each_target_is_probed_every_second() {
-    let mut trial = DeskTrial::new(SchedulerOptions::new(), 3);
-    trial.pass(10_000);
+fn probes_each_target_every_second() {
+    let mut harness = SchedulerHarness::new(SchedulerOptions::new(), 3);
+    harness.advance(10_000);
     for name in ["t0", "t1", "t2"] {
-        let probes = trial.probed.iter().filter(|probed| *probed == name).count();
+        let probes = harness.probed.iter().filter(|probed| *probed == name).count();
         assert!((9..=11).contains(&probes), "{name} was probed {probes} times in 10 s");
     }
 }
 
 #[test]
-fn a_draining_target_gets_no_new_work_at_once() {
-    let mut trial = DeskTrial::new(SchedulerOptions::new(), 2);
+fn sends_no_new_work_to_a_draining_target() {
+    let mut harness = SchedulerHarness::new(SchedulerOptions::new(), 2);
     let mut specs = vec![target_spec(0), target_spec(1)];
     specs[0].draining = true;
-    trial.publish(specs);
-    assert_eq!(serve(&mut trial, 0, 20, |_| 5)[0], 0);
-    trial.load("t1", TargetLoad { draining: true, ..FIT });
-    trial.offer(bid(&trial, 50, "m"));
-    let refusal = trial.refused[&50];
+    harness.publish(specs);
+    assert_eq!(serve(&mut harness, 0, 20, |_| 5)[0], 0);
+    harness.report_load("t1", TargetLoad { draining: true, ..HEALTHY });
+    harness.submit(bid(&harness, 50, "m"));
+    let refusal = harness.refusals[&50];
     assert_eq!((refusal.run_state, refusal.reason), (RunState::NotRun, RefuseReason::NoTarget));
-    assert_eq!(trial.audited, ["t1 draining"], "whoever takes the list over audits t0");
+    assert_eq!(
+        harness.audited,
+        ["t1 draining"],
+        "a change in the published list is not audited here"
+    );
 }
 
 #[test]
-fn what_waits_is_refused_at_once_when_no_target_takes_work() {
-    let mut trial = DeskTrial::new(SchedulerOptions::new(), 1);
+fn refuses_queued_work_at_once_when_no_target_is_open() {
+    let mut harness = SchedulerHarness::new(SchedulerOptions::new(), 1);
     for id in 0..4 {
-        trial.offer(bid(&trial, id, "m"));
+        harness.submit(bid(&harness, id, "m"));
     }
     let mut spec = target_spec(0);
     spec.draining = true;
-    trial.publish(vec![spec]);
-    assert!(trial.refused.contains_key(&2) && trial.refused.contains_key(&3));
-    trial.signal(trial.dispatch_of(0), TargetSignal::Ended);
-    assert!(!trial.refused.contains_key(&0));
+    harness.publish(vec![spec]);
+    assert!(harness.refusals.contains_key(&2) && harness.refusals.contains_key(&3));
+    harness.signal(harness.dispatch_of(0), TargetSignal::Ended);
+    assert!(!harness.refusals.contains_key(&0));
 }
 
-// Symptom: bids shed again and again by a target that reports to be idle.
-// Sequence: a target sheds; its lagging report says that it has room.
-// Cause: the report was believed against what was seen.
+// A target sheds a bid, and its stale load report says that it is idle. If the report is trusted
+// more than the observation, the target gets and sheds one bid after the other.
 #[test]
-fn a_target_that_sheds_is_left_alone_whatever_it_reports() {
-    let mut trial = DeskTrial::new(SchedulerOptions::new(), 2);
-    trial.offer(bid(&trial, 1, "m"));
-    let shedding = trial.target_of(1);
-    trial.signal(trial.dispatch_of(1), TargetSignal::NotRun(RefuseReason::TargetShed));
-    trial.load(&shedding, FIT);
+fn backs_off_from_a_shedding_target_whatever_it_reports() {
+    let mut harness = SchedulerHarness::new(SchedulerOptions::new(), 2);
+    harness.submit(bid(&harness, 1, "m"));
+    let shedding_target = harness.target_of(1);
+    harness.signal(harness.dispatch_of(1), TargetSignal::NotRun(RefuseReason::TargetShed));
+    harness.report_load(&shedding_target, HEALTHY);
     for id in 2..4 {
-        trial.offer(bid(&trial, id, "m"));
+        harness.submit(bid(&harness, id, "m"));
     }
-    let to_shedding = trial.sent.iter().filter(|sent| sent.2 == shedding).count();
+    let to_shedding = harness.dispatched.iter().filter(|sent| sent.2 == shedding_target).count();
     assert_eq!(to_shedding, 1);
-    // Half of the run time assumed at first, 50 ms.
-    trial.pass(20);
-    assert_eq!(trial.sent.iter().filter(|sent| sent.2 == shedding).count(), 1);
-    trial.pass(10);
-    assert!(trial.sent.iter().filter(|sent| sent.2 == shedding).count() > 1);
+    // The backoff is half of the initial run time of 50 ms.
+    harness.advance(20);
+    assert_eq!(harness.dispatched.iter().filter(|sent| sent.2 == shedding_target).count(), 1);
+    harness.advance(10);
+    assert!(harness.dispatched.iter().filter(|sent| sent.2 == shedding_target).count() > 1);
 }
 
-// Symptom: work of the highest priority is refused for want of a retry.
-// Sequence: one of two targets sheds all that comes, for seconds.
-// Cause: each slot that seemed free there was tried again and again.
+// One of two targets sheds all work for seconds. If each of its seemingly free slots is tried
+// again and again, the retry budget is used up, and work of the highest priority is refused.
 #[test]
-fn a_target_that_sheds_on_gets_one_try_now_and_then() {
-    let mut trial = DeskTrial::new(SchedulerOptions::new(), 2);
-    let mut tries = 0;
+fn limits_the_attempts_at_a_target_that_sheds_persistently() {
+    let mut harness = SchedulerHarness::new(SchedulerOptions::new(), 2);
+    let mut attempts = 0;
     for id in 0..600 {
-        trial.offer(bid(&trial, id, "m"));
-        let mut sent = trial.sent.last().cloned().expect("the work was dispatched");
+        harness.submit(bid(&harness, id, "m"));
+        let mut sent = harness.dispatched.last().cloned().expect("the work was dispatched");
         if sent.2 == "t0" {
-            tries += 1;
-            trial.signal(sent.1, TargetSignal::NotRun(RefuseReason::TargetShed));
-            sent = trial.sent.last().cloned().expect("the work was dispatched again");
+            attempts += 1;
+            harness.signal(sent.1, TargetSignal::NotRun(RefuseReason::TargetShed));
+            sent = harness.dispatched.last().cloned().expect("the work was dispatched again");
         }
         assert_eq!((sent.0, sent.2.as_str()), (id, "t1"));
-        trial.pass(10);
-        trial.signal(sent.1, TargetSignal::Ended);
+        harness.advance(10);
+        harness.signal(sent.1, TargetSignal::Ended);
     }
-    assert!(trial.refused.is_empty());
-    assert!((6..=25).contains(&tries), "{tries} tries in six seconds");
+    assert!(harness.refusals.is_empty());
+    assert!((6..=25).contains(&attempts), "{attempts} attempts in six seconds");
 }
 
 #[test]
-fn a_target_that_calls_itself_unhealthy_but_works_is_used() {
-    let mut trial = DeskTrial::new(SchedulerOptions::new(), 3);
-    serve(&mut trial, 0, 60, |_| 5);
-    trial.load("t0", TargetLoad { healthy: false, ..FIT });
-    trial.offer(bid(&trial, 100, "m"));
-    let got = serve(&mut trial, 200, 30, |_| 5);
-    assert!(got[0] > 0, "seen to work a moment ago: {got:?}");
-    // Not seen for a while, it is believed.
-    trial.pass(1200);
-    trial.load("t0", TargetLoad { healthy: false, ..FIT });
-    assert_eq!(serve(&mut trial, 300, 30, |_| 5)[0], 0);
+fn uses_a_target_that_reports_unhealthy_but_responds() {
+    let mut harness = SchedulerHarness::new(SchedulerOptions::new(), 3);
+    serve(&mut harness, 0, 60, |_| 5);
+    harness.report_load("t0", TargetLoad { healthy: false, ..HEALTHY });
+    harness.submit(bid(&harness, 100, "m"));
+    let got = serve(&mut harness, 200, 30, |_| 5);
+    assert!(got[0] > 0, "the target responded a moment ago: {got:?}");
+    // Without a response for a while, its report is used.
+    harness.advance(1200);
+    harness.report_load("t0", TargetLoad { healthy: false, ..HEALTHY });
+    assert_eq!(serve(&mut harness, 300, 30, |_| 5)[0], 0);
 }
 
-// Symptom: half of the slots idle for good, though every target works.
-// Sequence: a target calls itself unhealthy for ever while it works; the other one gets all work.
-// Cause: only work shows that a target is well, and this one never got any again.
+// A working target always reports unhealthy, and another one gets all work. Only work can show
+// that the report is wrong: without trials, half of the slots would be idle for good.
 #[test]
-fn a_target_that_calls_itself_unhealthy_for_ever_is_tried() {
-    let mut trial = DeskTrial::new(SchedulerOptions::new(), 2);
+fn tries_a_target_that_always_reports_unhealthy() {
+    let mut harness = SchedulerHarness::new(SchedulerOptions::new(), 2);
     let mut got = [0, 0];
     for round in 0..20 {
-        trial.load("t0", TargetLoad { healthy: false, ..FIT });
-        // Its own answers show that the other one is well.
-        trial.load("t1", FIT);
-        let served = serve(&mut trial, round * 1000, 50, |_| 5);
+        harness.report_load("t0", TargetLoad { healthy: false, ..HEALTHY });
+        // The other target reports healthy.
+        harness.report_load("t1", HEALTHY);
+        let served = serve(&mut harness, round * 1000, 50, |_| 5);
         got = [got[0] + served[0], got[1] + served[1]];
-        trial.pass(500);
+        harness.advance(500);
     }
-    assert!(got[0] > 50, "of 1000 bids it got {got:?}");
-    assert!(got[0] < got[1], "its word counts for nothing: {got:?}");
+    assert!(got[0] > 50, "the two targets got {got:?} of 1000 bids");
+    assert!(got[0] < got[1], "its reports have no effect: {got:?}");
 }
 
 #[test]
-fn doubts_about_more_than_half_are_no_news() {
-    let mut trial = DeskTrial::new(SchedulerOptions::new(), 3);
+fn ignores_unhealthy_reports_of_more_than_half_of_the_targets() {
+    let mut harness = SchedulerHarness::new(SchedulerOptions::new(), 3);
     for name in ["t0", "t1", "t2"] {
-        trial.load(name, TargetLoad { healthy: false, ..FIT });
+        harness.report_load(name, TargetLoad { healthy: false, ..HEALTHY });
     }
-    trial.offer(bid(&trial, 1, "m"));
-    assert_eq!(trial.times_sent(1), 1);
+    harness.submit(bid(&harness, 1, "m"));
+    assert_eq!(harness.dispatch_count(1), 1);
 }
 
-// Symptom: one bid in ten takes five times as long.
-// Sequence: a target is five times slower than its peers and reports to be idle.
-// Cause: it was chosen as the freest, as slots alone were looked at.
+// A target is five times slower than the others and reports to be idle. If only free slots count,
+// it is chosen as the least utilized, and one bid in ten takes five times as long.
 #[test]
-fn a_slow_target_gets_less() {
-    let mut trial = DeskTrial::new(SchedulerOptions::new(), 4);
+fn sends_less_work_to_a_slow_target_until_it_recovers() {
+    let mut harness = SchedulerHarness::new(SchedulerOptions::new(), 4);
     let run = |target: &str| if target == "t2" { 200 } else { 40 };
-    serve(&mut trial, 0, 400, run);
-    trial.load("t2", FIT);
-    let got = serve(&mut trial, 1000, 400, run);
-    assert!(got[2] <= 10, "of 400 the slow target got {}", got[2]);
-    // After its fault has gone it is found out by trials.
+    serve(&mut harness, 0, 400, run);
+    harness.report_load("t2", HEALTHY);
+    let got = serve(&mut harness, 1000, 400, run);
+    assert!(got[2] <= 10, "the slow target got {} of 400 bids", got[2]);
+    // Trials detect its recovery.
     for round in 0..20 {
-        serve(&mut trial, 2000 + round * 100, 100, |_| 40);
-        rest(&mut trial, 6);
+        serve(&mut harness, 2000 + round * 100, 100, |_| 40);
+        advance_with_probe_responses(&mut harness, 6);
     }
-    let got = serve(&mut trial, 9000, 200, |_| 40);
-    assert!(got[2] >= 20, "mended, it got {} of 200", got[2]);
+    let got = serve(&mut harness, 9000, 200, |_| 40);
+    assert!(got[2] >= 20, "the recovered target got {} of 200 bids", got[2]);
 }
 
 #[test]
-fn a_new_or_cold_target_gets_half_its_slots() {
-    let mut trial = DeskTrial::new(SchedulerOptions::new(), 1);
-    trial.publish(vec![target_spec(0), target_spec(1)]);
+fn uses_half_of_the_slots_of_a_new_or_cold_target() {
+    let mut harness = SchedulerHarness::new(SchedulerOptions::new(), 1);
+    harness.publish(vec![target_spec(0), target_spec(1)]);
     for id in 0..4 {
-        trial.offer(bid(&trial, id, "m"));
+        harness.submit(bid(&harness, id, "m"));
     }
-    assert_eq!(trial.sent.iter().filter(|sent| sent.2 == "t1").count(), 1);
-    trial.pass(300);
-    trial.load("t1", TargetLoad { cold: true, ..FIT });
-    assert_eq!(trial.sent.iter().filter(|sent| sent.2 == "t1").count(), 1);
+    assert_eq!(harness.dispatched.iter().filter(|sent| sent.2 == "t1").count(), 1);
+    harness.advance(300);
+    harness.report_load("t1", TargetLoad { cold: true, ..HEALTHY });
+    assert_eq!(harness.dispatched.iter().filter(|sent| sent.2 == "t1").count(), 1);
     for id in 0..4 {
-        if trial.times_sent(id) > 0 {
-            trial.signal(trial.dispatch_of(id), TargetSignal::Accepted);
+        if harness.dispatch_count(id) > 0 {
+            harness.signal(harness.dispatch_of(id), TargetSignal::Accepted);
         }
     }
-    trial.pass(2500);
-    assert_eq!(trial.sent.iter().filter(|sent| sent.2 == "t1").count(), 2);
+    harness.advance(2500);
+    assert_eq!(harness.dispatched.iter().filter(|sent| sent.2 == "t1").count(), 2);
 }
