--- a/crates/foxledge-engine/examples/engine_cost.rs
+++ b/crates/foxledge-engine/examples/engine_cost.rs
@@ -12,7 +12,7 @@
 use common::{
     address, caller_address, data_address,
     lists::{target_spec, test_list},
-    packets::work,
+    packets::bid_packet,
 };
 use foxledge_core::{
     lists::{
@@ -48,8 +48,8 @@
 
 /// Bytes of the engine's own messages, without IP and UDP headers.
 fn message_sizes() {
-    let list = test_list(1, &[wide_target(0)], &[]);
-    let mut engine = lone_engine(&list);
+    let list = test_list(1, &[unlimited_target(0)], &[]);
+    let mut engine = single_engine(&list);
     let now = ClockTime::from_micros(5_000_000);
     let probes = engine.on_tick(now);
     let probe = first_packet(&probes);
@@ -58,7 +58,7 @@
     print_size("probe reply", encode_packet(&reply).len());
 
     // An entry instance that isn't the home, and a home that acknowledges.
-    let view = Arc::new(wide_view(2));
+    let view = Arc::new(large_view(2));
     let me = peer(0);
     let names: Vec<_> =
         view.ranked_homes("auction-desk#0").iter().map(|peer| peer.name.clone()).collect();
@@ -84,7 +84,7 @@
     print_size("acknowledgement of a forwarding", peer_bytes(&effects).len());
     let grant = first_packet(&effects);
     print_size("ticket grant", encode_packet(&grant).len());
-    let bid = Packet { ticket: grant.ticket, ..work(1, 1, 1, "auction") };
+    let bid = Packet { ticket: grant.ticket, ..bid_packet(1, 1, 1, "auction") };
     print_size("bid of 3 bytes by ticket", encode_packet(&bid).len());
     let forwarded = entry.on_datagram(now, caller_address(1), &encode_packet(&bid));
     print_size("bid forwarded", peer_bytes(&forwarded).len());
@@ -107,7 +107,7 @@
 /// Processor time of one packet on each way through the engine.
 fn packet_costs() {
     const ROUNDS: u64 = 50_000;
-    let mut engine = lone_engine(&test_list(1, &[wide_target(0)], &[]));
+    let mut engine = single_engine(&test_list(1, &[unlimited_target(0)], &[]));
     let now = ClockTime::from_micros(1_000_000);
 
     let grant = encode_packet(&ticket_request(1));
@@ -156,7 +156,7 @@
 
 /// Resident bytes of one open feed at its home.
 fn flow_memory(flows: u64) {
-    let mut engine = lone_engine(&test_list(1, &[wide_target(0)], &[]));
+    let mut engine = single_engine(&test_list(1, &[unlimited_target(0)], &[]));
     let now = ClockTime::from_micros(1_000_000);
     let before = resident_bytes();
     let started = Instant::now();
@@ -176,10 +176,10 @@
 
 /// Processor time and memory of taking a list with so many targets into force.
 fn list_costs(targets: usize) {
-    let first = Arc::new(wide_list(1, targets));
-    let second = Arc::new(wide_list(2, targets));
-    let mut engine = lone_engine(&RuleList::default());
-    engine.apply_peer_view(ClockTime::ZERO, Arc::new(wide_view(437)));
+    let first = Arc::new(large_list(1, targets));
+    let second = Arc::new(large_list(2, targets));
+    let mut engine = single_engine(&RuleList::default());
+    engine.apply_peer_view(ClockTime::ZERO, Arc::new(large_view(437)));
     let before = resident_bytes();
     engine.apply_list(ClockTime::ZERO, first);
     let grown = resident_bytes().saturating_sub(before);
@@ -193,12 +193,12 @@
 
 /// Processor time of taking a view into force, at the target's services.
 fn view_costs(peers: usize) {
-    let mut engine = lone_engine(&wide_list(1, 38_000));
-    engine.apply_peer_view(ClockTime::ZERO, Arc::new(wide_view(peers)));
-    let view = Arc::new(wide_view(peers - 1));
+    let mut engine = single_engine(&large_list(1, 38_000));
+    engine.apply_peer_view(ClockTime::ZERO, Arc::new(large_view(peers)));
+    let view = Arc::new(large_view(peers - 1));
     let started = Instant::now();
     engine.apply_peer_view(ClockTime::ZERO, view);
-    let desks = engine.status(ClockTime::ZERO).desks.len();
+    let desks = engine.status(ClockTime::ZERO).schedulers.len();
     println!(
         "{{\"what\":\"view taken into force\",\"peers\":{peers},\"services\":5800,\"millis\":{:.2},\"desks\":{desks}}}",
         started.elapsed().as_secs_f64() * 1e3,
@@ -215,7 +215,7 @@
     statm.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok()).unwrap_or(0) * PAGE_BYTES
 }
 
-fn lone_engine(list: &RuleList) -> FlowEngine {
+fn single_engine(list: &RuleList) -> FlowEngine {
     let me = peer(0);
     let mut engine =
         FlowEngine::new(EngineOptions::default().max_ledger_requests(1_000_000), me.clone(), SEED);
@@ -239,21 +239,21 @@
     }
 }
 
-fn wide_view(peers: usize) -> PeerView {
+fn large_view(peers: usize) -> PeerView {
     PeerView { peers: (0..peers).map(peer).collect(), ..PeerView::default() }
 }
 
-fn wide_target(index: usize) -> TargetSpec {
+fn unlimited_target(index: usize) -> TargetSpec {
     TargetSpec { slots: 1_000_000, connections: 1_000_000, ..target_spec(index, 1) }
 }
 
 /// The target's shape: about 6.5 targets behind each address, over 8 data centres.
-fn wide_list(revision: u64, targets: usize) -> RuleList {
+fn large_list(revision: u64, targets: usize) -> RuleList {
     let mut list = test_list(revision, &[], &[]);
     let services = (targets * 5_800).div_ceil(38_000);
     for service in 0..services {
         let name = ServiceName::new(&format!("service-{service}"));
-        let place = ServiceAddress::new(&format!("address-{service}"));
+        let service_address = ServiceAddress::new(&format!("address-{service}"));
         let specs = (service..targets).step_by(services).map(|index| TargetSpec {
             name: format!("t{index}").as_str().into(),
             address: std::net::SocketAddr::from((
@@ -268,7 +268,7 @@
         });
         let spec = ServiceSpec {
             name: name.clone(),
-            addresses: vec![place.clone()],
+            addresses: vec![service_address.clone()],
             queue_limit: 400,
             shards: 1,
             targets: specs.collect(),
@@ -276,7 +276,7 @@
         list.services.insert(name.clone(), Arc::new(spec));
         list.rules.push(FlowRule {
             name: RuleName::new(&format!("rule-{service}")),
-            when: FlowMatch { addresses: vec![place], ..FlowMatch::default() },
+            when: FlowMatch { addresses: vec![service_address], ..FlowMatch::default() },
             then: FlowTreatment::Serve(ServeTreatment {
                 service: name,
                 priority: foxledge_core::lists::PaidPriority(1),
@@ -293,7 +293,7 @@
     Packet {
         kind: PacketKind::TicketRequest.into(),
         payload: vec![0; foxledge_wire::TICKET_PADDING],
-        ..work(caller, 1, 0, "auction")
+        ..bid_packet(caller, 1, 0, "auction")
     }
 }
 
@@ -313,7 +313,7 @@
 
 /// One whole request with its backend server's three answers.
 fn serve_once(engine: &mut FlowEngine, now: ClockTime, flow: u64, ticket: Vec<u8>) {
-    let bid = Packet { ticket, ..work(1, flow, 1, "auction") };
+    let bid = Packet { ticket, ..bid_packet(1, flow, 1, "auction") };
     let effects = engine.on_datagram(now, caller_address(1), &encode_packet(&bid));
     let dispatched = first_packet(&effects);
     for kind in [PacketKind::Ack, PacketKind::Answer, PacketKind::Done] {
@@ -322,7 +322,7 @@
 }
 
 fn feed_packet(flow: u64) -> Packet {
-    Packet { work: WorkKind::Feed.into(), idempotent: true, ..work(1, flow, 1, "auction") }
+    Packet { work: WorkKind::Feed.into(), idempotent: true, ..bid_packet(1, flow, 1, "auction") }
 }
 
 fn open_feed(engine: &mut FlowEngine, now: ClockTime, flow: u64) -> Packet {
--- a/crates/foxledge-engine/src/dispatch.rs
+++ b/crates/foxledge-engine/src/dispatch.rs
@@ -9,23 +9,23 @@
 use log::debug;
 
 use crate::{
-    desks::target_subject,
     effects::EngineEffect,
     engine::FlowEngine,
-    home::{bare_packet, wanted_span},
-    journal::{FlowEvent, TargetPlace},
+    home::{reply_context, requested_time},
+    home_work::RunTracking,
+    journal::{FlowEvent, TargetAddress},
     ledger::{RequestKey, RequestState},
-    packets::desk_refusal,
-    placement::DeskKey,
-    work::RunTracking,
+    packets::wire_refusal,
+    placement::ShardKey,
+    schedulers::target_subject,
 };
 
 impl FlowEngine {
     /// Carries out what a desk decided.
-    pub(crate) fn carry_out(
+    pub(crate) fn apply_scheduler_effects(
         &mut self,
         now: ClockTime,
-        key: &DeskKey,
+        key: &ShardKey,
         effects: Vec<SchedulerEffect>,
     ) {
         for effect in effects {
@@ -37,7 +37,7 @@
                     self.resend_work(now, work, dispatch, &target);
                 }
                 SchedulerEffect::Check { work, dispatch, target } => {
-                    self.check_work(work, dispatch, &target);
+                    self.send_check(work, dispatch, &target);
                 }
                 SchedulerEffect::Refuse { work, refusal } => self.refuse_work(now, work, &refusal),
                 SchedulerEffect::Cancel { dispatch, target } => self.send_cancel(dispatch, &target),
@@ -49,7 +49,7 @@
                     // A desk knows its targets by their names alone, which
                     // another service's targets may have as well.
                     let subject = target_subject(&key.service, &change.subject);
-                    self.out.push(EngineEffect::Audit(AuditChange { subject, ..change }));
+                    self.effects.push(EngineEffect::Audit(AuditChange { subject, ..change }));
                 }
             }
         }
@@ -57,22 +57,22 @@
 
     fn dispatch_work(&mut self, now: ClockTime, id: u64, dispatch: u64, target: &Arc<TargetSpec>) {
         let Some(work) = self.works.get_mut(&id) else { return };
-        let former = std::mem::replace(&mut work.dispatch, dispatch);
-        let (key, forget_at, caller, kind) = (work.key, work.forget_at, work.caller, work.kind);
-        let wait = now.since(work.arrived);
+        let previous = std::mem::replace(&mut work.dispatch, dispatch);
+        let (key, expires_at, caller, kind) = (work.key, work.expires_at, work.caller, work.kind);
+        let wait = now.since(work.arrived_at);
         let Some(packet) = work.packet.as_deref().cloned() else {
-            return self.give_up_feed(now, id);
+            return self.abort_feed(now, id);
         };
-        self.dispatches.remove(&former);
-        self.dispatches.insert(dispatch, id);
+        self.work_by_dispatch.remove(&previous);
+        self.work_by_dispatch.insert(dispatch, id);
         let state = RequestState::Dispatched { dispatch, target: target.clone() };
-        self.ledger.record(key, state, forget_at);
+        self.ledger.record(key, state, expires_at);
         self.counters.dispatched += 1;
-        let place = TargetPlace::from(target.as_ref());
-        let text = format!("dispatched {dispatch:016x} to {place}");
+        let address = TargetAddress::from(target.as_ref());
+        let text = format!("dispatched {dispatch:016x} to {address}");
         debug!("engine: flow {:016x} request {} {text}", key.flow, key.request);
-        self.journal.note(key.flow, FlowEvent::new(now, key.request, text).sent_to(place));
-        self.out.push(EngineEffect::RecordWait { kind, wait });
+        self.journal.record(key.flow, FlowEvent::new(now, key.request, text).with_target(address));
+        self.effects.push(EngineEffect::RecordWait { kind, wait });
         self.send_to_target(now, caller, &packet, dispatch, target);
     }
 
@@ -87,28 +87,28 @@
     ///
     /// The home keeps no opening packet of an open feed, and only the caller
     /// knows the last item it saw: it opens the feed anew from there.
-    fn give_up_feed(&mut self, now: ClockTime, id: u64) {
-        let Some(desk) = self.works.get(&id).map(|work| work.desk.clone()) else { return };
-        let lost = WorkRefusal {
+    fn abort_feed(&mut self, now: ClockTime, id: u64) {
+        let Some(shard) = self.works.get(&id).map(|work| work.shard.clone()) else { return };
+        let refusal = WorkRefusal {
             run_state: RunState::Unknown,
             reason: RefuseReason::TargetLost,
             retry_after: Duration::ZERO,
         };
-        self.refuse_work(now, id, &lost);
-        let Some(home_desk) = self.desks.find(&desk) else { return };
-        let effects = home_desk.cancel(now, id);
-        self.carry_out(now, &desk, effects);
+        self.refuse_work(now, id, &refusal);
+        let Some(scheduler) = self.schedulers.find(&shard) else { return };
+        let effects = scheduler.cancel(now, id);
+        self.apply_scheduler_effects(now, &shard, effects);
     }
 
     /// Asks a target what became of a dispatch that it has acknowledged.
     ///
     /// Its end may have been lost on the way. The slot or connection would stay
     /// taken for good; one would notice a target that gets ever less work.
-    fn check_work(&mut self, id: u64, dispatch: u64, target: &Arc<TargetSpec>) {
+    fn send_check(&mut self, id: u64, dispatch: u64, target: &Arc<TargetSpec>) {
         let Some(work) = self.works.get(&id) else { return };
-        let (service, flow) = (work.desk.service.clone(), work.key.flow);
+        let (service, flow) = (work.shard.service.clone(), work.key.flow);
         self.counters.checks_sent += 1;
-        let check = notice(PacketKind::Check, &service, dispatch, target);
+        let check = control_packet(PacketKind::Check, &service, dispatch, target);
         self.send_data(target.address, &Packet { flow, ..check });
     }
 
@@ -121,7 +121,7 @@
         dispatch: u64,
         target: &Arc<TargetSpec>,
     ) {
-        let Some(service) = self.owner_of(packet, target) else { return };
+        let Some(service) = self.service_of(packet, target) else { return };
         let token = FlowToken {
             address: packet.address.clone(),
             service: service.to_string(),
@@ -135,14 +135,14 @@
             data_centre: target.data_centre.to_string(),
             dispatch,
         };
-        let Ok(token) = seal_token(&self.ring, &token) else { return };
+        let Ok(token) = seal_token(&self.key_ring, &token) else { return };
         let path = ReturnPath { caller_address: caller.to_string(), token, by_token: false };
-        let Ok(return_path) = seal_path(&self.ring, &path) else { return };
+        let Ok(return_path) = seal_path(&self.key_ring, &path) else { return };
         let deadline = self
-            .dispatches
+            .work_by_dispatch
             .get(&dispatch)
             .and_then(|id| self.works.get(id))
-            .map_or_else(|| now.after(wanted_span(packet)), |work| work.deadline);
+            .map_or_else(|| now.after(requested_time(packet)), |work| work.deadline);
         let packet = Packet {
             service: service.to_string(),
             target_incarnation: target.incarnation,
@@ -158,14 +158,15 @@
     }
 
     /// The service that a request's target serves: the one its desk belongs to.
-    fn owner_of(&self, packet: &Packet, target: &TargetSpec) -> Option<ServiceName> {
+    fn service_of(&self, packet: &Packet, target: &TargetSpec) -> Option<ServiceName> {
         if let Some(RequestState::Dispatched { dispatch, .. }) =
-            self.ledger.find(&RequestKey::of(packet))
-            && let Some(work) = self.dispatches.get(dispatch).and_then(|id| self.works.get(id))
+            self.ledger.find(&RequestKey::from_packet(packet))
+            && let Some(work) =
+                self.work_by_dispatch.get(dispatch).and_then(|id| self.works.get(id))
         {
-            return Some(work.desk.service.clone());
+            return Some(work.shard.service.clone());
         }
-        let (key, owner) = self.owners.get(&target.address)?;
+        let (key, owner) = self.target_owners.get(&target.address)?;
         let is_same = owner.incarnation == target.incarnation;
         is_same.then(|| key.service.clone())
     }
@@ -175,35 +176,40 @@
         let Some(work) = self.remove_work(id) else { return };
         let refusal = match (work.tracking, refusal.run_state) {
             (RunTracking::Untracked, RunState::NotRun) => {
-                Refusal { outcome: RunOutcome::Unknown.into(), ..desk_refusal(refusal) }
+                Refusal { outcome: RunOutcome::Unknown.into(), ..wire_refusal(refusal) }
             }
-            _ => desk_refusal(refusal),
+            _ => wire_refusal(refusal),
         };
         if work.tracking == RunTracking::ByTicket && refusal.outcome() != RunOutcome::NotRun {
-            self.audit_unknown(now, work.key, &refusal);
+            self.audit_unknown_outcome(now, work.key, &refusal);
         }
-        self.remember_refusal(work.key, refusal, work.forget_at.max(now));
-        self.refuse(now, work.caller, &bare_packet(&work), refusal);
+        self.record_refusal(work.key, refusal, work.expires_at.max(now));
+        self.send_refusal(now, work.caller, &reply_context(&work), refusal);
     }
 
     fn send_cancel(&mut self, dispatch: u64, target: &Arc<TargetSpec>) {
-        let Some((key, _)) = self.owners.get(&target.address) else { return };
-        let cancel = notice(PacketKind::Cancel, &key.service, dispatch, target);
+        let Some((key, _)) = self.target_owners.get(&target.address) else { return };
+        let cancel = control_packet(PacketKind::Cancel, &key.service, dispatch, target);
         self.send_data(target.address, &cancel);
     }
 
-    fn send_probe(&mut self, key: &DeskKey, target: &Arc<TargetSpec>) {
-        if !self.probed.contains(key) {
+    fn send_probe(&mut self, key: &ShardKey, target: &Arc<TargetSpec>) {
+        if !self.probed_shards.contains(key) {
             return;
         }
         self.counters.probes_sent += 1;
-        let probe = notice(PacketKind::Probe, &key.service, 0, target);
+        let probe = control_packet(PacketKind::Probe, &key.service, 0, target);
         self.send_data(target.address, &probe);
     }
 }
 
 /// A packet of the home's own to a target.
-fn notice(kind: PacketKind, service: &ServiceName, dispatch: u64, target: &TargetSpec) -> Packet {
+fn control_packet(
+    kind: PacketKind,
+    service: &ServiceName,
+    dispatch: u64,
+    target: &TargetSpec,
+) -> Packet {
     Packet {
         version: foxledge_wire::PROTOCOL_VERSION,
         kind: kind.into(),
--- a/crates/foxledge-engine/src/engine.rs
+++ b/crates/foxledge-engine/src/engine.rs
@@ -28,22 +28,22 @@
 
 use crate::{
     counters::EngineCounters,
-    desks::DeskSet,
     effects::{EngineEffect, EnginePhase},
-    forwards::{ForwardTable, SilentHomes},
+    forwards::{ForwardTable, UnresponsiveHomes},
+    home_work::HomeWork,
     journal::{FlowEvent, FlowJournal},
-    ledger::{RequestKey, RunLedger},
-    options::{EngineOptions, FEED_CHECK, RUN_CHECK},
+    ledger::{RequestKey, RequestLedger},
+    options::{EngineOptions, FEED_CHECK_INTERVAL, REQUEST_CHECK_INTERVAL},
     packets::reply_to,
-    placement::{DeskKey, HomePlacement, placement_of},
-    status::{DeskEntry, EngineStatus},
-    work::HomeWork,
+    placement::{HomePlacement, ShardKey, new_placement},
+    schedulers::SchedulerSet,
+    status::{EngineStatus, SchedulerEntry},
 };
 
 /// Shortest time between two audit entries about requests left unknown.
-const UNKNOWN_AUDIT_GAP: Duration = Duration::from_millis(100);
+const MIN_UNKNOWN_AUDIT_INTERVAL: Duration = Duration::from_millis(100);
 /// Flows that the journal keeps.
-const JOURNAL_FLOWS: usize = 2_000;
+const MAX_JOURNAL_FLOWS: usize = 2_000;
 
 /// `FlowEngine` is the decisions of one instance.
 pub struct FlowEngine {
@@ -51,34 +51,34 @@
     pub(crate) me: PeerInfo,
     pub(crate) phase: EnginePhase,
     pub(crate) list: Arc<RuleList>,
-    pub(crate) index: RuleIndex,
+    pub(crate) rule_index: RuleIndex,
     pub(crate) view: Arc<PeerView>,
-    pub(crate) ring: KeyRing,
+    pub(crate) key_ring: KeyRing,
     pub(crate) placement: Box<dyn HomePlacement>,
-    pub(crate) desks: DeskSet,
+    pub(crate) schedulers: SchedulerSet,
     /// Desks whose targets this instance probes.
-    pub(crate) probed: BTreeSet<DeskKey>,
+    pub(crate) probed_shards: BTreeSet<ShardKey>,
     /// Published targets by address: who owns it now.
-    pub(crate) owners: HashMap<SocketAddr, (DeskKey, Arc<TargetSpec>)>,
-    pub(crate) ledger: RunLedger,
+    pub(crate) target_owners: HashMap<SocketAddr, (ShardKey, Arc<TargetSpec>)>,
+    pub(crate) ledger: RequestLedger,
     pub(crate) works: HashMap<u64, HomeWork>,
     /// Works that are no feeds; a planned stop waits for them.
     pub(crate) open_requests: usize,
     /// Feeds that wait for a place or for their target's word.
     pub(crate) opening_feeds: usize,
     /// No refusal that leaves a request unknown goes into the audit trail before.
-    pub(crate) next_unknown_audit: ClockTime,
+    pub(crate) next_unknown_audit_at: ClockTime,
     /// Work ids by dispatch.
-    pub(crate) dispatches: HashMap<u64, u64>,
-    pub(crate) last_work: u64,
+    pub(crate) work_by_dispatch: HashMap<u64, u64>,
+    pub(crate) last_work_id: u64,
     pub(crate) forwards: ForwardTable,
-    pub(crate) silent: SilentHomes,
+    pub(crate) unresponsive_homes: UnresponsiveHomes,
     /// Start deadline of the newest ticket issued here.
-    pub(crate) tickets_until: ClockTime,
+    pub(crate) latest_start_deadline: ClockTime,
     pub(crate) journal: FlowJournal,
     pub(crate) counters: EngineCounters,
     pub(crate) rng: StdRng,
-    pub(crate) out: Vec<EngineEffect>,
+    pub(crate) effects: Vec<EngineEffect>,
 }
 
 impl FlowEngine {
@@ -87,36 +87,36 @@
         FlowEngine {
             phase: EnginePhase::Joining,
             list: Arc::default(),
-            index: RuleIndex::new(Arc::default()),
+            rule_index: RuleIndex::new(Arc::default()),
             view: Arc::default(),
-            ring: KeyRing::default(),
-            placement: placement_of(options.placement),
+            key_ring: KeyRing::default(),
+            placement: new_placement(options.placement),
             // Every desk may ask about accepted work, as the engine sends CHECK for it.
-            desks: DeskSet::new(
+            schedulers: SchedulerSet::new(
                 options
                     .scheduler
                     .clone()
-                    .request_check_interval(RUN_CHECK)
-                    .feed_check_interval(FEED_CHECK),
+                    .request_check_interval(REQUEST_CHECK_INTERVAL)
+                    .feed_check_interval(FEED_CHECK_INTERVAL),
                 &options.policy,
                 seed,
             ),
-            probed: BTreeSet::new(),
-            owners: HashMap::new(),
-            ledger: RunLedger::new(options.max_ledger_requests),
+            probed_shards: BTreeSet::new(),
+            target_owners: HashMap::new(),
+            ledger: RequestLedger::new(options.max_ledger_requests),
             works: HashMap::new(),
             open_requests: 0,
             opening_feeds: 0,
-            next_unknown_audit: ClockTime::ZERO,
-            dispatches: HashMap::new(),
-            last_work: 0,
+            next_unknown_audit_at: ClockTime::ZERO,
+            work_by_dispatch: HashMap::new(),
+            last_work_id: 0,
             forwards: ForwardTable::new(options.max_pending_forwards),
-            silent: SilentHomes::default(),
-            tickets_until: ClockTime::ZERO,
-            journal: FlowJournal::new(JOURNAL_FLOWS),
+            unresponsive_homes: UnresponsiveHomes::default(),
+            latest_start_deadline: ClockTime::ZERO,
+            journal: FlowJournal::new(MAX_JOURNAL_FLOWS),
             counters: EngineCounters::default(),
             rng: StdRng::seed_from_u64(seed),
-            out: Vec::new(),
+            effects: Vec::new(),
             options,
             me,
         }
@@ -154,7 +154,7 @@
                 self.counters.malformed += 1;
             }
         }
-        self.take_effects()
+        self.drain_effects()
     }
 
     /// Takes a datagram from another instance.
@@ -165,7 +165,7 @@
         bytes: &[u8],
     ) -> Vec<EngineEffect> {
         self.counters.peer_received += 1;
-        let Ok(datagram) = open_datagram(&self.ring, bytes) else {
+        let Ok(datagram) = open_datagram(&self.key_ring, bytes) else {
             // Without the seal anybody could have instances send datagrams to
             // any "caller address", and could bypass the checks at entry.
             self.counters.peer_unsealed += 1;
@@ -176,19 +176,19 @@
             Some(Body::Ack(ack)) => self.on_forward_ack(ack.forward_id),
             None => self.counters.malformed += 1,
         }
-        self.take_effects()
+        self.drain_effects()
     }
 
     /// Lets time pass: queues, deadlines, probes.
     pub fn on_tick(&mut self, now: ClockTime) -> Vec<EngineEffect> {
         self.retry_forwards(now);
-        for key in self.desks.keys() {
-            let Some(desk) = self.desks.find(&key) else { continue };
-            let effects = desk.on_tick(now);
-            self.carry_out(now, &key, effects);
+        for key in self.schedulers.keys() {
+            let Some(scheduler) = self.schedulers.find(&key) else { continue };
+            let effects = scheduler.on_tick(now);
+            self.apply_scheduler_effects(now, &key, effects);
         }
-        self.ledger.forget_past(now);
-        self.take_effects()
+        self.ledger.remove_expired(now);
+        self.drain_effects()
     }
 
     /// Sets where the process stands in its life.
@@ -198,7 +198,7 @@
 
     /// Requests, tickets and forwardings that a planned stop has to wait for.
     pub fn unfinished_count(&self, now: ClockTime) -> usize {
-        let tickets = usize::from(!self.tickets_until.is_past(now));
+        let tickets = usize::from(!self.latest_start_deadline.is_past(now));
         self.open_requests + tickets + self.forwards.len()
     }
 
@@ -222,39 +222,42 @@
         EngineStatus {
             phase: self.phase,
             version: self.list.version,
-            keys: self.ring.ids(),
+            keys: self.key_ring.ids(),
             ledger_requests: self.ledger.len(),
             open_works: self.works.len(),
             pending_forwards: self.forwards.len(),
-            desks: self
-                .desks
+            schedulers: self
+                .schedulers
                 .iter()
-                .map(|(key, desk)| DeskEntry { key: key.clone(), desk: desk.status(now) })
+                .map(|(key, scheduler)| SchedulerEntry {
+                    key: key.clone(),
+                    scheduler: scheduler.status(now),
+                })
                 .collect(),
         }
     }
 
-    pub(crate) fn take_effects(&mut self) -> Vec<EngineEffect> {
-        std::mem::take(&mut self.out)
+    pub(crate) fn drain_effects(&mut self) -> Vec<EngineEffect> {
+        std::mem::take(&mut self.effects)
     }
 
     /// Sends a packet from the data socket.
     pub(crate) fn send_data(&mut self, to: SocketAddr, packet: &Packet) {
-        self.out.push(EngineEffect::SendData { to, bytes: encode_packet(packet) });
+        self.effects.push(EngineEffect::SendData { to, bytes: encode_packet(packet) });
     }
 
     /// Sends a sealed datagram from the peer socket.
     pub(crate) fn send_peer(&mut self, to: SocketAddr, body: Body) {
         let datagram = PeerDatagram { body: Some(body) };
-        if let Ok(bytes) = seal_datagram(&self.ring, &datagram) {
-            self.out.push(EngineEffect::SendPeer { to, bytes });
+        if let Ok(bytes) = seal_datagram(&self.key_ring, &datagram) {
+            self.effects.push(EngineEffect::SendPeer { to, bytes });
         }
     }
 
     /// Takes out a work that has ended.
     pub(crate) fn remove_work(&mut self, id: u64) -> Option<HomeWork> {
         let work = self.works.remove(&id)?;
-        self.dispatches.remove(&work.dispatch);
+        self.work_by_dispatch.remove(&work.dispatch);
         self.open_requests -= usize::from(!work.is_feed());
         self.opening_feeds -= usize::from(work.is_feed() && work.packet.is_some());
         Some(work)
@@ -262,22 +265,27 @@
 
     /// Puts a request into the audit trail whose caller was told that nobody knows.
     ///
-    /// At most one each [`UNKNOWN_AUDIT_GAP`]: a flood of packets with withdrawn
+    /// At most one each [`MIN_UNKNOWN_AUDIT_INTERVAL`]: a flood of packets with withdrawn
     /// tickets would otherwise push every other change out of the bounded trail.
-    pub(crate) fn audit_unknown(&mut self, now: ClockTime, key: RequestKey, refusal: &Refusal) {
-        if !self.next_unknown_audit.is_past(now) {
+    pub(crate) fn audit_unknown_outcome(
+        &mut self,
+        now: ClockTime,
+        key: RequestKey,
+        refusal: &Refusal,
+    ) {
+        if !self.next_unknown_audit_at.is_past(now) {
             return;
         }
-        self.next_unknown_audit = now.after(UNKNOWN_AUDIT_GAP);
+        self.next_unknown_audit_at = now.after(MIN_UNKNOWN_AUDIT_INTERVAL);
         let subject = format!("flow {:016x} request {}", key.flow, key.request);
         let change = AuditChange::new(AuditKind::FlowDecided, subject)
-            .with_values("", refusal_text(refusal))
+            .with_values("", refusal_description(refusal))
             .with_cause("may have run", "engine");
-        self.out.push(EngineEffect::Audit(change));
+        self.effects.push(EngineEffect::Audit(change));
     }
 
     /// Sends the final refusal of a request to its caller.
-    pub(crate) fn refuse(
+    pub(crate) fn send_refusal(
         &mut self,
         now: ClockTime,
         to: SocketAddr,
@@ -288,12 +296,12 @@
             RunOutcome::NotRun => self.counters.refused_not_run += 1,
             _ => self.counters.refused_unknown += 1,
         }
-        let text = refusal_text(&refusal);
+        let text = refusal_description(&refusal);
         debug!("engine: flow {:016x} request {} {text}", packet.flow, packet.request);
         if refusal.outcome() != RunOutcome::NotRun && !packet.ticket.is_empty() {
-            self.audit_unknown(now, RequestKey::of(packet), &refusal);
+            self.audit_unknown_outcome(now, RequestKey::from_packet(packet), &refusal);
         }
-        self.journal.note(packet.flow, FlowEvent::new(now, packet.request, text));
+        self.journal.record(packet.flow, FlowEvent::new(now, packet.request, text));
         let mut reply = Packet { refusal: Some(refusal), ..reply_to(packet, PacketKind::Refusal) };
         if reply.encoded_len() > packet.encoded_len() {
             // The sender's address may be forged; an answer larger than the
@@ -304,6 +312,6 @@
     }
 }
 
-fn refusal_text(refusal: &Refusal) -> String {
+fn refusal_description(refusal: &Refusal) -> String {
     format!("refused {:?} {:?}", refusal.outcome(), refusal.reason())
 }
--- a/crates/foxledge-engine/src/entry.rs
+++ b/crates/foxledge-engine/src/entry.rs
@@ -18,12 +18,12 @@
 };
 
 use crate::{
-    desks::shard_count,
     engine::FlowEngine,
+    forwarding::MAX_HOPS,
     forwards::{ForwardRoute, PendingForward},
-    homes::MAX_HOPS,
-    packets::{DEFAULT_RETRY, not_run, unknown},
-    placement::{DeskKey, shard_of},
+    packets::{DEFAULT_RETRY_DELAY, not_run_refusal, unknown_refusal},
+    placement::{ShardKey, shard_for_flow},
+    schedulers::shard_count,
 };
 
 impl FlowEngine {
@@ -33,11 +33,11 @@
             // No list means no keys and no rules: nothing could be decided, and
             // nothing here has been started.
             let outcome = if packet.ticket.is_empty() && packet.token.is_empty() {
-                not_run(RefusalReason::NotReady, DEFAULT_RETRY)
+                not_run_refusal(RefusalReason::NotReady, DEFAULT_RETRY_DELAY)
             } else {
-                unknown(RefusalReason::NotReady, DEFAULT_RETRY)
+                unknown_refusal(RefusalReason::NotReady, DEFAULT_RETRY_DELAY)
             };
-            return self.refuse(now, from, &packet, outcome);
+            return self.send_refusal(now, from, &packet, outcome);
         }
         if !packet.token.is_empty() {
             return self.route_by_token(now, from, packet);
@@ -59,37 +59,37 @@
     /// No table is needed, so every instance continues every flow, one that was
     /// started a moment ago included.
     fn route_by_token(&mut self, now: ClockTime, from: SocketAddr, packet: Packet) {
-        let token = match open_token(&self.ring, &packet.token) {
+        let token = match open_token(&self.key_ring, &packet.token) {
             Ok(token) => token,
             Err(_) => {
-                let refusal = unknown(RefusalReason::BadToken, DEFAULT_RETRY);
-                return self.refuse(now, from, &packet, refusal);
+                let refusal = unknown_refusal(RefusalReason::BadToken, DEFAULT_RETRY_DELAY);
+                return self.send_refusal(now, from, &packet, refusal);
             }
         };
-        if !token_fits(&token, &packet) {
-            let refusal = unknown(RefusalReason::BadToken, DEFAULT_RETRY);
-            return self.refuse(now, from, &packet, refusal);
+        if !token_matches(&token, &packet) {
+            let refusal = unknown_refusal(RefusalReason::BadToken, DEFAULT_RETRY_DELAY);
+            return self.send_refusal(now, from, &packet, refusal);
         }
         if packet.kind() == PacketKind::Work && token.request != packet.request {
             // A new request in an old flow is new work.
             let packet = Packet { token: Vec::new(), ..packet };
             return self.on_caller_packet(now, from, packet);
         }
-        if let Some(reason) = self.token_hindrance(&token) {
+        if let Some(reason) = self.token_refusal_reason(&token) {
             self.counters.target_changed += 1;
-            let refusal = unknown(reason, DEFAULT_RETRY);
-            return self.refuse(now, from, &packet, refusal);
+            let refusal = unknown_refusal(reason, DEFAULT_RETRY_DELAY);
+            return self.send_refusal(now, from, &packet, refusal);
         }
         self.counters.by_token += 1;
         self.send_by_token(from, packet, &token);
     }
 
     /// Why the token's backend server can't be used, if it can't.
-    fn token_hindrance(&self, token: &FlowToken) -> Option<RefusalReason> {
+    fn token_refusal_reason(&self, token: &FlowToken) -> Option<RefusalReason> {
         let Ok(address) = token.target_address.parse::<SocketAddr>() else {
             return Some(RefusalReason::BadToken);
         };
-        if !self.centre_is_reachable(&token.data_centre) {
+        if !self.is_centre_reachable(&token.data_centre) {
             return Some(RefusalReason::CentreUnreachable);
         }
         if !self.options.trial.check_target_owner {
@@ -98,28 +98,28 @@
         // The address may have been given to another service's target since the
         // token was sealed. Sending there would hand a bidder's packet to a
         // stranger; one would notice answers of the wrong service.
-        let (key, owner) = self.owners.get(&address)?;
-        let is_same =
-            key.service.as_str() == token.service && owner.incarnation == token.target_incarnation;
+        let (key, published) = self.target_owners.get(&address)?;
+        let is_same = key.service.as_str() == token.service
+            && published.incarnation == token.target_incarnation;
         if is_same { None } else { Some(RefusalReason::WrongTarget) }
     }
 
-    fn centre_is_reachable(&self, centre: &str) -> bool {
+    fn is_centre_reachable(&self, centre: &str) -> bool {
         centre == self.me.data_centre.as_str()
             || self.view.reachable_centres.is_empty()
-            || self.view.reachable_centres.iter().any(|known| known.as_str() == centre)
+            || self.view.reachable_centres.iter().any(|reachable| reachable.as_str() == centre)
     }
 
     fn send_by_token(&mut self, from: SocketAddr, packet: Packet, token: &FlowToken) {
         let Ok(address) = token.target_address.parse::<SocketAddr>() else { return };
-        let resealed = reseal_token(&self.ring, &packet.token).ok().flatten();
+        let resealed = reseal_token(&self.key_ring, &packet.token).ok().flatten();
         self.counters.tokens_resealed += u64::from(resealed.is_some());
         let path = ReturnPath {
             caller_address: from.to_string(),
             token: resealed.unwrap_or_default(),
             by_token: true,
         };
-        let Ok(return_path) = seal_path(&self.ring, &path) else { return };
+        let Ok(return_path) = seal_path(&self.key_ring, &path) else { return };
         let packet = Packet {
             service: token.service.clone(),
             target_incarnation: token.target_incarnation,
@@ -141,27 +141,27 @@
         packet: Packet,
         hops: u32,
     ) {
-        let ticket = match open_ticket(&self.ring, &packet.ticket) {
+        let ticket = match open_ticket(&self.key_ring, &packet.ticket) {
             Ok(ticket) => ticket,
             Err(error) => return self.refuse_ticket(now, from, &packet, &error),
         };
-        if !ticket_fits(&ticket, &packet) {
+        if !ticket_matches(&ticket, &packet) {
             // The contents decide, so every instance gives the same verdict on
             // every copy: it can run nowhere.
-            let refusal = not_run(RefusalReason::BadTicket, DEFAULT_RETRY);
-            return self.refuse(now, from, &packet, refusal);
+            let refusal = not_run_refusal(RefusalReason::BadTicket, DEFAULT_RETRY_DELAY);
+            return self.send_refusal(now, from, &packet, refusal);
         }
-        if self.is_my_ticket(&ticket) {
-            return self.take_as_home(now, from, packet, hops);
+        if self.is_own_ticket(&ticket) {
+            return self.handle_as_home(now, from, packet, hops);
         }
         if !self.options.trial.run_once {
             return self.route_by_rank(now, from, packet, hops);
         }
         // A packet that went round too often has a ticket whose address leads
         // nowhere: each forwarding would be acknowledged and go on for ever.
-        if self.home_is_gone(&ticket) || hops >= MAX_HOPS {
-            let refusal = unknown(RefusalReason::HomeLost, DEFAULT_RETRY);
-            return self.refuse(now, from, &packet, refusal);
+        if self.is_home_gone(&ticket) || hops >= MAX_HOPS {
+            let refusal = unknown_refusal(RefusalReason::HomeLost, DEFAULT_RETRY_DELAY);
+            return self.send_refusal(now, from, &packet, refusal);
         }
         self.forward_to_issuer(now, from, packet, &ticket, hops);
     }
@@ -176,21 +176,21 @@
         hops: u32,
     ) {
         let home = InstanceName::new(&ticket.home);
-        let goes_round = packet.takes_resend && self.silent.is_silent(&home, now);
+        let needs_relay = packet.takes_resend && self.unresponsive_homes.contains(&home, now);
         let Ok(home_address) = ticket.home_address.parse() else {
-            let refusal = not_run(RefusalReason::BadTicket, DEFAULT_RETRY);
-            return self.refuse(now, from, &packet, refusal);
+            let refusal = not_run_refusal(RefusalReason::BadTicket, DEFAULT_RETRY_DELAY);
+            return self.send_refusal(now, from, &packet, refusal);
         };
         let forward = PendingForward {
             packet,
             caller: from,
             route: ForwardRoute::ByTicket { home_address },
-            tried: vec![home],
-            deadline: now.after(self.options.forward_timeout),
+            tried_instances: vec![home],
+            ack_deadline: now.after(self.options.forward_timeout),
             hops,
         };
-        if goes_round {
-            return self.go_round_silent(now, forward);
+        if needs_relay {
+            return self.forward_via_relay(now, forward);
         }
         self.send_forward(home_address, forward);
     }
@@ -209,21 +209,21 @@
     ) {
         let refusal = match error {
             SealError::UnknownKey(_) | SealError::NoKey => {
-                unknown(RefusalReason::BadTicket, DEFAULT_RETRY)
+                unknown_refusal(RefusalReason::BadTicket, DEFAULT_RETRY_DELAY)
             }
             SealError::InvalidMac | SealError::Malformed => {
-                not_run(RefusalReason::BadTicket, DEFAULT_RETRY)
+                not_run_refusal(RefusalReason::BadTicket, DEFAULT_RETRY_DELAY)
             }
         };
-        self.refuse(now, from, packet, refusal);
+        self.send_refusal(now, from, packet, refusal);
     }
 
-    pub(crate) fn is_my_ticket(&self, ticket: &Ticket) -> bool {
+    pub(crate) fn is_own_ticket(&self, ticket: &Ticket) -> bool {
         ticket.home == self.me.name.as_str() && ticket.home_incarnation == self.me.incarnation
     }
 
     /// True when the process that issued the ticket is known to be no more.
-    fn home_is_gone(&self, ticket: &Ticket) -> bool {
+    fn is_home_gone(&self, ticket: &Ticket) -> bool {
         if ticket.home == self.me.name.as_str() {
             // This is another process of the same instance.
             return true;
@@ -242,36 +242,39 @@
         packet: Packet,
         hops: u32,
     ) {
-        let treatment = match self.decide(&packet) {
+        let treatment = match self.decide_treatment(&packet) {
             Ok(treatment) => treatment,
             Err(reason) => {
                 let refusal = self.untracked_refusal(&packet, reason);
-                return self.refuse(now, from, &packet, refusal);
+                return self.send_refusal(now, from, &packet, refusal);
             }
         };
-        let key = self.desk_key(&packet, &treatment);
-        self.try_homes(
+        let key = self.shard_key(&packet, &treatment);
+        self.forward_to_next_home(
             now,
             &key,
             PendingForward {
                 packet,
                 caller: from,
                 route: ForwardRoute::ByRank,
-                tried: Vec::new(),
-                deadline: now.after(self.options.forward_timeout),
+                tried_instances: Vec::new(),
+                ack_deadline: now.after(self.options.forward_timeout),
                 hops,
             },
         );
     }
 
     /// What the rules decide for a packet that opens something.
-    pub(crate) fn decide(&self, packet: &Packet) -> Result<ServeTreatment, RefusalReason> {
+    pub(crate) fn decide_treatment(
+        &self,
+        packet: &Packet,
+    ) -> Result<ServeTreatment, RefusalReason> {
         let member =
             self.list.members.get(packet.member.as_str()).ok_or(RefusalReason::BadCredential)?;
-        let is_vouched = member.secret.is_empty()
+        let has_valid_credential = member.secret.is_empty()
             || !packet.ticket.is_empty()
             || verify_credential(&member.secret, &packet.member, packet.caller, &packet.credential);
-        if !is_vouched {
+        if !has_valid_credential {
             return Err(RefusalReason::BadCredential);
         }
         let kind = traffic_kind(packet.work()).ok_or(RefusalReason::NoRule)?;
@@ -281,13 +284,13 @@
             data_centre: &self.me.data_centre,
             kind,
         };
-        let rule = self.index.decide(&traits).ok_or_else(|| {
-            let is_known = self
+        let rule = self.rule_index.decide(&traits).ok_or_else(|| {
+            let is_known_address = self
                 .list
                 .services
                 .values()
                 .any(|s| s.addresses.iter().any(|a| a.as_str() == packet.address));
-            if is_known { RefusalReason::NoRule } else { RefusalReason::UnknownAddress }
+            if is_known_address { RefusalReason::NoRule } else { RefusalReason::UnknownAddress }
         })?;
         match &rule.then {
             FlowTreatment::Deny => Err(RefusalReason::Denied),
@@ -296,11 +299,11 @@
     }
 
     /// The desk that admits the packet.
-    pub(crate) fn desk_key(&self, packet: &Packet, treatment: &ServeTreatment) -> DeskKey {
+    pub(crate) fn shard_key(&self, packet: &Packet, treatment: &ServeTreatment) -> ShardKey {
         let shards = self.list.services.get(&treatment.service).map_or(1, |service| {
             shard_count(service, &self.me.data_centre, self.placement.as_ref())
         });
-        DeskKey { service: treatment.service.clone(), shard: shard_of(packet.flow, shards) }
+        ShardKey { service: treatment.service.clone(), shard: shard_for_flow(packet.flow, shards) }
     }
 
     /// The refusal of a packet without a ticket.
@@ -314,21 +317,21 @@
         reason: RefusalReason,
     ) -> foxledge_wire::flow::Refusal {
         if packet.idempotent {
-            unknown(reason, DEFAULT_RETRY)
+            unknown_refusal(reason, DEFAULT_RETRY_DELAY)
         } else {
-            not_run(reason, DEFAULT_RETRY)
+            not_run_refusal(reason, DEFAULT_RETRY_DELAY)
         }
     }
 }
 
-fn token_fits(token: &FlowToken, packet: &Packet) -> bool {
+fn token_matches(token: &FlowToken, packet: &Packet) -> bool {
     token.address == packet.address
         && token.flow == packet.flow
         && token.caller == packet.caller
         && (token.request == packet.request || packet.kind() == PacketKind::Work)
 }
 
-fn ticket_fits(ticket: &Ticket, packet: &Packet) -> bool {
+fn ticket_matches(ticket: &Ticket, packet: &Packet) -> bool {
     ticket.address == packet.address
         && ticket.caller == packet.caller
         && ticket.member == packet.member
--- a/crates/foxledge-engine/src/explain.rs
+++ b/crates/foxledge-engine/src/explain.rs
@@ -7,10 +7,10 @@
 use serde::Serialize;
 
 use crate::{
-    desks::shard_count,
     engine::FlowEngine,
-    journal::{FlowEvent, TargetPlace},
-    placement::{DeskKey, shard_of},
+    journal::{FlowEvent, TargetAddress},
+    placement::{ShardKey, shard_for_flow},
+    schedulers::shard_count,
 };
 
 /// `ExplainQuery` is the flow that an operator asks about.
@@ -40,9 +40,9 @@
     /// Instances that can be home, the best first.
     pub homes: Vec<String>,
     /// Backend servers of the shard in this data centre.
-    pub targets: Vec<TargetPlace>,
+    pub targets: Vec<TargetAddress>,
     /// The one that this instance last sent a request of the flow to.
-    pub target: Option<TargetPlace>,
+    pub target: Option<TargetAddress>,
     /// The steps of the decision, as short sentences.
     pub reasons: Vec<String>,
     /// What this instance decided for the flow lately.
@@ -54,7 +54,7 @@
     pub fn explain(&self, query: &ExplainQuery) -> FlowExplanation {
         let mut explanation = FlowExplanation {
             revision: self.list.version.revision,
-            flow_events: self.journal.read(query.flow),
+            flow_events: self.journal.events_of(query.flow),
             ..FlowExplanation::default()
         };
         let traits = FlowTraits {
@@ -73,7 +73,7 @@
             reasons.push(format!("member {} is not listed, so the flow is refused", traits.member));
             return;
         }
-        let Some(rule) = self.index.decide(traits) else {
+        let Some(rule) = self.rule_index.decide(traits) else {
             reasons.push("no rule matches, so the flow is refused".to_owned());
             return;
         };
@@ -84,14 +84,14 @@
         let Some(service) = self.list.services.get(&treatment.service) else { return };
 
         let shards = shard_count(service, &self.me.data_centre, self.placement.as_ref());
-        let key = DeskKey { service: service.name.clone(), shard: shard_of(flow, shards) };
-        let ranked = self.placement.ranked(&key, &self.me.name, &self.view);
+        let key = ShardKey { service: service.name.clone(), shard: shard_for_flow(flow, shards) };
+        let ranked = self.placement.ranked_homes(&key, &self.me.name, &self.view);
         explanation.homes = ranked.iter().map(|peer| peer.name.to_string()).collect();
         reasons
             .push(format!("shard {} of {shards} decides the home by rendezvous hash", key.shard));
         explanation.shard = Some(key.shard);
         explanation.targets =
-            self.targets_of(&key).iter().map(|spec| TargetPlace::from(spec.as_ref())).collect();
+            self.targets_of(&key).iter().map(|spec| TargetAddress::from(spec.as_ref())).collect();
         let mut newest_first = explanation.flow_events.iter().rev();
         explanation.target = newest_first.find_map(|event| event.target.clone());
     }
--- a/crates/foxledge-engine/src/homes.rs
+++ b/crates/foxledge-engine/src/forwarding.rs
@@ -11,8 +11,8 @@
     effects::EnginePhase,
     engine::FlowEngine,
     forwards::{ForwardRoute, PendingForward},
-    packets::{DEFAULT_RETRY, reply_to, unknown},
-    placement::DeskKey,
+    packets::{DEFAULT_RETRY_DELAY, reply_to, unknown_refusal},
+    placement::ShardKey,
 };
 
 /// Forwardings after which a packet is taken where it is.
@@ -23,26 +23,32 @@
 pub(crate) const MAX_HOPS: u32 = 3;
 
 /// Sends of a ticketed packet to the ticket's home before it counts as lost.
-const TICKET_TRIES: usize = 3;
+const MAX_TICKET_FORWARDS: usize = 3;
 
 /// Attempt of a caller at which a home that can't be reached is final.
-const LAST_ATTEMPT: u32 = 4;
+const MAX_RESEND_ATTEMPT: u32 = 4;
 
 impl FlowEngine {
     /// Goes on to the next home that hasn't been tried; the last resort is here.
-    pub(crate) fn try_homes(&mut self, now: ClockTime, key: &DeskKey, mut forward: PendingForward) {
-        let ranked = self.placement.ranked(key, &self.me.name, &self.view);
+    pub(crate) fn forward_to_next_home(
+        &mut self,
+        now: ClockTime,
+        key: &ShardKey,
+        mut forward: PendingForward,
+    ) {
+        let ranked = self.placement.ranked_homes(key, &self.me.name, &self.view);
         let next = ranked.into_iter().find(|peer| {
-            !forward.tried.contains(&peer.name) && !self.silent.is_silent(&peer.name, now)
+            !forward.tried_instances.contains(&peer.name)
+                && !self.unresponsive_homes.contains(&peer.name, now)
         });
         let is_here = next.is_none_or(|peer| peer.name == self.me.name);
         if is_here || forward.hops >= MAX_HOPS {
-            return self.take_as_home(now, forward.caller, forward.packet, forward.hops);
+            return self.handle_as_home(now, forward.caller, forward.packet, forward.hops);
         }
         let Some(peer) = next else { return };
         let (name, address) = (peer.name.clone(), peer.peer_address);
-        forward.tried.push(name);
-        forward.deadline = now.after(self.options.forward_timeout);
+        forward.tried_instances.push(name);
+        forward.ack_deadline = now.after(self.options.forward_timeout);
         self.send_forward(address, forward);
     }
 
@@ -62,11 +68,11 @@
 
     /// Goes on with forwardings that no home acknowledged.
     pub(crate) fn retry_forwards(&mut self, now: ClockTime) {
-        while let Some(forward) = self.forwards.pop_past(now) {
+        while let Some(forward) = self.forwards.pop_expired(now) {
             self.counters.forward_silent += 1;
             match forward.route.clone() {
                 ForwardRoute::ByRank => self.retry_by_rank(now, forward),
-                ForwardRoute::OtherCentre => self.give_up_centre(now, forward),
+                ForwardRoute::OtherCentre => self.refuse_unreachable_centre(now, forward),
                 ForwardRoute::ByTicket { home_address } => {
                     self.retry_by_ticket(now, forward, home_address);
                 }
@@ -76,21 +82,22 @@
 
     fn retry_by_rank(&mut self, now: ClockTime, forward: PendingForward) {
         if !self.options.trial.skip_unresponsive_homes {
-            let again = PendingForward { tried: Vec::new(), ..forward };
-            return self.route_by_rank(now, again.caller, again.packet, again.hops);
+            let retry = PendingForward { tried_instances: Vec::new(), ..forward };
+            return self.route_by_rank(now, retry.caller, retry.packet, retry.hops);
         }
-        if let Some(silent) = forward.tried.last() {
-            self.silent.note(silent.clone(), now.after(self.options.home_backoff));
+        if let Some(unresponsive) = forward.tried_instances.last() {
+            self.unresponsive_homes
+                .insert(unresponsive.clone(), now.after(self.options.home_backoff));
         }
-        match self.decide(&forward.packet) {
+        match self.decide_treatment(&forward.packet) {
             Ok(treatment) => {
-                let key = self.desk_key(&forward.packet, &treatment);
-                self.try_homes(now, &key, forward);
+                let key = self.shard_key(&forward.packet, &treatment);
+                self.forward_to_next_home(now, &key, forward);
             }
             Err(reason) => {
                 // A silent home may still have taken an earlier forwarding.
-                let refusal = unknown(reason, DEFAULT_RETRY);
-                self.refuse(now, forward.caller, &forward.packet, refusal);
+                let refusal = unknown_refusal(reason, DEFAULT_RETRY_DELAY);
+                self.send_refusal(now, forward.caller, &forward.packet, refusal);
             }
         }
     }
@@ -106,19 +113,20 @@
         mut forward: PendingForward,
         home_address: SocketAddr,
     ) {
-        if let Some(silent) = forward.tried.last()
+        if let Some(unresponsive) = forward.tried_instances.last()
             && self.options.trial.skip_unresponsive_homes
         {
-            self.silent.note(silent.clone(), now.after(self.options.home_backoff));
+            self.unresponsive_homes
+                .insert(unresponsive.clone(), now.after(self.options.home_backoff));
         }
-        if forward.tried.len() >= TICKET_TRIES || forward.hops > 0 {
-            return self.give_up_home(now, forward.caller, &forward.packet);
+        if forward.tried_instances.len() >= MAX_TICKET_FORWARDS || forward.hops > 0 {
+            return self.handle_unreachable_home(now, forward.caller, &forward.packet);
         }
-        let home = forward.tried[0].clone();
+        let home = forward.tried_instances[0].clone();
         let relay = self.find_relay(now, &forward);
         let (name, address) = relay.unwrap_or((home, home_address));
-        forward.tried.push(name);
-        forward.deadline = now.after(self.options.forward_timeout);
+        forward.tried_instances.push(name);
+        forward.ack_deadline = now.after(self.options.forward_timeout);
         self.send_forward(address, forward);
     }
 
@@ -127,13 +135,13 @@
     /// Only the way from here may be cut. If the packet were given up at once, one
     /// would notice bids that end unknown though their home lives and a third
     /// instance reaches it.
-    pub(crate) fn go_round_silent(&mut self, now: ClockTime, mut forward: PendingForward) {
+    pub(crate) fn forward_via_relay(&mut self, now: ClockTime, mut forward: PendingForward) {
         match self.find_relay(now, &forward) {
             Some((name, address)) if forward.hops == 0 => {
-                forward.tried.push(name);
+                forward.tried_instances.push(name);
                 self.send_forward(address, forward);
             }
-            _ => self.give_up_home(now, forward.caller, &forward.packet),
+            _ => self.handle_unreachable_home(now, forward.caller, &forward.packet),
         }
     }
 
@@ -146,8 +154,8 @@
         let can_relay = |peer: &&PeerInfo| {
             peer.state.can_be_home()
                 && peer.name != self.me.name
-                && !forward.tried.contains(&peer.name)
-                && !self.silent.is_silent(&peer.name, now)
+                && !forward.tried_instances.contains(&peer.name)
+                && !self.unresponsive_homes.contains(&peer.name, now)
         };
         let relay = self.view.peers.iter().find(can_relay)?;
         Some((relay.name.clone(), relay.peer_address))
@@ -158,19 +166,29 @@
     /// Under a cut between instances another one may still reach it, and the
     /// fabric may hand it the next copy; so the caller is asked to send again, a
     /// few times. After that its request is final: nobody knows.
-    pub(crate) fn give_up_home(&mut self, now: ClockTime, caller: SocketAddr, packet: &Packet) {
-        if packet.takes_resend && packet.attempt < LAST_ATTEMPT {
+    pub(crate) fn handle_unreachable_home(
+        &mut self,
+        now: ClockTime,
+        caller: SocketAddr,
+        packet: &Packet,
+    ) {
+        if packet.takes_resend && packet.attempt < MAX_RESEND_ATTEMPT {
             self.counters.resends_asked += 1;
             return self.send_data(caller, &reply_to(packet, PacketKind::Resend));
         }
-        self.refuse(now, caller, packet, unknown(RefusalReason::HomeLost, DEFAULT_RETRY));
+        self.send_refusal(
+            now,
+            caller,
+            packet,
+            unknown_refusal(RefusalReason::HomeLost, DEFAULT_RETRY_DELAY),
+        );
     }
 
     /// A home has the packet.
     pub(crate) fn on_forward_ack(&mut self, forward_id: u64) {
         let Some(forward) = self.forwards.acknowledge(forward_id) else { return };
-        if let Some(home) = forward.tried.last() {
-            self.silent.heard(home);
+        if let Some(home) = forward.tried_instances.last() {
+            self.unresponsive_homes.remove(home);
         }
     }
 
@@ -192,6 +210,6 @@
         if self.phase == EnginePhase::Leaving {
             return self.route_by_rank(now, caller, packet, forward.hops);
         }
-        self.take_as_home(now, caller, packet, forward.hops);
+        self.handle_as_home(now, caller, packet, forward.hops);
     }
 }
--- a/crates/foxledge-engine/src/forwards.rs
+++ b/crates/foxledge-engine/src/forwards.rs
@@ -32,9 +32,9 @@
     /// Why it goes there.
     pub route: ForwardRoute,
     /// Instances tried so far; the last one is being waited for.
-    pub tried: Vec<InstanceName>,
+    pub tried_instances: Vec<InstanceName>,
     /// When the wait ends.
-    pub deadline: ClockTime,
+    pub ack_deadline: ClockTime,
     /// Forwardings so far on the packet's way.
     pub hops: u32,
 }
@@ -58,7 +58,7 @@
     pub fn add(&mut self, forward: PendingForward) -> u64 {
         self.last_id += 1;
         if self.pending.len() < self.limit {
-            self.by_deadline.insert((forward.deadline, self.last_id), ());
+            self.by_deadline.insert((forward.ack_deadline, self.last_id), ());
             self.pending.insert(self.last_id, forward);
         }
         self.last_id
@@ -67,12 +67,12 @@
     /// Takes out a forwarding that was acknowledged.
     pub fn acknowledge(&mut self, id: u64) -> Option<PendingForward> {
         let forward = self.pending.remove(&id)?;
-        self.by_deadline.remove(&(forward.deadline, id));
+        self.by_deadline.remove(&(forward.ack_deadline, id));
         Some(forward)
     }
 
     /// Takes out one forwarding whose wait has ended.
-    pub fn pop_past(&mut self, now: ClockTime) -> Option<PendingForward> {
+    pub fn pop_expired(&mut self, now: ClockTime) -> Option<PendingForward> {
         let (&(deadline, id), ()) = self.by_deadline.first_key_value()?;
         if !deadline.is_past(now) {
             return None;
@@ -92,30 +92,30 @@
     }
 }
 
-/// `SilentHomes` is the homes that didn't acknowledge lately.
+/// `UnresponsiveHomes` is the homes that didn't acknowledge lately.
 ///
 /// Membership takes seconds to find out that an instance died. Until then every
 /// new request of its services would wait in vain; one would notice admission
 /// that stops for seconds at each kill. An entry instance therefore passes over
 /// a silent home for a while on its own observation alone.
 #[derive(Debug, Default)]
-pub struct SilentHomes {
-    until: HashMap<InstanceName, ClockTime>,
+pub struct UnresponsiveHomes {
+    skipped_until: HashMap<InstanceName, ClockTime>,
 }
 
-impl SilentHomes {
+impl UnresponsiveHomes {
     /// Notes that a home was silent.
-    pub fn note(&mut self, name: InstanceName, until: ClockTime) {
-        self.until.insert(name, until);
+    pub fn insert(&mut self, name: InstanceName, until: ClockTime) {
+        self.skipped_until.insert(name, until);
     }
 
     /// Forgets that a home was silent, as it has been heard again.
-    pub fn heard(&mut self, name: &InstanceName) {
-        self.until.remove(name);
+    pub fn remove(&mut self, name: &InstanceName) {
+        self.skipped_until.remove(name);
     }
 
     /// True while the home is passed over.
-    pub fn is_silent(&self, name: &InstanceName, now: ClockTime) -> bool {
-        self.until.get(name).is_some_and(|until| !until.is_past(now))
+    pub fn contains(&self, name: &InstanceName, now: ClockTime) -> bool {
+        self.skipped_until.get(name).is_some_and(|until| !until.is_past(now))
     }
 }
--- a/crates/foxledge-engine/src/home.rs
+++ b/crates/foxledge-engine/src/home.rs
@@ -17,15 +17,15 @@
 
 use crate::{
     engine::FlowEngine,
+    home_work::{HomeWork, RunTracking},
     ledger::{RequestKey, RequestState},
-    packets::{DEFAULT_RETRY, not_run, unknown},
-    work::{HomeWork, RunTracking},
+    packets::{DEFAULT_RETRY_DELAY, not_run_refusal, unknown_refusal},
 };
 
 /// Longest deadline that a caller's packet may ask for.
-const LONGEST_DEADLINE: Duration = Duration::from_secs(120);
+const MAX_REQUEST_TIME: Duration = Duration::from_secs(120);
 /// Deadline of a packet that names none.
-const DEFAULT_DEADLINE: Duration = Duration::from_secs(2);
+const DEFAULT_REQUEST_TIME: Duration = Duration::from_secs(2);
 
 /// `RunTerms` is on what terms a request may run here.
 #[derive(Clone, Copy, Debug)]
@@ -35,12 +35,12 @@
     /// Until when it may be started.
     pub start_deadline: ClockTime,
     /// Until when the ledger has to know it.
-    pub forget_at: ClockTime,
+    pub expires_at: ClockTime,
 }
 
 impl FlowEngine {
     /// Takes a packet as the home of its service.
-    pub(crate) fn take_as_home(
+    pub(crate) fn handle_as_home(
         &mut self,
         now: ClockTime,
         caller: SocketAddr,
@@ -49,8 +49,8 @@
     ) {
         self.counters.home_taken += 1;
         if self.is_new_work(&packet)
-            && let Ok(treatment) = self.decide(&packet)
-            && self.send_elsewhere(now, caller, &packet, &treatment, hops)
+            && let Ok(treatment) = self.decide_treatment(&packet)
+            && self.forward_to_other_centre(now, caller, &packet, &treatment, hops)
         {
             return;
         }
@@ -58,10 +58,10 @@
             PacketKind::TicketRequest => self.grant_ticket(now, caller, &packet),
             PacketKind::Cancel => self.cancel_request(now, &packet),
             PacketKind::Work if !packet.ticket.is_empty() => {
-                self.take_ticketed(now, caller, packet);
+                self.handle_ticketed_request(now, caller, packet);
             }
             PacketKind::Work if packet.idempotent || !self.options.trial.run_once => {
-                self.take_untracked(now, caller, packet);
+                self.handle_untracked_request(now, caller, packet);
             }
             // Non-idempotent work without a ticket runs nowhere, so that a copy
             // at another home can't run either. Its caller gets a ticket, if its
@@ -70,8 +70,8 @@
                 self.grant_ticket(now, caller, &packet);
             }
             PacketKind::Work => {
-                let refusal = not_run(RefusalReason::BadTicket, Duration::ZERO);
-                self.refuse(now, caller, &packet, refusal);
+                let refusal = not_run_refusal(RefusalReason::BadTicket, Duration::ZERO);
+                self.send_refusal(now, caller, &packet, refusal);
             }
             _ => self.counters.malformed += 1,
         }
@@ -79,26 +79,28 @@
 
     /// True for a packet that any home may answer: no ticket, and unknown here.
     fn is_new_work(&self, packet: &Packet) -> bool {
-        let opens = matches!(packet.kind(), PacketKind::TicketRequest | PacketKind::Work);
-        opens && packet.ticket.is_empty() && self.ledger.find(&RequestKey::of(packet)).is_none()
+        let is_opening = matches!(packet.kind(), PacketKind::TicketRequest | PacketKind::Work);
+        is_opening
+            && packet.ticket.is_empty()
+            && self.ledger.find(&RequestKey::from_packet(packet)).is_none()
     }
 
     /// Takes idempotent work.
-    fn take_untracked(&mut self, now: ClockTime, caller: SocketAddr, packet: Packet) {
-        let key = RequestKey::of(&packet);
+    fn handle_untracked_request(&mut self, now: ClockTime, caller: SocketAddr, packet: Packet) {
+        let key = RequestKey::from_packet(&packet);
         if let Some(state) = self.ledger.find(&key).cloned() {
-            return self.take_copy(now, caller, &packet, state);
+            return self.handle_duplicate(now, caller, &packet, state);
         }
         let terms = RunTerms {
             tracking: RunTracking::Untracked,
             start_deadline: ClockTime::MAX,
-            forget_at: now.after(self.options.ledger_retention),
+            expires_at: now.after(self.options.ledger_retention),
         };
         self.open_request(now, caller, packet, terms);
     }
 
     /// Answers a copy of a known request; it starts nothing.
-    pub(crate) fn take_copy(
+    pub(crate) fn handle_duplicate(
         &mut self,
         now: ClockTime,
         caller: SocketAddr,
@@ -115,7 +117,7 @@
             RequestState::Dispatched { dispatch, target } => {
                 self.send_to_target(now, caller, packet, dispatch, &target);
             }
-            RequestState::Refused(refusal) => self.refuse(now, caller, packet, refusal),
+            RequestState::Refused(refusal) => self.send_refusal(now, caller, packet, refusal),
         }
     }
 
@@ -129,33 +131,33 @@
     ) {
         let treatment = match self.admit(now, &packet, terms.tracking) {
             Ok(treatment) => treatment,
-            Err(reason) => return self.refuse_for_good(now, caller, &packet, terms, reason),
+            Err(reason) => return self.refuse_permanently(now, caller, &packet, terms, reason),
         };
         if self.ledger.is_full() {
             // Nothing is recorded, so a copy may be admitted later: the home
             // can't promise that it never runs.
-            let refusal = unknown(RefusalReason::Limit, DEFAULT_RETRY);
-            return self.refuse(now, caller, &packet, refusal);
+            let refusal = unknown_refusal(RefusalReason::Limit, DEFAULT_RETRY_DELAY);
+            return self.send_refusal(now, caller, &packet, refusal);
         }
         let Some(mut work) = self.home_work(now, caller, &packet, &treatment, terms) else {
             return;
         };
         self.counters.requests_opened += 1;
-        self.last_work += 1;
-        let id = self.last_work;
+        self.last_work_id += 1;
+        let id = self.last_work_id;
         let item = work_item(id, &work, &packet, &treatment, terms.start_deadline);
         work.packet = Some(Box::new(packet));
-        let desk = work.desk.clone();
-        self.ledger.record(work.key, RequestState::Queued(id), terms.forget_at);
+        let shard = work.shard.clone();
+        self.ledger.record(work.key, RequestState::Queued(id), terms.expires_at);
         match work.kind {
             TrafficKind::Feed => self.opening_feeds += 1,
             TrafficKind::Bid | TrafficKind::Upload => self.open_requests += 1,
         }
         self.works.insert(id, work);
-        self.obtain_desk(now, &desk);
-        let Some(home_desk) = self.desks.find(&desk) else { return };
-        let effects = home_desk.submit(now, item);
-        self.carry_out(now, &desk, effects);
+        self.ensure_scheduler(now, &shard);
+        let Some(scheduler) = self.schedulers.find(&shard) else { return };
+        let effects = scheduler.submit(now, item);
+        self.apply_scheduler_effects(now, &shard, effects);
     }
 
     /// How a request is served here, or why it isn't.
@@ -165,8 +167,8 @@
         packet: &Packet,
         tracking: RunTracking,
     ) -> Result<ServeTreatment, RefusalReason> {
-        let treatment = self.decide(packet)?;
-        if tracking == RunTracking::ByTicket && !self.can_serve(now, packet, &treatment) {
+        let treatment = self.decide_treatment(packet)?;
+        if tracking == RunTracking::ByTicket && !self.has_local_target(now, packet, &treatment) {
             // The ticket was issued while a target could serve. Its caller gets
             // another one, perhaps of another data centre, and asks anew.
             return Err(RefusalReason::NoTarget);
@@ -184,32 +186,32 @@
         terms: RunTerms,
     ) -> Option<HomeWork> {
         Some(HomeWork {
-            key: RequestKey::of(packet),
-            address: self.shared_address(&packet.address, treatment),
-            member: self.shared_member(&packet.member),
-            desk: self.desk_key(packet, treatment),
+            key: RequestKey::from_packet(packet),
+            address: self.interned_address(&packet.address, treatment),
+            member: self.interned_member(&packet.member),
+            shard: self.shard_key(packet, treatment),
             packet: None,
             caller,
             kind: traffic_kind(packet.work())?,
             tracking: terms.tracking,
-            deadline: now.after(wanted_span(packet)),
-            arrived: now,
-            forget_at: terms.forget_at,
+            deadline: now.after(requested_time(packet)),
+            arrived_at: now,
+            expires_at: terms.expires_at,
             dispatch: 0,
         })
     }
 
     /// The member's name, sharing the list's text: one copy per member, not per flow.
-    fn shared_member(&self, text: &str) -> MemberName {
-        let known = self.list.members.get_key_value(text);
-        known.map_or_else(|| MemberName::new(text), |(name, _)| name.clone())
+    fn interned_member(&self, text: &str) -> MemberName {
+        let entry = self.list.members.get_key_value(text);
+        entry.map_or_else(|| MemberName::new(text), |(name, _)| name.clone())
     }
 
     /// The service address, sharing the list's text.
-    fn shared_address(&self, text: &str, treatment: &ServeTreatment) -> ServiceAddress {
+    fn interned_address(&self, text: &str, treatment: &ServeTreatment) -> ServiceAddress {
         let service = self.list.services.get(&treatment.service);
         service
-            .and_then(|service| service.addresses.iter().find(|known| known.as_str() == text))
+            .and_then(|service| service.addresses.iter().find(|address| address.as_str() == text))
             .map_or_else(|| ServiceAddress::new(text), ServiceAddress::clone)
     }
 
@@ -217,7 +219,7 @@
     ///
     /// A new list could let a copy in that arrives a moment later. Its caller
     /// had been told "not run"; one would notice a refused bid that ran.
-    pub(crate) fn refuse_for_good(
+    pub(crate) fn refuse_permanently(
         &mut self,
         now: ClockTime,
         caller: SocketAddr,
@@ -226,50 +228,50 @@
         reason: RefusalReason,
     ) {
         let refusal = match terms.tracking {
-            RunTracking::ByTicket => not_run(reason, DEFAULT_RETRY),
+            RunTracking::ByTicket => not_run_refusal(reason, DEFAULT_RETRY_DELAY),
             RunTracking::Untracked => self.untracked_refusal(packet, reason),
         };
         if self.ledger.is_full() {
-            let refusal = unknown(RefusalReason::Limit, DEFAULT_RETRY);
-            return self.refuse(now, caller, packet, refusal);
+            let refusal = unknown_refusal(RefusalReason::Limit, DEFAULT_RETRY_DELAY);
+            return self.send_refusal(now, caller, packet, refusal);
         }
-        self.remember_refusal(RequestKey::of(packet), refusal, terms.forget_at);
-        self.refuse(now, caller, packet, refusal);
+        self.record_refusal(RequestKey::from_packet(packet), refusal, terms.expires_at);
+        self.send_refusal(now, caller, packet, refusal);
     }
 
-    pub(crate) fn remember_refusal(
+    pub(crate) fn record_refusal(
         &mut self,
         key: RequestKey,
         refusal: Refusal,
-        forget_at: ClockTime,
+        expires_at: ClockTime,
     ) {
         if self.options.trial.remember_refusals {
-            self.ledger.record(key, RequestState::Refused(refusal), forget_at);
+            self.ledger.record(key, RequestState::Refused(refusal), expires_at);
         }
     }
 
     fn cancel_request(&mut self, now: ClockTime, packet: &Packet) {
-        let key = RequestKey::of(packet);
+        let key = RequestKey::from_packet(packet);
         let id = match self.ledger.find(&key) {
             Some(RequestState::Queued(id)) => *id,
             Some(RequestState::Dispatched { dispatch, .. }) => {
-                let Some(id) = self.dispatches.get(dispatch) else { return };
+                let Some(id) = self.work_by_dispatch.get(dispatch) else { return };
                 *id
             }
             _ => return,
         };
         let Some(work) = self.works.get(&id) else { return };
-        let desk = work.desk.clone();
-        let Some(home_desk) = self.desks.find(&desk) else { return };
-        let effects = home_desk.cancel(now, id);
-        self.carry_out(now, &desk, effects);
+        let shard = work.shard.clone();
+        let Some(scheduler) = self.schedulers.find(&shard) else { return };
+        let effects = scheduler.cancel(now, id);
+        self.apply_scheduler_effects(now, &shard, effects);
     }
 }
 
-pub(crate) fn wanted_span(packet: &Packet) -> Duration {
+pub(crate) fn requested_time(packet: &Packet) -> Duration {
     match packet.time_left_ms {
-        0 => DEFAULT_DEADLINE,
-        millis => Duration::from_millis(u64::from(millis)).min(LONGEST_DEADLINE),
+        0 => DEFAULT_REQUEST_TIME,
+        millis => Duration::from_millis(u64::from(millis)).min(MAX_REQUEST_TIME),
     }
 }
 
@@ -297,7 +299,7 @@
 }
 
 /// As much of the opening packet as replies and tickets need.
-pub(crate) fn bare_packet(work: &HomeWork) -> Packet {
+pub(crate) fn reply_context(work: &HomeWork) -> Packet {
     Packet {
         caller: work.key.caller,
         flow: work.key.flow,
--- a/crates/foxledge-engine/src/work.rs
+++ b/crates/foxledge-engine/src/home_work.rs
@@ -9,7 +9,7 @@
 };
 use foxledge_wire::flow::Packet;
 
-use crate::{ledger::RequestKey, placement::DeskKey};
+use crate::{ledger::RequestKey, placement::ShardKey};
 
 /// `RunTracking` is what the home can say of a request that it refuses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
     /// The member it is counted for.
     pub member: MemberName,
     /// Its desk.
-    pub desk: DeskKey,
+    pub shard: ShardKey,
     /// The opening packet; an open feed keeps none.
     pub packet: Option<Box<Packet>>,
     /// Where its caller was last seen.
@@ -42,9 +42,9 @@
     /// When the caller gives up.
     pub deadline: ClockTime,
     /// When it arrived here.
-    pub arrived: ClockTime,
+    pub arrived_at: ClockTime,
     /// Until when the ledger has to know it.
-    pub forget_at: ClockTime,
+    pub expires_at: ClockTime,
     /// Its present dispatch; 0 while it waits.
     pub dispatch: u64,
 }
--- a/crates/foxledge-engine/src/journal.rs
+++ b/crates/foxledge-engine/src/journal.rs
@@ -10,7 +10,7 @@
 use serde::{Serialize, Serializer};
 
 /// Decisions kept for one flow.
-const EVENTS_PER_FLOW: usize = 12;
+const MAX_EVENTS_PER_FLOW: usize = 12;
 
 /// `FlowEvent` is one decision for a flow.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -23,7 +23,7 @@
     pub text: String,
     /// The backend server that the request was sent to, if it was.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub target: Option<TargetPlace>,
+    pub target: Option<TargetAddress>,
 }
 
 impl FlowEvent {
@@ -33,33 +33,33 @@
     }
 
     /// Sets the backend server that the request was sent to.
-    pub fn sent_to(self, target: TargetPlace) -> FlowEvent {
+    pub fn with_target(self, target: TargetAddress) -> FlowEvent {
         FlowEvent { target: Some(target), ..self }
     }
 }
 
 /// `TargetPlace` is a backend server by name and address, written `name@address`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TargetPlace {
+pub struct TargetAddress {
     /// Published name.
     pub name: TargetName,
     /// Where it is reached.
     pub address: SocketAddr,
 }
 
-impl From<&TargetSpec> for TargetPlace {
-    fn from(spec: &TargetSpec) -> TargetPlace {
-        TargetPlace { name: spec.name.clone(), address: spec.address }
+impl From<&TargetSpec> for TargetAddress {
+    fn from(spec: &TargetSpec) -> TargetAddress {
+        TargetAddress { name: spec.name.clone(), address: spec.address }
     }
 }
 
-impl Display for TargetPlace {
+impl Display for TargetAddress {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}@{}", self.name, self.address)
     }
 }
 
-impl Serialize for TargetPlace {
+impl Serialize for TargetAddress {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.collect_str(self)
     }
@@ -80,24 +80,24 @@
     }
 
     /// Notes a decision.
-    pub fn note(&mut self, flow: u64, event: FlowEvent) {
+    pub fn record(&mut self, flow: u64, event: FlowEvent) {
         if !self.flows.contains_key(&flow) {
-            self.make_room();
+            self.evict_oldest();
             self.order.push_back(flow);
         }
         let events = self.flows.entry(flow).or_default();
-        if events.len() == EVENTS_PER_FLOW {
+        if events.len() == MAX_EVENTS_PER_FLOW {
             events.pop_front();
         }
         events.push_back(event);
     }
 
     /// The decisions for a flow, the oldest first.
-    pub fn read(&self, flow: u64) -> Vec<FlowEvent> {
+    pub fn events_of(&self, flow: u64) -> Vec<FlowEvent> {
         self.flows.get(&flow).map(|events| events.iter().cloned().collect()).unwrap_or_default()
     }
 
-    fn make_room(&mut self) {
+    fn evict_oldest(&mut self) {
         if self.order.len() < self.limit {
             return;
         }
--- a/crates/foxledge-engine/src/ledger.rs
+++ b/crates/foxledge-engine/src/ledger.rs
@@ -21,7 +21,7 @@
 
 impl RequestKey {
     /// The key of a packet's request.
-    pub fn of(packet: &Packet) -> RequestKey {
+    pub fn from_packet(packet: &Packet) -> RequestKey {
         RequestKey { caller: packet.caller, flow: packet.flow, request: packet.request }
     }
 }
@@ -42,36 +42,36 @@
     Refused(Refusal),
 }
 
-/// `RunLedger` is the requests that this process knows.
+/// `RequestLedger` is the requests that this process knows.
 ///
 /// Invariant: a request whose ticket hasn't run out is never forgotten. If it
 /// were, a late copy would be taken for a new request and run a second time;
 /// one would notice a doubled bid. Therefore a full ledger refuses new
 /// requests and evicts none.
 #[derive(Debug)]
-pub struct RunLedger {
+pub struct RequestLedger {
     entries: HashMap<RequestKey, LedgerEntry>,
-    by_deadline: BTreeSet<(ClockTime, RequestKey)>,
+    by_expiry: BTreeSet<(ClockTime, RequestKey)>,
     /// Requests opened under each ticket, by its serial.
-    uses: HashMap<u64, u32>,
-    uses_by_deadline: BTreeSet<(ClockTime, u64)>,
+    ticket_uses: HashMap<u64, u32>,
+    ticket_uses_by_expiry: BTreeSet<(ClockTime, u64)>,
     limit: usize,
 }
 
 #[derive(Debug)]
 struct LedgerEntry {
     state: RequestState,
-    forget_at: ClockTime,
+    expires_at: ClockTime,
 }
 
-impl RunLedger {
+impl RequestLedger {
     /// Makes an empty ledger of at most `limit` requests.
-    pub fn new(limit: usize) -> RunLedger {
-        RunLedger {
+    pub fn new(limit: usize) -> RequestLedger {
+        RequestLedger {
             entries: HashMap::new(),
-            by_deadline: BTreeSet::new(),
-            uses: HashMap::new(),
-            uses_by_deadline: BTreeSet::new(),
+            by_expiry: BTreeSet::new(),
+            ticket_uses: HashMap::new(),
+            ticket_uses_by_expiry: BTreeSet::new(),
             limit,
         }
     }
@@ -97,18 +97,18 @@
     }
 
     /// Records the state of a request, to be forgotten at `forget_at` at the earliest.
-    pub fn record(&mut self, key: RequestKey, state: RequestState, forget_at: ClockTime) {
-        let later = self.entries.get(&key).map_or(forget_at, |old| old.forget_at.max(forget_at));
-        if let Some(old) = self.entries.insert(key, LedgerEntry { state, forget_at: later }) {
-            self.by_deadline.remove(&(old.forget_at, key));
+    pub fn record(&mut self, key: RequestKey, state: RequestState, expires_at: ClockTime) {
+        let later = self.entries.get(&key).map_or(expires_at, |old| old.expires_at.max(expires_at));
+        if let Some(old) = self.entries.insert(key, LedgerEntry { state, expires_at: later }) {
+            self.by_expiry.remove(&(old.expires_at, key));
         }
-        self.by_deadline.insert((later, key));
+        self.by_expiry.insert((later, key));
     }
 
     /// Counts one more request under a ticket; false when the ticket is used up.
-    pub fn use_ticket(&mut self, serial: u64, count: u32, forget_at: ClockTime) -> bool {
-        let used = self.uses.entry(serial).or_insert_with(|| {
-            self.uses_by_deadline.insert((forget_at, serial));
+    pub fn count_ticket_use(&mut self, serial: u64, count: u32, expires_at: ClockTime) -> bool {
+        let used = self.ticket_uses.entry(serial).or_insert_with(|| {
+            self.ticket_uses_by_expiry.insert((expires_at, serial));
             0
         });
         if *used >= count {
@@ -119,24 +119,24 @@
     }
 
     /// Forgets what has passed its deadline.
-    pub fn forget_past(&mut self, now: ClockTime) {
-        self.forget_uses(now);
-        while let Some(&(forget_at, key)) = self.by_deadline.first() {
-            if !forget_at.is_past(now) {
+    pub fn remove_expired(&mut self, now: ClockTime) {
+        self.remove_expired_uses(now);
+        while let Some(&(expires_at, key)) = self.by_expiry.first() {
+            if !expires_at.is_past(now) {
                 return;
             }
-            self.by_deadline.pop_first();
+            self.by_expiry.pop_first();
             self.entries.remove(&key);
         }
     }
 
-    fn forget_uses(&mut self, now: ClockTime) {
-        while let Some(&(forget_at, serial)) = self.uses_by_deadline.first() {
-            if !forget_at.is_past(now) {
+    fn remove_expired_uses(&mut self, now: ClockTime) {
+        while let Some(&(expires_at, serial)) = self.ticket_uses_by_expiry.first() {
+            if !expires_at.is_past(now) {
                 return;
             }
-            self.uses_by_deadline.pop_first();
-            self.uses.remove(&serial);
+            self.ticket_uses_by_expiry.pop_first();
+            self.ticket_uses.remove(&serial);
         }
     }
 }
--- a/crates/foxledge-engine/src/lib.rs
+++ b/crates/foxledge-engine/src/lib.rs
@@ -7,27 +7,27 @@
 //! else to the home of the service. As *home* it admits work for the services
 //! that rendezvous hashing gives it.
 
-pub mod answers;
 pub mod counters;
-pub mod desks;
 pub mod dispatch;
 pub mod effects;
-pub mod elsewhere;
 pub mod engine;
 pub mod entry;
 pub mod explain;
+pub mod forwarding;
 pub mod forwards;
 pub mod home;
-pub mod homes;
+pub mod home_work;
 pub mod journal;
 pub mod ledger;
 pub mod options;
+pub mod other_centres;
 pub mod packets;
 pub mod placement;
-pub mod refresh;
+pub mod responses;
+pub mod schedulers;
 pub mod status;
 pub mod tickets;
-pub mod work;
+pub mod updates;
 
 pub use counters::EngineCounters;
 pub use effects::{EngineEffect, EnginePhase};
--- a/crates/foxledge-engine/src/options.rs
+++ b/crates/foxledge-engine/src/options.rs
@@ -7,10 +7,10 @@
 use crate::placement::PlacementKind;
 
 /// How often a target is asked about a request that runs.
-pub(crate) const RUN_CHECK: Duration = Duration::from_secs(1);
+pub(crate) const REQUEST_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// How often a target is asked about an open feed: 7,700 feeds of a daemon at
 /// the target's size are 13 checks a second.
-pub(crate) const FEED_CHECK: Duration = Duration::from_secs(600);
+pub(crate) const FEED_CHECK_INTERVAL: Duration = Duration::from_secs(600);
 
 /// `EngineOptions` is how the engine behaves.
 #[derive(Clone, Debug)]
--- a/crates/foxledge-engine/src/elsewhere.rs
+++ b/crates/foxledge-engine/src/other_centres.rs
@@ -9,8 +9,8 @@
 
 use crate::{
     engine::FlowEngine,
+    forwarding::MAX_HOPS,
     forwards::{ForwardRoute, PendingForward},
-    homes::MAX_HOPS,
 };
 
 impl FlowEngine {
@@ -20,7 +20,7 @@
     /// drains or dies, its data centre would refuse everything while three idle
     /// targets stand elsewhere. What is sent on is new work only, and the ticket
     /// that comes back is of the home over there.
-    pub(crate) fn send_elsewhere(
+    pub(crate) fn forward_to_other_centre(
         &mut self,
         now: ClockTime,
         caller: SocketAddr,
@@ -29,7 +29,7 @@
         hops: u32,
     ) -> bool {
         // The contact there may have to forward it once more.
-        if hops + 1 >= MAX_HOPS || self.can_serve(now, packet, treatment) {
+        if hops + 1 >= MAX_HOPS || self.has_local_target(now, packet, treatment) {
             return false;
         }
         let Some(contact) = self.best_contact(now, packet, treatment) else { return false };
@@ -38,8 +38,8 @@
             packet: packet.clone(),
             caller,
             route: ForwardRoute::OtherCentre,
-            tried: vec![contact.name],
-            deadline: now.after(self.options.forward_timeout),
+            tried_instances: vec![contact.name],
+            ack_deadline: now.after(self.options.forward_timeout),
             hops,
         };
         self.send_forward(contact.peer_address, forward);
@@ -47,24 +47,24 @@
     }
 
     /// Refuses a packet that no contact in the other data centre acknowledged.
-    pub(crate) fn give_up_centre(&mut self, now: ClockTime, forward: PendingForward) {
-        if let Some(silent) = forward.tried.last() {
-            self.silent.note(silent.clone(), now.after(self.options.home_backoff));
+    pub(crate) fn refuse_unreachable_centre(&mut self, now: ClockTime, forward: PendingForward) {
+        if let Some(contact) = forward.tried_instances.last() {
+            self.unresponsive_homes.insert(contact.clone(), now.after(self.options.home_backoff));
         }
         let refusal = self.untracked_refusal(&forward.packet, RefusalReason::NoTarget);
-        self.refuse(now, forward.caller, &forward.packet, refusal);
+        self.send_refusal(now, forward.caller, &forward.packet, refusal);
     }
 
     /// True when a target here can be expected to take the packet's work.
-    pub(crate) fn can_serve(
+    pub(crate) fn has_local_target(
         &mut self,
         now: ClockTime,
         packet: &Packet,
         treatment: &ServeTreatment,
     ) -> bool {
-        let key = self.desk_key(packet, treatment);
-        self.obtain_desk(now, &key);
-        self.desks.find(&key).is_some_and(|desk| desk.has_responsive_target())
+        let key = self.shard_key(packet, treatment);
+        self.ensure_scheduler(now, &key);
+        self.schedulers.find(&key).is_some_and(|scheduler| scheduler.has_responsive_target())
     }
 
     /// The contact for a flow, in a data centre that has published targets of the service.
@@ -87,7 +87,7 @@
             .contacts
             .iter()
             .filter(serves)
-            .filter(|contact| !self.silent.is_silent(&contact.name, now))
+            .filter(|contact| !self.unresponsive_homes.contains(&contact.name, now))
             .max_by_key(|contact| rendezvous_weight(&key, &contact.name))
             .cloned()
     }
--- a/crates/foxledge-engine/src/packets.rs
+++ b/crates/foxledge-engine/src/packets.rs
@@ -9,7 +9,7 @@
 };
 
 /// How long a caller should wait when nothing better is known.
-pub const DEFAULT_RETRY: Duration = Duration::from_millis(500);
+pub const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// A packet of `kind` to the sender of `packet`, about the same request.
 pub fn reply_to(packet: &Packet, kind: PacketKind) -> Packet {
@@ -26,12 +26,12 @@
 }
 
 /// A refusal that says the work didn't run and never will.
-pub fn not_run(reason: RefusalReason, retry_after: Duration) -> Refusal {
+pub fn not_run_refusal(reason: RefusalReason, retry_after: Duration) -> Refusal {
     refusal(RunOutcome::NotRun, reason, retry_after)
 }
 
 /// A refusal that can't say whether the work ran.
-pub fn unknown(reason: RefusalReason, retry_after: Duration) -> Refusal {
+pub fn unknown_refusal(reason: RefusalReason, retry_after: Duration) -> Refusal {
     refusal(RunOutcome::Unknown, reason, retry_after)
 }
 
@@ -44,7 +44,7 @@
 }
 
 /// The desk's refusal as it travels.
-pub fn desk_refusal(refusal: &WorkRefusal) -> Refusal {
+pub fn wire_refusal(refusal: &WorkRefusal) -> Refusal {
     let reason = match refusal.reason {
         RefuseReason::QueueFull => RefusalReason::QueueFull,
         RefuseReason::DeadlinePassed => RefusalReason::DeadlinePassed,
@@ -56,13 +56,13 @@
         RefuseReason::WrongTarget => RefusalReason::WrongTarget,
     };
     match refusal.run_state {
-        RunState::NotRun => not_run(reason, refusal.retry_after),
-        RunState::Unknown => unknown(reason, refusal.retry_after),
+        RunState::NotRun => not_run_refusal(reason, refusal.retry_after),
+        RunState::Unknown => unknown_refusal(reason, refusal.retry_after),
     }
 }
 
 /// A backend server's reason as the desk knows it.
-pub fn refuse_reason(reason: RefusalReason) -> RefuseReason {
+pub fn scheduler_reason(reason: RefusalReason) -> RefuseReason {
     match reason {
         RefusalReason::DeadlinePassed => RefuseReason::DeadlinePassed,
         RefusalReason::WrongTarget => RefuseReason::WrongTarget,
--- a/crates/foxledge-engine/src/placement.rs
+++ b/crates/foxledge-engine/src/placement.rs
@@ -10,16 +10,16 @@
 };
 use serde::Serialize;
 
-/// `DeskKey` is one shard of a service's targets: each has a desk at its home.
+/// `ShardKey` is one shard of a service's targets: each has a desk at its home.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
-pub struct DeskKey {
+pub struct ShardKey {
     /// The service.
     pub service: ServiceName,
     /// Number of the shard, from 0.
     pub shard: u32,
 }
 
-impl DeskKey {
+impl ShardKey {
     /// The text that rendezvous hashing uses.
     pub fn hash_text(&self) -> String {
         format!("{}#{}", self.service, self.shard)
@@ -41,12 +41,12 @@
 impl FromStr for PlacementKind {
     type Err = Error;
 
-    fn from_str(word: &str) -> Result<PlacementKind, Error> {
-        match word {
+    fn from_str(text: &str) -> Result<PlacementKind, Error> {
+        match text {
             "service-home" => Ok(PlacementKind::ServiceHome),
             "entry-local" => Ok(PlacementKind::EntryLocal),
             "target-home" => Ok(PlacementKind::TargetHome),
-            _ => Err(unknown_word("placement", word)),
+            _ => Err(unknown_word("placement", text)),
         }
     }
 }
@@ -54,20 +54,30 @@
 /// `HomePlacement` is a way to place homes.
 pub trait HomePlacement {
     /// How many shards a service has, given what is published and its targets here.
-    fn shards(&self, published: u32, targets: usize) -> u32;
+    fn effective_shards(&self, published: u32, targets: usize) -> u32;
 
     /// True when `me` is among the best `ranks` homes of the desk.
-    fn holds_rank(&self, key: &DeskKey, me: &InstanceName, view: &PeerView, ranks: usize) -> bool {
+    fn is_among_best_homes(
+        &self,
+        key: &ShardKey,
+        me: &InstanceName,
+        view: &PeerView,
+        ranks: usize,
+    ) -> bool {
         view.is_among_best_homes(&key.hash_text(), me, ranks)
     }
 
     /// Instances that can be home for the desk, the best first.
-    fn ranked<'a>(&self, key: &DeskKey, me: &InstanceName, view: &'a PeerView)
-    -> Vec<&'a PeerInfo>;
+    fn ranked_homes<'a>(
+        &self,
+        key: &ShardKey,
+        me: &InstanceName,
+        view: &'a PeerView,
+    ) -> Vec<&'a PeerInfo>;
 }
 
 /// Makes the placement of that kind.
-pub fn placement_of(kind: PlacementKind) -> Box<dyn HomePlacement> {
+pub fn new_placement(kind: PlacementKind) -> Box<dyn HomePlacement> {
     match kind {
         PlacementKind::ServiceHome => Box::new(ServiceHome),
         PlacementKind::EntryLocal => Box::new(EntryLocal),
@@ -76,18 +86,23 @@
 }
 
 /// The shard that a flow belongs to.
-pub fn shard_of(flow: u64, shards: u32) -> u32 {
+pub fn shard_for_flow(flow: u64, shards: u32) -> u32 {
     (digest_of(&flow.to_be_bytes()) % u64::from(shards.max(1))) as u32
 }
 
 struct ServiceHome;
 
 impl HomePlacement for ServiceHome {
-    fn shards(&self, published: u32, _targets: usize) -> u32 {
+    fn effective_shards(&self, published: u32, _targets: usize) -> u32 {
         published.max(1)
     }
 
-    fn ranked<'a>(&self, key: &DeskKey, _: &InstanceName, view: &'a PeerView) -> Vec<&'a PeerInfo> {
+    fn ranked_homes<'a>(
+        &self,
+        key: &ShardKey,
+        _: &InstanceName,
+        view: &'a PeerView,
+    ) -> Vec<&'a PeerInfo> {
         view.ranked_homes(&key.hash_text())
     }
 }
@@ -95,15 +110,20 @@
 struct EntryLocal;
 
 impl HomePlacement for EntryLocal {
-    fn holds_rank(&self, _: &DeskKey, _: &InstanceName, _: &PeerView, _: usize) -> bool {
+    fn is_among_best_homes(&self, _: &ShardKey, _: &InstanceName, _: &PeerView, _: usize) -> bool {
         true
     }
 
-    fn shards(&self, _published: u32, _targets: usize) -> u32 {
+    fn effective_shards(&self, _published: u32, _targets: usize) -> u32 {
         1
     }
 
-    fn ranked<'a>(&self, _: &DeskKey, me: &InstanceName, view: &'a PeerView) -> Vec<&'a PeerInfo> {
+    fn ranked_homes<'a>(
+        &self,
+        _: &ShardKey,
+        me: &InstanceName,
+        view: &'a PeerView,
+    ) -> Vec<&'a PeerInfo> {
         view.find(me).into_iter().collect()
     }
 }
@@ -111,11 +131,16 @@
 struct TargetHome;
 
 impl HomePlacement for TargetHome {
-    fn shards(&self, _published: u32, targets: usize) -> u32 {
+    fn effective_shards(&self, _published: u32, targets: usize) -> u32 {
         u32::try_from(targets).unwrap_or(u32::MAX).max(1)
     }
 
-    fn ranked<'a>(&self, key: &DeskKey, _: &InstanceName, view: &'a PeerView) -> Vec<&'a PeerInfo> {
+    fn ranked_homes<'a>(
+        &self,
+        key: &ShardKey,
+        _: &InstanceName,
+        view: &'a PeerView,
+    ) -> Vec<&'a PeerInfo> {
         view.ranked_homes(&key.hash_text())
     }
 }
--- a/crates/foxledge-engine/src/answers.rs
+++ b/crates/foxledge-engine/src/responses.rs
@@ -14,34 +14,34 @@
 use crate::{
     effects::EnginePhase,
     engine::FlowEngine,
-    home::bare_packet,
+    home::reply_context,
+    home_work::RunTracking,
     ledger::RequestState,
-    packets::{refuse_reason, target_load},
-    placement::DeskKey,
-    work::RunTracking,
+    packets::{scheduler_reason, target_load},
+    placement::ShardKey,
 };
 
 impl FlowEngine {
     /// Takes a probe's answer.
     pub(crate) fn on_probe_reply(&mut self, now: ClockTime, from: SocketAddr, packet: &Packet) {
-        let Some((key, target)) = self.owners.get(&from).cloned() else { return };
+        let Some((key, target)) = self.target_owners.get(&from).cloned() else { return };
         let Some(load) = &packet.load else { return };
-        let Some(desk) = self.desks.find(&key) else { return };
-        let effects = desk.on_load_report(now, &target.name, target_load(load));
-        self.carry_out(now, &key, effects);
+        let Some(scheduler) = self.schedulers.find(&key) else { return };
+        let effects = scheduler.on_load_report(now, &target.name, target_load(load));
+        self.apply_scheduler_effects(now, &key, effects);
     }
 
     /// Takes an answer, a feed item or a notice of a backend server.
     pub(crate) fn on_target_packet(&mut self, now: ClockTime, from: SocketAddr, packet: Packet) {
-        if let Some(&id) = self.dispatches.get(&packet.dispatch)
-            && let Some(desk) = self.works.get(&id).map(|work| work.desk.clone())
+        if let Some(&id) = self.work_by_dispatch.get(&packet.dispatch)
+            && let Some(shard) = self.works.get(&id).map(|work| work.shard.clone())
         {
-            return self.on_own_dispatch(now, from, id, &desk, packet);
+            return self.handle_dispatch_response(now, from, id, &shard, packet);
         }
         match packet.kind() {
             PacketKind::Done => {}
-            PacketKind::Refusal => self.relay_foreign_refusal(packet),
-            _ => self.relay_answer(packet),
+            PacketKind::Refusal => self.relay_unmatched_refusal(packet),
+            _ => self.relay_response(packet),
         }
     }
 
@@ -52,21 +52,21 @@
     /// elsewhere, so another instance can't vouch for it. One that answers a
     /// home's dispatch is late: the home has placed the work elsewhere since, or
     /// answered. Relayed, it would end the caller's wait for the real answer.
-    fn relay_foreign_refusal(&mut self, packet: Packet) {
-        match open_path(&self.ring, &packet.return_path) {
-            Ok(path) if path.by_token => self.relay_answer(without_promise(packet)),
+    fn relay_unmatched_refusal(&mut self, packet: Packet) {
+        match open_path(&self.key_ring, &packet.return_path) {
+            Ok(path) if path.by_token => self.relay_response(with_unknown_outcome(packet)),
             Ok(_) => self.counters.superseded += 1,
             Err(_) => self.counters.path_unsealed += 1,
         }
     }
 
     /// Takes an answer to a dispatch of this home.
-    fn on_own_dispatch(
+    fn handle_dispatch_response(
         &mut self,
         now: ClockTime,
         from: SocketAddr,
         id: u64,
-        desk: &DeskKey,
+        shard: &ShardKey,
         packet: Packet,
     ) {
         let Some(work) = self.works.get_mut(&id) else { return };
@@ -77,14 +77,14 @@
             return;
         }
         let (dispatch, load) = (packet.dispatch, packet.load.as_ref().map(target_load));
-        let signal = signal_of(&packet, work.kind);
+        let signal = target_signal(&packet, work.kind);
         match signal {
             TargetSignal::Accepted => {
                 if work.is_feed() {
                     let opening = work.packet.take();
                     self.opening_feeds -= usize::from(opening.is_some());
                 }
-                self.relay_answer(packet);
+                self.relay_response(packet);
             }
             TargetSignal::Ended => {
                 self.counters.ended += 1;
@@ -93,9 +93,9 @@
             }
             TargetSignal::NotRun(_) | TargetSignal::Unknown => {}
         }
-        let Some(home_desk) = self.desks.find(desk) else { return };
-        let effects = home_desk.on_signal(now, dispatch, signal, load);
-        self.carry_out(now, desk, effects);
+        let Some(scheduler) = self.schedulers.find(shard) else { return };
+        let effects = scheduler.on_signal(now, dispatch, signal, load);
+        self.apply_scheduler_effects(now, shard, effects);
         if signal == TargetSignal::Ended {
             self.remove_work(id);
         }
@@ -107,9 +107,9 @@
         if self.phase == EnginePhase::Leaving || work.tracking != RunTracking::ByTicket {
             return None;
         }
-        let service = work.desk.service.clone();
-        let asked = bare_packet(work);
-        self.make_ticket(now, &asked, &service)
+        let service = work.shard.service.clone();
+        let context = reply_context(work);
+        self.issue_ticket(now, &context, &service)
     }
 
     fn relay_with_ticket(&mut self, packet: Packet, ticket: Option<Vec<u8>>) {
@@ -117,19 +117,19 @@
             return;
         }
         let ticket = ticket.unwrap_or_default();
-        self.relay_answer(Packet { ticket, ..packet });
+        self.relay_response(Packet { ticket, ..packet });
     }
 
     /// Sends an answer on to the caller that its return path names.
     ///
     /// The path is sealed: without that, anybody could have this instance send
     /// datagrams to an address of their choice.
-    fn relay_answer(&mut self, packet: Packet) {
+    fn relay_response(&mut self, packet: Packet) {
         if packet.return_path.is_empty() && packet.kind() == PacketKind::Ack {
             // The answer to a check of this home; no caller asked.
             return;
         }
-        let Ok(path) = open_path(&self.ring, &packet.return_path) else {
+        let Ok(path) = open_path(&self.key_ring, &packet.return_path) else {
             self.counters.path_unsealed += 1;
             return;
         };
@@ -151,7 +151,7 @@
     }
 }
 
-fn signal_of(packet: &Packet, kind: TrafficKind) -> TargetSignal {
+fn target_signal(packet: &Packet, kind: TrafficKind) -> TargetSignal {
     match packet.kind() {
         PacketKind::Done => TargetSignal::Ended,
         PacketKind::Answer if kind != TrafficKind::Feed => TargetSignal::Ended,
@@ -163,12 +163,12 @@
 fn refusal_signal(refusal: Option<&Refusal>) -> TargetSignal {
     let Some(refusal) = refusal else { return TargetSignal::Unknown };
     match refusal.outcome() {
-        RunOutcome::NotRun => TargetSignal::NotRun(refuse_reason(refusal.reason())),
+        RunOutcome::NotRun => TargetSignal::NotRun(scheduler_reason(refusal.reason())),
         _ => TargetSignal::Unknown,
     }
 }
 
-fn without_promise(packet: Packet) -> Packet {
+fn with_unknown_outcome(packet: Packet) -> Packet {
     let mut refusal = packet.refusal.unwrap_or_default();
     refusal.outcome = RunOutcome::Unknown.into();
     if refusal.reason() == RefusalReason::Unspecified {
--- a/crates/foxledge-engine/src/desks.rs
+++ b/crates/foxledge-engine/src/schedulers.rs
@@ -12,7 +12,7 @@
 use foxledge_policy::{SchedulerEffect, SchedulerOptions, ShardScheduler, policy_by_name};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-use crate::placement::{DeskKey, HomePlacement};
+use crate::placement::{HomePlacement, ShardKey};
 
 /// Ranks of instances that probe a desk's targets: the home and its successor.
 ///
@@ -21,19 +21,19 @@
 /// a probe from every instance of the data centre.
 const PROBING_RANKS: usize = 2;
 
-/// `DeskSet` is the desks of this instance.
-pub struct DeskSet {
-    desks: BTreeMap<DeskKey, ShardScheduler>,
+/// `SchedulerSet` is the desks of this instance.
+pub struct SchedulerSet {
+    schedulers: BTreeMap<ShardKey, ShardScheduler>,
     options: SchedulerOptions,
     policy: String,
     rng: StdRng,
 }
 
-impl DeskSet {
+impl SchedulerSet {
     /// Makes an empty set; each desk gets the options and a policy of that name.
-    pub fn new(options: SchedulerOptions, policy: &str, seed: u64) -> DeskSet {
-        DeskSet {
-            desks: BTreeMap::new(),
+    pub fn new(options: SchedulerOptions, policy: &str, seed: u64) -> SchedulerSet {
+        SchedulerSet {
+            schedulers: BTreeMap::new(),
             options,
             policy: policy.to_owned(),
             rng: StdRng::seed_from_u64(seed),
@@ -41,50 +41,50 @@
     }
 
     /// True when there is a desk of that key.
-    pub fn contains(&self, key: &DeskKey) -> bool {
-        self.desks.contains_key(key)
+    pub fn contains(&self, key: &ShardKey) -> bool {
+        self.schedulers.contains_key(key)
     }
 
     /// Makes the desk of that key.
     pub fn open(
         &mut self,
         now: ClockTime,
-        key: &DeskKey,
+        key: &ShardKey,
         targets: Vec<Arc<TargetSpec>>,
         queue_limit: u32,
     ) -> Vec<SchedulerEffect> {
-        let mut desk = self.make_desk();
-        desk.set_queue_limit(queue_limit);
-        let effects = desk.set_targets(now, targets);
-        self.desks.insert(key.clone(), desk);
+        let mut scheduler = self.new_scheduler();
+        scheduler.set_queue_limit(queue_limit);
+        let effects = scheduler.set_targets(now, targets);
+        self.schedulers.insert(key.clone(), scheduler);
         effects
     }
 
     /// The desk of that key, if there is one.
-    pub fn find(&mut self, key: &DeskKey) -> Option<&mut ShardScheduler> {
-        self.desks.get_mut(key)
+    pub fn find(&mut self, key: &ShardKey) -> Option<&mut ShardScheduler> {
+        self.schedulers.get_mut(key)
     }
 
     /// Every desk with its key.
-    pub fn iter(&self) -> impl Iterator<Item = (&DeskKey, &ShardScheduler)> {
-        self.desks.iter()
+    pub fn iter(&self) -> impl Iterator<Item = (&ShardKey, &ShardScheduler)> {
+        self.schedulers.iter()
     }
 
     /// Keys of every desk.
-    pub fn keys(&self) -> Vec<DeskKey> {
-        self.desks.keys().cloned().collect()
+    pub fn keys(&self) -> Vec<ShardKey> {
+        self.schedulers.keys().cloned().collect()
     }
 
     /// Keys of a service's desks.
-    pub fn keys_of(&self, service: &ServiceName) -> Vec<DeskKey> {
-        let first = DeskKey { service: service.clone(), shard: 0 };
-        let last = DeskKey { service: service.clone(), shard: u32::MAX };
-        self.desks.range(first..=last).map(|(key, _)| key.clone()).collect()
+    pub fn keys_of(&self, service: &ServiceName) -> Vec<ShardKey> {
+        let first = ShardKey { service: service.clone(), shard: 0 };
+        let last = ShardKey { service: service.clone(), shard: u32::MAX };
+        self.schedulers.range(first..=last).map(|(key, _)| key.clone()).collect()
     }
 
     /// Drops desks that have no work and belong to others now.
-    pub fn drop_idle(&mut self, is_kept: impl Fn(&DeskKey) -> bool) {
-        self.desks.retain(|key, desk| desk.unfinished_count() > 0 || is_kept(key));
+    pub fn drop_idle(&mut self, is_kept: impl Fn(&ShardKey) -> bool) {
+        self.schedulers.retain(|key, scheduler| scheduler.unfinished_count() > 0 || is_kept(key));
     }
 
     /// Makes a desk with a seed that no desk of this process had before.
@@ -93,7 +93,7 @@
     /// it then drew the same dispatch ids again, a backend server would take a
     /// new request for a copy of an old one and answer without running it; one
     /// would notice answered requests that never ran.
-    fn make_desk(&mut self) -> ShardScheduler {
+    fn new_scheduler(&mut self) -> ShardScheduler {
         let seed = self.rng.random();
         let policy = policy_by_name(&self.policy, seed)
             .or_else(|_| policy_by_name("freest", seed))
@@ -110,7 +110,7 @@
     placement: &dyn HomePlacement,
 ) -> Vec<Arc<TargetSpec>> {
     let mut local: Vec<_> = local_targets(service, data_centre).collect();
-    let shards = placement.shards(service.shards, local.len()) as usize;
+    let shards = placement.effective_shards(service.shards, local.len()) as usize;
     local.sort_by(|a, b| a.name.cmp(&b.name));
     local
         .into_iter()
@@ -122,20 +122,20 @@
 
 /// Shards of a service in this data centre.
 pub fn shard_count(service: &ServiceSpec, centre: &str, placement: &dyn HomePlacement) -> u32 {
-    placement.shards(service.shards, local_targets(service, centre).count())
+    placement.effective_shards(service.shards, local_targets(service, centre).count())
 }
 
 /// Desks of a service that this instance probes for: it is the home or the successor.
-pub fn probed_desks(
+pub fn probed_shards(
     service: &ServiceSpec,
     view: &PeerView,
     me: &InstanceName,
     centre: &str,
     placement: &dyn HomePlacement,
-) -> Vec<DeskKey> {
+) -> Vec<ShardKey> {
     (0..shard_count(service, centre, placement))
-        .map(|shard| DeskKey { service: service.name.clone(), shard })
-        .filter(|key| placement.holds_rank(key, me, view, PROBING_RANKS))
+        .map(|shard| ShardKey { service: service.name.clone(), shard })
+        .filter(|key| placement.is_among_best_homes(key, me, view, PROBING_RANKS))
         .collect()
 }
 
@@ -161,8 +161,8 @@
         let Some(before) = old.services.get(name) else { continue };
         let Some(service) = new.services.get(name) else { continue };
         for target in &service.targets {
-            let former = before.targets.iter().find(|t| t.name == target.name);
-            let (old, new) = (former.map_or("open", drain_word), drain_word(target));
+            let old_target = before.targets.iter().find(|t| t.name == target.name);
+            let (old, new) = (old_target.map_or("open", drain_state), drain_state(target));
             if old != new {
                 let subject = target_subject(&service.name, target.name.as_str());
                 let change = AuditChange::new(AuditKind::TargetDraining, subject);
@@ -185,6 +185,6 @@
     service.targets.iter().filter(move |target| target.data_centre.as_str() == centre)
 }
 
-fn drain_word(target: &TargetSpec) -> &'static str {
+fn drain_state(target: &TargetSpec) -> &'static str {
     if target.draining { "draining" } else { "open" }
 }
--- a/crates/foxledge-engine/src/status.rs
+++ b/crates/foxledge-engine/src/status.rs
@@ -4,7 +4,7 @@
 use foxledge_policy::SchedulerStatus;
 use serde::Serialize;
 
-use crate::{effects::EnginePhase, placement::DeskKey};
+use crate::{effects::EnginePhase, placement::ShardKey};
 
 /// `EngineStatus` is the engine's present state.
 #[derive(Clone, Debug, Serialize)]
@@ -22,14 +22,16 @@
     /// Forwardings that wait for an acknowledgement.
     pub pending_forwards: usize,
     /// Desks of this home.
-    pub desks: Vec<DeskEntry>,
+    #[serde(rename = "desks")]
+    pub schedulers: Vec<SchedulerEntry>,
 }
 
-/// `DeskEntry` is one desk of this home.
+/// `SchedulerEntry` is one desk of this home.
 #[derive(Clone, Debug, Serialize)]
-pub struct DeskEntry {
+pub struct SchedulerEntry {
     /// Which shard of which service.
-    pub key: DeskKey,
+    pub key: ShardKey,
     /// The desk's state.
-    pub desk: SchedulerStatus,
+    #[serde(rename = "desk")]
+    pub scheduler: SchedulerStatus,
 }
--- a/crates/foxledge-engine/src/tickets.rs
+++ b/crates/foxledge-engine/src/tickets.rs
@@ -11,29 +11,34 @@
     effects::EnginePhase,
     engine::FlowEngine,
     home::RunTerms,
+    home_work::RunTracking,
     ledger::RequestKey,
-    packets::{DEFAULT_RETRY, not_run, reply_to, unknown},
-    work::RunTracking,
+    packets::{DEFAULT_RETRY_DELAY, not_run_refusal, reply_to, unknown_refusal},
 };
 
 impl FlowEngine {
     /// Answers a request for a ticket, or work that needs one.
     pub(crate) fn grant_ticket(&mut self, now: ClockTime, caller: SocketAddr, packet: &Packet) {
-        let treatment = match self.decide(packet) {
+        let treatment = match self.decide_treatment(packet) {
             Ok(treatment) => treatment,
             Err(reason) => {
-                return self.refuse(now, caller, packet, not_run(reason, DEFAULT_RETRY));
+                return self.send_refusal(
+                    now,
+                    caller,
+                    packet,
+                    not_run_refusal(reason, DEFAULT_RETRY_DELAY),
+                );
             }
         };
         if self.phase == EnginePhase::Leaving {
-            let refusal = not_run(RefusalReason::Leaving, DEFAULT_RETRY);
-            return self.refuse(now, caller, packet, refusal);
+            let refusal = not_run_refusal(RefusalReason::Leaving, DEFAULT_RETRY_DELAY);
+            return self.send_refusal(now, caller, packet, refusal);
         }
-        if !self.can_serve(now, packet, &treatment) {
-            let refusal = not_run(RefusalReason::NoTarget, DEFAULT_RETRY);
-            return self.refuse(now, caller, packet, refusal);
+        if !self.has_local_target(now, packet, &treatment) {
+            let refusal = not_run_refusal(RefusalReason::NoTarget, DEFAULT_RETRY_DELAY);
+            return self.send_refusal(now, caller, packet, refusal);
         }
-        let Some(ticket) = self.make_ticket(now, packet, &treatment.service) else { return };
+        let Some(ticket) = self.issue_ticket(now, packet, &treatment.service) else { return };
         let reply = Packet {
             ticket,
             time_left_ms: self.options.ticket_ttl.as_millis() as u32,
@@ -44,7 +49,7 @@
     }
 
     /// Seals a ticket for the packet's caller; none when no key is published.
-    pub(crate) fn make_ticket(
+    pub(crate) fn issue_ticket(
         &mut self,
         now: ClockTime,
         packet: &Packet,
@@ -63,34 +68,40 @@
             count: self.options.requests_per_ticket,
             home_address: self.me.peer_address.to_string(),
         };
-        let sealed = seal_ticket(&self.ring, &ticket).ok()?;
-        self.tickets_until = self.tickets_until.max(start_deadline);
+        let sealed = seal_ticket(&self.key_ring, &ticket).ok()?;
+        self.latest_start_deadline = self.latest_start_deadline.max(start_deadline);
         self.counters.tickets_issued += 1;
         Some(sealed)
     }
 
     /// Takes a request by a ticket of this process: it runs here or nowhere.
-    pub(crate) fn take_ticketed(&mut self, now: ClockTime, caller: SocketAddr, packet: Packet) {
-        let key = RequestKey::of(&packet);
+    pub(crate) fn handle_ticketed_request(
+        &mut self,
+        now: ClockTime,
+        caller: SocketAddr,
+        packet: Packet,
+    ) {
+        let key = RequestKey::from_packet(&packet);
         if let Some(state) = self.ledger.find(&key).cloned() {
-            return self.take_copy(now, caller, &packet, state);
+            return self.handle_duplicate(now, caller, &packet, state);
         }
-        let Ok(ticket) = open_ticket(&self.ring, &packet.ticket) else { return };
+        let Ok(ticket) = open_ticket(&self.key_ring, &packet.ticket) else { return };
         let start_deadline = ClockTime::from_micros(ticket.start_deadline_us);
-        let forget_at = start_deadline.after(self.options.ledger_retention);
-        if forget_at.is_past(now) {
+        let expires_at = start_deadline.after(self.options.ledger_retention);
+        if expires_at.is_past(now) {
             // The ledger may have forgotten a run of it.
-            let refusal = unknown(RefusalReason::TicketExpired, DEFAULT_RETRY);
-            return self.refuse(now, caller, &packet, refusal);
+            let refusal = unknown_refusal(RefusalReason::TicketExpired, DEFAULT_RETRY_DELAY);
+            return self.send_refusal(now, caller, &packet, refusal);
         }
         if start_deadline.is_past(now) && self.options.trial.run_once {
             // Not in the ledger, so it wasn't started, and it can't be any more.
-            let refusal = not_run(RefusalReason::TicketExpired, Duration::ZERO);
-            return self.refuse(now, caller, &packet, refusal);
+            let refusal = not_run_refusal(RefusalReason::TicketExpired, Duration::ZERO);
+            return self.send_refusal(now, caller, &packet, refusal);
         }
-        let terms = RunTerms { tracking: RunTracking::ByTicket, start_deadline, forget_at };
-        if !self.ledger.use_ticket(ticket.serial, ticket.count, forget_at) {
-            return self.refuse_for_good(now, caller, &packet, terms, RefusalReason::Limit);
+        let terms =
+            RunTerms { tracking: RunTracking::ByTicket, start_deadline, expires_at: expires_at };
+        if !self.ledger.count_ticket_use(ticket.serial, ticket.count, expires_at) {
+            return self.refuse_permanently(now, caller, &packet, terms, RefusalReason::Limit);
         }
         self.open_request(now, caller, packet, terms);
     }
--- a/crates/foxledge-engine/src/refresh.rs
+++ b/crates/foxledge-engine/src/updates.rs
@@ -13,10 +13,10 @@
 use foxledge_seal::KeyRing;
 
 use crate::{
-    desks::{changed_services, drain_changes, probed_desks, shard_count, shard_targets},
     effects::EngineEffect,
     engine::FlowEngine,
-    placement::DeskKey,
+    placement::ShardKey,
+    schedulers::{changed_services, drain_changes, probed_shards, shard_count, shard_targets},
 };
 
 impl FlowEngine {
@@ -28,87 +28,89 @@
         }
         let changed = changed_services(&self.list, &list);
         for change in drain_changes(&self.list, &list, &changed) {
-            self.out.push(EngineEffect::Audit(change));
+            self.effects.push(EngineEffect::Audit(change));
         }
         let ring = KeyRing::from_keys(&list.keys);
         self.audit_keys(&ring, list.version.revision);
-        self.ring = ring;
-        self.index = RuleIndex::new(list.clone());
+        self.key_ring = ring;
+        self.rule_index = RuleIndex::new(list.clone());
         let old = std::mem::replace(&mut self.list, list);
         for name in &changed {
             self.refresh_owners(name, &old);
             self.refresh_service(now, name);
         }
-        self.drop_idle_desks();
-        self.take_effects()
+        self.drop_idle_schedulers();
+        self.drain_effects()
     }
 
     /// Takes a new view of the instances into force.
     pub fn apply_peer_view(&mut self, now: ClockTime, view: Arc<PeerView>) -> Vec<EngineEffect> {
         self.view = view;
         let list = self.list.clone();
-        self.probed.clear();
+        self.probed_shards.clear();
         for service in list.services.values() {
-            self.refresh_probed(now, service);
+            self.refresh_probed_shards(now, service);
         }
-        self.drop_idle_desks();
-        self.take_effects()
+        self.drop_idle_schedulers();
+        self.drain_effects()
     }
 
     fn audit_keys(&mut self, ring: &KeyRing, revision: u64) {
-        let (old, new) = (self.ring.ids(), ring.ids());
+        let (old, new) = (self.key_ring.ids(), ring.ids());
         if old == new {
             return;
         }
         let change = AuditChange::new(AuditKind::KeysRotated, "token keys")
             .with_values(format!("{old:?}"), format!("{new:?}"))
             .with_cause(format!("list {revision}"), "list");
-        self.out.push(EngineEffect::Audit(change));
+        self.effects.push(EngineEffect::Audit(change));
     }
 
     /// Notes who owns the addresses of a changed service's targets.
     fn refresh_owners(&mut self, name: &ServiceName, old: &RuleList) {
-        let former = old.services.get(name).map_or(&[][..], |service| &service.targets);
-        for target in former {
-            let is_ours =
-                self.owners.get(&target.address).is_some_and(|(key, _)| key.service == *name);
-            if is_ours {
-                self.owners.remove(&target.address);
+        let old_targets = old.services.get(name).map_or(&[][..], |service| &service.targets);
+        for target in old_targets {
+            let is_same_service = self
+                .target_owners
+                .get(&target.address)
+                .is_some_and(|(key, _)| key.service == *name);
+            if is_same_service {
+                self.target_owners.remove(&target.address);
             }
         }
         let list = self.list.clone();
         let Some(service) = list.services.get(name) else { return };
         for target in &service.targets {
-            let key = DeskKey { service: name.clone(), shard: 0 };
-            self.owners.insert(target.address, (key, Arc::new(target.clone())));
+            let key = ShardKey { service: name.clone(), shard: 0 };
+            self.target_owners.insert(target.address, (key, Arc::new(target.clone())));
         }
         for shard in 0..shard_count(service, &self.me.data_centre, self.placement.as_ref()) {
-            let key = DeskKey { service: name.clone(), shard };
+            let key = ShardKey { service: name.clone(), shard };
             for target in self.targets_of(&key) {
-                self.owners.insert(target.address, (key.clone(), target));
+                self.target_owners.insert(target.address, (key.clone(), target));
             }
         }
     }
 
     /// Brings the desks of a changed service up to date.
     fn refresh_service(&mut self, now: ClockTime, name: &ServiceName) {
-        self.probed.retain(|key| key.service != *name);
+        self.probed_shards.retain(|key| key.service != *name);
         if let Some(service) = self.list.clone().services.get(name) {
-            self.refresh_probed(now, service);
+            self.refresh_probed_shards(now, service);
         }
-        for key in self.desks.keys_of(name) {
+        for key in self.schedulers.keys_of(name) {
             let targets = self.targets_of(&key);
             let queue_limit = self.queue_limit_of(&key);
-            let Some(desk) = self.desks.find(&key) else { continue };
-            desk.set_queue_limit(queue_limit);
-            let effects = desk.set_targets(now, targets);
-            self.carry_out(now, &key, effects);
+            let Some(scheduler) = self.schedulers.find(&key) else { continue };
+            scheduler.set_queue_limit(queue_limit);
+            let effects = scheduler.set_targets(now, targets);
+            self.apply_scheduler_effects(now, &key, effects);
         }
     }
 
     /// Makes the desks of a service that this instance has to keep warm.
-    fn refresh_probed(&mut self, now: ClockTime, service: &ServiceSpec) {
-        let keys = probed_desks(
+    fn refresh_probed_shards(&mut self, now: ClockTime, service: &ServiceSpec) {
+        let keys = probed_shards(
             service,
             &self.view,
             &self.me.name,
@@ -116,33 +118,33 @@
             self.placement.as_ref(),
         );
         for key in keys {
-            self.obtain_desk(now, &key);
-            self.probed.insert(key);
+            self.ensure_scheduler(now, &key);
+            self.probed_shards.insert(key);
         }
     }
 
-    fn drop_idle_desks(&mut self) {
-        let probed = &self.probed;
-        self.desks.drop_idle(|key| probed.contains(key));
+    fn drop_idle_schedulers(&mut self) {
+        let probed = &self.probed_shards;
+        self.schedulers.drop_idle(|key| probed.contains(key));
     }
 
     /// Makes sure the desk exists; each request asks, so an existing one costs a look-up only.
-    pub(crate) fn obtain_desk(&mut self, now: ClockTime, key: &DeskKey) {
-        if self.desks.contains(key) {
+    pub(crate) fn ensure_scheduler(&mut self, now: ClockTime, key: &ShardKey) {
+        if self.schedulers.contains(key) {
             return;
         }
         let targets = self.targets_of(key);
         let queue_limit = self.queue_limit_of(key);
-        let effects = self.desks.open(now, key, targets, queue_limit);
-        self.carry_out(now, key, effects);
+        let effects = self.schedulers.open(now, key, targets, queue_limit);
+        self.apply_scheduler_effects(now, key, effects);
     }
 
-    pub(crate) fn targets_of(&self, key: &DeskKey) -> Vec<Arc<TargetSpec>> {
+    pub(crate) fn targets_of(&self, key: &ShardKey) -> Vec<Arc<TargetSpec>> {
         let Some(service) = self.list.services.get(&key.service) else { return Vec::new() };
         shard_targets(service, &self.me.data_centre, key.shard, self.placement.as_ref())
     }
 
-    fn queue_limit_of(&self, key: &DeskKey) -> u32 {
+    fn queue_limit_of(&self, key: &ShardKey) -> u32 {
         self.list.services.get(&key.service).map_or(0, |service| service.queue_limit)
     }
 }
--- a/crates/foxledge-engine/tests/bad_datagrams.rs
+++ b/crates/foxledge-engine/tests/bad_datagrams.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use common::{TestNet, address, data_address, packets::work};
+use common::{TestNet, address, data_address, packets::bid_packet};
 use foxledge_engine::{EngineEffect, EngineOptions, FlowEngine};
 use foxledge_wire::{
     MAX_DATAGRAM, encode_packet,
@@ -27,17 +27,17 @@
 #[test]
 fn counted_and_dropped() {
     let mut net = TestNet::new(1, 1, EngineOptions::default());
-    let whole = encode_packet(&work(1, 1, 1, "auction"));
+    let whole = encode_packet(&bid_packet(1, 1, 1, "auction"));
     let oversized =
-        encode_packet(&Packet { payload: vec![0; MAX_DATAGRAM], ..work(1, 1, 1, "auction") });
-    let version = encode_packet(&Packet { version: 9, ..work(1, 1, 1, "auction") });
-    let parts = encode_packet(&Packet { part: 3, parts: 2, ..work(1, 1, 1, "auction") });
-    let hollow = encode_packet(&Packet {
+        encode_packet(&Packet { payload: vec![0; MAX_DATAGRAM], ..bid_packet(1, 1, 1, "auction") });
+    let version = encode_packet(&Packet { version: 9, ..bid_packet(1, 1, 1, "auction") });
+    let parts = encode_packet(&Packet { part: 3, parts: 2, ..bid_packet(1, 1, 1, "auction") });
+    let unpadded = encode_packet(&Packet {
         kind: PacketKind::TicketRequest.into(),
-        ..work(1, 1, 1, "auction")
+        ..bid_packet(1, 1, 1, "auction")
     });
     let cases =
-        [&whole[..whole.len() - 2], b"", b"\xff\xff\xff", &oversized, &version, &parts, &hollow];
+        [&whole[..whole.len() - 2], b"", b"\xff\xff\xff", &oversized, &version, &parts, &unpadded];
     let now = net.now;
     for (index, bytes) in cases.iter().enumerate() {
         let effects = engine(&mut net).on_datagram(now, address(5001), bytes);
@@ -49,10 +49,10 @@
 #[test]
 fn clear_refusals() {
     let mut net = TestNet::new(1, 2, EngineOptions::default());
-    let unknown_service = work(1, 1, 1, "nowhere");
-    let unknown_member = Packet { member: "nobody".into(), ..work(2, 1, 1, "auction") };
-    let forged_token = Packet { token: vec![9; 40], ..work(3, 1, 1, "auction") };
-    let forged_ticket = Packet { ticket: vec![9; 40], ..work(4, 1, 1, "auction") };
+    let unknown_service = bid_packet(1, 1, 1, "nowhere");
+    let unknown_member = Packet { member: "nobody".into(), ..bid_packet(2, 1, 1, "auction") };
+    let forged_token = Packet { token: vec![9; 40], ..bid_packet(3, 1, 1, "auction") };
+    let forged_ticket = Packet { ticket: vec![9; 40], ..bid_packet(4, 1, 1, "auction") };
     for (packet, reason) in [
         (Packet { idempotent: true, ..unknown_service }, RefusalReason::UnknownAddress),
         (Packet { idempotent: true, ..unknown_member }, RefusalReason::BadCredential),
@@ -60,8 +60,8 @@
         (forged_ticket, RefusalReason::BadTicket),
     ] {
         net.send(packet.caller, 0, &packet);
-        net.run(50);
-        let answers = net.take_answers(packet.caller);
+        net.run_for(50);
+        let answers = net.drain_answers(packet.caller);
         let reasons: Vec<_> = answers.iter().filter_map(|a| Some(a.refusal?.reason())).collect();
         assert_eq!(reasons, [reason]);
     }
@@ -77,7 +77,7 @@
     let answer = Packet {
         kind: PacketKind::Answer.into(),
         return_path: vec![1; 60],
-        ..work(1, 1, 1, "auction")
+        ..bid_packet(1, 1, 1, "auction")
     };
     let effects = engine(&mut net).on_datagram(now, address(4000), &encode_packet(&answer));
     assert_eq!(sent_bytes(&effects), 0);
@@ -91,18 +91,18 @@
 fn no_list() {
     let mut net = TestNet::new(1, 4, EngineOptions::default());
     let me = engine(&mut net).me().clone();
-    let mut fresh = FlowEngine::new(EngineOptions::default(), me, 1);
+    let mut engine_without_list = FlowEngine::new(EngineOptions::default(), me, 1);
     let now = net.now;
-    let bytes = encode_packet(&work(1, 1, 1, "auction"));
-    let effects = fresh.on_datagram(now, data_address(9), &bytes);
-    assert!(sent_bytes(&effects) > 0, "it says at once that it isn't ready");
-    assert!(fresh.apply_list(now, Arc::new(net.list(1))).len() <= 1);
+    let bytes = encode_packet(&bid_packet(1, 1, 1, "auction"));
+    let effects = engine_without_list.on_datagram(now, data_address(9), &bytes);
+    assert!(sent_bytes(&effects) > 0, "an instance without a list refuses at once");
+    assert!(engine_without_list.apply_list(now, Arc::new(net.current_list(1))).len() <= 1);
 }
 
 prop_compose! {
     fn any_packet()(
         kind in prop_oneof![Just(1), Just(2), 0i32..20], work_kind in 0i32..5, flow in any::<u64>(), caller in 0u64..3,
-        request in 0u64..3, place in "(auction|intake|x)?", member in "(bricks|y)?",
+        request in 0u64..3, address in "(auction|intake|x)?", member in "(bricks|y)?",
         idempotent in any::<bool>(), part in 0u32..3, parts in 0u32..4,
         payload in proptest::collection::vec(any::<u8>(), 0..600),
         ticket in prop_oneof![4 => Just(Vec::new()), 1 => proptest::collection::vec(any::<u8>(), 0..30)],
@@ -111,7 +111,7 @@
     ) -> Packet {
         Packet {
             kind, work: work_kind, flow, request, idempotent, part, parts, payload, ticket, token,
-            missing, member, ..work(caller, 1, 1, &place)
+            missing, member, ..bid_packet(caller, 1, 1, &address)
         }
     }
 }
@@ -129,13 +129,13 @@
         let mut bytes = encode_packet(&packet);
         bytes.truncate(bytes.len().saturating_sub(cut / 20 * cut));
         let now = net.now;
-        let stranger = address(5001);
-        let effects = engine(&mut net).on_datagram(now, stranger, &bytes);
-        let answered: usize = effects.iter().map(|effect| match effect {
-            EngineEffect::SendData { to, bytes } if *to == stranger => bytes.len(),
+        let sender = address(5001);
+        let effects = engine(&mut net).on_datagram(now, sender, &bytes);
+        let reply_bytes: usize = effects.iter().map(|effect| match effect {
+            EngineEffect::SendData { to, bytes } if *to == sender => bytes.len(),
             _ => 0,
         }).sum();
-        prop_assert!(answered <= bytes.len(), "{answered} bytes for {}", bytes.len());
+        prop_assert!(reply_bytes <= bytes.len(), "{reply_bytes} bytes sent for {} received", bytes.len());
     }
 
     #[test]
--- a/crates/foxledge-engine/tests/common/lists.rs
+++ b/crates/foxledge-engine/tests/common/lists.rs
@@ -19,12 +19,12 @@
         keys: vec![KeySpec { id: 1, secret: vec![7; 32] }],
         ..RuleList::default()
     };
-    for (name, place, specs) in
+    for (name, address, specs) in
         [("auction-desk", "auction", targets), ("lot-intake", "intake", intake)]
     {
         let service = ServiceSpec {
             name: ServiceName::new(name),
-            addresses: vec![ServiceAddress::new(place)],
+            addresses: vec![ServiceAddress::new(address)],
             queue_limit: 50,
             shards: 1,
             targets: specs.to_vec(),
@@ -32,7 +32,10 @@
         list.services.insert(service.name.clone(), Arc::new(service));
         list.rules.push(FlowRule {
             name: RuleName::new(name),
-            when: FlowMatch { addresses: vec![ServiceAddress::new(place)], ..FlowMatch::default() },
+            when: FlowMatch {
+                addresses: vec![ServiceAddress::new(address)],
+                ..FlowMatch::default()
+            },
             then: FlowTreatment::Serve(ServeTreatment {
                 service: ServiceName::new(name),
                 priority: PaidPriority(1),
--- a/crates/foxledge-engine/tests/common/mod.rs
+++ b/crates/foxledge-engine/tests/common/mod.rs
@@ -27,12 +27,12 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 use lists::{target_spec, test_list};
-use packets::work;
+use packets::bid_packet;
 use targets::FakeTarget;
 
 /// The data centre of every instance and target.
 pub const CENTRE: &str = "toledo";
-const TICK_MS: u64 = 10;
+const TICK_INTERVAL_MS: u64 = 10;
 
 /// `NetFaults` is what the network does to datagrams.
 #[derive(Clone, Copy, Default)]
@@ -45,7 +45,7 @@
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Delivery {
     Datagram { from: SocketAddr, to: SocketAddr, bytes: Vec<u8> },
-    TargetEnd { target: usize, dispatch: u64 },
+    RunEnd { target: usize, dispatch: u64 },
 }
 
 /// `TestNet` is the engines, the targets and what is on its way between them.
@@ -55,16 +55,16 @@
     frozen: BTreeSet<usize>,
     pub targets: Vec<FakeTarget>,
     pub faults: NetFaults,
-    pub cuts: BTreeSet<(SocketAddr, SocketAddr)>,
-    pub inbox: BTreeMap<SocketAddr, Vec<Packet>>,
+    pub cut_links: BTreeSet<(SocketAddr, SocketAddr)>,
+    pub caller_inboxes: BTreeMap<SocketAddr, Vec<Packet>>,
     /// What the instances put into their audit trails, in order.
-    pub audited: Vec<AuditChange>,
+    pub audit_changes: Vec<AuditChange>,
     queue: BTreeSet<(ClockTime, u64, Delivery)>,
-    sequence: u64,
-    next_tick: ClockTime,
+    last_sequence: u64,
+    next_tick_at: ClockTime,
     pub rng: StdRng,
     pub options: EngineOptions,
-    incarnation: u64,
+    last_incarnation: u64,
 }
 
 /// Where a port of the test network is.
@@ -96,15 +96,15 @@
             frozen: BTreeSet::new(),
             targets: Vec::new(),
             faults: NetFaults::default(),
-            cuts: BTreeSet::new(),
-            inbox: BTreeMap::new(),
-            audited: Vec::new(),
+            cut_links: BTreeSet::new(),
+            caller_inboxes: BTreeMap::new(),
+            audit_changes: Vec::new(),
             queue: BTreeSet::new(),
-            sequence: 0,
-            next_tick: ClockTime::from_micros(1_000_000),
+            last_sequence: 0,
+            next_tick_at: ClockTime::from_micros(1_000_000),
             rng: StdRng::seed_from_u64(seed),
             options,
-            incarnation: 100,
+            last_incarnation: 100,
         };
         for index in 0..3 {
             let service = if index < 2 { "auction-desk" } else { "lot-intake" };
@@ -112,18 +112,18 @@
         }
         for instance in 0..instances {
             net.engines.push(None);
-            net.start(instance);
+            net.start_instance(instance);
         }
-        net.share_view();
+        net.distribute_full_view();
         net
     }
 
     /// Starts a new process of the instance, with the first list.
-    pub fn start(&mut self, instance: usize) {
-        self.incarnation += 1;
+    pub fn start_instance(&mut self, instance: usize) {
+        self.last_incarnation += 1;
         let me = PeerInfo {
             name: InstanceName::new(&format!("i{instance}")),
-            incarnation: self.incarnation,
+            incarnation: self.last_incarnation,
             refutation: 0,
             state: PeerState::Alive,
             data_centre: CentreName::new(CENTRE),
@@ -133,14 +133,14 @@
         };
         let seed = self.rng.random();
         let mut engine = FlowEngine::new(self.options.clone(), me, seed);
-        engine.apply_list(self.now, Arc::new(self.list(1)));
+        engine.apply_list(self.now, Arc::new(self.current_list(1)));
         engine.set_phase(self.now, EnginePhase::Serving);
         self.engines[instance] = Some(engine);
         self.frozen.remove(&instance);
     }
 
     /// The list of the targets as they are now.
-    pub fn list(&self, revision: u64) -> RuleList {
+    pub fn current_list(&self, revision: u64) -> RuleList {
         let specs: Vec<_> = self.targets.iter().map(|target| target.spec.clone()).collect();
         test_list(revision, &specs[..2], &specs[2..])
     }
@@ -156,18 +156,18 @@
     }
 
     /// Lets a frozen instance work on.
-    pub fn wake(&mut self, instance: usize) {
+    pub fn unfreeze(&mut self, instance: usize) {
         self.frozen.remove(&instance);
     }
 
     /// Gives every live instance the view of all that are live.
-    pub fn share_view(&mut self) {
+    pub fn distribute_full_view(&mut self) {
         let all: Vec<usize> = (0..self.engines.len()).collect();
-        self.show_view(&all, &all);
+        self.distribute_view(&all, &all);
     }
 
     /// Shows `members` to `viewers`.
-    pub fn show_view(&mut self, viewers: &[usize], members: &[usize]) {
+    pub fn distribute_view(&mut self, viewers: &[usize], members: &[usize]) {
         let peers: Vec<_> = members
             .iter()
             .filter_map(|&index| self.engines[index].as_ref().map(|engine| engine.me().clone()))
@@ -176,15 +176,15 @@
         for &viewer in viewers {
             let Some(engine) = self.engines[viewer].as_mut() else { continue };
             let effects = engine.apply_peer_view(self.now, view.clone());
-            self.carry_out(viewer, effects);
+            self.apply_effects(viewer, effects);
         }
     }
 
     /// Gives one instance a list.
-    pub fn publish(&mut self, instance: usize, list: RuleList) {
+    pub fn apply_list(&mut self, instance: usize, list: RuleList) {
         let Some(engine) = self.engines[instance].as_mut() else { return };
         let effects = engine.apply_list(self.now, Arc::new(list));
-        self.carry_out(instance, effects);
+        self.apply_effects(instance, effects);
     }
 
     /// Sends a caller's packet to one instance, through the faulty network.
@@ -194,26 +194,31 @@
     }
 
     /// Lets `millis` pass.
-    pub fn run(&mut self, millis: u64) {
+    pub fn run_for(&mut self, millis: u64) {
         let end = self.now.after_millis(millis);
         while self.step(end) {}
         self.now = end;
     }
 
     /// Takes the packets that reached a caller.
-    pub fn take_answers(&mut self, caller: u64) -> Vec<Packet> {
-        self.inbox.remove(&caller_address(caller)).unwrap_or_default()
+    pub fn drain_answers(&mut self, caller: u64) -> Vec<Packet> {
+        self.caller_inboxes.remove(&caller_address(caller)).unwrap_or_default()
     }
 
     /// Gets a ticket through an instance, resending until it comes.
-    pub fn obtain_ticket(&mut self, caller: u64, instance: usize, place: &str) -> Option<Vec<u8>> {
-        let packet = Packet { idempotent: false, ..work(caller, 1, 0, place) };
+    pub fn obtain_ticket(
+        &mut self,
+        caller: u64,
+        instance: usize,
+        service_address: &str,
+    ) -> Option<Vec<u8>> {
+        let packet = Packet { idempotent: false, ..bid_packet(caller, 1, 0, service_address) };
         let kind = PacketKind::TicketRequest.into();
         let packet = Packet { kind, payload: vec![0; TICKET_PADDING], ..packet };
         for _ in 0..5 {
             self.send(caller, instance, &packet);
-            self.run(400);
-            let answers = self.take_answers(caller);
+            self.run_for(400);
+            let answers = self.drain_answers(caller);
             let grant = answers.iter().find(|answer| answer.kind() == PacketKind::TicketGrant);
             if let Some(grant) = grant {
                 return Some(grant.ticket.clone());
@@ -223,30 +228,30 @@
     }
 
     /// The instance that issued a ticket.
-    pub fn issuer(&self) -> usize {
+    pub fn issuing_instance(&self) -> usize {
         (0..self.engines.len())
             .find(|&i| self.engines[i].as_ref().is_some_and(|e| e.counters().tickets_issued > 0))
             .expect("a ticket was issued")
     }
 
     /// What was audited of that kind, in order.
-    pub fn audited_of(&self, kind: AuditKind) -> Vec<AuditChange> {
-        self.audited.iter().filter(|change| change.kind == kind).cloned().collect()
+    pub fn audit_changes_of(&self, kind: AuditKind) -> Vec<AuditChange> {
+        self.audit_changes.iter().filter(|change| change.kind == kind).cloned().collect()
     }
 
     fn step(&mut self, end: ClockTime) -> bool {
-        let next = self.queue.first().map_or(ClockTime::MAX, |(at, ..)| *at);
-        if next.min(self.next_tick) > end {
+        let next = self.queue.first().map_or(ClockTime::MAX, |(delivered_at, ..)| *delivered_at);
+        if next.min(self.next_tick_at) > end {
             return false;
         }
-        if self.next_tick <= next {
-            self.now = self.next_tick;
-            self.next_tick = self.next_tick.after_millis(TICK_MS);
+        if self.next_tick_at <= next {
+            self.now = self.next_tick_at;
+            self.next_tick_at = self.next_tick_at.after_millis(TICK_INTERVAL_MS);
             self.tick();
             return true;
         }
-        let Some((at, _, delivery)) = self.queue.pop_first() else { return false };
-        self.now = self.now.max(at);
+        let Some((delivered_at, _, delivery)) = self.queue.pop_first() else { return false };
+        self.now = self.now.max(delivered_at);
         self.deliver(delivery);
         true
     }
@@ -258,22 +263,22 @@
             }
             let Some(engine) = self.engines[instance].as_mut() else { continue };
             let effects = engine.on_tick(self.now);
-            self.carry_out(instance, effects);
+            self.apply_effects(instance, effects);
         }
     }
 
     fn deliver(&mut self, delivery: Delivery) {
         match delivery {
-            Delivery::TargetEnd { target, dispatch } => {
-                let sends = self.targets[target].end(dispatch);
+            Delivery::RunEnd { target, dispatch } => {
+                let sends = self.targets[target].end_run(dispatch);
                 self.send_from_target(target, sends);
             }
             Delivery::Datagram { from, to, bytes } => match to.port() {
                 1000..=2999 => self.deliver_to_instance(from, to, bytes),
                 4000..=4999 => self.deliver_to_target(from, to, &bytes),
                 _ => {
-                    let packet = decode_packet(&bytes).expect("instances send sound packets");
-                    self.inbox.entry(to).or_default().push(packet);
+                    let packet = decode_packet(&bytes).expect("instances send valid packets");
+                    self.caller_inboxes.entry(to).or_default().push(packet);
                 }
             },
         }
@@ -283,21 +288,21 @@
         let instance = usize::from(to.port() % 1000);
         if self.frozen.contains(&instance) {
             // It waits in the socket until the process wakes up.
-            let later = self.now.after_millis(5);
-            return self.enqueue(later, Delivery::Datagram { from, to, bytes });
+            let delivered_at = self.now.after_millis(5);
+            return self.enqueue(delivered_at, Delivery::Datagram { from, to, bytes });
         }
         let Some(engine) = self.engines[instance].as_mut() else { return };
         let effects = match to.port() {
             1000..=1999 => engine.on_datagram(self.now, from, &bytes),
             _ => engine.on_peer_datagram(self.now, from, &bytes),
         };
-        self.carry_out(instance, effects);
+        self.apply_effects(instance, effects);
     }
 
     fn deliver_to_target(&mut self, from: SocketAddr, to: SocketAddr, bytes: &[u8]) {
         let target = usize::from(to.port() - 4000);
-        let packet = decode_packet(bytes).expect("instances send sound packets");
-        let sends = self.targets[target].take(from, packet);
+        let packet = decode_packet(bytes).expect("instances send valid packets");
+        let sends = self.targets[target].handle_packet(from, packet);
         self.send_from_target(target, sends);
     }
 
@@ -306,13 +311,13 @@
         for (to, packet) in sends.packets {
             self.transmit(from, to, encode_packet(&packet));
         }
-        if let Some(dispatch) = sends.started {
+        if let Some(dispatch) = sends.started_dispatch {
             let work = self.rng.random_range(5..60);
-            self.enqueue(self.now.after_millis(work), Delivery::TargetEnd { target, dispatch });
+            self.enqueue(self.now.after_millis(work), Delivery::RunEnd { target, dispatch });
         }
     }
 
-    fn carry_out(&mut self, instance: usize, effects: Vec<EngineEffect>) {
+    fn apply_effects(&mut self, instance: usize, effects: Vec<EngineEffect>) {
         for effect in effects {
             match effect {
                 EngineEffect::SendData { to, bytes } => {
@@ -321,14 +326,14 @@
                 EngineEffect::SendPeer { to, bytes } => {
                     self.transmit(address(2000 + instance as u16), to, bytes);
                 }
-                EngineEffect::Audit(change) => self.audited.push(change),
+                EngineEffect::Audit(change) => self.audit_changes.push(change),
                 EngineEffect::RecordWait { .. } => {}
             }
         }
     }
 
     fn transmit(&mut self, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
-        if self.cuts.contains(&(from, to)) {
+        if self.cut_links.contains(&(from, to)) {
             return;
         }
         let copies = 1 + usize::from(self.rng.random_bool(self.faults.duplicate));
@@ -337,13 +342,13 @@
                 continue;
             }
             let delay = 1 + self.rng.random_range(0..=self.faults.delay_ms);
-            let at = self.now.after_millis(delay);
-            self.enqueue(at, Delivery::Datagram { from, to, bytes: bytes.clone() });
+            let delivered_at = self.now.after_millis(delay);
+            self.enqueue(delivered_at, Delivery::Datagram { from, to, bytes: bytes.clone() });
         }
     }
 
-    fn enqueue(&mut self, at: ClockTime, delivery: Delivery) {
-        self.sequence += 1;
-        self.queue.insert((at, self.sequence, delivery));
+    fn enqueue(&mut self, delivered_at: ClockTime, delivery: Delivery) {
+        self.last_sequence += 1;
+        self.queue.insert((delivered_at, self.last_sequence, delivery));
     }
 }
--- a/crates/foxledge-engine/tests/common/packets.rs
+++ b/crates/foxledge-engine/tests/common/packets.rs
@@ -3,12 +3,12 @@
 use foxledge_wire::flow::{Packet, PacketKind, RunOutcome, WorkKind};
 
 /// A bid of one part.
-pub fn work(caller: u64, flow: u64, request: u64, place: &str) -> Packet {
+pub fn bid_packet(caller: u64, flow: u64, request: u64, address: &str) -> Packet {
     Packet {
         version: foxledge_wire::PROTOCOL_VERSION,
         kind: PacketKind::Work.into(),
         flow,
-        address: place.to_owned(),
+        address: address.to_owned(),
         member: "bricks".to_owned(),
         caller,
         request,
--- a/crates/foxledge-engine/tests/common/targets.rs
+++ b/crates/foxledge-engine/tests/common/targets.rs
@@ -18,11 +18,11 @@
 pub struct TargetSends {
     pub packets: Vec<(SocketAddr, Packet)>,
     /// A dispatch that was started and will end.
-    pub started: Option<u64>,
+    pub started_dispatch: Option<u64>,
 }
 
 struct KnownDispatch {
-    opener: SocketAddr,
+    home_address: SocketAddr,
     packet: Packet,
     is_ended: bool,
     refusal: Option<Refusal>,
@@ -33,12 +33,12 @@
     pub service: String,
     pub spec: TargetSpec,
     pub runs: BTreeMap<RunKey, u32>,
-    pub strangers: u32,
+    pub misdirected_packets: u32,
     pub draining: bool,
     /// Answers carry the request's payload.
-    pub echoes: bool,
-    busy: u32,
-    known: HashMap<u64, KnownDispatch>,
+    pub echoes_payload: bool,
+    busy_slots: u32,
+    dispatches: HashMap<u64, KnownDispatch>,
 }
 
 impl FakeTarget {
@@ -47,28 +47,28 @@
             service: service.to_owned(),
             spec,
             runs: BTreeMap::new(),
-            strangers: 0,
+            misdirected_packets: 0,
             draining: false,
-            echoes: false,
-            busy: 0,
-            known: HashMap::new(),
+            echoes_payload: false,
+            busy_slots: 0,
+            dispatches: HashMap::new(),
         }
     }
 
     /// Takes a packet from an instance.
-    pub fn take(&mut self, from: SocketAddr, packet: Packet) -> TargetSends {
+    pub fn handle_packet(&mut self, from: SocketAddr, packet: Packet) -> TargetSends {
         let is_mine =
             packet.service == self.service && packet.target_incarnation == self.spec.incarnation;
         match packet.kind() {
             PacketKind::Probe => self.reply(from, &packet, PacketKind::ProbeReply),
             _ if !is_mine => {
-                self.strangers += 1;
+                self.misdirected_packets += 1;
                 self.refuse(from, &packet, RefusalReason::WrongTarget)
             }
-            PacketKind::Work => self.take_work(from, packet),
+            PacketKind::Work => self.handle_work(from, packet),
             PacketKind::Check => {
-                let known = self.known.get(&packet.dispatch);
-                let is_open = known.is_some_and(|known| !known.is_ended);
+                let dispatch = self.dispatches.get(&packet.dispatch);
+                let is_open = dispatch.is_some_and(|dispatch| !dispatch.is_ended);
                 let kind = if is_open { PacketKind::Ack } else { PacketKind::Done };
                 self.reply(from, &packet, kind)
             }
@@ -78,42 +78,44 @@
     }
 
     /// Ends a run.
-    pub fn end(&mut self, dispatch: u64) -> TargetSends {
-        let Some(known) = self.known.get_mut(&dispatch) else { return TargetSends::default() };
-        known.is_ended = true;
-        let (opener, packet) = (known.opener, known.packet.clone());
-        self.busy -= 1;
+    pub fn end_run(&mut self, dispatch: u64) -> TargetSends {
+        let Some(known_dispatch) = self.dispatches.get_mut(&dispatch) else {
+            return TargetSends::default();
+        };
+        known_dispatch.is_ended = true;
+        let (opener, packet) = (known_dispatch.home_address, known_dispatch.packet.clone());
+        self.busy_slots -= 1;
         let mut sends = self.reply(opener, &packet, PacketKind::Answer);
         sends.packets.extend(self.reply(opener, &packet, PacketKind::Done).packets);
         sends
     }
 
-    fn take_work(&mut self, from: SocketAddr, packet: Packet) -> TargetSends {
-        if let Some(known) = self.known.get(&packet.dispatch) {
-            return match (&known.refusal, known.is_ended) {
+    fn handle_work(&mut self, from: SocketAddr, packet: Packet) -> TargetSends {
+        if let Some(known_dispatch) = self.dispatches.get(&packet.dispatch) {
+            return match (&known_dispatch.refusal, known_dispatch.is_ended) {
                 (Some(refusal), _) => self.refuse(from, &packet, refusal.reason()),
                 (None, true) => self.reply(from, &packet, PacketKind::Answer),
                 (None, false) => self.reply(from, &packet, PacketKind::Ack),
             };
         }
         let is_feed = packet.work() == WorkKind::Feed;
-        let is_full = !is_feed && self.busy >= self.spec.slots;
+        let is_full = !is_feed && self.busy_slots >= self.spec.slots;
         let refusal = is_full.then(|| Refusal {
             outcome: RunOutcome::NotRun.into(),
             reason: RefusalReason::TargetShed.into(),
             retry_after_ms: 10,
         });
-        let known =
-            KnownDispatch { opener: from, packet: packet.clone(), is_ended: false, refusal };
-        self.known.insert(packet.dispatch, known);
+        let known_dispatch =
+            KnownDispatch { home_address: from, packet: packet.clone(), is_ended: false, refusal };
+        self.dispatches.insert(packet.dispatch, known_dispatch);
         if is_full {
             return self.refuse(from, &packet, RefusalReason::TargetShed);
         }
         *self.runs.entry((packet.caller, packet.flow, packet.request)).or_default() += 1;
         let mut sends = self.reply(from, &packet, PacketKind::Ack);
         if !is_feed {
-            self.busy += 1;
-            sends.started = Some(packet.dispatch);
+            self.busy_slots += 1;
+            sends.started_dispatch = Some(packet.dispatch);
         }
         sends
     }
@@ -132,7 +134,7 @@
     fn reply(&self, to: SocketAddr, packet: &Packet, kind: PacketKind) -> TargetSends {
         let is_answer = kind == PacketKind::Answer;
         let load = LoadReport {
-            busy_slots: self.busy,
+            busy_slots: self.busy_slots,
             draining: self.draining,
             healthy: true,
             ..LoadReport::default()
@@ -147,10 +149,14 @@
             service: packet.service.clone(),
             return_path: packet.return_path.clone(),
             parts: u32::from(is_answer),
-            payload: if self.echoes && is_answer { packet.payload.clone() } else { Vec::new() },
+            payload: if self.echoes_payload && is_answer {
+                packet.payload.clone()
+            } else {
+                Vec::new()
+            },
             load: Some(load),
             ..Packet::default()
         };
-        TargetSends { packets: vec![(to, reply)], started: None }
+        TargetSends { packets: vec![(to, reply)], started_dispatch: None }
     }
 }
--- a/crates/foxledge-engine/tests/core_sweep.rs
+++ b/crates/foxledge-engine/tests/core_sweep.rs
@@ -6,7 +6,7 @@
 
 use common::{
     NetFaults, TestNet,
-    packets::{is_answered, refusals, work},
+    packets::{bid_packet, is_answered, refusals},
 };
 use foxledge_core::lists::KeySpec;
 use foxledge_engine::{EngineOptions, TrialSwitches};
@@ -38,18 +38,18 @@
     Freeze {
         instance: usize,
     },
-    Wake {
+    Unfreeze {
         instance: usize,
     },
-    Split {
+    SplitViews {
         alone: usize,
     },
-    Heal,
+    HealViews,
     Drain {
         target: usize,
     },
     /// Everybody, or one instance only, gets the next key.
-    Rotate {
+    RotateKeys {
         reach: usize,
     },
     /// One instance gets a list that denies everything, or the usual one again.
@@ -57,7 +57,7 @@
         instance: usize,
     },
     /// One instance is handed an old list.
-    Stale {
+    StaleList {
         instance: usize,
     },
     Poll {
@@ -76,13 +76,13 @@
         4 => (1u64..600).prop_map(|millis| Step::Wait { millis }),
         1 => instance.clone().prop_map(|instance| Step::Replace { instance }),
         1 => instance.clone().prop_map(|instance| Step::Freeze { instance }),
-        1 => instance.clone().prop_map(|instance| Step::Wake { instance }),
-        1 => instance.prop_map(|alone| Step::Split { alone }),
-        1 => Just(Step::Heal),
+        1 => instance.clone().prop_map(|instance| Step::Unfreeze { instance }),
+        1 => instance.prop_map(|alone| Step::SplitViews { alone }),
+        1 => Just(Step::HealViews),
         1 => (0usize..2).prop_map(|target| Step::Drain { target }),
-        1 => (0usize..4).prop_map(|reach| Step::Rotate { reach }),
+        1 => (0usize..4).prop_map(|reach| Step::RotateKeys { reach }),
         1 => (0usize..3).prop_map(|instance| Step::Deny { instance }),
-        1 => (0usize..3).prop_map(|instance| Step::Stale { instance }),
+        1 => (0usize..3).prop_map(|instance| Step::StaleList { instance }),
         2 => (1u64..5, 0usize..3).prop_map(|(caller, instance)| Step::Poll { caller, instance }),
     ]
 }
@@ -90,15 +90,15 @@
 struct Sweep {
     net: TestNet,
     tickets: BTreeMap<u64, Vec<u8>>,
-    last: BTreeMap<u64, Packet>,
-    request: u64,
+    last_bids: BTreeMap<u64, Packet>,
+    last_request: u64,
     not_run: BTreeSet<(u64, u64)>,
     answered: BTreeSet<(u64, u64)>,
     revision: u64,
     newest_key: u32,
     /// Highest revision seen in force at each instance's present process.
-    in_force: [u64; 3],
-    tokens: BTreeMap<u64, Packet>,
+    highest_revisions: [u64; 3],
+    polls: BTreeMap<u64, Packet>,
 }
 
 impl Sweep {
@@ -108,14 +108,14 @@
         Sweep {
             net,
             tickets: BTreeMap::new(),
-            last: BTreeMap::new(),
-            request: 0,
+            last_bids: BTreeMap::new(),
+            last_request: 0,
             not_run: BTreeSet::new(),
             answered: BTreeSet::new(),
             revision: 1,
             newest_key: 1,
-            in_force: [0; 3],
-            tokens: BTreeMap::new(),
+            highest_revisions: [0; 3],
+            polls: BTreeMap::new(),
         }
     }
 
@@ -123,29 +123,29 @@
         match step {
             Step::Bid { caller, instance, copies } => self.bid(caller, instance, copies),
             Step::Resend { caller, instance } => {
-                if let Some(packet) = self.last.get(&caller).cloned() {
+                if let Some(packet) = self.last_bids.get(&caller).cloned() {
                     self.net.send(caller, instance, &Packet { attempt: 1, ..packet });
                 }
             }
-            Step::Wait { millis } => self.net.run(millis),
+            Step::Wait { millis } => self.net.run_for(millis),
             Step::Replace { instance } => {
                 self.net.kill(instance);
-                self.net.start(instance);
-                self.in_force[instance] = 0;
+                self.net.start_instance(instance);
+                self.highest_revisions[instance] = 0;
                 let list = self.list();
-                self.net.publish(instance, list);
-                self.net.share_view();
+                self.net.apply_list(instance, list);
+                self.net.distribute_full_view();
             }
             Step::Freeze { instance } => self.net.freeze(instance),
-            Step::Wake { instance } => self.net.wake(instance),
-            Step::Split { alone } => {
+            Step::Unfreeze { instance } => self.net.unfreeze(instance),
+            Step::SplitViews { alone } => {
                 let rest: Vec<_> = (0..3).filter(|&i| i != alone).collect();
-                self.net.show_view(&[alone], &[alone]);
-                self.net.show_view(&rest, &rest);
+                self.net.distribute_view(&[alone], &[alone]);
+                self.net.distribute_view(&rest, &rest);
             }
-            Step::Heal => self.net.share_view(),
+            Step::HealViews => self.net.distribute_full_view(),
             Step::Drain { target } => self.drain(target),
-            Step::Rotate { reach } => {
+            Step::RotateKeys { reach } => {
                 self.newest_key += 1;
                 self.publish(if reach == 3 { 0..3 } else { reach..reach + 1 });
             }
@@ -153,19 +153,19 @@
                 self.revision += 1;
                 let mut list = self.list();
                 list.rules.clear();
-                self.net.publish(instance, list);
+                self.net.apply_list(instance, list);
             }
-            Step::Stale { instance } => {
-                let old = self.net.list(1);
-                self.net.publish(instance, old);
+            Step::StaleList { instance } => {
+                let old = self.net.current_list(1);
+                self.net.apply_list(instance, old);
             }
             Step::Poll { caller, instance } => {
-                if let Some(poll) = self.tokens.get(&caller).cloned() {
+                if let Some(poll) = self.polls.get(&caller).cloned() {
                     self.net.send(caller, instance, &poll);
                 }
             }
         }
-        self.collect();
+        self.collect_answers();
         self.check_revisions();
     }
 
@@ -174,14 +174,17 @@
         for instance in 0..3 {
             let Some(engine) = self.net.engines[instance].as_ref() else { continue };
             let revision = engine.status(self.net.now).version.revision;
-            assert!(revision >= self.in_force[instance], "instance {instance} went back");
-            self.in_force[instance] = revision;
+            assert!(
+                revision >= self.highest_revisions[instance],
+                "instance {instance} applied an older list"
+            );
+            self.highest_revisions[instance] = revision;
         }
     }
 
     /// The present list: targets as they are, the newest two keys.
     fn list(&self) -> foxledge_core::lists::RuleList {
-        let mut list = self.net.list(self.revision);
+        let mut list = self.net.current_list(self.revision);
         let oldest = self.newest_key.saturating_sub(1).max(1);
         list.keys = (oldest..=self.newest_key)
             .map(|id| KeySpec { id, secret: vec![6 + id as u8; 32] })
@@ -193,7 +196,7 @@
         self.revision += 1;
         let list = self.list();
         for instance in instances {
-            self.net.publish(instance, list.clone());
+            self.net.apply_list(instance, list.clone());
         }
     }
 
@@ -203,14 +206,14 @@
             let Some(ticket) = ticket else { return };
             self.tickets.insert(caller, ticket);
         }
-        self.request += 1;
+        self.last_request += 1;
         let ticket = self.tickets[&caller].clone();
-        let packet = Packet { ticket, ..work(caller, caller, self.request, "auction") };
+        let packet = Packet { ticket, ..bid_packet(caller, caller, self.last_request, "auction") };
         for _ in 0..copies {
             let to = self.net.rng.random_range(0..3);
             self.net.send(caller, to, &packet);
         }
-        self.last.insert(caller, packet);
+        self.last_bids.insert(caller, packet);
     }
 
     fn drain(&mut self, target: usize) {
@@ -219,9 +222,9 @@
         self.publish(0..3);
     }
 
-    fn collect(&mut self) {
+    fn collect_answers(&mut self) {
         for caller in 1..5 {
-            for answer in self.net.take_answers(caller) {
+            for answer in self.net.drain_answers(caller) {
                 let key = (caller, answer.request);
                 if refusals(std::slice::from_ref(&answer)) == [RunOutcome::NotRun]
                     && answer.request > 0
@@ -232,7 +235,7 @@
                 }
                 if is_answered(std::slice::from_ref(&answer)) {
                     self.answered.insert(key);
-                    self.keep_token(caller, &answer);
+                    self.record_token(caller, &answer);
                     if !answer.ticket.is_empty() {
                         self.tickets.insert(caller, answer.ticket);
                     }
@@ -241,46 +244,46 @@
         }
     }
 
-    fn keep_token(&mut self, caller: u64, answer: &Packet) {
+    fn record_token(&mut self, caller: u64, answer: &Packet) {
         let poll = Packet {
             kind: PacketKind::Poll.into(),
             token: answer.token.clone(),
             parts: 0,
             payload: Vec::new(),
-            ..work(caller, answer.flow, answer.request, "auction")
+            ..bid_packet(caller, answer.flow, answer.request, "auction")
         };
-        self.tokens.insert(caller, poll);
+        self.polls.insert(caller, poll);
     }
 
     /// What was broken once everything has come to rest.
     fn violations(&mut self) -> Vec<String> {
         for instance in 0..3 {
-            self.net.wake(instance);
+            self.net.unfreeze(instance);
         }
-        self.net.run(6_000);
-        self.collect();
+        self.net.run_for(6_000);
+        self.collect_answers();
         let mut ran = BTreeMap::new();
         for target in &self.net.targets {
             for (&(caller, _, request), &count) in &target.runs {
                 *ran.entry((caller, request)).or_insert(0) += count;
             }
         }
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         for (key, count) in &ran {
             if *count > 1 {
-                broken.push(format!("request {key:?} ran {count} times"));
+                violations.push(format!("request {key:?} ran {count} times"));
             }
             if self.not_run.contains(key) {
-                broken.push(format!("request {key:?} was called not run, but ran"));
+                violations.push(format!("request {key:?} was refused as not run, but ran"));
             }
         }
         for key in self.answered.iter().filter(|key| !ran.contains_key(key)) {
-            broken.push(format!("request {key:?} was answered, but never ran"));
+            violations.push(format!("request {key:?} was answered, but never ran"));
         }
         if !self.net.targets[2].runs.is_empty() {
-            broken.push("an auction bid reached lot intake".to_owned());
+            violations.push("an auction bid reached lot intake".to_owned());
         }
-        broken
+        violations
     }
 }
 
@@ -312,8 +315,8 @@
     assert_eq!(violation_without(60, on), None);
     assert!(violation_without(60, TrialSwitches { run_once: false, ..on }).is_some());
     // A refusal, a new list and a late copy have to meet, which is rarer.
-    let forgetful = TrialSwitches { remember_refusals: false, ..on };
-    assert!(violation_without(1_000, forgetful).is_some());
+    let without_refusals = TrialSwitches { remember_refusals: false, ..on };
+    assert!(violation_without(1_000, without_refusals).is_some());
 }
 
 proptest! {
@@ -341,7 +344,7 @@
         Step::Drain { target: 0 },
         Step::Bid { caller: 1, instance: 0, copies: 1 },
         Step::Bid { caller: 1, instance: 0, copies: 1 },
-        Step::Heal,
+        Step::HealViews,
         Step::Bid { caller: 2, instance: 0, copies: 1 },
         Step::Drain { target: 0 },
     ];
--- a/crates/foxledge-engine/tests/flow_reports.rs
+++ b/crates/foxledge-engine/tests/flow_reports.rs
@@ -4,7 +4,7 @@
 
 use common::{
     TestNet, address, data_address,
-    packets::{refusals, work},
+    packets::{bid_packet, refusals},
     target_address,
 };
 use foxledge_core::{
@@ -19,10 +19,10 @@
 fn unknown_audited() {
     let mut net = TestNet::new(2, 5, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
-    let home = net.issuer();
+    let home = net.issuing_instance();
     net.kill(home);
     let entry = net.engines[1 - home].as_mut().unwrap();
-    let bid = Packet { ticket, ..work(1, 1, 1, "auction") };
+    let bid = Packet { ticket, ..bid_packet(1, 1, 1, "auction") };
     let mut effects = Vec::new();
     let mut now = net.now;
     effects.extend(entry.on_datagram(now, address(5001), &foxledge_wire::encode_packet(&bid)));
@@ -30,27 +30,27 @@
         now = ClockTime::from_micros(now.as_micros() + 10_000);
         effects.extend(entry.on_tick(now));
     }
-    let audited = effects.iter().filter(|e| matches!(e, EngineEffect::Audit(_))).count();
-    assert_eq!(audited, 1, "one request was left unknown");
-    let explained = entry.explain(&bid_query(1));
-    assert!(explained.flow_events.iter().any(|event| event.text.contains("Unknown")));
-    assert_eq!(explained.target, None, "it was sent to no backend server from here");
+    let audit_count = effects.iter().filter(|e| matches!(e, EngineEffect::Audit(_))).count();
+    assert_eq!(audit_count, 1, "one request has an unknown outcome");
+    let explanation = entry.explain(&bid_query(1));
+    assert!(explanation.flow_events.iter().any(|event| event.text.contains("Unknown")));
+    assert_eq!(explanation.target, None, "this instance sent it to no backend server");
 }
 
 #[test]
 fn target_explained() {
     let mut net = TestNet::new(1, 5, EngineOptions::default());
-    let bid = Packet { idempotent: true, ..work(1, 1, 1, "auction") };
+    let bid = Packet { idempotent: true, ..bid_packet(1, 1, 1, "auction") };
     net.send(1, 0, &bid);
-    net.run(500);
+    net.run_for(500);
     let engine = net.engines[0].as_ref().unwrap();
-    let explained = engine.explain(&bid_query(1));
-    let served = net.targets.iter().find(|target| !target.runs.is_empty()).unwrap();
-    let wanted = format!("{}@{}", served.spec.name, served.spec.address);
-    let json = serde_json::to_value(&explained).unwrap();
-    assert_eq!(json["target"], wanted.as_str());
-    assert_eq!(json["flow_events"][0]["target"], wanted.as_str());
-    assert_eq!(engine.explain(&bid_query(2)).target, None, "nothing of that flow was sent");
+    let explanation = engine.explain(&bid_query(1));
+    let serving_target = net.targets.iter().find(|target| !target.runs.is_empty()).unwrap();
+    let expected = format!("{}@{}", serving_target.spec.name, serving_target.spec.address);
+    let json = serde_json::to_value(&explanation).unwrap();
+    assert_eq!(json["target"], expected.as_str());
+    assert_eq!(json["flow_events"][0]["target"], expected.as_str());
+    assert_eq!(engine.explain(&bid_query(2)).target, None, "no request of that flow was sent");
 }
 
 /// Callers send a bid by ticket each, and no answer of a target arrives any more; gives what
@@ -60,22 +60,22 @@
     let mut bids = Vec::new();
     for caller in 1..=callers {
         let ticket = net.obtain_ticket(caller, 0, "auction").unwrap();
-        bids.push(Packet { ticket, ..work(caller, caller, 1, "auction") });
+        bids.push(Packet { ticket, ..bid_packet(caller, caller, 1, "auction") });
     }
     cut_answers(&mut net);
     for bid in &bids {
         net.send(bid.caller, 0, bid);
     }
-    net.run(5_000);
+    net.run_for(5_000);
     for caller in 1..=callers {
-        assert_eq!(refusals(&net.take_answers(caller)), [RunOutcome::Unknown]);
+        assert_eq!(refusals(&net.drain_answers(caller)), [RunOutcome::Unknown]);
     }
-    net.audited_of(AuditKind::FlowDecided)
+    net.audit_changes_of(AuditKind::FlowDecided)
 }
 
 fn cut_answers(net: &mut TestNet) {
     for target in 0..2 {
-        net.cuts.insert((target_address(target), data_address(0)));
+        net.cut_links.insert((target_address(target), data_address(0)));
     }
 }
 
@@ -84,10 +84,10 @@
     // Symptom: a home left a bid unknown, and its audit trail didn't name it.
     // Sequence: a bid by ticket is dispatched, and its target falls silent.
     // Cause: what the home keeps of an open request has no ticket, as if it were idempotent.
-    let wanted = AuditChange::new(AuditKind::FlowDecided, "flow 0000000000000001 request 1")
+    let expected = AuditChange::new(AuditKind::FlowDecided, "flow 0000000000000001 request 1")
         .with_values("", "refused Unknown TargetLost")
         .with_cause("may have run", "engine");
-    assert_eq!(audit_lost_bids(1), [wanted]);
+    assert_eq!(audit_lost_bids(1), [expected]);
 }
 
 #[test]
@@ -102,10 +102,13 @@
 fn idempotent_not_audited() {
     let mut net = TestNet::new(1, 5, EngineOptions::default());
     cut_answers(&mut net);
-    net.send(1, 0, &Packet { idempotent: true, ..work(1, 1, 1, "auction") });
-    net.run(5_000);
-    assert_eq!(refusals(&net.take_answers(1)), [RunOutcome::Unknown]);
-    assert!(net.audited_of(AuditKind::FlowDecided).is_empty(), "its caller may ask again");
+    net.send(1, 0, &Packet { idempotent: true, ..bid_packet(1, 1, 1, "auction") });
+    net.run_for(5_000);
+    assert_eq!(refusals(&net.drain_answers(1)), [RunOutcome::Unknown]);
+    assert!(
+        net.audit_changes_of(AuditKind::FlowDecided).is_empty(),
+        "its caller may repeat the request"
+    );
 }
 
 #[test]
@@ -115,22 +118,22 @@
     // Cause: both the engine and the desk recorded what a list changes.
     let mut net = TestNet::new(1, 5, EngineOptions::default());
     net.targets[0].spec.draining = true;
-    net.publish(0, net.list(2));
+    net.apply_list(0, net.current_list(2));
     net.targets[1].draining = true;
-    net.run(5_000);
+    net.run_for(5_000);
     net.targets[0].spec.draining = false;
-    net.publish(0, net.list(3));
+    net.apply_list(0, net.current_list(3));
     let drain = |subject: &str, old: &str, new: &str, cause: &str, source: &str| {
         AuditChange::new(AuditKind::TargetDraining, subject)
             .with_values(old, new)
             .with_cause(cause, source)
     };
-    let wanted = [
+    let expected = [
         drain("auction-desk/t0", "open", "draining", "published", "list"),
         drain("auction-desk/t1", "open", "draining", "reported", "observation"),
         drain("auction-desk/t0", "draining", "open", "published", "list"),
     ];
-    assert_eq!(net.audited_of(AuditKind::TargetDraining), wanted);
+    assert_eq!(net.audit_changes_of(AuditKind::TargetDraining), expected);
 }
 
 fn bid_query(flow: u64) -> ExplainQuery {
--- a/crates/foxledge-engine/tests/flow_tokens.rs
+++ b/crates/foxledge-engine/tests/flow_tokens.rs
@@ -4,25 +4,28 @@
 
 use std::sync::Arc;
 
-use common::{TestNet, lists::target_spec, packets::work};
+use common::{TestNet, lists::target_spec, packets::bid_packet};
 use foxledge_core::lists::KeySpec;
 use foxledge_engine::{EngineOptions, TrialSwitches};
 use foxledge_wire::flow::{Packet, PacketKind, RefusalReason, WorkKind};
 
 fn open_feed(net: &mut TestNet, caller: u64) -> Packet {
-    let feed =
-        Packet { work: WorkKind::Feed.into(), idempotent: true, ..work(caller, 9, 1, "auction") };
+    let feed = Packet {
+        work: WorkKind::Feed.into(),
+        idempotent: true,
+        ..bid_packet(caller, 9, 1, "auction")
+    };
     net.send(caller, 0, &feed);
-    net.run(300);
-    let ack = net.take_answers(caller).into_iter().find(|a| a.kind() == PacketKind::Ack);
+    net.run_for(300);
+    let ack = net.drain_answers(caller).into_iter().find(|a| a.kind() == PacketKind::Ack);
     let token = ack.expect("the feed was opened").token;
     Packet { kind: PacketKind::Poll.into(), token, parts: 0, payload: Vec::new(), ..feed }
 }
 
 fn poll_kinds(net: &mut TestNet, instance: usize, poll: &Packet) -> Vec<PacketKind> {
     net.send(poll.caller, instance, poll);
-    net.run(100);
-    net.take_answers(poll.caller).iter().map(Packet::kind).collect()
+    net.run_for(100);
+    net.drain_answers(poll.caller).iter().map(Packet::kind).collect()
 }
 
 #[test]
@@ -34,9 +37,9 @@
     let poll = open_feed(&mut net, 1);
     for instance in 0..3 {
         net.kill(instance);
-        net.start(instance);
+        net.start_instance(instance);
     }
-    net.share_view();
+    net.distribute_full_view();
     for instance in 0..3 {
         assert_eq!(poll_kinds(&mut net, instance, &poll), [PacketKind::FeedItem]);
     }
@@ -53,22 +56,22 @@
         let switches = TrialSwitches { check_target_owner, ..TrialSwitches::default() };
         let mut net = TestNet::new(1, 2, EngineOptions::default().trial(switches));
         let poll = open_feed(&mut net, 1);
-        let served = net.targets.iter().position(|t| !t.runs.is_empty()).unwrap();
-        let mut list = net.list(2);
-        let taken = target_spec(served, 2);
-        let desk = Arc::make_mut(list.services.get_mut("auction-desk").unwrap());
-        desk.targets.retain(|target| target.address != taken.address);
+        let serving_target = net.targets.iter().position(|t| !t.runs.is_empty()).unwrap();
+        let mut list = net.current_list(2);
+        let reassigned = target_spec(serving_target, 2);
+        let auction = Arc::make_mut(list.services.get_mut("auction-desk").unwrap());
+        auction.targets.retain(|target| target.address != reassigned.address);
         let intake = Arc::make_mut(list.services.get_mut("lot-intake").unwrap());
-        intake.targets.push(taken.clone());
-        net.targets[served].service = "lot-intake".to_owned();
-        net.targets[served].spec = taken;
-        net.publish(0, list);
+        intake.targets.push(reassigned.clone());
+        net.targets[serving_target].service = "lot-intake".to_owned();
+        net.targets[serving_target].spec = reassigned;
+        net.apply_list(0, list);
         net.send(1, 0, &poll);
-        net.run(100);
+        net.run_for(100);
         let reasons: Vec<_> =
-            net.take_answers(1).iter().filter_map(|a| Some(a.refusal?.reason())).collect();
+            net.drain_answers(1).iter().filter_map(|a| Some(a.refusal?.reason())).collect();
         assert_eq!(reasons, [reason]);
-        assert_eq!(net.targets[served].strangers, strangers);
+        assert_eq!(net.targets[serving_target].misdirected_packets, strangers);
     }
 }
 
@@ -82,12 +85,12 @@
     let key =
         |id: u8| KeySpec { id: u32::from(id), secret: vec![if id == 1 { 7 } else { id }; 32] };
     for (revision, keys) in [(2, [key(1), key(2)]), (3, [key(2), key(3)])] {
-        let mut list = net.list(revision);
+        let mut list = net.current_list(revision);
         list.keys = keys.to_vec();
-        net.publish(0, list);
+        net.apply_list(0, list);
         net.send(1, 0, &poll);
-        net.run(100);
-        let answer = net.take_answers(1).into_iter().next().unwrap();
+        net.run_for(100);
+        let answer = net.drain_answers(1).into_iter().next().unwrap();
         assert_eq!(answer.kind(), PacketKind::FeedItem, "after revision {revision}");
         poll.token = answer.token;
     }
@@ -97,12 +100,12 @@
 fn other_flow() {
     let mut net = TestNet::new(1, 4, EngineOptions::default());
     let poll = open_feed(&mut net, 1);
-    for stolen in [
+    for mismatched in [
         Packet { flow: 77, ..poll.clone() },
         Packet { caller: 2, ..poll.clone() },
         Packet { address: "intake".into(), ..poll.clone() },
     ] {
-        assert_eq!(poll_kinds(&mut net, 0, &stolen), [PacketKind::Refusal]);
+        assert_eq!(poll_kinds(&mut net, 0, &mismatched), [PacketKind::Refusal]);
     }
 }
 
@@ -113,13 +116,13 @@
     // Cause: the token is taken for new work, or draining for gone.
     let mut net = TestNet::new(1, 5, EngineOptions::default());
     let poll = open_feed(&mut net, 1);
-    let served = net.targets.iter().position(|t| !t.runs.is_empty()).unwrap();
-    net.targets[served].spec.draining = true;
-    let list = net.list(2);
-    net.publish(0, list);
+    let serving_target = net.targets.iter().position(|t| !t.runs.is_empty()).unwrap();
+    net.targets[serving_target].spec.draining = true;
+    let list = net.current_list(2);
+    net.apply_list(0, list);
     for caller in 2..8 {
         open_feed(&mut net, caller);
     }
-    assert_eq!(net.targets[served].runs.len(), 1, "no new work");
+    assert_eq!(net.targets[serving_target].runs.len(), 1, "a draining target gets no new work");
     assert_eq!(poll_kinds(&mut net, 0, &poll), [PacketKind::FeedItem]);
 }
--- a/crates/foxledge-engine/tests/late_notices.rs
+++ b/crates/foxledge-engine/tests/late_notices.rs
@@ -4,7 +4,7 @@
 
 use common::{
     TestNet, address,
-    packets::{is_answered, refusals, work},
+    packets::{bid_packet, is_answered, refusals},
     target_address,
 };
 use foxledge_engine::EngineOptions;
@@ -20,15 +20,15 @@
     // Cause: the home counts the slot as taken for good.
     let mut net = TestNet::new(1, 1, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
-    net.send(1, 0, &Packet { ticket, time_left_ms: 60_000, ..work(1, 1, 1, "auction") });
-    net.run(4);
+    net.send(1, 0, &Packet { ticket, time_left_ms: 60_000, ..bid_packet(1, 1, 1, "auction") });
+    net.run_for(4);
     for target in 0..2 {
-        net.cuts.insert((target_address(target), address(1000)));
+        net.cut_links.insert((target_address(target), address(1000)));
     }
-    net.run(500);
+    net.run_for(500);
     assert_eq!(net.engines[0].as_ref().unwrap().status(net.now).open_works, 1);
-    net.cuts.clear();
-    net.run(5_000);
+    net.cut_links.clear();
+    net.run_for(5_000);
     assert_eq!(net.engines[0].as_ref().unwrap().status(net.now).open_works, 0);
     let runs: u32 = net.targets.iter().flat_map(|target| target.runs.values()).sum();
     assert_eq!(runs, 1);
@@ -43,10 +43,10 @@
     let mut net = TestNet::new(1, 2, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
     let now = net.now;
-    let bid = Packet { ticket, ..work(1, 1, 1, "auction") };
+    let bid = Packet { ticket, ..bid_packet(1, 1, 1, "auction") };
     let engine = net.engines[0].as_mut().unwrap();
     let effects = engine.on_datagram(now, address(5001), &encode_packet(&bid));
-    let (first, dispatched) = sent_work(&effects).expect("dispatched at once");
+    let (first, first_dispatch) = sent_work(&effects).expect("the bid is dispatched at once");
     let shed = Refusal {
         outcome: RunOutcome::NotRun.into(),
         reason: RefusalReason::TargetShed.into(),
@@ -55,14 +55,15 @@
     let refusal = encode_packet(&Packet {
         kind: PacketKind::Refusal.into(),
         refusal: Some(shed),
-        ..dispatched
+        ..first_dispatch
     });
     let effects = engine.on_datagram(now, first, &refusal);
-    let (second, again) = sent_work(&effects).expect("placed elsewhere");
+    let (second, second_dispatch) =
+        sent_work(&effects).expect("the bid is dispatched to the other target");
     assert_ne!(first, second);
     let effects = engine.on_datagram(now, first, &refusal);
-    assert!(effects.is_empty(), "the late copy ends nothing: {effects:?}");
-    let answer = Packet { kind: PacketKind::Answer.into(), parts: 1, ..again };
+    assert!(effects.is_empty(), "the duplicate refusal has no effect: {effects:?}");
+    let answer = Packet { kind: PacketKind::Answer.into(), parts: 1, ..second_dispatch };
     let effects = engine.on_datagram(now, second, &encode_packet(&answer));
     let sent: Vec<_> = effects.iter().filter_map(sent_packet).map(|(_, packet)| packet).collect();
     assert!(is_answered(&sent) && refusals(&sent).is_empty());
@@ -90,14 +91,14 @@
     let feed = Packet {
         work: foxledge_wire::flow::WorkKind::Feed.into(),
         idempotent: true,
-        ..work(1, 9, 1, "auction")
+        ..bid_packet(1, 9, 1, "auction")
     };
     net.send(1, 0, &feed);
-    net.run(2_000_000);
+    net.run_for(2_000_000);
     let engine = net.engines[0].as_ref().unwrap();
     assert_eq!(engine.status(net.now).open_works, 1);
-    assert!(engine.counters().checks_sent > 0, "the target was asked about it");
-    assert!(refusals(&net.take_answers(1)).is_empty());
+    assert!(engine.counters().checks_sent > 0, "the target was queried about the feed");
+    assert!(refusals(&net.drain_answers(1)).is_empty());
 }
 
 #[test]
@@ -106,22 +107,22 @@
     // Sequence: a feed opens and stays; a bid runs and ends.
     // Cause: what waits is counted wrong.
     let mut net = TestNet::new(1, 4, EngineOptions::default());
-    let is_quiet = |net: &TestNet| net.engines[0].as_ref().unwrap().is_idle();
-    assert!(is_quiet(&net));
+    let is_idle = |net: &TestNet| net.engines[0].as_ref().unwrap().is_idle();
+    assert!(is_idle(&net));
     let feed = Packet {
         work: foxledge_wire::flow::WorkKind::Feed.into(),
         idempotent: true,
-        ..work(1, 9, 1, "auction")
+        ..bid_packet(1, 9, 1, "auction")
     };
     net.send(1, 0, &feed);
-    net.run(1);
-    assert!(!is_quiet(&net), "the feed's target hasn't answered yet");
-    net.run(100);
-    assert!(is_quiet(&net), "an open feed needs no look every 10 ms");
+    net.run_for(1);
+    assert!(!is_idle(&net), "the feed's target hasn't acknowledged yet");
+    net.run_for(100);
+    assert!(is_idle(&net), "an open feed needs no check every 10 ms");
     let ticket = net.obtain_ticket(2, 0, "auction").unwrap();
-    net.send(2, 0, &Packet { ticket, ..work(2, 1, 1, "auction") });
-    net.run(2);
-    assert!(!is_quiet(&net));
-    net.run(1_000);
-    assert!(is_quiet(&net));
+    net.send(2, 0, &Packet { ticket, ..bid_packet(2, 1, 1, "auction") });
+    net.run_for(2);
+    assert!(!is_idle(&net));
+    net.run_for(1_000);
+    assert!(is_idle(&net));
 }
--- a/crates/foxledge-engine/tests/longest_names.rs
+++ b/crates/foxledge-engine/tests/longest_names.rs
@@ -7,14 +7,14 @@
 use common::{
     TestNet,
     lists::test_list,
-    packets::{is_answered, work},
+    packets::{bid_packet, is_answered},
 };
 use foxledge_core::names::{InstanceName, ServiceAddress, ServiceName, TargetName};
 use foxledge_engine::{EngineOptions, EnginePhase, FlowEngine};
 use foxledge_wire::{MAX_PAYLOAD, flow::Packet};
 
 /// Longest name that a list may hold.
-const LONGEST: usize = 32;
+const MAX_NAME_LENGTH: usize = 32;
 
 #[test]
 fn full_payload() {
@@ -22,15 +22,15 @@
     // Sequence: a full payload goes to a target beside a return path with a token in it.
     // Cause: header, token and payload together exceed a datagram, and the decoder drops it.
     let mut net = TestNet::new(1, 1, EngineOptions::default());
-    let long = |letter: &str| letter.repeat(LONGEST);
+    let long = |letter: &str| letter.repeat(MAX_NAME_LENGTH);
     net.targets[0].service = long("s");
     net.targets[0].spec.name = TargetName::new(&long("t"));
     let mut list = test_list(2, &[], &[]);
-    let mut desk = Arc::unwrap_or_clone(list.services.remove("auction-desk").unwrap());
-    desk.name = ServiceName::new(&long("s"));
-    desk.addresses = vec![ServiceAddress::new(&long("a"))];
-    desk.targets = vec![net.targets[0].spec.clone()];
-    list.services.insert(desk.name.clone(), Arc::new(desk));
+    let mut service = Arc::unwrap_or_clone(list.services.remove("auction-desk").unwrap());
+    service.name = ServiceName::new(&long("s"));
+    service.addresses = vec![ServiceAddress::new(&long("a"))];
+    service.targets = vec![net.targets[0].spec.clone()];
+    list.services.insert(service.name.clone(), Arc::new(service));
     let member = foxledge_core::names::MemberName::new(&long("m"));
     let spec = foxledge_core::lists::MemberSpec { name: member.clone(), secret: Vec::new() };
     list.members.insert(member, spec);
@@ -46,21 +46,21 @@
     engine.apply_list(net.now, Arc::new(list));
     engine.set_phase(net.now, EnginePhase::Serving);
     net.engines[0] = Some(engine);
-    net.share_view();
+    net.distribute_full_view();
 
-    let place = long("a");
-    let bid = Packet { member: long("m"), ..work(1, u64::MAX, 1, &place) };
+    let address = long("a");
+    let bid = Packet { member: long("m"), ..bid_packet(1, u64::MAX, 1, &address) };
     let asked =
         Packet { kind: foxledge_wire::flow::PacketKind::TicketRequest.into(), ..bid.clone() };
     net.send(1, 0, &Packet { payload: vec![0; foxledge_wire::TICKET_PADDING], ..asked });
-    net.run(100);
-    let ticket = net.take_answers(1)[0].ticket.clone();
+    net.run_for(100);
+    let ticket = net.drain_answers(1)[0].ticket.clone();
     assert!(!ticket.is_empty());
     // The fake target sends the request's payload back, as large as it was.
-    net.targets[0].echoes = true;
+    net.targets[0].echoes_payload = true;
     net.send(1, 0, &Packet { ticket, payload: vec![7; MAX_PAYLOAD], ..bid });
-    net.run(500);
-    let answers = net.take_answers(1);
+    net.run_for(500);
+    let answers = net.drain_answers(1);
     assert!(is_answered(&answers), "{answers:?}");
     let answer = answers.iter().find(|answer| !answer.payload.is_empty()).unwrap();
     assert_eq!(answer.payload.len(), MAX_PAYLOAD);
--- a/crates/foxledge-engine/tests/other_centres.rs
+++ b/crates/foxledge-engine/tests/other_centres.rs
@@ -6,7 +6,7 @@
 
 use common::{
     CENTRE, TestNet, address,
-    packets::{is_answered, refusals, work},
+    packets::{bid_packet, is_answered, refusals},
 };
 use foxledge_core::{
     names::{CentreName, InstanceName},
@@ -15,7 +15,7 @@
 use foxledge_engine::{EngineOptions, EnginePhase, FlowEngine};
 use foxledge_wire::flow::{Packet, PacketKind, RunOutcome};
 
-const OTHER: &str = "erie";
+const OTHER_CENTRE: &str = "erie";
 
 fn peer(index: usize, centre: &str) -> PeerInfo {
     PeerInfo {
@@ -33,9 +33,9 @@
 /// One instance in Toledo, two in Erie; the first auction target is Toledo's, the second Erie's.
 fn two_centres(seed: u64) -> TestNet {
     let mut net = TestNet::new(0, seed, EngineOptions::default());
-    net.targets[1].spec.data_centre = CentreName::new(OTHER);
-    let peers = [peer(0, CENTRE), peer(1, OTHER), peer(2, OTHER)];
-    let list = Arc::new(net.list(1));
+    net.targets[1].spec.data_centre = CentreName::new(OTHER_CENTRE);
+    let peers = [peer(0, CENTRE), peer(1, OTHER_CENTRE), peer(2, OTHER_CENTRE)];
+    let list = Arc::new(net.current_list(1));
     for me in &peers {
         let mut engine = FlowEngine::new(EngineOptions::default(), me.clone(), seed);
         engine.apply_list(net.now, list.clone());
@@ -48,7 +48,7 @@
         });
         let view = PeerView {
             peers: own.collect(),
-            reachable_centres: vec![CentreName::new(OTHER), CentreName::new(CENTRE)],
+            reachable_centres: vec![CentreName::new(OTHER_CENTRE), CentreName::new(CENTRE)],
             contacts: contacts.collect(),
         };
         engine.apply_peer_view(net.now, Arc::new(view));
@@ -60,9 +60,9 @@
 
 fn drain_toledo(net: &mut TestNet) {
     net.targets[0].spec.draining = true;
-    let list = net.list(2);
+    let list = net.current_list(2);
     for instance in 0..3 {
-        net.publish(instance, list.clone());
+        net.apply_list(instance, list.clone());
     }
 }
 
@@ -74,10 +74,10 @@
     let mut net = two_centres(1);
     drain_toledo(&mut net);
     for caller in 1..6 {
-        let ticket = net.obtain_ticket(caller, 0, "auction").expect("a ticket of Erie");
-        net.send(caller, 0, &Packet { ticket, ..work(caller, caller, 1, "auction") });
-        net.run(500);
-        assert!(is_answered(&net.take_answers(caller)));
+        let ticket = net.obtain_ticket(caller, 0, "auction").expect("Erie issues a ticket");
+        net.send(caller, 0, &Packet { ticket, ..bid_packet(caller, caller, 1, "auction") });
+        net.run_for(500);
+        assert!(is_answered(&net.drain_answers(caller)));
     }
     assert_eq!(net.targets[1].runs.len(), 5);
     assert!(net.targets[0].runs.is_empty());
@@ -91,9 +91,9 @@
     let mut net = two_centres(2);
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
     drain_toledo(&mut net);
-    net.send(1, 0, &Packet { ticket, ..work(1, 1, 1, "auction") });
-    net.run(50);
-    assert_eq!(refusals(&net.take_answers(1)), [RunOutcome::NotRun]);
+    net.send(1, 0, &Packet { ticket, ..bid_packet(1, 1, 1, "auction") });
+    net.run_for(50);
+    assert_eq!(refusals(&net.drain_answers(1)), [RunOutcome::NotRun]);
     assert!(net.targets.iter().all(|target| target.runs.is_empty()));
 }
 
@@ -105,16 +105,16 @@
     let mut net = two_centres(3);
     drain_toledo(&mut net);
     for instance in 1..3 {
-        net.cuts.insert((address(2000), address(2000 + instance)));
+        net.cut_links.insert((address(2000), address(2000 + instance)));
     }
     let request = Packet {
         kind: PacketKind::TicketRequest.into(),
         payload: vec![0; foxledge_wire::TICKET_PADDING],
-        ..work(1, 1, 0, "auction")
+        ..bid_packet(1, 1, 0, "auction")
     };
     net.send(1, 0, &request);
-    net.run(300);
-    assert_eq!(refusals(&net.take_answers(1)), [RunOutcome::NotRun]);
+    net.run_for(300);
+    assert_eq!(refusals(&net.drain_answers(1)), [RunOutcome::NotRun]);
 }
 
 #[test]
@@ -129,5 +129,5 @@
     let forwarded: u64 =
         net.engines.iter().flatten().map(|engine| engine.counters().forwarded).sum();
     // Five requests, each sent on at most as often as a packet may be forwarded.
-    assert!(forwarded <= 15, "{forwarded} forwardings");
+    assert!(forwarded <= 15, "{forwarded} forwards");
 }
