--- a/crates/foxledge-engine/tests/run_once.rs
+++ b/crates/foxledge-engine/tests/run_once.rs
@@ -4,24 +4,24 @@
 
 use common::{
     TestNet,
-    packets::{is_answered, refusals, work},
+    packets::{bid_packet, is_answered, refusals},
 };
 use foxledge_core::lists::KeySpec;
 use foxledge_engine::{EngineOptions, TrialSwitches};
 use foxledge_wire::flow::{Packet, PacketKind, RunOutcome};
 
-fn runs(net: &TestNet, caller: u64) -> u32 {
+fn run_count(net: &TestNet, caller: u64) -> u32 {
     net.targets.iter().flat_map(|t| &t.runs).filter(|(key, _)| key.0 == caller).map(|r| r.1).sum()
 }
 
 /// The instance that issued the only ticket so far.
-fn home_of(net: &TestNet) -> usize {
+fn issuing_home(net: &TestNet) -> usize {
     (0..net.engines.len())
         .find(|&i| net.engines[i].as_ref().is_some_and(|e| e.counters().tickets_issued > 0))
         .expect("a ticket was issued")
 }
 
-fn unsafe_options() -> EngineOptions {
+fn options_without_run_once() -> EngineOptions {
     EngineOptions::default().trial(TrialSwitches { run_once: false, ..TrialSwitches::default() })
 }
 
@@ -29,26 +29,26 @@
 fn bid_served() {
     let mut net = TestNet::new(3, 1, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
-    net.send(1, 2, &Packet { ticket, ..work(1, 1, 1, "auction") });
-    net.run(500);
-    let answers = net.take_answers(1);
+    net.send(1, 2, &Packet { ticket, ..bid_packet(1, 1, 1, "auction") });
+    net.run_for(500);
+    let answers = net.drain_answers(1);
     assert!(is_answered(&answers));
     let renewed = answers.iter().any(|a| a.kind() == PacketKind::Answer && !a.ticket.is_empty());
     assert!(renewed, "the answer carries the next ticket");
-    assert_eq!(runs(&net, 1), 1);
+    assert_eq!(run_count(&net, 1), 1);
 }
 
 /// Opening packet at two instances that each take themselves for the home.
-fn split_copies(options: EngineOptions) -> u32 {
+fn run_with_split_views(options: EngineOptions) -> u32 {
     let mut net = TestNet::new(2, 1, options);
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
-    net.show_view(&[0], &[0]);
-    net.show_view(&[1], &[1]);
-    let bid = Packet { ticket, ..work(1, 1, 1, "auction") };
+    net.distribute_view(&[0], &[0]);
+    net.distribute_view(&[1], &[1]);
+    let bid = Packet { ticket, ..bid_packet(1, 1, 1, "auction") };
     net.send(1, 0, &bid);
     net.send(1, 1, &bid);
-    net.run(1000);
-    runs(&net, 1)
+    net.run_for(1000);
+    run_count(&net, 1)
 }
 
 #[test]
@@ -56,8 +56,12 @@
     // Symptom: a bid runs twice.
     // Sequence: views of membership split; the fabric hands the opening packet to both sides.
     // Cause: each side is the home in its own view and admits the copy it got.
-    assert_eq!(split_copies(unsafe_options()), 2, "without tickets the fault shows");
-    assert_eq!(split_copies(EngineOptions::default()), 1);
+    assert_eq!(
+        run_with_split_views(options_without_run_once()),
+        2,
+        "without tickets the bid runs twice"
+    );
+    assert_eq!(run_with_split_views(EngineOptions::default()), 1);
 }
 
 #[test]
@@ -67,17 +71,17 @@
     // Cause: the next home knows nothing of the first run.
     let mut net = TestNet::new(3, 2, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
-    let home = home_of(&net);
+    let home = issuing_home(&net);
     let other = (home + 1) % 3;
-    let bid = Packet { ticket, ..work(1, 1, 1, "auction") };
+    let bid = Packet { ticket, ..bid_packet(1, 1, 1, "auction") };
     net.send(1, home, &bid);
-    net.run(3);
+    net.run_for(3);
     net.kill(home);
     net.send(1, other, &Packet { attempt: 1, ..bid });
-    net.run(1000);
-    let answers = net.take_answers(1);
+    net.run_for(1000);
+    let answers = net.drain_answers(1);
     assert_eq!(refusals(&answers), [RunOutcome::Unknown]);
-    assert_eq!(runs(&net, 1), 1);
+    assert_eq!(run_count(&net, 1), 1);
 }
 
 #[test]
@@ -87,16 +91,16 @@
     // Cause: the new process has the same name and address, but not the memory.
     let mut net = TestNet::new(3, 3, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
-    let home = home_of(&net);
-    let bid = Packet { ticket, ..work(1, 1, 1, "auction") };
+    let home = issuing_home(&net);
+    let bid = Packet { ticket, ..bid_packet(1, 1, 1, "auction") };
     net.send(1, home, &bid);
-    net.run(3);
+    net.run_for(3);
     net.kill(home);
-    net.start(home);
+    net.start_instance(home);
     net.send(1, home, &Packet { attempt: 1, ..bid });
-    net.run(1000);
-    assert_eq!(refusals(&net.take_answers(1)), [RunOutcome::Unknown]);
-    assert_eq!(runs(&net, 1), 1);
+    net.run_for(1000);
+    assert_eq!(refusals(&net.drain_answers(1)), [RunOutcome::Unknown]);
+    assert_eq!(run_count(&net, 1), 1);
 }
 
 #[test]
@@ -106,15 +110,15 @@
     // Cause: it goes on believing what was true when it froze.
     let mut net = TestNet::new(3, 4, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
-    let home = home_of(&net);
+    let home = issuing_home(&net);
     net.freeze(home);
-    net.send(1, (home + 1) % 3, &Packet { ticket, ..work(1, 1, 1, "auction") });
-    net.run(1000);
-    assert_eq!(refusals(&net.take_answers(1)), [RunOutcome::Unknown]);
-    net.run(9_000);
-    net.wake(home);
-    net.run(1000);
-    assert_eq!(runs(&net, 1), 0, "the ticket's start deadline has passed");
+    net.send(1, (home + 1) % 3, &Packet { ticket, ..bid_packet(1, 1, 1, "auction") });
+    net.run_for(1000);
+    assert_eq!(refusals(&net.drain_answers(1)), [RunOutcome::Unknown]);
+    net.run_for(9_000);
+    net.unfreeze(home);
+    net.run_for(1000);
+    assert_eq!(run_count(&net, 1), 0, "the ticket's start deadline has passed");
 }
 
 #[test]
@@ -125,17 +129,17 @@
     // Cause: the instance with the new list can't open the ticket any more.
     let mut net = TestNet::new(2, 5, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
-    let home = home_of(&net);
+    let home = issuing_home(&net);
     let other = 1 - home;
-    let mut list = net.list(2);
+    let mut list = net.current_list(2);
     list.keys = vec![KeySpec { id: 2, secret: vec![9; 32] }];
-    net.publish(other, list);
-    let bid = Packet { ticket, ..work(1, 1, 1, "auction") };
+    net.apply_list(other, list);
+    let bid = Packet { ticket, ..bid_packet(1, 1, 1, "auction") };
     net.send(1, home, &bid);
     net.send(1, other, &bid);
-    net.run(1000);
-    assert_eq!(runs(&net, 1), 1);
-    assert!(!refusals(&net.take_answers(1)).contains(&RunOutcome::NotRun));
+    net.run_for(1000);
+    assert_eq!(run_count(&net, 1), 1);
+    assert!(!refusals(&net.drain_answers(1)).contains(&RunOutcome::NotRun));
 }
 
 #[test]
@@ -147,18 +151,18 @@
         let switches = TrialSwitches { remember_refusals, ..TrialSwitches::default() };
         let mut net = TestNet::new(1, 6, EngineOptions::default().trial(switches));
         let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
-        let mut denying = net.list(2);
+        let mut denying = net.current_list(2);
         denying.rules.clear();
-        net.publish(0, denying);
-        let bid = Packet { ticket, ..work(1, 1, 1, "auction") };
+        net.apply_list(0, denying);
+        let bid = Packet { ticket, ..bid_packet(1, 1, 1, "auction") };
         net.send(1, 0, &bid);
-        net.run(20);
-        assert_eq!(refusals(&net.take_answers(1)), [RunOutcome::NotRun]);
-        let allowing = net.list(3);
-        net.publish(0, allowing);
+        net.run_for(20);
+        assert_eq!(refusals(&net.drain_answers(1)), [RunOutcome::NotRun]);
+        let allowing = net.current_list(3);
+        net.apply_list(0, allowing);
         net.send(1, 0, &bid);
-        net.run(500);
-        assert_eq!(runs(&net, 1), expected, "remember_refusals = {remember_refusals}");
+        net.run_for(500);
+        assert_eq!(run_count(&net, 1), expected, "remember_refusals = {remember_refusals}");
     }
 }
 
@@ -167,11 +171,11 @@
     let mut net = TestNet::new(1, 7, EngineOptions::default().requests_per_ticket(2));
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
     for request in 1..=3 {
-        net.send(1, 0, &Packet { ticket: ticket.clone(), ..work(1, 1, request, "auction") });
+        net.send(1, 0, &Packet { ticket: ticket.clone(), ..bid_packet(1, 1, request, "auction") });
     }
-    net.run(1000);
-    assert_eq!(runs(&net, 1), 2);
-    assert_eq!(refusals(&net.take_answers(1)), [RunOutcome::NotRun]);
+    net.run_for(1000);
+    assert_eq!(run_count(&net, 1), 2);
+    assert_eq!(refusals(&net.drain_answers(1)), [RunOutcome::NotRun]);
 }
 
 #[test]
@@ -181,10 +185,10 @@
     // Cause: the ticket's contents aren't compared with the packet.
     let mut net = TestNet::new(1, 8, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
-    net.send(2, 0, &Packet { ticket: ticket.clone(), ..work(2, 1, 1, "auction") });
-    net.send(1, 0, &Packet { ticket, ..work(1, 1, 1, "intake") });
-    net.run(500);
-    assert_eq!(refusals(&net.take_answers(1)), [RunOutcome::NotRun]);
-    assert_eq!(refusals(&net.take_answers(2)), [RunOutcome::NotRun]);
-    assert_eq!(runs(&net, 1) + runs(&net, 2), 0);
+    net.send(2, 0, &Packet { ticket: ticket.clone(), ..bid_packet(2, 1, 1, "auction") });
+    net.send(1, 0, &Packet { ticket, ..bid_packet(1, 1, 1, "intake") });
+    net.run_for(500);
+    assert_eq!(refusals(&net.drain_answers(1)), [RunOutcome::NotRun]);
+    assert_eq!(refusals(&net.drain_answers(2)), [RunOutcome::NotRun]);
+    assert_eq!(run_count(&net, 1) + run_count(&net, 2), 0);
 }
