--- a/crates/foxledge-engine/examples/engine_cost.rs
+++ b/crates/foxledge-engine/examples/engine_cost.rs
@@ -1,8 +1,8 @@
-//! Prints what the engine costs, as JSON lines: `cargo run --release -p
-//! foxledge-engine --example engine_cost`.
+//! Prints the engine's costs as JSON lines: `cargo run --release -p foxledge-engine --example
+//! engine_cost`.
 //!
-//! Each slope is taken at three sizes or more. Processor time is wall time of
-//! one thread that does nothing else; memory is the growth of the resident set.
+//! Each cost is measured at three sizes or more where it depends on the size. Processor time is the
+//! wall time of a single thread without other work; memory is the growth of the resident set.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -46,7 +46,7 @@
     }
 }
 
-/// Bytes of the engine's own messages, without IP and UDP headers.
+/// Prints the sizes of the engine's messages in bytes, without IP and UDP headers.
 fn message_sizes() {
     let list = test_list(1, &[unlimited_target(0)], &[]);
     let mut engine = single_engine(&list);
@@ -57,7 +57,7 @@
     let reply = answer(&probe, PacketKind::ProbeReply);
     print_size("probe reply", encode_packet(&reply).len());
 
-    // An entry instance that isn't the home, and a home that acknowledges.
+    // An entry instance that forwards to a home, which acknowledges.
     let view = Arc::new(large_view(2));
     let me = peer(0);
     let names: Vec<_> =
@@ -104,7 +104,7 @@
     println!("{{\"what\":\"{what}\",\"bytes\":{bytes}}}");
 }
 
-/// Processor time of one packet on each way through the engine.
+/// Prints the processor time per packet for each path through the engine.
 fn packet_costs() {
     const ROUNDS: u64 = 50_000;
     let mut engine = single_engine(&test_list(1, &[unlimited_target(0)], &[]));
@@ -120,7 +120,7 @@
     let ticket = first_packet(&engine.on_datagram(now, caller_address(1), &grant)).ticket;
     let started = Instant::now();
     for flow in 0..ROUNDS {
-        // Each ticket is good for 64 requests.
+        // Each ticket admits 64 requests.
         let request =
             if flow % 64 == 0 { fresh_ticket(&mut engine, now, &grant) } else { ticket.clone() };
         serve_once(&mut engine, now, flow, request);
@@ -154,7 +154,7 @@
     print_time("answer relayed to its caller", started, ROUNDS);
 }
 
-/// Resident bytes of one open feed at its home.
+/// Prints the resident bytes per open feed at its home.
 fn flow_memory(flows: u64) {
     let mut engine = single_engine(&test_list(1, &[unlimited_target(0)], &[]));
     let now = ClockTime::from_micros(1_000_000);
@@ -164,7 +164,7 @@
         open_feed(&mut engine, now, flow);
     }
     let spent = started.elapsed();
-    // The ledger forgets what its deadline allows; the feeds stay open.
+    // Lets the ledger entries expire; the feeds stay open.
     engine.on_tick(now.after_millis(120_000));
     let open = engine.status(now).open_works;
     println!(
@@ -174,7 +174,7 @@
     );
 }
 
-/// Processor time and memory of taking a list with so many targets into force.
+/// Prints the processor time and memory for applying a list with that many backend servers.
 fn list_costs(targets: usize) {
     let first = Arc::new(large_list(1, targets));
     let second = Arc::new(large_list(2, targets));
@@ -191,7 +191,7 @@
     );
 }
 
-/// Processor time of taking a view into force, at the target's services.
+/// Prints the processor time for applying a peer view, with the services of the design target.
 fn view_costs(peers: usize) {
     let mut engine = single_engine(&large_list(1, 38_000));
     engine.apply_peer_view(ClockTime::ZERO, Arc::new(large_view(peers)));
@@ -247,7 +247,8 @@
     TargetSpec { slots: 1_000_000, connections: 1_000_000, ..target_spec(index, 1) }
 }
 
-/// The target's shape: about 6.5 targets behind each address, over 8 data centres.
+/// Returns a list in the proportions of the design target: about 6.5 backend servers per address,
+/// in 8 data centres.
 fn large_list(revision: u64, targets: usize) -> RuleList {
     let mut list = test_list(revision, &[], &[]);
     let services = (targets * 5_800).div_ceil(38_000);
@@ -311,7 +312,7 @@
         .expect("a datagram was sent")
 }
 
-/// One whole request with its backend server's three answers.
+/// Processes one request and three responses of its backend server.
 fn serve_once(engine: &mut FlowEngine, now: ClockTime, flow: u64, ticket: Vec<u8>) {
     let bid = Packet { ticket, ..bid_packet(1, flow, 1, "auction") };
     let effects = engine.on_datagram(now, caller_address(1), &encode_packet(&bid));
--- a/crates/foxledge-engine/src/counters.rs
+++ b/crates/foxledge-engine/src/counters.rs
@@ -2,14 +2,14 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {
-        /// `EngineCounters` is what the engine counted since its start.
+        /// The totals of the engine since its start.
         #[derive(Clone, Debug, Default, PartialEq, Eq)]
         pub struct EngineCounters {
             $($(#[$doc])* pub $name: u64,)*
         }
 
         impl EngineCounters {
-            /// Names and values, for metrics.
+            /// Returns the names and values of all counters, for the metrics.
             pub fn named_values(&self) -> Vec<(&'static str, u64)> {
                 vec![$((stringify!($name), self.$name)),*]
             }
@@ -18,52 +18,56 @@
 }
 
 counters! {
-    /// Datagrams that arrived on the data socket.
+    /// Datagrams received on the data socket.
     data_received,
-    /// Datagrams that arrived on the peer socket.
+    /// Datagrams received on the peer socket.
     peer_received,
     /// Datagrams dropped as malformed, truncated or oversized.
     malformed,
-    /// Peer datagrams dropped because no published key sealed them.
+    /// Peer datagrams dropped because no published key opens their seal.
     peer_unsealed,
-    /// Backend server datagrams dropped because their return path didn't open.
+    /// Datagrams of backend servers dropped because their return path can't be opened or they came
+    /// from another address than the dispatch was sent to.
     path_unsealed,
-    /// Packets sent to the backend server that a flow token names.
+    /// Packets sent to the backend server in their flow token.
     by_token,
-    /// Packets forwarded to a home.
+    /// Packets forwarded to another instance, repeats included.
     forwarded,
-    /// Forwardings that no home acknowledged in time.
+    /// Forwards that weren't acknowledged in time.
     forward_silent,
-    /// Packets taken as home.
+    /// Packets handled as the home of their service.
     home_taken,
     /// Tickets issued.
     tickets_issued,
     /// Requests opened at this home.
     requests_opened,
-    /// Copies of requests known to this home.
+    /// Duplicates of requests that this home knows.
     copies_seen,
     /// Dispatches to backend servers.
     dispatched,
     /// Requests and feeds that ended.
     ended,
-    /// Refusals that said the work did not run.
+    /// Refusals with the outcome "not run".
     refused_not_run,
-    /// Refusals that could not say whether the work ran.
+    /// Refusals with an unknown outcome.
     refused_unknown,
-    /// Packets refused because a token named a backend server that lost its address.
+    /// Packets refused because the backend server in their flow token has changed or can't be
+    /// reached.
     target_changed,
-    /// Answers relayed to callers.
+    /// Responses of backend servers relayed to callers.
     answers_relayed,
     /// Probes sent.
     probes_sent,
-    /// Questions to targets about dispatches that they had acknowledged.
+    /// Checks sent to backend servers about acknowledged dispatches.
     checks_sent,
-    /// Refusals of targets dropped because the home had placed the work elsewhere.
+    /// Refusals of backend servers dropped because the home had dispatched the work elsewhere or
+    /// had answered since.
     superseded,
-    /// Callers asked to send again, as a ticket's home couldn't be reached from here.
+    /// Resend requests sent to callers because their ticket's home couldn't be reached from this
+    /// instance.
     resends_asked,
-    /// Packets sent to another data centre, as no target here could serve them.
+    /// Packets forwarded to another data centre because no local backend server could serve them.
     sent_elsewhere,
-    /// Flow tokens sealed anew under a newer key.
+    /// Flow tokens sealed again under a newer key.
     tokens_resealed,
 }
--- a/crates/foxledge-engine/src/dispatch.rs
+++ b/crates/foxledge-engine/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! What a desk decided, on its way to backend servers.
+//! Carries out scheduler decisions and sends work to backend servers.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -21,7 +21,7 @@
 };
 
 impl FlowEngine {
-    /// Carries out what a desk decided.
+    /// Applies the effects of a shard's scheduler.
     pub(crate) fn apply_scheduler_effects(
         &mut self,
         now: ClockTime,
@@ -46,8 +46,8 @@
                 }
                 SchedulerEffect::Probe { target } => self.send_probe(key, &target),
                 SchedulerEffect::Audit(change) => {
-                    // A desk knows its targets by their names alone, which
-                    // another service's targets may have as well.
+                    // The scheduler's subject is the backend server's name alone, which a backend
+                    // server of another service may share.
                     let subject = target_subject(&key.service, &change.subject);
                     self.effects.push(EngineEffect::Audit(AuditChange { subject, ..change }));
                 }
@@ -83,10 +83,10 @@
         self.send_to_target(now, caller, &packet, dispatch, target);
     }
 
-    /// Ends an open feed whose target is lost.
+    /// Refuses an open feed whose backend server was lost.
     ///
-    /// The home keeps no opening packet of an open feed, and only the caller
-    /// knows the last item it saw: it opens the feed anew from there.
+    /// The home keeps no opening packet of an open feed, and only the caller knows the last item
+    /// that it received, so the caller has to reopen the feed from there.
     fn abort_feed(&mut self, now: ClockTime, id: u64) {
         let Some(shard) = self.works.get(&id).map(|work| work.shard.clone()) else { return };
         let refusal = WorkRefusal {
@@ -100,10 +100,10 @@
         self.apply_scheduler_effects(now, &shard, effects);
     }
 
-    /// Asks a target what became of a dispatch that it has acknowledged.
+    /// Queries a backend server about a dispatch that it has acknowledged.
     ///
-    /// Its end may have been lost on the way. The slot or connection would stay
-    /// taken for good; one would notice a target that gets ever less work.
+    /// The notification of the dispatch's end may have been lost. Without the query, its slot or
+    /// connection would stay occupied for good and the backend server would get less and less work.
     fn send_check(&mut self, id: u64, dispatch: u64, target: &Arc<TargetSpec>) {
         let Some(work) = self.works.get(&id) else { return };
         let (service, flow) = (work.shard.service.clone(), work.key.flow);
@@ -112,7 +112,8 @@
         self.send_data(target.address, &Packet { flow, ..check });
     }
 
-    /// Sends a request's packet to its backend server, with the flow token to hand back.
+    /// Sends a request's packet to its backend server, with a sealed return path that contains the
+    /// caller's address and the flow token for the response.
     pub(crate) fn send_to_target(
         &mut self,
         now: ClockTime,
@@ -157,7 +158,8 @@
         self.send_data(target.address, &packet);
     }
 
-    /// The service that a request's target serves: the one its desk belongs to.
+    /// Returns the service for which the backend server runs the request: that of its scheduler
+    /// while the request is open, otherwise the published one.
     fn service_of(&self, packet: &Packet, target: &TargetSpec) -> Option<ServiceName> {
         if let Some(RequestState::Dispatched { dispatch, .. }) =
             self.ledger.find(&RequestKey::from_packet(packet))
@@ -171,7 +173,7 @@
         is_same.then(|| key.service.clone())
     }
 
-    /// Gives a work its final refusal at once.
+    /// Removes a work and sends its final refusal.
     pub(crate) fn refuse_work(&mut self, now: ClockTime, id: u64, refusal: &WorkRefusal) {
         let Some(work) = self.remove_work(id) else { return };
         let refusal = match (work.tracking, refusal.run_state) {
@@ -203,7 +205,7 @@
     }
 }
 
-/// A packet of the home's own to a target.
+/// Creates a packet that the home itself sends to a backend server, such as a probe.
 fn control_packet(
     kind: PacketKind,
     service: &ServiceName,
--- a/crates/foxledge-engine/src/effects.rs
+++ b/crates/foxledge-engine/src/effects.rs
@@ -1,46 +1,46 @@
-//! What the engine asks its surroundings to do.
+//! The actions that the engine requests from its caller.
 
 use std::{net::SocketAddr, time::Duration};
 
 use foxledge_core::{audit::AuditChange, traffic::TrafficKind};
 use serde::Serialize;
 
-/// `EngineEffect` is one thing to carry out.
+/// An action for the caller of the engine to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineEffect {
     /// Send a datagram from the data socket, to a caller or a backend server.
     SendData {
-        /// Where to.
+        /// The destination address.
         to: SocketAddr,
-        /// The datagram.
+        /// The encoded datagram.
         bytes: Vec<u8>,
     },
     /// Send a datagram from the peer socket, to another instance.
     SendPeer {
-        /// Where to.
+        /// The destination address.
         to: SocketAddr,
-        /// The datagram.
+        /// The encoded datagram.
         bytes: Vec<u8>,
     },
     /// Record a change in the audit trail.
     Audit(AuditChange),
-    /// Record how long admission took at the home.
+    /// Record the time from arrival at the home to dispatch in the metrics.
     RecordWait {
-        /// Kind of traffic.
+        /// The kind of traffic.
         kind: TrafficKind,
-        /// From arrival at the home to dispatch.
+        /// The time from arrival at the home to dispatch.
         wait: Duration,
     },
 }
 
-/// `EnginePhase` is where the process stands in its life.
+/// The lifecycle phase of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EnginePhase {
-    /// Not warm yet: takes no homes.
+    /// The process has no current state yet and doesn't act as a home.
     Joining,
-    /// Serves and takes homes.
+    /// The process serves and acts as a home.
     Serving,
-    /// Planned stop: issues no tickets, finishes what it has.
+    /// The process is stopping as planned: it issues no tickets and finishes its open work.
     Leaving,
 }
--- a/crates/foxledge-engine/src/engine.rs
+++ b/crates/foxledge-engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine: its state, and what comes in from outside.
+//! The state of the engine and its entry points.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -40,12 +40,12 @@
     status::{EngineStatus, SchedulerEntry},
 };
 
-/// Shortest time between two audit entries about requests left unknown.
+/// The minimum time between two audit entries about requests with an unknown outcome.
 const MIN_UNKNOWN_AUDIT_INTERVAL: Duration = Duration::from_millis(100);
-/// Flows that the journal keeps.
+/// The maximum number of flows in the journal.
 const MAX_JOURNAL_FLOWS: usize = 2_000;
 
-/// `FlowEngine` is the decisions of one instance.
+/// The routing and admission decisions of one instance.
 pub struct FlowEngine {
     pub(crate) options: EngineOptions,
     pub(crate) me: PeerInfo,
@@ -56,24 +56,24 @@
     pub(crate) key_ring: KeyRing,
     pub(crate) placement: Box<dyn HomePlacement>,
     pub(crate) schedulers: SchedulerSet,
-    /// Desks whose targets this instance probes.
+    /// Shards whose backend servers this instance probes.
     pub(crate) probed_shards: BTreeSet<ShardKey>,
-    /// Published targets by address: who owns it now.
+    /// The published backend servers by address, each with the shard that it currently belongs to.
     pub(crate) target_owners: HashMap<SocketAddr, (ShardKey, Arc<TargetSpec>)>,
     pub(crate) ledger: RequestLedger,
     pub(crate) works: HashMap<u64, HomeWork>,
-    /// Works that are no feeds; a planned stop waits for them.
+    /// The number of open works other than feeds; a planned stop waits for them.
     pub(crate) open_requests: usize,
-    /// Feeds that wait for a place or for their target's word.
+    /// The number of feeds that are queued or not yet acknowledged by their backend server.
     pub(crate) opening_feeds: usize,
-    /// No refusal that leaves a request unknown goes into the audit trail before.
+    /// The earliest time of the next audit entry about a request with an unknown outcome.
     pub(crate) next_unknown_audit_at: ClockTime,
-    /// Work ids by dispatch.
+    /// Work ids by dispatch id.
     pub(crate) work_by_dispatch: HashMap<u64, u64>,
     pub(crate) last_work_id: u64,
     pub(crate) forwards: ForwardTable,
     pub(crate) unresponsive_homes: UnresponsiveHomes,
-    /// Start deadline of the newest ticket issued here.
+    /// The latest start deadline of all tickets that this process has issued.
     pub(crate) latest_start_deadline: ClockTime,
     pub(crate) journal: FlowJournal,
     pub(crate) counters: EngineCounters,
@@ -82,7 +82,7 @@
 }
 
 impl FlowEngine {
-    /// Makes the engine of instance `me`; the seed draws ticket and dispatch numbers.
+    /// Creates the engine of instance `me`. The seed determines ticket serials and dispatch ids.
     pub fn new(options: EngineOptions, me: PeerInfo, seed: u64) -> FlowEngine {
         FlowEngine {
             phase: EnginePhase::Joining,
@@ -91,7 +91,8 @@
             view: Arc::default(),
             key_ring: KeyRing::default(),
             placement: new_placement(options.placement),
-            // Every desk may ask about accepted work, as the engine sends CHECK for it.
+            // The engine answers the scheduler's check effects by sending CHECK packets, so every
+            // scheduler may check accepted work.
             schedulers: SchedulerSet::new(
                 options
                     .scheduler
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Takes a datagram from a caller or a backend server.
+    /// Handles a datagram from a caller or a backend server.
     pub fn on_datagram(
         &mut self,
         now: ClockTime,
@@ -157,7 +158,7 @@
         self.drain_effects()
     }
 
-    /// Takes a datagram from another instance.
+    /// Handles a datagram from another instance.
     pub fn on_peer_datagram(
         &mut self,
         now: ClockTime,
@@ -166,8 +167,8 @@
     ) -> Vec<EngineEffect> {
         self.counters.peer_received += 1;
         let Ok(datagram) = open_datagram(&self.key_ring, bytes) else {
-            // Without the seal anybody could have instances send datagrams to
-            // any "caller address", and could bypass the checks at entry.
+            // Without the seal, anyone could make instances send datagrams to an arbitrary "caller
+            // address" and bypass the checks of the entry instance.
             self.counters.peer_unsealed += 1;
             return Vec::new();
         };
@@ -179,7 +180,8 @@
         self.drain_effects()
     }
 
-    /// Lets time pass: queues, deadlines, probes.
+    /// Handles everything that has come due by `now`: forward timeouts, queues, deadlines, probes
+    /// and expired ledger entries.
     pub fn on_tick(&mut self, now: ClockTime) -> Vec<EngineEffect> {
         self.retry_forwards(now);
         for key in self.schedulers.keys() {
@@ -191,33 +193,35 @@
         self.drain_effects()
     }
 
-    /// Sets where the process stands in its life.
+    /// Sets the lifecycle phase of the process.
     pub fn set_phase(&mut self, _now: ClockTime, phase: EnginePhase) {
         self.phase = phase;
     }
 
-    /// Requests, tickets and forwardings that a planned stop has to wait for.
+    /// Returns the number of open requests and pending forwards that a planned stop has to wait
+    /// for, plus one while any issued ticket is still valid.
     pub fn unfinished_count(&self, now: ClockTime) -> usize {
         let tickets = usize::from(!self.latest_start_deadline.is_past(now));
         self.open_requests + tickets + self.forwards.len()
     }
 
-    /// True when no deadline of a request, of a feed's opening or of a forwarding runs.
+    /// Returns true when no request is open, no feed is being opened and no forward is pending, so
+    /// that no deadline has to be checked soon.
     pub fn is_idle(&self) -> bool {
         self.open_requests == 0 && self.opening_feeds == 0 && self.forwards.is_empty()
     }
 
-    /// What this instance is.
+    /// Returns the peer record of this instance.
     pub fn me(&self) -> &PeerInfo {
         &self.me
     }
 
-    /// The engine's counters.
+    /// Returns the counters of the engine.
     pub fn counters(&self) -> &EngineCounters {
         &self.counters
     }
 
-    /// The engine's present state.
+    /// Returns a snapshot of the engine's state for operators.
     pub fn status(&self, now: ClockTime) -> EngineStatus {
         EngineStatus {
             phase: self.phase,
@@ -241,12 +245,13 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Sends a packet from the data socket.
+    /// Queues a packet to be sent from the data socket.
     pub(crate) fn send_data(&mut self, to: SocketAddr, packet: &Packet) {
         self.effects.push(EngineEffect::SendData { to, bytes: encode_packet(packet) });
     }
 
-    /// Sends a sealed datagram from the peer socket.
+    /// Queues a sealed datagram to be sent from the peer socket. Without a published key, nothing
+    /// is sent.
     pub(crate) fn send_peer(&mut self, to: SocketAddr, body: Body) {
         let datagram = PeerDatagram { body: Some(body) };
         if let Ok(bytes) = seal_datagram(&self.key_ring, &datagram) {
@@ -254,7 +259,7 @@
         }
     }
 
-    /// Takes out a work that has ended.
+    /// Removes a work that has ended.
     pub(crate) fn remove_work(&mut self, id: u64) -> Option<HomeWork> {
         let work = self.works.remove(&id)?;
         self.work_by_dispatch.remove(&work.dispatch);
@@ -263,10 +268,10 @@
         Some(work)
     }
 
-    /// Puts a request into the audit trail whose caller was told that nobody knows.
+    /// Records in the audit trail that a request was refused with an unknown outcome.
     ///
-    /// At most one each [`MIN_UNKNOWN_AUDIT_INTERVAL`]: a flood of packets with withdrawn
-    /// tickets would otherwise push every other change out of the bounded trail.
+    /// Writes at most one entry per [`MIN_UNKNOWN_AUDIT_INTERVAL`]: a flood of packets with tickets
+    /// under a withdrawn key would otherwise evict all other changes from the bounded trail.
     pub(crate) fn audit_unknown_outcome(
         &mut self,
         now: ClockTime,
@@ -304,8 +309,8 @@
         self.journal.record(packet.flow, FlowEvent::new(now, packet.request, text));
         let mut reply = Packet { refusal: Some(refusal), ..reply_to(packet, PacketKind::Refusal) };
         if reply.encoded_len() > packet.encoded_len() {
-            // The sender's address may be forged; an answer larger than the
-            // datagram would make instances amplify an attack on it.
+            // The source address may be forged. A reply larger than the packet would let an
+            // attacker use instances to amplify traffic towards a victim.
             reply.address.clear();
         }
         self.send_data(to, &reply);
--- a/crates/foxledge-engine/src/entry.rs
+++ b/crates/foxledge-engine/src/entry.rs
@@ -1,4 +1,4 @@
-//! The entry role: where a caller's packet goes.
+//! The entry role: routes callers' packets.
 
 use std::net::SocketAddr;
 
@@ -27,11 +27,12 @@
 };
 
 impl FlowEngine {
-    /// Takes a packet that the fabric handed to this instance.
+    /// Routes a packet that the network fabric delivered to this instance.
     pub(crate) fn on_caller_packet(&mut self, now: ClockTime, from: SocketAddr, packet: Packet) {
         if self.list.version.revision == 0 {
-            // No list means no keys and no rules: nothing could be decided, and
-            // nothing here has been started.
+            // Without a list there are no keys and no rules, so nothing can be decided. A packet
+            // with neither a ticket nor a token can't have started any work yet, so "not run" is
+            // true for it.
             let outcome = if packet.ticket.is_empty() && packet.token.is_empty() {
                 not_run_refusal(RefusalReason::NotReady, DEFAULT_RETRY_DELAY)
             } else {
@@ -49,15 +50,15 @@
             PacketKind::Work | PacketKind::TicketRequest => {
                 self.route_by_rank(now, from, packet, 0);
             }
-            // A poll or cancel that names no backend server reaches none.
+            // Polls and cancels need a token or a ticket that identifies the backend server.
             _ => self.counters.malformed += 1,
         }
     }
 
-    /// Sends a packet to the backend server that its flow token names.
+    /// Sends a packet to the backend server in its flow token.
     ///
-    /// No table is needed, so every instance continues every flow, one that was
-    /// started a moment ago included.
+    /// The token carries all the routing state, so every instance can continue every flow,
+    /// including an instance that has just started.
     fn route_by_token(&mut self, now: ClockTime, from: SocketAddr, packet: Packet) {
         let token = match open_token(&self.key_ring, &packet.token) {
             Ok(token) => token,
@@ -71,7 +72,7 @@
             return self.send_refusal(now, from, &packet, refusal);
         }
         if packet.kind() == PacketKind::Work && token.request != packet.request {
-            // A new request in an old flow is new work.
+            // A new request in an existing flow is admitted as new work.
             let packet = Packet { token: Vec::new(), ..packet };
             return self.on_caller_packet(now, from, packet);
         }
@@ -84,7 +85,7 @@
         self.send_by_token(from, packet, &token);
     }
 
-    /// Why the token's backend server can't be used, if it can't.
+    /// Returns the reason why the token's backend server can't be used, or none if it can.
     fn token_refusal_reason(&self, token: &FlowToken) -> Option<RefusalReason> {
         let Ok(address) = token.target_address.parse::<SocketAddr>() else {
             return Some(RefusalReason::BadToken);
@@ -95,9 +96,9 @@
         if !self.options.trial.check_target_owner {
             return None;
         }
-        // The address may have been given to another service's target since the
-        // token was sealed. Sending there would hand a bidder's packet to a
-        // stranger; one would notice answers of the wrong service.
+        // The address may have been reassigned to a backend server of another service since the
+        // token was sealed. Without this check, a bidder's packet would reach the wrong service and
+        // the caller would get answers from it.
         let (key, published) = self.target_owners.get(&address)?;
         let is_same = key.service.as_str() == token.service
             && published.incarnation == token.target_incarnation;
@@ -133,7 +134,7 @@
         self.send_data(address, &packet);
     }
 
-    /// Sends a packet to the one process that issued its ticket.
+    /// Forwards a packet to the process that issued its ticket.
     pub(crate) fn route_by_ticket(
         &mut self,
         now: ClockTime,
@@ -146,8 +147,8 @@
             Err(error) => return self.refuse_ticket(now, from, &packet, &error),
         };
         if !ticket_matches(&ticket, &packet) {
-            // The contents decide, so every instance gives the same verdict on
-            // every copy: it can run nowhere.
+            // The result depends only on the packet's contents, so every instance refuses every
+            // copy and "not run" is true.
             let refusal = not_run_refusal(RefusalReason::BadTicket, DEFAULT_RETRY_DELAY);
             return self.send_refusal(now, from, &packet, refusal);
         }
@@ -157,8 +158,8 @@
         if !self.options.trial.run_once {
             return self.route_by_rank(now, from, packet, hops);
         }
-        // A packet that went round too often has a ticket whose address leads
-        // nowhere: each forwarding would be acknowledged and go on for ever.
+        // A packet that has been forwarded this often has a ticket with a wrong home address: each
+        // forward would be acknowledged and forwarded again without end.
         if self.is_home_gone(&ticket) || hops >= MAX_HOPS {
             let refusal = unknown_refusal(RefusalReason::HomeLost, DEFAULT_RETRY_DELAY);
             return self.send_refusal(now, from, &packet, refusal);
@@ -166,7 +167,8 @@
         self.forward_to_issuer(now, from, packet, &ticket, hops);
     }
 
-    /// Forwards a packet to the instance that issued its ticket, or to one that may reach it.
+    /// Forwards a packet to the instance that issued its ticket, or to a relay while that instance
+    /// is unresponsive.
     fn forward_to_issuer(
         &mut self,
         now: ClockTime,
@@ -195,11 +197,11 @@
         self.send_forward(home_address, forward);
     }
 
-    /// Refuses a packet whose ticket doesn't open.
+    /// Refuses a packet whose ticket can't be opened.
     ///
-    /// A ticket under an unknown key may be good at an instance that has an
-    /// older or newer list, where a copy of the packet may run. "Not run" would
-    /// then be false. A wrong code under a known key opens nowhere.
+    /// A ticket under an unknown key may still be valid at an instance with an older or newer list,
+    /// where a copy of the packet may run, so "not run" could be false. An invalid MAC under a
+    /// known key is invalid at every instance.
     fn refuse_ticket(
         &mut self,
         now: ClockTime,
@@ -222,10 +224,10 @@
         ticket.home == self.me.name.as_str() && ticket.home_incarnation == self.me.incarnation
     }
 
-    /// True when the process that issued the ticket is known to be no more.
+    /// Returns true when the process that issued the ticket is known to have ended.
     fn is_home_gone(&self, ticket: &Ticket) -> bool {
         if ticket.home == self.me.name.as_str() {
-            // This is another process of the same instance.
+            // The ticket is from an earlier process of this instance.
             return true;
         }
         let Some(home) = self.view.find(&ticket.home) else { return false };
@@ -234,7 +236,7 @@
                 && home.state == foxledge_core::peers::PeerState::Dead)
     }
 
-    /// Sends a packet to the best home of its service that isn't silent.
+    /// Forwards a packet to the highest-ranked home of its service that isn't unresponsive.
     pub(crate) fn route_by_rank(
         &mut self,
         now: ClockTime,
@@ -264,7 +266,7 @@
         );
     }
 
-    /// What the rules decide for a packet that opens something.
+    /// Checks the caller's credential and returns how the rules serve a packet that opens new work.
     pub(crate) fn decide_treatment(
         &self,
         packet: &Packet,
@@ -298,7 +300,7 @@
         }
     }
 
-    /// The desk that admits the packet.
+    /// Returns the shard whose scheduler admits the packet.
     pub(crate) fn shard_key(&self, packet: &Packet, treatment: &ServeTreatment) -> ShardKey {
         let shards = self.list.services.get(&treatment.service).map_or(1, |service| {
             shard_count(service, &self.me.data_centre, self.placement.as_ref())
@@ -306,11 +308,10 @@
         ShardKey { service: treatment.service.clone(), shard: shard_for_flow(packet.flow, shards) }
     }
 
-    /// The refusal of a packet without a ticket.
+    /// Returns the refusal of a packet without a ticket.
     ///
-    /// Idempotent work is tracked by no single process: a copy may run through
-    /// another home while this one refuses. Only work that can't run without a
-    /// ticket is truthfully called "not run".
+    /// No single process tracks idempotent work: a copy may run through another home while this one
+    /// refuses it. "Not run" is guaranteed only for work that can't run without a ticket.
     pub(crate) fn untracked_refusal(
         &self,
         packet: &Packet,
--- a/crates/foxledge-engine/src/explain.rs
+++ b/crates/foxledge-engine/src/explain.rs
@@ -1,4 +1,4 @@
-//! Why a flow is treated as it is.
+//! Explains routing decisions to operators.
 
 use foxledge_core::{
     lists::{FlowTraits, FlowTreatment},
@@ -13,44 +13,44 @@
     schedulers::shard_count,
 };
 
-/// `ExplainQuery` is the flow that an operator asks about.
+/// An operator's query about the treatment of a flow.
 #[derive(Clone, Debug)]
 pub struct ExplainQuery {
-    /// Service address.
+    /// The service address.
     pub address: String,
-    /// Member.
+    /// The name of the client account.
     pub member: String,
-    /// Kind of traffic.
+    /// The kind of traffic.
     pub kind: TrafficKind,
-    /// Flow id; 0 when no particular flow is meant.
+    /// The flow id, or 0 for no particular flow.
     pub flow: u64,
 }
 
-/// `FlowExplanation` is the decision for a flow and its reasons.
+/// The decision for a flow and the steps that lead to it.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct FlowExplanation {
-    /// Revision of the list that decides.
+    /// The revision of the list in force.
     pub revision: u64,
-    /// Name of the first rule that matches.
+    /// The name of the first matching rule.
     pub rule: Option<String>,
-    /// What it decides.
+    /// The treatment that the rule sets.
     pub treatment: Option<FlowTreatment>,
-    /// Shard of the service.
+    /// The flow's shard of the service.
     pub shard: Option<u32>,
-    /// Instances that can be home, the best first.
+    /// The names of the shard's home candidates, the highest-ranked first.
     pub homes: Vec<String>,
-    /// Backend servers of the shard in this data centre.
+    /// The backend servers of the shard in this data centre.
     pub targets: Vec<TargetAddress>,
-    /// The one that this instance last sent a request of the flow to.
+    /// The backend server to which this instance sent the flow's most recent request.
     pub target: Option<TargetAddress>,
     /// The steps of the decision, as short sentences.
     pub reasons: Vec<String>,
-    /// What this instance decided for the flow lately.
+    /// The recent decisions of this instance for the flow.
     pub flow_events: Vec<FlowEvent>,
 }
 
 impl FlowEngine {
-    /// Why a flow is treated as it is.
+    /// Returns how a flow is treated and the steps that lead to the decision.
     pub fn explain(&self, query: &ExplainQuery) -> FlowExplanation {
         let mut explanation = FlowExplanation {
             revision: self.list.version.revision,
--- a/crates/foxledge-engine/src/forwarding.rs
+++ b/crates/foxledge-engine/src/forwarding.rs
@@ -1,4 +1,4 @@
-//! Forwarding to homes: the next one when one is silent.
+//! Forwards packets to homes and retries with other instances when a home is unresponsive.
 
 use std::net::SocketAddr;
 
@@ -15,21 +15,24 @@
     placement::ShardKey,
 };
 
-/// Forwardings after which a packet is taken where it is.
+/// The number of forwards after which the instance that has the packet handles it itself.
 ///
-/// Two instances with different views may each think the other is the home.
-/// Without the bound a packet would circle between them; one would notice peer
-/// traffic that grows while nothing is admitted.
+/// Two instances with different peer views may each consider the other the home. Without this limit
+/// a packet would circle between them: peer traffic would grow while nothing is admitted.
 pub(crate) const MAX_HOPS: u32 = 3;
 
-/// Sends of a ticketed packet to the ticket's home before it counts as lost.
+/// The number of times a packet is forwarded towards its ticket's home before the home counts as
+/// unreachable.
 const MAX_TICKET_FORWARDS: usize = 3;
 
-/// Attempt of a caller at which a home that can't be reached is final.
+/// The caller's attempt from which an unreachable home leads to a final refusal instead of another
+/// resend request.
 const MAX_RESEND_ATTEMPT: u32 = 4;
 
 impl FlowEngine {
-    /// Goes on to the next home that hasn't been tried; the last resort is here.
+    /// Forwards a packet to the highest-ranked home that hasn't been tried and isn't unresponsive.
+    /// Handles it locally when there is no such home, when this instance is that home or when the
+    /// packet has been forwarded too often.
     pub(crate) fn forward_to_next_home(
         &mut self,
         now: ClockTime,
@@ -66,7 +69,7 @@
         self.send_peer(to, Body::Forward(Forward { forward_id, ..message }));
     }
 
-    /// Goes on with forwardings that no home acknowledged.
+    /// Retries forwards that weren't acknowledged in time.
     pub(crate) fn retry_forwards(&mut self, now: ClockTime) {
         while let Some(forward) = self.forwards.pop_expired(now) {
             self.counters.forward_silent += 1;
@@ -95,18 +98,18 @@
                 self.forward_to_next_home(now, &key, forward);
             }
             Err(reason) => {
-                // A silent home may still have taken an earlier forwarding.
+                // The unresponsive home may still have received the earlier forward.
                 let refusal = unknown_refusal(reason, DEFAULT_RETRY_DELAY);
                 self.send_refusal(now, forward.caller, &forward.packet, refusal);
             }
         }
     }
 
-    /// Tries the ticket's home again, by way of another instance if there is one.
+    /// Forwards a packet to its ticket's home again, through a relay if another instance is
+    /// available.
     ///
-    /// The way to the home may be cut in one place only. When it stays silent
-    /// the request is given up: it may have been started, so its caller is told
-    /// at once that nobody knows.
+    /// The link to the home may be cut at one point only. If the home remains unresponsive, the
+    /// request may have been started, so its caller is told at once that the outcome is unknown.
     fn retry_by_ticket(
         &mut self,
         now: ClockTime,
@@ -130,11 +133,10 @@
         self.send_forward(address, forward);
     }
 
-    /// Sends a packet whose ticket's home was silent a moment ago by way of another instance.
+    /// Forwards a packet through a relay because its ticket's home was recently unresponsive.
     ///
-    /// Only the way from here may be cut. If the packet were given up at once, one
-    /// would notice bids that end unknown though their home lives and a third
-    /// instance reaches it.
+    /// Possibly only the link from this instance to the home is cut. Without a relay, bids would
+    /// end with an unknown outcome although their home is alive and a third instance can reach it.
     pub(crate) fn forward_via_relay(&mut self, now: ClockTime, mut forward: PendingForward) {
         match self.find_relay(now, &forward) {
             Some((name, address)) if forward.hops == 0 => {
@@ -145,7 +147,7 @@
         }
     }
 
-    /// An instance that hasn't been tried and wasn't silent lately.
+    /// Returns an instance that hasn't been tried and isn't unresponsive.
     fn find_relay(
         &self,
         now: ClockTime,
@@ -161,11 +163,11 @@
         Some((relay.name.clone(), relay.peer_address))
     }
 
-    /// Gives up on reaching the home of a packet's ticket.
+    /// Handles a packet whose ticket's home can't be reached.
     ///
-    /// Under a cut between instances another one may still reach it, and the
-    /// fabric may hand it the next copy; so the caller is asked to send again, a
-    /// few times. After that its request is final: nobody knows.
+    /// During a partition another instance may still reach the home, and the network fabric may
+    /// deliver the next copy to that instance. The caller is therefore asked to resend, up to
+    /// [`MAX_RESEND_ATTEMPT`] times. After that the request is refused with an unknown outcome.
     pub(crate) fn handle_unreachable_home(
         &mut self,
         now: ClockTime,
@@ -184,7 +186,7 @@
         );
     }
 
-    /// A home has the packet.
+    /// Handles the acknowledgement of a forward.
     pub(crate) fn on_forward_ack(&mut self, forward_id: u64) {
         let Some(forward) = self.forwards.acknowledge(forward_id) else { return };
         if let Some(home) = forward.tried_instances.last() {
@@ -192,7 +194,7 @@
         }
     }
 
-    /// Takes a packet that another instance forwarded.
+    /// Acknowledges and handles a packet that another instance forwarded.
     pub(crate) fn on_forward(&mut self, now: ClockTime, from: SocketAddr, forward: Forward) {
         let Ok(caller) = forward.caller_address.parse::<SocketAddr>() else { return };
         let Some(packet) = forward.packet else { return };
@@ -205,8 +207,8 @@
         if forward.from_other_centre {
             return self.route_by_rank(now, caller, packet, forward.hops);
         }
-        // The forwarder took this instance for the home. Unless it is leaving,
-        // it admits, so that a packet never circles.
+        // The sender considers this instance the home. Unless it is leaving, it admits the packet
+        // here, so that no packet circles.
         if self.phase == EnginePhase::Leaving {
             return self.route_by_rank(now, caller, packet, forward.hops);
         }
--- a/crates/foxledge-engine/src/forwards.rs
+++ b/crates/foxledge-engine/src/forwards.rs
@@ -1,4 +1,4 @@
-//! Forwardings that wait for a home's acknowledgement, and homes passed over.
+//! Tracks forwards that wait for an acknowledgement, and unresponsive homes.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -8,38 +8,38 @@
 use foxledge_core::{names::InstanceName, time::ClockTime};
 use foxledge_wire::flow::Packet;
 
-/// `ForwardRoute` is why a packet goes to a home.
+/// The reason why a packet is forwarded to an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ForwardRoute {
-    /// Any home of the service will do.
+    /// The packet may be handled by any home of the service.
     ByRank,
-    /// Another data centre serves it, as this one's targets can't.
+    /// The packet needs a backend server in another data centre, as the local ones can't serve it.
     OtherCentre,
-    /// Only the process that issued the ticket will do.
+    /// The packet has to reach the process that issued its ticket.
     ByTicket {
-        /// The home's peer address from the ticket.
+        /// The peer address of the home, from the ticket.
         home_address: SocketAddr,
     },
 }
 
-/// `PendingForward` is a packet that a home hasn't acknowledged yet.
+/// A forwarded packet that hasn't been acknowledged yet.
 #[derive(Clone, Debug)]
 pub struct PendingForward {
-    /// The packet.
+    /// The forwarded packet.
     pub packet: Packet,
-    /// Where its caller is.
+    /// The address of the caller.
     pub caller: SocketAddr,
-    /// Why it goes there.
+    /// The reason for forwarding.
     pub route: ForwardRoute,
-    /// Instances tried so far; the last one is being waited for.
+    /// The instances tried so far. The last one is expected to acknowledge.
     pub tried_instances: Vec<InstanceName>,
-    /// When the wait ends.
+    /// The time at which the acknowledgement is overdue.
     pub ack_deadline: ClockTime,
-    /// Forwardings so far on the packet's way.
+    /// The number of times the packet had been forwarded when it arrived at this instance.
     pub hops: u32,
 }
 
-/// `ForwardTable` is the forwardings that wait.
+/// The forwards that wait for an acknowledgement.
 #[derive(Debug)]
 pub struct ForwardTable {
     pending: HashMap<u64, PendingForward>,
@@ -49,12 +49,12 @@
 }
 
 impl ForwardTable {
-    /// Makes an empty table of at most `limit` forwardings.
+    /// Creates an empty table for at most `limit` forwards.
     pub fn new(limit: usize) -> ForwardTable {
         ForwardTable { pending: HashMap::new(), by_deadline: BTreeMap::new(), last_id: 0, limit }
     }
 
-    /// Adds a forwarding and gives its id; a full table gives an id but doesn't wait.
+    /// Adds a forward and returns its id. A full table returns an id but doesn't track the forward.
     pub fn add(&mut self, forward: PendingForward) -> u64 {
         self.last_id += 1;
         if self.pending.len() < self.limit {
@@ -64,14 +64,14 @@
         self.last_id
     }
 
-    /// Takes out a forwarding that was acknowledged.
+    /// Removes a forward that was acknowledged.
     pub fn acknowledge(&mut self, id: u64) -> Option<PendingForward> {
         let forward = self.pending.remove(&id)?;
         self.by_deadline.remove(&(forward.ack_deadline, id));
         Some(forward)
     }
 
-    /// Takes out one forwarding whose wait has ended.
+    /// Removes and returns one forward whose acknowledgement is overdue.
     pub fn pop_expired(&mut self, now: ClockTime) -> Option<PendingForward> {
         let (&(deadline, id), ()) = self.by_deadline.first_key_value()?;
         if !deadline.is_past(now) {
@@ -81,40 +81,40 @@
         self.pending.remove(&id)
     }
 
-    /// Forwardings that wait.
+    /// Returns the number of pending forwards.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// True when nothing waits.
+    /// Returns true when no forward is pending.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 }
 
-/// `UnresponsiveHomes` is the homes that didn't acknowledge lately.
+/// The homes that recently didn't acknowledge a forward.
 ///
-/// Membership takes seconds to find out that an instance died. Until then every
-/// new request of its services would wait in vain; one would notice admission
-/// that stops for seconds at each kill. An entry instance therefore passes over
-/// a silent home for a while on its own observation alone.
+/// Membership takes seconds to detect that an instance has died. Until then every new request of
+/// its services would wait for a timeout, so each kill of an instance would stop admission for
+/// seconds. An entry instance therefore skips an unresponsive home for a while on its own
+/// observation alone.
 #[derive(Debug, Default)]
 pub struct UnresponsiveHomes {
     skipped_until: HashMap<InstanceName, ClockTime>,
 }
 
 impl UnresponsiveHomes {
-    /// Notes that a home was silent.
+    /// Skips a home until the given time.
     pub fn insert(&mut self, name: InstanceName, until: ClockTime) {
         self.skipped_until.insert(name, until);
     }
 
-    /// Forgets that a home was silent, as it has been heard again.
+    /// Stops skipping a home that has acknowledged a forward.
     pub fn remove(&mut self, name: &InstanceName) {
         self.skipped_until.remove(name);
     }
 
-    /// True while the home is passed over.
+    /// Returns true while the home is skipped.
     pub fn contains(&self, name: &InstanceName, now: ClockTime) -> bool {
         self.skipped_until.get(name).is_some_and(|until| !until.is_past(now))
     }
--- a/crates/foxledge-engine/src/home.rs
+++ b/crates/foxledge-engine/src/home.rs
@@ -1,4 +1,4 @@
-//! The home role: what is admitted, and what is answered to copies.
+//! The home role: admits requests and answers duplicates.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -22,24 +22,24 @@
     packets::{DEFAULT_RETRY_DELAY, not_run_refusal, unknown_refusal},
 };
 
-/// Longest deadline that a caller's packet may ask for.
+/// The maximum time that a caller's packet may request until its deadline.
 const MAX_REQUEST_TIME: Duration = Duration::from_secs(120);
-/// Deadline of a packet that names none.
+/// The time until the deadline of a packet that requests none.
 const DEFAULT_REQUEST_TIME: Duration = Duration::from_secs(2);
 
-/// `RunTerms` is on what terms a request may run here.
+/// The conditions under which a request may run at this home.
 #[derive(Clone, Copy, Debug)]
 pub struct RunTerms {
-    /// What can be said when it is refused.
+    /// Whether "not run" is guaranteed when the request is refused.
     pub tracking: RunTracking,
-    /// Until when it may be started.
+    /// The time until which the request may be started.
     pub start_deadline: ClockTime,
-    /// Until when the ledger has to know it.
+    /// The time until which the ledger has to keep the request.
     pub expires_at: ClockTime,
 }
 
 impl FlowEngine {
-    /// Takes a packet as the home of its service.
+    /// Handles a packet as the home of its service.
     pub(crate) fn handle_as_home(
         &mut self,
         now: ClockTime,
@@ -63,9 +63,9 @@
             PacketKind::Work if packet.idempotent || !self.options.trial.run_once => {
                 self.handle_untracked_request(now, caller, packet);
             }
-            // Non-idempotent work without a ticket runs nowhere, so that a copy
-            // at another home can't run either. Its caller gets a ticket, if its
-            // packet is large enough to be answered by one.
+            // Non-idempotent work without a ticket isn't run anywhere, so that a copy at another
+            // home can't run either. The caller gets a ticket instead, provided that its packet is
+            // at least as large as the reply with the ticket.
             PacketKind::Work if packet.payload.len() >= TICKET_PADDING => {
                 self.grant_ticket(now, caller, &packet);
             }
@@ -77,7 +77,8 @@
         }
     }
 
-    /// True for a packet that any home may answer: no ticket, and unknown here.
+    /// Returns true for a packet that any home may admit: it has no ticket and this home doesn't
+    /// know its request.
     fn is_new_work(&self, packet: &Packet) -> bool {
         let is_opening = matches!(packet.kind(), PacketKind::TicketRequest | PacketKind::Work);
         is_opening
@@ -85,7 +86,7 @@
             && self.ledger.find(&RequestKey::from_packet(packet)).is_none()
     }
 
-    /// Takes idempotent work.
+    /// Handles idempotent work without a ticket.
     fn handle_untracked_request(&mut self, now: ClockTime, caller: SocketAddr, packet: Packet) {
         let key = RequestKey::from_packet(&packet);
         if let Some(state) = self.ledger.find(&key).cloned() {
@@ -99,7 +100,7 @@
         self.open_request(now, caller, packet, terms);
     }
 
-    /// Answers a copy of a known request; it starts nothing.
+    /// Handles a duplicate of a known request without starting the work again.
     pub(crate) fn handle_duplicate(
         &mut self,
         now: ClockTime,
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Admits a request that isn't known yet, or refuses it.
+    /// Admits a new request or refuses it.
     pub(crate) fn open_request(
         &mut self,
         now: ClockTime,
@@ -134,8 +135,8 @@
             Err(reason) => return self.refuse_permanently(now, caller, &packet, terms, reason),
         };
         if self.ledger.is_full() {
-            // Nothing is recorded, so a copy may be admitted later: the home
-            // can't promise that it never runs.
+            // The refusal isn't recorded, so a copy may be admitted later and "not run" can't be
+            // guaranteed.
             let refusal = unknown_refusal(RefusalReason::Limit, DEFAULT_RETRY_DELAY);
             return self.send_refusal(now, caller, &packet, refusal);
         }
@@ -160,7 +161,7 @@
         self.apply_scheduler_effects(now, &shard, effects);
     }
 
-    /// How a request is served here, or why it isn't.
+    /// Returns how the request is served, or the reason for its refusal.
     fn admit(
         &mut self,
         now: ClockTime,
@@ -169,14 +170,15 @@
     ) -> Result<ServeTreatment, RefusalReason> {
         let treatment = self.decide_treatment(packet)?;
         if tracking == RunTracking::ByTicket && !self.has_local_target(now, packet, &treatment) {
-            // The ticket was issued while a target could serve. Its caller gets
-            // another one, perhaps of another data centre, and asks anew.
+            // The ticket was issued while a backend server was available. After the refusal the
+            // caller requests another ticket, possibly of another data centre, and retries.
             return Err(RefusalReason::NoTarget);
         }
         Ok(treatment)
     }
 
-    /// What the home keeps of a request, without its opening packet; none of unknown work.
+    /// Creates the home's record of a request, without its opening packet. Returns none for an
+    /// unknown kind of work.
     fn home_work(
         &self,
         now: ClockTime,
@@ -201,13 +203,14 @@
         })
     }
 
-    /// The member's name, sharing the list's text: one copy per member, not per flow.
+    /// Returns the client account's name with the list's shared string, so that it is stored once
+    /// per client account and not once per flow.
     fn interned_member(&self, text: &str) -> MemberName {
         let entry = self.list.members.get_key_value(text);
         entry.map_or_else(|| MemberName::new(text), |(name, _)| name.clone())
     }
 
-    /// The service address, sharing the list's text.
+    /// Returns the service address with the list's shared string.
     fn interned_address(&self, text: &str, treatment: &ServeTreatment) -> ServiceAddress {
         let service = self.list.services.get(&treatment.service);
         service
@@ -215,10 +218,10 @@
             .map_or_else(|| ServiceAddress::new(text), ServiceAddress::clone)
     }
 
-    /// Refuses a request and remembers it, so that no copy is decided otherwise.
+    /// Refuses a request and records the refusal, so that every copy is refused as well.
     ///
-    /// A new list could let a copy in that arrives a moment later. Its caller
-    /// had been told "not run"; one would notice a refused bid that ran.
+    /// Otherwise a new list could admit a copy that arrives a moment later, and a bid that was
+    /// refused as "not run" would run.
     pub(crate) fn refuse_permanently(
         &mut self,
         now: ClockTime,
@@ -275,7 +278,7 @@
     }
 }
 
-/// What the desk has to know of a request.
+/// Creates the scheduler's work item for a request.
 fn work_item(
     id: u64,
     work: &HomeWork,
@@ -298,7 +301,7 @@
     }
 }
 
-/// As much of the opening packet as replies and tickets need.
+/// Returns a packet with only those fields of the opening packet that replies and tickets need.
 pub(crate) fn reply_context(work: &HomeWork) -> Packet {
     Packet {
         caller: work.key.caller,
--- a/crates/foxledge-engine/src/home_work.rs
+++ b/crates/foxledge-engine/src/home_work.rs
@@ -1,4 +1,4 @@
-//! What a home has opened.
+//! The requests and feeds that are open at a home.
 
 use std::net::SocketAddr;
 
@@ -11,46 +11,46 @@
 
 use crate::{ledger::RequestKey, placement::ShardKey};
 
-/// `RunTracking` is what the home can say of a request that it refuses.
+/// Whether the home can guarantee that a refused request doesn't run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunTracking {
-    /// Runs through this process only, by ticket: "not run" can be said.
+    /// The request has a ticket and runs through this process only, so "not run" can be guaranteed.
     ByTicket,
-    /// Idempotent: a copy may run through another home.
+    /// The request is idempotent and a copy of it may run through another home.
     Untracked,
 }
 
-/// `HomeWork` is one request or feed that was opened at this home.
+/// A request or feed that is open at this home.
 #[derive(Debug)]
 pub struct HomeWork {
-    /// Which request.
+    /// The key of the request.
     pub key: RequestKey,
-    /// The service address that its caller wants.
+    /// The service address that the caller requested.
     pub address: ServiceAddress,
-    /// The member it is counted for.
+    /// The client account to which the work is charged.
     pub member: MemberName,
-    /// Its desk.
+    /// The shard whose scheduler has the work.
     pub shard: ShardKey,
-    /// The opening packet; an open feed keeps none.
+    /// The opening packet; none for an open feed.
     pub packet: Option<Box<Packet>>,
-    /// Where its caller was last seen.
+    /// The address of the caller's most recent packet.
     pub caller: SocketAddr,
-    /// Kind of traffic.
+    /// The kind of traffic.
     pub kind: TrafficKind,
-    /// What can be said when it is refused.
+    /// Whether "not run" is guaranteed when the work is refused.
     pub tracking: RunTracking,
-    /// When the caller gives up.
+    /// The time at which the caller stops waiting.
     pub deadline: ClockTime,
-    /// When it arrived here.
+    /// The time at which the request arrived at this home.
     pub arrived_at: ClockTime,
-    /// Until when the ledger has to know it.
+    /// The time until which the ledger has to keep the request.
     pub expires_at: ClockTime,
-    /// Its present dispatch; 0 while it waits.
+    /// The id of the current dispatch; 0 while the work is queued.
     pub dispatch: u64,
 }
 
 impl HomeWork {
-    /// True for a long-lived connection.
+    /// Returns true for a feed, which is a long-lived connection.
     pub fn is_feed(&self) -> bool {
         self.kind == TrafficKind::Feed
     }
--- a/crates/foxledge-engine/src/journal.rs
+++ b/crates/foxledge-engine/src/journal.rs
@@ -1,4 +1,4 @@
-//! What was decided for recent flows, so that one id can be followed.
+//! A bounded journal of recent routing decisions by flow.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -9,41 +9,41 @@
 use foxledge_core::{lists::TargetSpec, names::TargetName, time::ClockTime};
 use serde::{Serialize, Serializer};
 
-/// Decisions kept for one flow.
+/// The maximum number of decisions kept for one flow.
 const MAX_EVENTS_PER_FLOW: usize = 12;
 
-/// `FlowEvent` is one decision for a flow.
+/// A decision about a request of a flow.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FlowEvent {
-    /// Microseconds on this process's monotonic clock.
+    /// The time of the decision, in microseconds of this process's monotonic clock.
     pub at_us: u64,
-    /// Number of the request.
+    /// The number of the request.
     pub request: u64,
-    /// What was decided, as a short sentence.
+    /// The decision, as a short sentence.
     pub text: String,
-    /// The backend server that the request was sent to, if it was.
+    /// The backend server to which the request was sent, if it was.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub target: Option<TargetAddress>,
 }
 
 impl FlowEvent {
-    /// Makes a decision that sends the request nowhere.
+    /// Creates an event without a backend server.
     pub fn new(now: ClockTime, request: u64, text: impl Into<String>) -> FlowEvent {
         FlowEvent { at_us: now.as_micros(), request, text: text.into(), target: None }
     }
 
-    /// Sets the backend server that the request was sent to.
+    /// Sets the backend server to which the request was sent.
     pub fn with_target(self, target: TargetAddress) -> FlowEvent {
         FlowEvent { target: Some(target), ..self }
     }
 }
 
-/// `TargetPlace` is a backend server by name and address, written `name@address`.
+/// The name and address of a backend server, written `name@address`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetAddress {
-    /// Published name.
+    /// The published name.
     pub name: TargetName,
-    /// Where it is reached.
+    /// The address for datagrams.
     pub address: SocketAddr,
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// `FlowJournal` is the decisions for the most recent flows; bounded.
+/// The recent decisions for a bounded number of flows.
 #[derive(Debug)]
 pub struct FlowJournal {
     flows: HashMap<u64, VecDeque<FlowEvent>>,
@@ -74,12 +74,13 @@
 }
 
 impl FlowJournal {
-    /// Makes an empty journal of at most `limit` flows.
+    /// Creates an empty journal for at most `limit` flows, and at least one.
     pub fn new(limit: usize) -> FlowJournal {
         FlowJournal { flows: HashMap::new(), order: VecDeque::new(), limit: limit.max(1) }
     }
 
-    /// Notes a decision.
+    /// Records a decision. The first decision of a new flow evicts the oldest flow when the journal
+    /// is full.
     pub fn record(&mut self, flow: u64, event: FlowEvent) {
         if !self.flows.contains_key(&flow) {
             self.evict_oldest();
@@ -92,7 +93,7 @@
         events.push_back(event);
     }
 
-    /// The decisions for a flow, the oldest first.
+    /// Returns the decisions for a flow, the oldest first.
     pub fn events_of(&self, flow: u64) -> Vec<FlowEvent> {
         self.flows.get(&flow).map(|events| events.iter().cloned().collect()).unwrap_or_default()
     }
--- a/crates/foxledge-engine/src/ledger.rs
+++ b/crates/foxledge-engine/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The home's memory of requests: what makes a copy run nothing.
+//! The home's record of requests, by which duplicates are recognised.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -8,51 +8,50 @@
 use foxledge_core::{lists::TargetSpec, time::ClockTime};
 use foxledge_wire::flow::{Packet, Refusal};
 
-/// `RequestKey` is which request: callers choose the numbers.
+/// Identifies a request. Callers choose the numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestKey {
-    /// The caller.
+    /// The caller's id.
     pub caller: u64,
-    /// The flow.
+    /// The flow id.
     pub flow: u64,
-    /// Number of the request within the flow.
+    /// The number of the request within the flow.
     pub request: u64,
 }
 
 impl RequestKey {
-    /// The key of a packet's request.
+    /// Returns the key of a packet's request.
     pub fn from_packet(packet: &Packet) -> RequestKey {
         RequestKey { caller: packet.caller, flow: packet.flow, request: packet.request }
     }
 }
 
-/// `RequestState` is what became of a request at this home.
+/// The state of a request at this home.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestState {
-    /// Waits in a desk's queue under this work id.
+    /// Queued in a scheduler under this work id.
     Queued(u64),
-    /// Was sent to a backend server; every copy goes to the same one.
+    /// Sent to a backend server. Every duplicate is sent to the same one.
     Dispatched {
-        /// The dispatch that a copy repeats.
+        /// The dispatch id, which is the same for every duplicate.
         dispatch: u64,
         /// The backend server.
         target: Arc<TargetSpec>,
     },
-    /// Was refused for good; every copy gets the same refusal.
+    /// Refused. Every duplicate gets the same refusal.
     Refused(Refusal),
 }
 
-/// `RequestLedger` is the requests that this process knows.
+/// The requests that this process knows, up to a fixed number.
 ///
-/// Invariant: a request whose ticket hasn't run out is never forgotten. If it
-/// were, a late copy would be taken for a new request and run a second time;
-/// one would notice a doubled bid. Therefore a full ledger refuses new
-/// requests and evicts none.
+/// Invariant: a request is never removed before its ticket has expired. Otherwise a late duplicate
+/// would count as a new request and run a second time, for example as a doubled bid. A full ledger
+/// therefore refuses new requests and evicts none.
 #[derive(Debug)]
 pub struct RequestLedger {
     entries: HashMap<RequestKey, LedgerEntry>,
     by_expiry: BTreeSet<(ClockTime, RequestKey)>,
-    /// Requests opened under each ticket, by its serial.
+    /// The number of requests opened under each ticket, by the ticket's serial.
     ticket_uses: HashMap<u64, u32>,
     ticket_uses_by_expiry: BTreeSet<(ClockTime, u64)>,
     limit: usize,
@@ -65,7 +64,7 @@
 }
 
 impl RequestLedger {
-    /// Makes an empty ledger of at most `limit` requests.
+    /// Creates an empty ledger for at most `limit` requests.
     pub fn new(limit: usize) -> RequestLedger {
         RequestLedger {
             entries: HashMap::new(),
@@ -76,27 +75,28 @@
         }
     }
 
-    /// What became of the request, if it is known.
+    /// Returns the state of a request, or none if it is unknown.
     pub fn find(&self, key: &RequestKey) -> Option<&RequestState> {
         self.entries.get(key).map(|entry| &entry.state)
     }
 
-    /// True when no further request fits.
+    /// Returns true when the ledger can't hold another request.
     pub fn is_full(&self) -> bool {
         self.entries.len() >= self.limit
     }
 
-    /// Requests known.
+    /// Returns the number of known requests.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// True when no request is known.
+    /// Returns true when no request is known.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Records the state of a request, to be forgotten at `forget_at` at the earliest.
+    /// Records the state of a request and keeps it at least until `forget_at`. An earlier record
+    /// never expires sooner because of it.
     pub fn record(&mut self, key: RequestKey, state: RequestState, expires_at: ClockTime) {
         let later = self.entries.get(&key).map_or(expires_at, |old| old.expires_at.max(expires_at));
         if let Some(old) = self.entries.insert(key, LedgerEntry { state, expires_at: later }) {
@@ -105,7 +105,8 @@
         self.by_expiry.insert((later, key));
     }
 
-    /// Counts one more request under a ticket; false when the ticket is used up.
+    /// Counts a request under a ticket. Returns false if `count` requests have used the ticket
+    /// already.
     pub fn count_ticket_use(&mut self, serial: u64, count: u32, expires_at: ClockTime) -> bool {
         let used = self.ticket_uses.entry(serial).or_insert_with(|| {
             self.ticket_uses_by_expiry.insert((expires_at, serial));
@@ -118,7 +119,7 @@
         true
     }
 
-    /// Forgets what has passed its deadline.
+    /// Removes requests and ticket uses that have expired.
     pub fn remove_expired(&mut self, now: ClockTime) {
         self.remove_expired_uses(now);
         while let Some(&(expires_at, key)) = self.by_expiry.first() {
--- a/crates/foxledge-engine/src/lib.rs
+++ b/crates/foxledge-engine/src/lib.rs
@@ -1,11 +1,14 @@
-//! Entry and home decisions on datagrams.
+//! Routes callers' datagrams to backend servers and admits new work.
 //!
-//! [`FlowEngine`] is pure: datagrams, lists, views and the time come in,
-//! [`EngineEffect`]s go out. It has two roles. As *entry instance* it takes
-//! whatever the fabric hands it and sends it on: by flow token to the backend
-//! server that serves the flow, by ticket to the home that issued it, anything
-//! else to the home of the service. As *home* it admits work for the services
-//! that rendezvous hashing gives it.
+//! [`FlowEngine`] does no I/O: datagrams, lists, peer views and the current time come in, and
+//! [`EngineEffect`]s go out. It has two roles.
+//!
+//! As the *entry instance* it handles whatever the network fabric delivers to this instance and
+//! forwards it: a packet with a flow token goes to the backend server that serves the flow, a
+//! packet with a ticket goes to the home that issued the ticket, and anything else goes to the home
+//! of the service.
+//!
+//! As the *home* it admits work for the services that rendezvous hashing assigns to it.
 
 pub mod counters;
 pub mod dispatch;
--- a/crates/foxledge-engine/src/options.rs
+++ b/crates/foxledge-engine/src/options.rs
@@ -6,51 +6,51 @@
 
 use crate::placement::PlacementKind;
 
-/// How often a target is asked about a request that runs.
+/// The time between checks of a running request at its backend server.
 pub(crate) const REQUEST_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// How often a target is asked about an open feed: 7,700 feeds of a daemon at
-/// the target's size are 13 checks a second.
+/// The time between checks of an open feed at its backend server. At the design target, 7,700 feeds
+/// per daemon cause 13 checks a second.
 pub(crate) const FEED_CHECK_INTERVAL: Duration = Duration::from_secs(600);
 
-/// `EngineOptions` is how the engine behaves.
+/// The configuration of the engine.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
-    /// Which instance is the home of a service.
+    /// The strategy that determines the home of a service.
     pub placement: PlacementKind,
-    /// Name of the target policy.
+    /// The name of the policy that selects backend servers.
     pub policy: String,
-    /// Life of a ticket.
+    /// The time for which a ticket is valid.
     pub ticket_ttl: Duration,
-    /// Requests that a ticket is good for.
+    /// The number of requests that one ticket admits.
     pub requests_per_ticket: u32,
-    /// How long the entry instance waits for a home's acknowledgement.
+    /// The time within which a home has to acknowledge a forward.
     pub forward_timeout: Duration,
-    /// How long a home that didn't acknowledge is passed over.
+    /// The time for which a home that didn't acknowledge is skipped.
     pub home_backoff: Duration,
-    /// How long the ledger remembers a request beyond its ticket.
+    /// The time for which the ledger keeps a request after its ticket has expired.
     pub ledger_retention: Duration,
-    /// Most requests that the ledger holds.
+    /// The maximum number of requests in the ledger.
     pub max_ledger_requests: usize,
-    /// Most forwardings that wait for an acknowledgement.
+    /// The maximum number of forwards that wait for an acknowledgement.
     pub max_pending_forwards: usize,
-    /// Options of every home desk.
+    /// The options of every shard scheduler.
     pub scheduler: SchedulerOptions,
-    /// Mechanisms switched off to prove that they matter.
+    /// Switches that turn off single mechanisms to show that they are needed.
     pub trial: TrialSwitches,
 }
 
-/// `TrialSwitches` is which mechanisms are on; all are, but in trials.
+/// Switches for single mechanisms. All are on except in trials.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrialSwitches {
-    /// Non-idempotent work needs a ticket and runs through its home only.
+    /// Non-idempotent work needs a ticket and runs through the ticket's home only.
     pub run_once: bool,
-    /// A flow token is checked against the published owner of the address.
+    /// A flow token is checked against the published backend server at its address.
     pub check_target_owner: bool,
-    /// A home that doesn't acknowledge is passed over.
+    /// A home that doesn't acknowledge forwards is skipped for a while.
     pub skip_unresponsive_homes: bool,
-    /// Known refusals are repeated instead of being decided anew.
+    /// Duplicates of a refused request get the same refusal instead of a new decision.
     pub remember_refusals: bool,
-    /// A list older than the one in force is refused.
+    /// A list that is no newer than the one in force is ignored.
     pub refuse_stale_lists: bool,
 }
 
@@ -97,25 +97,25 @@
 }
 
 setters! {
-    /// Sets which instance is the home of a service.
+    /// Sets the strategy that determines the home of a service.
     placement: PlacementKind,
-    /// Sets the target policy by name.
+    /// Sets the name of the policy that selects backend servers.
     policy: String,
-    /// Sets the life of a ticket.
+    /// Sets the time for which a ticket is valid.
     ticket_ttl: Duration,
-    /// Sets how many requests a ticket is good for.
+    /// Sets the number of requests that one ticket admits.
     requests_per_ticket: u32,
-    /// Sets how long the entry instance waits for an acknowledgement.
+    /// Sets the time within which a home has to acknowledge a forward.
     forward_timeout: Duration,
-    /// Sets how long a silent home is passed over.
+    /// Sets the time for which an unresponsive home is skipped.
     home_backoff: Duration,
-    /// Sets how long the ledger remembers a request beyond its ticket.
+    /// Sets the time for which the ledger keeps a request after its ticket has expired.
     ledger_retention: Duration,
-    /// Sets the most requests that the ledger holds.
+    /// Sets the maximum number of requests in the ledger.
     max_ledger_requests: usize,
-    /// Sets the most forwardings that wait for an acknowledgement.
+    /// Sets the maximum number of forwards that wait for an acknowledgement.
     max_pending_forwards: usize,
-    /// Sets the options of every home desk.
+    /// Sets the options of every shard scheduler.
     scheduler: SchedulerOptions,
     /// Sets which mechanisms are on.
     trial: TrialSwitches,
--- a/crates/foxledge-engine/src/other_centres.rs
+++ b/crates/foxledge-engine/src/other_centres.rs
@@ -1,4 +1,4 @@
-//! Another data centre serves what this one can't.
+//! Forwards new work to another data centre when the local backend servers can't serve it.
 
 use std::net::SocketAddr;
 
@@ -14,12 +14,13 @@
 };
 
 impl FlowEngine {
-    /// Sends a packet to another data centre when no target here can serve it; true when sent.
+    /// Forwards a packet to another data centre when no local backend server can serve it. Returns
+    /// true if it was forwarded.
     ///
-    /// A service of four targets in four data centres has one in each: when it
-    /// drains or dies, its data centre would refuse everything while three idle
-    /// targets stand elsewhere. What is sent on is new work only, and the ticket
-    /// that comes back is of the home over there.
+    /// A service with four backend servers in four data centres has one in each. When that one
+    /// drains or dies, its data centre would otherwise refuse everything while the other three are
+    /// idle. Only new work is forwarded, and the ticket in the reply is issued by a home in the
+    /// other data centre.
     pub(crate) fn forward_to_other_centre(
         &mut self,
         now: ClockTime,
@@ -28,7 +29,7 @@
         treatment: &ServeTreatment,
         hops: u32,
     ) -> bool {
-        // The contact there may have to forward it once more.
+        // The contact may have to forward the packet once more within its data centre.
         if hops + 1 >= MAX_HOPS || self.has_local_target(now, packet, treatment) {
             return false;
         }
@@ -46,7 +47,8 @@
         true
     }
 
-    /// Refuses a packet that no contact in the other data centre acknowledged.
+    /// Refuses a packet that the contact in the other data centre didn't acknowledge, and skips
+    /// that contact for a while.
     pub(crate) fn refuse_unreachable_centre(&mut self, now: ClockTime, forward: PendingForward) {
         if let Some(contact) = forward.tried_instances.last() {
             self.unresponsive_homes.insert(contact.clone(), now.after(self.options.home_backoff));
@@ -55,7 +57,8 @@
         self.send_refusal(now, forward.caller, &forward.packet, refusal);
     }
 
-    /// True when a target here can be expected to take the packet's work.
+    /// Returns true when a backend server in this data centre is expected to accept the packet's
+    /// work.
     pub(crate) fn has_local_target(
         &mut self,
         now: ClockTime,
@@ -67,7 +70,8 @@
         self.schedulers.find(&key).is_some_and(|scheduler| scheduler.has_responsive_target())
     }
 
-    /// The contact for a flow, in a data centre that has published targets of the service.
+    /// Returns the flow's contact by rendezvous hashing, among those in data centres that have
+    /// published backend servers of the service which aren't draining.
     fn best_contact(
         &self,
         now: ClockTime,
--- a/crates/foxledge-engine/src/packets.rs
+++ b/crates/foxledge-engine/src/packets.rs
@@ -1,4 +1,4 @@
-//! Packets that the engine makes itself.
+//! Creates replies and refusals and converts between wire and scheduler types.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
     flow::{LoadReport, Packet, PacketKind, Refusal, RefusalReason, RunOutcome},
 };
 
-/// How long a caller should wait when nothing better is known.
+/// The retry delay sent to callers when no better value is known.
 pub const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// A packet of `kind` to the sender of `packet`, about the same request.
+/// Returns a packet of `kind` for the sender of `packet`, about the same request.
 pub fn reply_to(packet: &Packet, kind: PacketKind) -> Packet {
     Packet {
         version: PROTOCOL_VERSION,
@@ -25,12 +25,12 @@
     }
 }
 
-/// A refusal that says the work didn't run and never will.
+/// Returns a refusal which guarantees that the work has not run and will not run.
 pub fn not_run_refusal(reason: RefusalReason, retry_after: Duration) -> Refusal {
     refusal(RunOutcome::NotRun, reason, retry_after)
 }
 
-/// A refusal that can't say whether the work ran.
+/// Returns a refusal that leaves open whether the work has run.
 pub fn unknown_refusal(reason: RefusalReason, retry_after: Duration) -> Refusal {
     refusal(RunOutcome::Unknown, reason, retry_after)
 }
@@ -43,7 +43,7 @@
     }
 }
 
-/// The desk's refusal as it travels.
+/// Converts a scheduler's refusal to its wire form.
 pub fn wire_refusal(refusal: &WorkRefusal) -> Refusal {
     let reason = match refusal.reason {
         RefuseReason::QueueFull => RefusalReason::QueueFull,
@@ -61,7 +61,7 @@
     }
 }
 
-/// A backend server's reason as the desk knows it.
+/// Converts a backend server's refusal reason to the scheduler's form.
 pub fn scheduler_reason(reason: RefusalReason) -> RefuseReason {
     match reason {
         RefusalReason::DeadlinePassed => RefuseReason::DeadlinePassed,
@@ -71,7 +71,7 @@
     }
 }
 
-/// A backend server's load report as the desk knows it.
+/// Converts a backend server's load report to the scheduler's form.
 pub fn target_load(report: &LoadReport) -> TargetLoad {
     TargetLoad {
         busy_slots: report.busy_slots,
--- a/crates/foxledge-engine/src/placement.rs
+++ b/crates/foxledge-engine/src/placement.rs
@@ -1,4 +1,4 @@
-//! Which instance is the home of a flow's work.
+//! Assigns homes to service shards.
 
 use std::str::FromStr;
 
@@ -10,31 +10,31 @@
 };
 use serde::Serialize;
 
-/// `ShardKey` is one shard of a service's targets: each has a desk at its home.
+/// Identifies one shard of a service's backend servers. Each shard has a scheduler at its home.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct ShardKey {
     /// The service.
     pub service: ServiceName,
-    /// Number of the shard, from 0.
+    /// The number of the shard, starting at 0.
     pub shard: u32,
 }
 
 impl ShardKey {
-    /// The text that rendezvous hashing uses.
+    /// Returns the key for rendezvous hashing.
     pub fn hash_text(&self) -> String {
         format!("{}#{}", self.service, self.shard)
     }
 }
 
-/// `PlacementKind` is the name of a way to place homes.
+/// The available strategies for assigning homes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlacementKind {
-    /// One home for each service (or shard of it) in a data centre.
+    /// One home for each service, or for each of its shards, in a data centre.
     ServiceHome,
-    /// Every entry instance admits by itself; nothing is pooled.
+    /// Every entry instance admits work itself. Queues and slots are not shared between instances.
     EntryLocal,
-    /// One home for each target; a flow's target follows from its id.
+    /// One home for each backend server. The flow id determines the backend server.
     TargetHome,
 }
 
@@ -51,12 +51,13 @@
     }
 }
 
-/// `HomePlacement` is a way to place homes.
+/// A strategy for assigning homes.
 pub trait HomePlacement {
-    /// How many shards a service has, given what is published and its targets here.
+    /// Returns the number of shards of a service, given the published number and the number of its
+    /// backend servers in this data centre.
     fn effective_shards(&self, published: u32, targets: usize) -> u32;
 
-    /// True when `me` is among the best `ranks` homes of the desk.
+    /// Returns true when `me` is among the `ranks` highest-ranked homes of the shard.
     fn is_among_best_homes(
         &self,
         key: &ShardKey,
@@ -67,7 +68,7 @@
         view.is_among_best_homes(&key.hash_text(), me, ranks)
     }
 
-    /// Instances that can be home for the desk, the best first.
+    /// Returns the home candidates of the shard, the highest-ranked first.
     fn ranked_homes<'a>(
         &self,
         key: &ShardKey,
@@ -76,7 +77,7 @@
     ) -> Vec<&'a PeerInfo>;
 }
 
-/// Makes the placement of that kind.
+/// Creates the strategy of that kind.
 pub fn new_placement(kind: PlacementKind) -> Box<dyn HomePlacement> {
     match kind {
         PlacementKind::ServiceHome => Box::new(ServiceHome),
@@ -85,7 +86,7 @@
     }
 }
 
-/// The shard that a flow belongs to.
+/// Returns the shard of a flow.
 pub fn shard_for_flow(flow: u64, shards: u32) -> u32 {
     (digest_of(&flow.to_be_bytes()) % u64::from(shards.max(1))) as u32
 }
--- a/crates/foxledge-engine/src/responses.rs
+++ b/crates/foxledge-engine/src/responses.rs
@@ -1,4 +1,4 @@
-//! What backend servers answer, on its way to callers and desks.
+//! Handles responses of backend servers for callers and schedulers.
 
 use std::net::SocketAddr;
 
@@ -22,7 +22,7 @@
 };
 
 impl FlowEngine {
-    /// Takes a probe's answer.
+    /// Passes the load report of a probe reply to the scheduler of the backend server.
     pub(crate) fn on_probe_reply(&mut self, now: ClockTime, from: SocketAddr, packet: &Packet) {
         let Some((key, target)) = self.target_owners.get(&from).cloned() else { return };
         let Some(load) = &packet.load else { return };
@@ -31,7 +31,7 @@
         self.apply_scheduler_effects(now, &key, effects);
     }
 
-    /// Takes an answer, a feed item or a notice of a backend server.
+    /// Handles an answer, a feed item or a notification of a backend server.
     pub(crate) fn on_target_packet(&mut self, now: ClockTime, from: SocketAddr, packet: Packet) {
         if let Some(&id) = self.work_by_dispatch.get(&packet.dispatch)
             && let Some(shard) = self.works.get(&id).map(|work| work.shard.clone())
@@ -45,13 +45,13 @@
         }
     }
 
-    /// Relays a refusal that isn't about a present dispatch of this home.
+    /// Handles a refusal that matches no current dispatch of this home.
     ///
-    /// One that answers a packet sent by flow token goes to the caller, but
-    /// without "not run": the home that dispatched may place the work
-    /// elsewhere, so another instance can't vouch for it. One that answers a
-    /// home's dispatch is late: the home has placed the work elsewhere since, or
-    /// answered. Relayed, it would end the caller's wait for the real answer.
+    /// A refusal of a packet that was sent by flow token is relayed to the caller, but never as
+    /// "not run": the home that dispatched the work may still dispatch it to another backend
+    /// server, which this instance can't know. A refusal of a home's dispatch is late: the home has
+    /// since dispatched the work to another backend server or has answered. If it were relayed, the
+    /// caller would stop waiting for the real answer.
     fn relay_unmatched_refusal(&mut self, packet: Packet) {
         match open_path(&self.key_ring, &packet.return_path) {
             Ok(path) if path.by_token => self.relay_response(with_unknown_outcome(packet)),
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Takes an answer to a dispatch of this home.
+    /// Handles a response to a current dispatch of this home.
     fn handle_dispatch_response(
         &mut self,
         now: ClockTime,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// A ticket to go with the final answer of a ticketed request.
+    /// Issues the next ticket, to be sent with the final answer of a request that had a ticket.
     fn renew_ticket(&mut self, now: ClockTime, id: u64) -> Option<Vec<u8>> {
         let work = self.works.get(&id)?;
         if self.phase == EnginePhase::Leaving || work.tracking != RunTracking::ByTicket {
@@ -120,13 +120,13 @@
         self.relay_response(Packet { ticket, ..packet });
     }
 
-    /// Sends an answer on to the caller that its return path names.
+    /// Relays a response to the caller in its return path.
     ///
-    /// The path is sealed: without that, anybody could have this instance send
-    /// datagrams to an address of their choice.
+    /// The return path has to be sealed. Otherwise anyone could make this instance send datagrams
+    /// to an address of their choice.
     fn relay_response(&mut self, packet: Packet) {
         if packet.return_path.is_empty() && packet.kind() == PacketKind::Ack {
-            // The answer to a check of this home; no caller asked.
+            // This acknowledges a check by this home, so there is no caller to relay it to.
             return;
         }
         let Ok(path) = open_path(&self.key_ring, &packet.return_path) else {
@@ -144,7 +144,8 @@
             ..packet
         };
         if packet.encoded_len() > MAX_DATAGRAM {
-            // The answer matters more than the next ticket, which can be asked for.
+            // The answer matters more than the next ticket, which the caller can request
+            // separately.
             packet.ticket.clear();
         }
         self.send_data(caller, &packet);
--- a/crates/foxledge-engine/src/schedulers.rs
+++ b/crates/foxledge-engine/src/schedulers.rs
@@ -1,4 +1,4 @@
-//! The desks of a home, one for each shard of a service.
+//! The schedulers of a home, one for each shard of a service.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -14,14 +14,15 @@
 
 use crate::placement::{HomePlacement, ShardKey};
 
-/// Ranks of instances that probe a desk's targets: the home and its successor.
+/// The number of top-ranked instances that probe a shard's backend servers: the home and its
+/// successor.
 ///
-/// Only those who place work need to know a target's state, and the successor
-/// must be warm when the home dies. Probing by everybody would cost each target
-/// a probe from every instance of the data centre.
+/// Only an instance that dispatches work needs the state of a backend server, and the successor
+/// needs current state at once when the home dies. Probes by all instances would cost each backend
+/// server one probe per instance of the data centre.
 const PROBING_RANKS: usize = 2;
 
-/// `SchedulerSet` is the desks of this instance.
+/// The shard schedulers of this instance.
 pub struct SchedulerSet {
     schedulers: BTreeMap<ShardKey, ShardScheduler>,
     options: SchedulerOptions,
@@ -30,7 +31,7 @@
 }
 
 impl SchedulerSet {
-    /// Makes an empty set; each desk gets the options and a policy of that name.
+    /// Creates an empty set. Each scheduler gets the given options and the policy of that name.
     pub fn new(options: SchedulerOptions, policy: &str, seed: u64) -> SchedulerSet {
         SchedulerSet {
             schedulers: BTreeMap::new(),
@@ -40,12 +41,12 @@
         }
     }
 
-    /// True when there is a desk of that key.
+    /// Returns true if the shard has a scheduler.
     pub fn contains(&self, key: &ShardKey) -> bool {
         self.schedulers.contains_key(key)
     }
 
-    /// Makes the desk of that key.
+    /// Creates the scheduler of a shard.
     pub fn open(
         &mut self,
         now: ClockTime,
@@ -60,39 +61,38 @@
         effects
     }
 
-    /// The desk of that key, if there is one.
+    /// Returns the scheduler of a shard, if it exists.
     pub fn find(&mut self, key: &ShardKey) -> Option<&mut ShardScheduler> {
         self.schedulers.get_mut(key)
     }
 
-    /// Every desk with its key.
+    /// Iterates over all schedulers with their shards.
     pub fn iter(&self) -> impl Iterator<Item = (&ShardKey, &ShardScheduler)> {
         self.schedulers.iter()
     }
 
-    /// Keys of every desk.
+    /// Returns the shards of all schedulers.
     pub fn keys(&self) -> Vec<ShardKey> {
         self.schedulers.keys().cloned().collect()
     }
 
-    /// Keys of a service's desks.
+    /// Returns the shards of one service that have a scheduler.
     pub fn keys_of(&self, service: &ServiceName) -> Vec<ShardKey> {
         let first = ShardKey { service: service.clone(), shard: 0 };
         let last = ShardKey { service: service.clone(), shard: u32::MAX };
         self.schedulers.range(first..=last).map(|(key, _)| key.clone()).collect()
     }
 
-    /// Drops desks that have no work and belong to others now.
+    /// Removes schedulers without unfinished work, except those that `is_kept` selects.
     pub fn drop_idle(&mut self, is_kept: impl Fn(&ShardKey) -> bool) {
         self.schedulers.retain(|key, scheduler| scheduler.unfinished_count() > 0 || is_kept(key));
     }
 
-    /// Makes a desk with a seed that no desk of this process had before.
+    /// Creates a scheduler with a seed that no scheduler of this process has had before.
     ///
-    /// A desk is dropped when it is idle and made anew when work comes back. If
-    /// it then drew the same dispatch ids again, a backend server would take a
-    /// new request for a copy of an old one and answer without running it; one
-    /// would notice answered requests that never ran.
+    /// An idle scheduler is removed, and created again when new work arrives. If it then drew the
+    /// same dispatch ids again, a backend server would treat a new request as a duplicate of an old
+    /// one and answer it without running it.
     fn new_scheduler(&mut self) -> ShardScheduler {
         let seed = self.rng.random();
         let policy = policy_by_name(&self.policy, seed)
@@ -102,7 +102,7 @@
     }
 }
 
-/// Targets of one shard in this data centre, in the published order by name.
+/// Returns the backend servers of a shard in this data centre, sorted by name.
 pub fn shard_targets(
     service: &ServiceSpec,
     data_centre: &str,
@@ -120,12 +120,12 @@
         .collect()
 }
 
-/// Shards of a service in this data centre.
+/// Returns the number of shards of a service in this data centre.
 pub fn shard_count(service: &ServiceSpec, centre: &str, placement: &dyn HomePlacement) -> u32 {
     placement.effective_shards(service.shards, local_targets(service, centre).count())
 }
 
-/// Desks of a service that this instance probes for: it is the home or the successor.
+/// Returns the shards of a service that this instance probes as their home or successor.
 pub fn probed_shards(
     service: &ServiceSpec,
     view: &PeerView,
@@ -139,11 +139,11 @@
         .collect()
 }
 
-/// Services that differ between two lists: added, removed or changed.
+/// Returns the services that were added, removed or changed between two lists.
 ///
-/// At the target's size a list has 5,800 services and one change touches one
-/// of them. Taking the whole list into force anew at each of 16,000 changes a
-/// day would cost more processor time than control is allowed.
+/// At the design target, a list has 5,800 services and one change touches one of them. Applying the
+/// whole list again at each of 16,000 changes a day would exceed the processor time allowed for
+/// control.
 pub fn changed_services(old: &RuleList, new: &RuleList) -> Vec<ServiceName> {
     let added_or_changed = new
         .services
@@ -154,7 +154,7 @@
     added_or_changed.chain(removed).collect()
 }
 
-/// What the audit trail says when targets start or stop draining by publication.
+/// Returns the audit entries for backend servers whose published draining state has changed.
 pub fn drain_changes(old: &RuleList, new: &RuleList, changed: &[ServiceName]) -> Vec<AuditChange> {
     let mut changes = Vec::new();
     for name in changed {
@@ -173,7 +173,7 @@
     changes
 }
 
-/// How the audit trail names a target of a service.
+/// Returns the audit subject of a backend server: `service/target`.
 pub fn target_subject(service: &ServiceName, target: &str) -> String {
     format!("{service}/{target}")
 }
--- a/crates/foxledge-engine/src/status.rs
+++ b/crates/foxledge-engine/src/status.rs
@@ -1,4 +1,4 @@
-//! What the engine says of itself to operators.
+//! The engine's status for operators.
 
 use foxledge_core::lists::ListVersion;
 use foxledge_policy::SchedulerStatus;
@@ -6,32 +6,32 @@
 
 use crate::{effects::EnginePhase, placement::ShardKey};
 
-/// `EngineStatus` is the engine's present state.
+/// A snapshot of the engine's state.
 #[derive(Clone, Debug, Serialize)]
 pub struct EngineStatus {
-    /// Phase of the process.
+    /// The lifecycle phase of the process.
     pub phase: EnginePhase,
-    /// The list in force.
+    /// The version of the list in force.
     pub version: ListVersion,
-    /// Ids of the published keys, the one that seals last.
+    /// The ids of the published keys; the last one seals.
     pub keys: Vec<u32>,
-    /// Requests that the ledger knows.
+    /// The number of requests in the ledger.
     pub ledger_requests: usize,
-    /// Requests and feeds opened here that haven't ended.
+    /// The number of requests and feeds that are open at this home.
     pub open_works: usize,
-    /// Forwardings that wait for an acknowledgement.
+    /// The number of forwards that wait for an acknowledgement.
     pub pending_forwards: usize,
-    /// Desks of this home.
+    /// The shard schedulers of this home.
     #[serde(rename = "desks")]
     pub schedulers: Vec<SchedulerEntry>,
 }
 
-/// `SchedulerEntry` is one desk of this home.
+/// The state of one shard's scheduler.
 #[derive(Clone, Debug, Serialize)]
 pub struct SchedulerEntry {
-    /// Which shard of which service.
+    /// The shard.
     pub key: ShardKey,
-    /// The desk's state.
+    /// The state of its scheduler.
     #[serde(rename = "desk")]
     pub scheduler: SchedulerStatus,
 }
--- a/crates/foxledge-engine/src/tickets.rs
+++ b/crates/foxledge-engine/src/tickets.rs
@@ -1,4 +1,4 @@
-//! Tickets: issued by a home, and work that comes by one.
+//! Issues tickets and handles requests that have one.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -17,7 +17,7 @@
 };
 
 impl FlowEngine {
-    /// Answers a request for a ticket, or work that needs one.
+    /// Sends a ticket in reply to a ticket request or to work that needs a ticket.
     pub(crate) fn grant_ticket(&mut self, now: ClockTime, caller: SocketAddr, packet: &Packet) {
         let treatment = match self.decide_treatment(packet) {
             Ok(treatment) => treatment,
@@ -48,7 +48,7 @@
         self.send_data(caller, &reply);
     }
 
-    /// Seals a ticket for the packet's caller; none when no key is published.
+    /// Creates and seals a ticket for the packet's caller. Returns none when no key is published.
     pub(crate) fn issue_ticket(
         &mut self,
         now: ClockTime,
@@ -74,7 +74,7 @@
         Some(sealed)
     }
 
-    /// Takes a request by a ticket of this process: it runs here or nowhere.
+    /// Handles a request whose ticket this process issued; it can run through this process only.
     pub(crate) fn handle_ticketed_request(
         &mut self,
         now: ClockTime,
@@ -89,12 +89,13 @@
         let start_deadline = ClockTime::from_micros(ticket.start_deadline_us);
         let expires_at = start_deadline.after(self.options.ledger_retention);
         if expires_at.is_past(now) {
-            // The ledger may have forgotten a run of it.
+            // The ledger may already have removed the record of a run.
             let refusal = unknown_refusal(RefusalReason::TicketExpired, DEFAULT_RETRY_DELAY);
             return self.send_refusal(now, caller, &packet, refusal);
         }
         if start_deadline.is_past(now) && self.options.trial.run_once {
-            // Not in the ledger, so it wasn't started, and it can't be any more.
+            // The request isn't in the ledger, so it hasn't been started, and it can't be started
+            // after the deadline.
             let refusal = not_run_refusal(RefusalReason::TicketExpired, Duration::ZERO);
             return self.send_refusal(now, caller, &packet, refusal);
         }
--- a/crates/foxledge-engine/src/updates.rs
+++ b/crates/foxledge-engine/src/updates.rs
@@ -1,4 +1,4 @@
-//! Taking a new list or a new view into force.
+//! Applies new lists and peer views.
 
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
 };
 
 impl FlowEngine {
-    /// Takes a newly accepted list into force.
+    /// Applies a newly accepted list. A list that is no newer than the one in force is ignored.
     pub fn apply_list(&mut self, now: ClockTime, list: Arc<RuleList>) -> Vec<EngineEffect> {
         let is_newer = list.version.revision > self.list.version.revision;
         if !is_newer && self.options.trial.refuse_stale_lists {
@@ -43,7 +43,7 @@
         self.drain_effects()
     }
 
-    /// Takes a new view of the instances into force.
+    /// Applies a new view of the instances.
     pub fn apply_peer_view(&mut self, now: ClockTime, view: Arc<PeerView>) -> Vec<EngineEffect> {
         self.view = view;
         let list = self.list.clone();
@@ -66,7 +66,7 @@
         self.effects.push(EngineEffect::Audit(change));
     }
 
-    /// Notes who owns the addresses of a changed service's targets.
+    /// Updates the map from addresses to backend servers for one changed service.
     fn refresh_owners(&mut self, name: &ServiceName, old: &RuleList) {
         let old_targets = old.services.get(name).map_or(&[][..], |service| &service.targets);
         for target in old_targets {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Brings the desks of a changed service up to date.
+    /// Updates the schedulers of a changed service.
     fn refresh_service(&mut self, now: ClockTime, name: &ServiceName) {
         self.probed_shards.retain(|key| key.service != *name);
         if let Some(service) = self.list.clone().services.get(name) {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Makes the desks of a service that this instance has to keep warm.
+    /// Creates the schedulers of a service's shards that this instance probes.
     fn refresh_probed_shards(&mut self, now: ClockTime, service: &ServiceSpec) {
         let keys = probed_shards(
             service,
@@ -128,7 +128,8 @@
         self.schedulers.drop_idle(|key| probed.contains(key));
     }
 
-    /// Makes sure the desk exists; each request asks, so an existing one costs a look-up only.
+    /// Creates the scheduler of a shard unless it exists. This is called for every request, so the
+    /// usual case is a single look-up.
     pub(crate) fn ensure_scheduler(&mut self, now: ClockTime, key: &ShardKey) {
         if self.schedulers.contains(key) {
             return;
--- a/crates/foxledge-engine/tests/bad_datagrams.rs
+++ b/crates/foxledge-engine/tests/bad_datagrams.rs
@@ -1,4 +1,4 @@
-//! Malformed and hostile datagrams cost little and reach nobody.
+//! Malformed and hostile datagrams are cheap to drop and cause no traffic to others.
 
 mod common;
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn counted_and_dropped() {
+fn counts_and_drops_malformed_datagrams() {
     let mut net = TestNet::new(1, 1, EngineOptions::default());
     let whole = encode_packet(&bid_packet(1, 1, 1, "auction"));
     let oversized =
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn clear_refusals() {
+fn refuses_unknown_names_and_forged_seals_with_reason() {
     let mut net = TestNet::new(1, 2, EngineOptions::default());
     let unknown_service = bid_packet(1, 1, 1, "nowhere");
     let unknown_member = Packet { member: "nobody".into(), ..bid_packet(2, 1, 1, "auction") };
@@ -67,11 +67,10 @@
     }
 }
 
+/// A third party sends a forward, and an answer with a forged return path. If either were accepted
+/// without a valid seal, instances would send datagrams to an address that never requested them.
 #[test]
-fn forged_peers() {
-    // Symptom: datagrams go out to an address that never asked.
-    // Sequence: a stranger sends a forwarding, and an answer with a made-up return path.
-    // Cause: the peer socket or the return path is believed without a seal.
+fn drops_unsealed_forwards_and_return_paths() {
     let mut net = TestNet::new(1, 3, EngineOptions::default());
     let now = net.now;
     let answer = Packet {
@@ -87,8 +86,9 @@
     assert_eq!((counters.path_unsealed, counters.peer_unsealed), (1, 1));
 }
 
+/// An instance that has no list yet refuses at once instead of staying silent.
 #[test]
-fn no_list() {
+fn refuses_at_once_without_a_list() {
     let mut net = TestNet::new(1, 4, EngineOptions::default());
     let me = engine(&mut net).me().clone();
     let mut engine_without_list = FlowEngine::new(EngineOptions::default(), me, 1);
@@ -124,7 +124,7 @@
     })]
 
     #[test]
-    fn never_amplified(packet in any_packet(), cut in 0usize..40) {
+    fn never_replies_with_more_bytes_than_received(packet in any_packet(), cut in 0usize..40) {
         let mut net = TestNet::new(1, 5, EngineOptions::default());
         let mut bytes = encode_packet(&packet);
         bytes.truncate(bytes.len().saturating_sub(cut / 20 * cut));
@@ -139,7 +139,7 @@
     }
 
     #[test]
-    fn junk_survived(bytes in proptest::collection::vec(any::<u8>(), 0..1500)) {
+    fn survives_random_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..1500)) {
         let mut net = TestNet::new(1, 6, EngineOptions::default());
         let now = net.now;
         engine(&mut net).on_datagram(now, address(5001), &bytes);
--- a/crates/foxledge-engine/tests/common/lists.rs
+++ b/crates/foxledge-engine/tests/common/lists.rs
@@ -1,4 +1,4 @@
-//! The published lists of the tests.
+//! Lists and backend servers for the tests.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 
 use super::{CENTRE, target_address};
 
-/// A list with an auction desk on the first targets and lot intake on the last.
+/// Returns a list with the services auction desk on `targets` and lot intake on `intake`.
 pub fn test_list(revision: u64, targets: &[TargetSpec], intake: &[TargetSpec]) -> RuleList {
     let mut list = RuleList {
         version: ListVersion { revision, digest: revision },
@@ -52,7 +52,7 @@
     list
 }
 
-/// A target of two slots that has been published under that number.
+/// Returns a backend server with two slots and the given published incarnation.
 pub fn target_spec(index: usize, incarnation: u64) -> TargetSpec {
     TargetSpec {
         name: format!("t{index}").as_str().into(),
--- a/crates/foxledge-engine/tests/common/mod.rs
+++ b/crates/foxledge-engine/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A few engines, fake targets and a faulty network in virtual time.
+//! Simulates engines, fake backend servers and a faulty network in virtual time.
 
 #![allow(dead_code)]
 
@@ -30,11 +30,11 @@
 use packets::bid_packet;
 use targets::FakeTarget;
 
-/// The data centre of every instance and target.
+/// The data centre of all instances and backend servers.
 pub const CENTRE: &str = "toledo";
 const TICK_INTERVAL_MS: u64 = 10;
 
-/// `NetFaults` is what the network does to datagrams.
+/// The faults that the network applies to datagrams.
 #[derive(Clone, Copy, Default)]
 pub struct NetFaults {
     pub loss: f64,
@@ -48,7 +48,7 @@
     RunEnd { target: usize, dispatch: u64 },
 }
 
-/// `TestNet` is the engines, the targets and what is on its way between them.
+/// The engines, the backend servers and the datagrams in transit between them.
 pub struct TestNet {
     pub now: ClockTime,
     pub engines: Vec<Option<FlowEngine>>,
@@ -57,7 +57,7 @@
     pub faults: NetFaults,
     pub cut_links: BTreeSet<(SocketAddr, SocketAddr)>,
     pub caller_inboxes: BTreeMap<SocketAddr, Vec<Packet>>,
-    /// What the instances put into their audit trails, in order.
+    /// The changes that the instances recorded in their audit trails, in order.
     pub audit_changes: Vec<AuditChange>,
     queue: BTreeSet<(ClockTime, u64, Delivery)>,
     last_sequence: u64,
@@ -67,28 +67,28 @@
     last_incarnation: u64,
 }
 
-/// Where a port of the test network is.
+/// Returns the address of a port in the test network.
 pub fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// Where callers and targets reach an instance.
+/// Returns the address at which callers and backend servers reach an instance.
 pub fn data_address(instance: usize) -> SocketAddr {
     address(1000 + instance as u16)
 }
 
-/// Where a target is.
+/// Returns the address of a backend server.
 pub fn target_address(target: usize) -> SocketAddr {
     address(4000 + target as u16)
 }
 
-/// Where a caller is.
+/// Returns the address of a caller.
 pub fn caller_address(caller: u64) -> SocketAddr {
     address(5000 + caller as u16)
 }
 
 impl TestNet {
-    /// Engines that know each other, two auction targets and one intake target.
+    /// Creates engines with a common view, two auction backend servers and one for lot intake.
     pub fn new(instances: usize, seed: u64, options: EngineOptions) -> TestNet {
         let mut net = TestNet {
             now: ClockTime::from_micros(1_000_000),
@@ -118,7 +118,7 @@
         net
     }
 
-    /// Starts a new process of the instance, with the first list.
+    /// Starts a new process of the instance with the list of revision 1.
     pub fn start_instance(&mut self, instance: usize) {
         self.last_incarnation += 1;
         let me = PeerInfo {
@@ -139,34 +139,34 @@
         self.frozen.remove(&instance);
     }
 
-    /// The list of the targets as they are now.
+    /// Returns a list of the current backend servers.
     pub fn current_list(&self, revision: u64) -> RuleList {
         let specs: Vec<_> = self.targets.iter().map(|target| target.spec.clone()).collect();
         test_list(revision, &specs[..2], &specs[2..])
     }
 
-    /// Ends an instance without a word.
+    /// Ends an instance without a planned stop.
     pub fn kill(&mut self, instance: usize) {
         self.engines[instance] = None;
     }
 
-    /// Stops an instance's work; datagrams wait in its socket.
+    /// Suspends an instance. Datagrams wait in its socket.
     pub fn freeze(&mut self, instance: usize) {
         self.frozen.insert(instance);
     }
 
-    /// Lets a frozen instance work on.
+    /// Resumes a frozen instance.
     pub fn unfreeze(&mut self, instance: usize) {
         self.frozen.remove(&instance);
     }
 
-    /// Gives every live instance the view of all that are live.
+    /// Gives all running instances a view of all running instances.
     pub fn distribute_full_view(&mut self) {
         let all: Vec<usize> = (0..self.engines.len()).collect();
         self.distribute_view(&all, &all);
     }
 
-    /// Shows `members` to `viewers`.
+    /// Gives `viewers` a view that contains `members`.
     pub fn distribute_view(&mut self, viewers: &[usize], members: &[usize]) {
         let peers: Vec<_> = members
             .iter()
@@ -180,32 +180,32 @@
         }
     }
 
-    /// Gives one instance a list.
+    /// Applies a list at one instance.
     pub fn apply_list(&mut self, instance: usize, list: RuleList) {
         let Some(engine) = self.engines[instance].as_mut() else { return };
         let effects = engine.apply_list(self.now, Arc::new(list));
         self.apply_effects(instance, effects);
     }
 
-    /// Sends a caller's packet to one instance, through the faulty network.
+    /// Sends a caller's packet to one instance over the faulty network.
     pub fn send(&mut self, caller: u64, instance: usize, packet: &Packet) {
         let to = data_address(instance);
         self.transmit(caller_address(caller), to, encode_packet(packet));
     }
 
-    /// Lets `millis` pass.
+    /// Advances the virtual time by `millis` milliseconds.
     pub fn run_for(&mut self, millis: u64) {
         let end = self.now.after_millis(millis);
         while self.step(end) {}
         self.now = end;
     }
 
-    /// Takes the packets that reached a caller.
+    /// Removes and returns the packets that reached a caller.
     pub fn drain_answers(&mut self, caller: u64) -> Vec<Packet> {
         self.caller_inboxes.remove(&caller_address(caller)).unwrap_or_default()
     }
 
-    /// Gets a ticket through an instance, resending until it comes.
+    /// Requests a ticket through an instance, at most five times.
     pub fn obtain_ticket(
         &mut self,
         caller: u64,
@@ -227,14 +227,14 @@
         None
     }
 
-    /// The instance that issued a ticket.
+    /// Returns the instance that has issued a ticket.
     pub fn issuing_instance(&self) -> usize {
         (0..self.engines.len())
             .find(|&i| self.engines[i].as_ref().is_some_and(|e| e.counters().tickets_issued > 0))
             .expect("a ticket was issued")
     }
 
-    /// What was audited of that kind, in order.
+    /// Returns the recorded audit changes of one kind, in order.
     pub fn audit_changes_of(&self, kind: AuditKind) -> Vec<AuditChange> {
         self.audit_changes.iter().filter(|change| change.kind == kind).cloned().collect()
     }
@@ -287,7 +287,7 @@
     fn deliver_to_instance(&mut self, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
         let instance = usize::from(to.port() % 1000);
         if self.frozen.contains(&instance) {
-            // It waits in the socket until the process wakes up.
+            // The datagram stays in the socket until the process resumes.
             let delivered_at = self.now.after_millis(5);
             return self.enqueue(delivered_at, Delivery::Datagram { from, to, bytes });
         }
--- a/crates/foxledge-engine/tests/common/packets.rs
+++ b/crates/foxledge-engine/tests/common/packets.rs
@@ -1,8 +1,8 @@
-//! Callers' packets and what came back.
+//! Creates callers' packets and inspects the replies.
 
 use foxledge_wire::flow::{Packet, PacketKind, RunOutcome, WorkKind};
 
-/// A bid of one part.
+/// Returns a bid of one part.
 pub fn bid_packet(caller: u64, flow: u64, request: u64, address: &str) -> Packet {
     Packet {
         version: foxledge_wire::PROTOCOL_VERSION,
@@ -20,12 +20,12 @@
     }
 }
 
-/// Outcomes of the refusals among some answers.
+/// Returns the outcomes of the refusals among the replies.
 pub fn refusals(answers: &[Packet]) -> Vec<RunOutcome> {
     answers.iter().filter_map(|answer| Some(answer.refusal.as_ref()?.outcome())).collect()
 }
 
-/// True when an answer part is among some answers.
+/// Returns true when the replies contain a part of an answer.
 pub fn is_answered(answers: &[Packet]) -> bool {
     answers.iter().any(|answer| answer.kind() == PacketKind::Answer)
 }
--- a/crates/foxledge-engine/tests/common/targets.rs
+++ b/crates/foxledge-engine/tests/common/targets.rs
@@ -1,4 +1,4 @@
-//! A fake target that counts how often each request ran.
+//! A fake backend server that counts how often each request ran.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -10,14 +10,14 @@
     LoadReport, Packet, PacketKind, Refusal, RefusalReason, RunOutcome, WorkKind,
 };
 
-/// (caller, flow, request).
+/// Caller, flow and request.
 pub type RunKey = (u64, u64, u64);
 
-/// `TargetSends` is what a target does upon a packet.
+/// The packets that a backend server sends in reaction to a packet.
 #[derive(Default)]
 pub struct TargetSends {
     pub packets: Vec<(SocketAddr, Packet)>,
-    /// A dispatch that was started and will end.
+    /// A dispatch that was started and will end later.
     pub started_dispatch: Option<u64>,
 }
 
@@ -28,14 +28,14 @@
     refusal: Option<Refusal>,
 }
 
-/// `FakeTarget` is one backend server.
+/// A simulated backend server.
 pub struct FakeTarget {
     pub service: String,
     pub spec: TargetSpec,
     pub runs: BTreeMap<RunKey, u32>,
     pub misdirected_packets: u32,
     pub draining: bool,
-    /// Answers carry the request's payload.
+    /// Whether answers contain the request's payload.
     pub echoes_payload: bool,
     busy_slots: u32,
     dispatches: HashMap<u64, KnownDispatch>,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Takes a packet from an instance.
+    /// Handles a packet from an instance.
     pub fn handle_packet(&mut self, from: SocketAddr, packet: Packet) -> TargetSends {
         let is_mine =
             packet.service == self.service && packet.target_incarnation == self.spec.incarnation;
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Ends a run.
+    /// Ends the run of a dispatch and answers it.
     pub fn end_run(&mut self, dispatch: u64) -> TargetSends {
         let Some(known_dispatch) = self.dispatches.get_mut(&dispatch) else {
             return TargetSends::default();
--- a/crates/foxledge-engine/tests/core_sweep.rs
+++ b/crates/foxledge-engine/tests/core_sweep.rs
@@ -1,4 +1,4 @@
-//! Random interleavings at three instances: what must always hold.
+//! Checks invariants under random sequences of steps at three instances.
 
 mod common;
 
@@ -48,15 +48,15 @@
     Drain {
         target: usize,
     },
-    /// Everybody, or one instance only, gets the next key.
+    /// All instances, or one only, get a list with the next key.
     RotateKeys {
         reach: usize,
     },
-    /// One instance gets a list that denies everything, or the usual one again.
+    /// One instance gets a list without rules, which denies everything. A later list allows again.
     Deny {
         instance: usize,
     },
-    /// One instance is handed an old list.
+    /// One instance is given an old list.
     StaleList {
         instance: usize,
     },
@@ -96,7 +96,7 @@
     answered: BTreeSet<(u64, u64)>,
     revision: u64,
     newest_key: u32,
-    /// Highest revision seen in force at each instance's present process.
+    /// The highest revision that each instance's current process has had in force.
     highest_revisions: [u64; 3],
     polls: BTreeMap<u64, Packet>,
 }
@@ -169,7 +169,7 @@
         self.check_revisions();
     }
 
-    /// No process goes back to an older list.
+    /// Checks that no process applies an older list.
     fn check_revisions(&mut self) {
         for instance in 0..3 {
             let Some(engine) = self.net.engines[instance].as_ref() else { continue };
@@ -182,7 +182,7 @@
         }
     }
 
-    /// The present list: targets as they are, the newest two keys.
+    /// Returns the current list: the backend servers as they are and the two newest keys.
     fn list(&self) -> foxledge_core::lists::RuleList {
         let mut list = self.net.current_list(self.revision);
         let oldest = self.newest_key.saturating_sub(1).max(1);
@@ -230,7 +230,7 @@
                     && answer.request > 0
                 {
                     self.not_run.insert(key);
-                    // The caller gets a fresh ticket for its next bid.
+                    // The caller needs a new ticket for its next bid.
                     self.tickets.remove(&caller);
                 }
                 if is_answered(std::slice::from_ref(&answer)) {
@@ -255,7 +255,7 @@
         self.polls.insert(caller, poll);
     }
 
-    /// What was broken once everything has come to rest.
+    /// Returns the violated invariants after all deadlines have passed.
     fn violations(&mut self) -> Vec<String> {
         for instance in 0..3 {
             self.net.unfreeze(instance);
@@ -295,7 +295,7 @@
     sweep.violations()
 }
 
-/// The first violation in some generated runs with a mechanism switched off.
+/// Returns the first violation in `runs` generated sequences with some mechanisms switched off.
 fn violation_without(runs: u64, switches: TrialSwitches) -> Option<String> {
     let mut runner = TestRunner::new_with_rng(
         ProptestConfig::default(),
@@ -309,12 +309,12 @@
 }
 
 #[test]
-fn mechanisms_matter() {
-    // The sweep must be able to fail: each mechanism, switched off, shows its fault.
+fn sweep_finds_a_fault_without_each_mechanism() {
+    // The sweep has to be able to fail: without each of these mechanisms, it has to find a fault.
     let on = TrialSwitches::default();
     assert_eq!(violation_without(60, on), None);
     assert!(violation_without(60, TrialSwitches { run_once: false, ..on }).is_some());
-    // A refusal, a new list and a late copy have to meet, which is rarer.
+    // This needs a refusal, a new list and a late copy in one sequence, which is rarer.
     let without_refusals = TrialSwitches { remember_refusals: false, ..on };
     assert!(violation_without(1_000, without_refusals).is_some());
 }
@@ -323,22 +323,21 @@
     #![proptest_config(ProptestConfig {
         cases: 300,
         failure_persistence: None,
-        // One seed, so that every run gives the same verdict.
+        // The seed is fixed in the environment, so every run gives the same result.
         ..ProptestConfig::default()
     })]
 
     #[test]
-    fn promises_hold(seed in any::<u64>(), steps in proptest::collection::vec(step(), 1..40)) {
+    fn invariants_hold_under_random_faults(seed in any::<u64>(), steps in proptest::collection::vec(step(), 1..40)) {
         assert_eq!(sweep(seed, &steps, EngineOptions::default()), Vec::<String>::new());
     }
 }
 
+/// A scheduler runs a bid, is removed as idle on a new view and created again; the next bid goes to
+/// the same backend server. When the new scheduler drew the same dispatch ids, the backend server
+/// took the bid for a duplicate and answered it without running it (found by the sweep).
 #[test]
-fn desk_remade() {
-    // Symptom: a bid is answered but never ran (found by the sweep).
-    // Sequence: a desk runs a bid, is dropped as idle upon a new view, and made anew; the next
-    //   bid goes to the same target.
-    // Cause: the new desk drew the same dispatch ids, so the target took the bid for a copy.
+fn recreated_scheduler_draws_new_dispatch_ids() {
     let steps = [
         Step::Bid { caller: 1, instance: 1, copies: 1 },
         Step::Drain { target: 0 },
--- a/crates/foxledge-engine/tests/flow_reports.rs
+++ b/crates/foxledge-engine/tests/flow_reports.rs
@@ -1,4 +1,4 @@
-//! What an instance says of its decisions: explanations and the audit trail.
+//! Explanations and audit entries about an instance's decisions.
 
 mod common;
 
@@ -15,8 +15,9 @@
 use foxledge_engine::{EngineEffect, EngineOptions, ExplainQuery};
 use foxledge_wire::flow::{Packet, RunOutcome};
 
+/// The entry instance audits a request once when its home has died and the outcome is unknown.
 #[test]
-fn unknown_audited() {
+fn audits_unknown_outcome_once() {
     let mut net = TestNet::new(2, 5, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
     let home = net.issuing_instance();
@@ -37,8 +38,9 @@
     assert_eq!(explanation.target, None, "this instance sent it to no backend server");
 }
 
+/// The explanation names the backend server that served the flow.
 #[test]
-fn target_explained() {
+fn explanation_names_target_of_latest_request() {
     let mut net = TestNet::new(1, 5, EngineOptions::default());
     let bid = Packet { idempotent: true, ..bid_packet(1, 1, 1, "auction") };
     net.send(1, 0, &bid);
@@ -53,8 +55,8 @@
     assert_eq!(engine.explain(&bid_query(2)).target, None, "no request of that flow was sent");
 }
 
-/// Callers send a bid by ticket each, and no answer of a target arrives any more; gives what
-/// the home audited of them.
+/// Sends one bid with a ticket per caller while all responses of backend servers are lost. Returns
+/// the audit entries of the home about these bids.
 fn audit_lost_bids(callers: u64) -> Vec<AuditChange> {
     let mut net = TestNet::new(1, 5, EngineOptions::default());
     let mut bids = Vec::new();
@@ -79,27 +81,27 @@
     }
 }
 
+/// A bid with a ticket is dispatched, and its backend server stops responding. The home once left
+/// the audit entry out, because its record of an open request has no ticket and the bid was taken
+/// for idempotent.
 #[test]
-fn lost_target_audited() {
-    // Symptom: a home left a bid unknown, and its audit trail didn't name it.
-    // Sequence: a bid by ticket is dispatched, and its target falls silent.
-    // Cause: what the home keeps of an open request has no ticket, as if it were idempotent.
+fn home_audits_bid_lost_at_unresponsive_target() {
     let expected = AuditChange::new(AuditKind::FlowDecided, "flow 0000000000000001 request 1")
         .with_values("", "refused Unknown TargetLost")
         .with_cause("may have run", "engine");
     assert_eq!(audit_lost_bids(1), [expected]);
 }
 
+/// Three bids end with an unknown outcome within 100 ms. Without the limit at the home, the
+/// requests of one dead backend server would evict all other changes from the audit trail.
 #[test]
-fn audit_rate_bounded() {
-    // Symptom: a dead target's requests push every other change out of the audit trail.
-    // Sequence: three bids are left unknown within 100 ms.
-    // Cause: what the home says of them goes past the bound for entry instances.
+fn limits_audit_entries_for_unknown_outcomes() {
     assert_eq!(audit_lost_bids(3).len(), 1);
 }
 
+/// The caller can safely repeat idempotent work, so its loss is not audited.
 #[test]
-fn idempotent_not_audited() {
+fn does_not_audit_lost_idempotent_request() {
     let mut net = TestNet::new(1, 5, EngineOptions::default());
     cut_answers(&mut net);
     net.send(1, 0, &Packet { idempotent: true, ..bid_packet(1, 1, 1, "auction") });
@@ -111,11 +113,10 @@
     );
 }
 
+/// One backend server is published as draining, another reports that it drains. A published drain
+/// was once audited twice in different words, by the engine and by the scheduler.
 #[test]
-fn drains_audited_once() {
-    // Symptom: a published drain stood twice in a home's audit trail, in different words.
-    // Sequence: a target is published as draining; another says of itself that it drains.
-    // Cause: both the engine and the desk recorded what a list changes.
+fn audits_each_drain_change_once() {
     let mut net = TestNet::new(1, 5, EngineOptions::default());
     net.targets[0].spec.draining = true;
     net.apply_list(0, net.current_list(2));
--- a/crates/foxledge-engine/tests/flow_tokens.rs
+++ b/crates/foxledge-engine/tests/flow_tokens.rs
@@ -1,4 +1,4 @@
-//! A flow token continues a flow on any instance and nowhere else.
+//! A flow token continues its flow on any instance, and no other flow.
 
 mod common;
 
@@ -28,11 +28,10 @@
     net.drain_answers(poll.caller).iter().map(Packet::kind).collect()
 }
 
+/// Every instance that knew a feed is replaced, and the next poll reaches a new one. The feed would
+/// break if its routing state were kept in a table of one instance.
 #[test]
-fn any_instance() {
-    // Symptom: a price feed breaks when instances are replaced.
-    // Sequence: every instance that knew the feed is replaced; the next heartbeat reaches a new one.
-    // Cause: the flow table died with its instance.
+fn any_instance_continues_a_flow() {
     let mut net = TestNet::new(3, 1, EngineOptions::default());
     let poll = open_feed(&mut net, 1);
     for instance in 0..3 {
@@ -45,12 +44,10 @@
     }
 }
 
+/// A backend server with a feed is removed and lot intake gets its address; then a poll of the feed
+/// arrives. Without the check of the address, the poll would reach another service.
 #[test]
-fn reused_address() {
-    // Symptom: a bidder's packet reaches another service.
-    // Sequence: a feed runs on a target; the target goes, lot intake gets its address;
-    //   the feed's heartbeat arrives.
-    // Cause: the token names an address whose owner has changed.
+fn refuses_token_after_address_is_reassigned() {
     let cases = [(false, 1, RefusalReason::TargetLost), (true, 0, RefusalReason::WrongTarget)];
     for (check_target_owner, strangers, reason) in cases {
         let switches = TrialSwitches { check_target_owner, ..TrialSwitches::default() };
@@ -75,11 +72,10 @@
     }
 }
 
+/// Keys 1 and 2, then 2 and 3 are published while a feed is open. The feed would break at the
+/// second rotation if its token stayed sealed under key 1.
 #[test]
-fn rotated_keys() {
-    // Symptom: a long feed breaks at the second rotation of keys.
-    // Sequence: keys 1+2, then 2+3 are published while the feed runs.
-    // Cause: its token stays sealed under key 1.
+fn keeps_feed_across_two_key_rotations() {
     let mut net = TestNet::new(1, 3, EngineOptions::default());
     let mut poll = open_feed(&mut net, 1);
     let key =
@@ -96,8 +92,9 @@
     }
 }
 
+/// A token is valid only for the flow, the caller and the address it was sealed for.
 #[test]
-fn other_flow() {
+fn refuses_token_of_another_flow() {
     let mut net = TestNet::new(1, 4, EngineOptions::default());
     let poll = open_feed(&mut net, 1);
     for mismatched in [
@@ -109,11 +106,11 @@
     }
 }
 
+/// A backend server with a feed is published as draining, and new feeds are opened. It would get
+/// new work if the token counted as a new request, and the feed would break if draining counted as
+/// removed.
 #[test]
-fn draining_target() {
-    // Symptom: a leaving backend server gets new work; or its feed is cut.
-    // Sequence: a feed runs; its target is published as draining; new feeds open.
-    // Cause: the token is taken for new work, or draining for gone.
+fn draining_target_keeps_feed_and_gets_no_new_work() {
     let mut net = TestNet::new(1, 5, EngineOptions::default());
     let poll = open_feed(&mut net, 1);
     let serving_target = net.targets.iter().position(|t| !t.runs.is_empty()).unwrap();
--- a/crates/foxledge-engine/tests/forward_paths.rs
+++ b/crates/foxledge-engine/tests/forward_paths.rs
@@ -1,4 +1,4 @@
-//! What an entry instance does when the way to a home fails.
+//! The entry instance's handling of unreachable homes.
 
 mod common;
 
@@ -13,7 +13,7 @@
     address(2000 + instance as u16)
 }
 
-/// Milliseconds until a ticket comes through an instance, once the home was killed.
+/// Returns the time in milliseconds from the home's death until another instance delivers a ticket.
 fn admission_gap_ms(options: EngineOptions) -> u64 {
     let mut net = TestNet::new(3, 1, options);
     net.obtain_ticket(1, 0, "auction").unwrap();
@@ -29,11 +29,10 @@
     net.now.since(killed).as_millis() as u64
 }
 
+/// The home is killed while membership still lists it as alive, and callers request tickets.
+/// Admission would stop for seconds if entry instances kept forwarding to the dead home.
 #[test]
-fn silent_home() {
-    // Symptom: admission stops for seconds when an instance is killed.
-    // Sequence: the home is killed; membership still holds it alive; callers ask for tickets.
-    // Cause: entry instances go on forwarding to the dead home.
+fn skips_unresponsive_home_within_a_second() {
     let switches = TrialSwitches { skip_unresponsive_homes: false, ..TrialSwitches::default() };
     let gap_without_skipping = admission_gap_ms(EngineOptions::default().trial(switches));
     let gap_with_skipping = admission_gap_ms(EngineOptions::default());
@@ -41,11 +40,10 @@
     assert!(gap_with_skipping <= 1_000, "with skipping the home: {gap_with_skipping} ms");
 }
 
+/// The link between the entry instance and the ticket's home is cut in both directions. Without a
+/// relay the bid would end with an unknown outcome although its home is alive.
 #[test]
-fn cut_way() {
-    // Symptom: a bid is answered "unknown" although its home lives.
-    // Sequence: the link between the entry instance and the ticket's home is cut both ways.
-    // Cause: the entry instance knows only one way to the home.
+fn relays_bid_around_cut_link() {
     let mut net = TestNet::new(3, 2, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
     let home = net.issuing_instance();
@@ -59,11 +57,11 @@
     assert!(refusals(&answers).is_empty());
 }
 
+/// Acknowledgements from the home to the entry instance are lost while packets in the other
+/// direction arrive. A missing acknowledgement must not count as a missing home, or the request
+/// would be given up although the home received it.
 #[test]
-fn one_direction() {
-    // Symptom: a request is given up although its home took it.
-    // Sequence: acknowledgements from the home to the entry instance are lost, packets pass.
-    // Cause: silence of the acknowledgement is taken for silence of the home.
+fn delivers_answer_when_acknowledgements_are_lost() {
     let mut net = TestNet::new(3, 3, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
     let home = net.issuing_instance();
@@ -77,11 +75,11 @@
     assert_eq!(runs, 1);
 }
 
+/// The home receives a bid and begins a planned stop; more callers request tickets from it. A home
+/// that stopped at once would cut the bid; one that kept issuing tickets would admit work until the
+/// end.
 #[test]
-fn leaving_home() {
-    // Symptom: a planned stop cuts a bid, or admits new ones until the end.
-    // Sequence: the home gets a bid and is told to leave; more callers ask for tickets there.
-    // Cause: the home goes at once, or goes on issuing tickets.
+fn leaving_home_finishes_bid_and_issues_no_tickets() {
     let mut net = TestNet::new(2, 4, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
     let home = net.issuing_instance();
@@ -104,7 +102,8 @@
     assert_eq!(engine.unfinished_count(net.now), 0);
 }
 
-/// Outcomes of a bid whose ticket's home only instance 0 or 1 can reach, of two.
+/// Returns the kinds of the replies to a bid that is sent to an instance which is cut off from the
+/// ticket's home. There are two instances; a resend goes to the home itself.
 fn reply_kinds_when_cut_off(takes_resend: bool) -> Vec<PacketKind> {
     let mut net = TestNet::new(2, 6, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
@@ -117,31 +116,30 @@
     net.run_for(1000);
     let answers = net.drain_answers(1);
     if answers.iter().any(|answer| answer.kind() == PacketKind::Resend) {
-        // The fabric hands the next copy to the other instance.
+        // The network fabric delivers the next copy to the other instance.
         net.send(1, home, &Packet { attempt: 1, ..bid });
         net.run_for(500);
     }
     answers.into_iter().chain(net.drain_answers(1)).map(|answer| answer.kind()).collect()
 }
 
+/// The ticket's home and the entry instance are cut off from each other, and no third instance can
+/// relay. If the entry instance gave a final refusal, half of all bids would end with an unknown
+/// outcome, although the network fabric would deliver the next copy to the home itself.
 #[test]
-fn cut_pair_resent() {
-    // Symptom: under a cut between two instances, half of all bids are answered "unknown".
-    // Sequence: a ticket's home and the entry instance are cut from each other; no third can relay.
-    // Cause: the entry instance makes the home's silence final, though the fabric would hand the
-    //   next copy to the home itself.
+fn asks_for_resend_when_cut_off_from_home() {
     assert_eq!(reply_kinds_when_cut_off(false), [PacketKind::Refusal]);
     let kinds = reply_kinds_when_cut_off(true);
     assert_eq!(kinds[0], PacketKind::Resend);
     assert!(kinds.contains(&PacketKind::Answer) && !kinds.contains(&PacketKind::Refusal));
 }
 
+/// The link from the entry instance to a ticket's home is cut. One bid detects this, and the next
+/// arrives while the home is still skipped. An unresponsive link must not count as an unreachable
+/// home, or the second bid would end with an unknown outcome although a third instance reaches the
+/// home.
 #[test]
-fn silent_way_relayed() {
-    // Symptom: a bid ends "unknown" though its home lives and a third instance reaches it.
-    // Sequence: the way from the entry instance to a ticket's home is cut; one bid finds that out,
-    //   and the next one comes while the home still counts as silent there.
-    // Cause: the silence on one way was taken for a home that nobody reaches.
+fn relays_bids_while_home_is_skipped() {
     let mut net = TestNet::new(3, 3, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
     let home = net.issuing_instance();
@@ -157,8 +155,9 @@
     }
 }
 
+/// When the ticket's home is dead, the caller is asked to resend four times and then refused.
 #[test]
-fn resends_bounded() {
+fn bounds_resend_requests() {
     let mut net = TestNet::new(2, 7, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
     let home = net.issuing_instance();
--- a/crates/foxledge-engine/tests/late_notices.rs
+++ b/crates/foxledge-engine/tests/late_responses.rs
@@ -1,4 +1,4 @@
-//! Notices of backend servers that are lost or come late.
+//! Responses of backend servers that are lost or late.
 
 mod common;
 
@@ -13,11 +13,11 @@
     flow::{Packet, PacketKind, Refusal, RefusalReason, RunOutcome},
 };
 
+/// A bid runs, and both its answer and the notification of its end are lost on the way to the home.
+/// Without a check the slot would stay occupied and an idle backend server would get less and less
+/// work.
 #[test]
-fn lost_end() {
-    // Symptom: a target gets ever less work, though it is idle.
-    // Sequence: a bid runs; both its answer and the notice of its end are lost on the way to the home.
-    // Cause: the home counts the slot as taken for good.
+fn frees_slot_when_end_notification_is_lost() {
     let mut net = TestNet::new(1, 1, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
     net.send(1, 0, &Packet { ticket, time_left_ms: 60_000, ..bid_packet(1, 1, 1, "auction") });
@@ -34,12 +34,11 @@
     assert_eq!(runs, 1);
 }
 
+/// The first backend server sheds a bid and the home dispatches it to the second; then a duplicate
+/// of the first refusal arrives. Relayed as the refusal of a packet sent by flow token, it would
+/// end a running bid with an unknown outcome.
 #[test]
-fn late_refusal() {
-    // Symptom: a bid that is running well is answered "unknown".
-    // Sequence: the first target sheds it, the home places it at the second; a copy of the first
-    //   target's refusal arrives late.
-    // Cause: the copy is taken for an answer to a packet sent past the home, and relayed as final.
+fn ignores_duplicate_refusal_after_redispatch() {
     let mut net = TestNet::new(1, 2, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
     let now = net.now;
@@ -82,11 +81,10 @@
     effects.iter().filter_map(sent_packet).find(|(_, packet)| packet.kind() == PacketKind::Work)
 }
 
+/// A feed is open for longer than the interval of its checks. If the time since the last response
+/// counted as a pause of this process, every feed would break some minutes after it was opened.
 #[test]
-fn hours_of_feed() {
-    // Symptom: every feed breaks some minutes after it was opened, though nothing failed.
-    // Sequence: a feed is open for longer than the home waits before it asks its target about it.
-    // Cause: the time since the target's last sign is taken for a pause of this process.
+fn keeps_feed_open_longer_than_check_interval() {
     let mut net = TestNet::new(1, 3, EngineOptions::default());
     let feed = Packet {
         work: foxledge_wire::flow::WorkKind::Feed.into(),
@@ -101,11 +99,10 @@
     assert!(refusals(&net.drain_answers(1)).is_empty());
 }
 
+/// A feed is opened and stays open; a bid runs and ends. If open work were counted wrongly, an idle
+/// daemon would tick as often as a busy one, or a busy one too rarely.
 #[test]
-fn quiet_again() {
-    // Symptom: an idle daemon ticks as often as a busy one, or a busy one too seldom.
-    // Sequence: a feed opens and stays; a bid runs and ends.
-    // Cause: what waits is counted wrong.
+fn is_idle_while_only_open_feeds_remain() {
     let mut net = TestNet::new(1, 4, EngineOptions::default());
     let is_idle = |net: &TestNet| net.engines[0].as_ref().unwrap().is_idle();
     assert!(is_idle(&net));
--- a/crates/foxledge-engine/tests/longest_names.rs
+++ b/crates/foxledge-engine/tests/longest_names.rs
@@ -1,4 +1,4 @@
-//! Full payloads fit beside the longest names.
+//! Full payloads fit into datagrams together with the longest names.
 
 mod common;
 
@@ -13,14 +13,14 @@
 use foxledge_engine::{EngineOptions, EnginePhase, FlowEngine};
 use foxledge_wire::{MAX_PAYLOAD, flow::Packet};
 
-/// Longest name that a list may hold.
+/// The maximum length of a name in a list.
 const MAX_NAME_LENGTH: usize = 32;
 
+/// A full payload is sent to a backend server together with a return path that contains a token. If
+/// header, token and payload exceeded a datagram, the decoder would drop whole answers of services
+/// with long names only.
 #[test]
-fn full_payload() {
-    // Symptom: whole answers vanish, but only of services with long names.
-    // Sequence: a full payload goes to a target beside a return path with a token in it.
-    // Cause: header, token and payload together exceed a datagram, and the decoder drops it.
+fn full_payload_fits_with_longest_names() {
     let mut net = TestNet::new(1, 1, EngineOptions::default());
     let long = |letter: &str| letter.repeat(MAX_NAME_LENGTH);
     net.targets[0].service = long("s");
@@ -56,7 +56,7 @@
     net.run_for(100);
     let ticket = net.drain_answers(1)[0].ticket.clone();
     assert!(!ticket.is_empty());
-    // The fake target sends the request's payload back, as large as it was.
+    // The fake backend server returns the request's payload at full size.
     net.targets[0].echoes_payload = true;
     net.send(1, 0, &Packet { ticket, payload: vec![7; MAX_PAYLOAD], ..bid });
     net.run_for(500);
--- a/crates/foxledge-engine/tests/other_centres.rs
+++ b/crates/foxledge-engine/tests/other_centres.rs
@@ -1,4 +1,4 @@
-//! A data centre without a target that serves sends new work elsewhere.
+//! A data centre without an available backend server forwards new work to another one.
 
 mod common;
 
@@ -30,7 +30,8 @@
     }
 }
 
-/// One instance in Toledo, two in Erie; the first auction target is Toledo's, the second Erie's.
+/// One instance in Toledo, two in Erie. The first auction backend server is in Toledo, the second
+/// in Erie.
 fn two_centres(seed: u64) -> TestNet {
     let mut net = TestNet::new(0, seed, EngineOptions::default());
     net.targets[1].spec.data_centre = CentreName::new(OTHER_CENTRE);
@@ -66,11 +67,11 @@
     }
 }
 
+/// The only backend server of a service in Toledo is published as draining, and callers send
+/// requests there. Toledo would refuse every bid although backend servers in Erie are idle if its
+/// home considered local backend servers only.
 #[test]
-fn last_target_drains() {
-    // Symptom: a data centre refuses every bid while targets stand idle elsewhere.
-    // Sequence: the only target of a service in Toledo is published as draining; callers ask there.
-    // Cause: a home knows the targets of its own data centre only.
+fn forwards_new_work_when_last_local_target_drains() {
     let mut net = two_centres(1);
     drain_toledo(&mut net);
     for caller in 1..6 {
@@ -83,11 +84,10 @@
     assert!(net.targets[0].runs.is_empty());
 }
 
+/// A ticket is issued in Toledo, its last backend server drains, and the bid arrives. The ticket
+/// binds the bid to the home in Toledo: moved to Erie, it could run twice.
 #[test]
-fn old_ticket() {
-    // Symptom: a bid hangs, or runs in two data centres.
-    // Sequence: a ticket is issued in Toledo; its last target drains; the bid arrives.
-    // Cause: the bid is moved, though its ticket binds it to Toledo's home.
+fn refuses_bid_bound_to_drained_centre() {
     let mut net = two_centres(2);
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
     drain_toledo(&mut net);
@@ -97,11 +97,10 @@
     assert!(net.targets.iter().all(|target| target.runs.is_empty()));
 }
 
+/// The last backend server in Toledo drains and Toledo is cut off from Erie. Callers would wait in
+/// vain if new work were forwarded to an unreachable data centre again and again.
 #[test]
-fn cut_off() {
-    // Symptom: callers of a data centre that is cut off wait in vain.
-    // Sequence: Toledo's last target drains, and Toledo is cut from Erie.
-    // Cause: new work is sent to a data centre that can't be reached, for ever.
+fn refuses_when_other_centre_is_unreachable() {
     let mut net = two_centres(3);
     drain_toledo(&mut net);
     for instance in 1..3 {
@@ -117,17 +116,16 @@
     assert_eq!(refusals(&net.drain_answers(1)), [RunOutcome::NotRun]);
 }
 
+/// No backend server is available in any data centre. Without a limit on forwards, packets would
+/// circle between the data centres.
 #[test]
-fn nobody_serves() {
-    // Symptom: packets circle between data centres.
-    // Sequence: no target serves anywhere; each data centre hopes for the other.
-    // Cause: forwarding between data centres isn't bounded.
+fn bounds_forwards_when_no_centre_can_serve() {
     let mut net = two_centres(4);
     net.targets[1].spec.draining = true;
     drain_toledo(&mut net);
     assert_eq!(net.obtain_ticket(1, 0, "auction"), None);
     let forwarded: u64 =
         net.engines.iter().flatten().map(|engine| engine.counters().forwarded).sum();
-    // Five requests, each sent on at most as often as a packet may be forwarded.
+    // Each of the five requests is forwarded at most three times.
     assert!(forwarded <= 15, "{forwarded} forwards");
 }
--- a/crates/foxledge-engine/tests/run_once.rs
+++ b/crates/foxledge-engine/tests/run_once.rs
@@ -1,4 +1,4 @@
-//! Non-idempotent work runs at most once, and "not run" is true.
+//! Non-idempotent work runs at most once, and work refused as "not run" never runs.
 
 mod common;
 
@@ -14,7 +14,7 @@
     net.targets.iter().flat_map(|t| &t.runs).filter(|(key, _)| key.0 == caller).map(|r| r.1).sum()
 }
 
-/// The instance that issued the only ticket so far.
+/// Returns the instance that issued the only ticket so far.
 fn issuing_home(net: &TestNet) -> usize {
     (0..net.engines.len())
         .find(|&i| net.engines[i].as_ref().is_some_and(|e| e.counters().tickets_issued > 0))
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn bid_served() {
+fn serves_bid_and_renews_ticket() {
     let mut net = TestNet::new(3, 1, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
     net.send(1, 2, &Packet { ticket, ..bid_packet(1, 1, 1, "auction") });
@@ -38,7 +38,8 @@
     assert_eq!(run_count(&net, 1), 1);
 }
 
-/// Opening packet at two instances that each take themselves for the home.
+/// Sends copies of a bid to two instances that each consider themselves the home. Returns how often
+/// it ran.
 fn run_with_split_views(options: EngineOptions) -> u32 {
     let mut net = TestNet::new(2, 1, options);
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
@@ -51,11 +52,11 @@
     run_count(&net, 1)
 }
 
+/// The membership views are split and the network fabric delivers the opening packet to both sides.
+/// Without tickets each side is the home in its own view and admits its copy, so the bid runs
+/// twice.
 #[test]
-fn two_views() {
-    // Symptom: a bid runs twice.
-    // Sequence: views of membership split; the fabric hands the opening packet to both sides.
-    // Cause: each side is the home in its own view and admits the copy it got.
+fn runs_bid_once_under_split_views() {
     assert_eq!(
         run_with_split_views(options_without_run_once()),
         2,
@@ -64,11 +65,10 @@
     assert_eq!(run_with_split_views(EngineOptions::default()), 1);
 }
 
+/// The home dispatches a bid and is killed before the answer; the caller resends. The next home has
+/// no record of the first run, so it must neither refuse the bid as "not run" nor run it again.
 #[test]
-fn home_killed() {
-    // Symptom: a bid that may have run is called "not run", or runs again at the next home.
-    // Sequence: the home dispatches, is killed before the answer; the caller resends.
-    // Cause: the next home knows nothing of the first run.
+fn reports_unknown_outcome_when_home_is_killed() {
     let mut net = TestNet::new(3, 2, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
     let home = issuing_home(&net);
@@ -84,11 +84,10 @@
     assert_eq!(run_count(&net, 1), 1);
 }
 
+/// The home dispatches a bid, is killed and restarted; the caller resends. The new process has the
+/// same name and address but not the ledger, and must not run the bid again.
 #[test]
-fn home_restarted() {
-    // Symptom: a bid runs twice after its home was restarted.
-    // Sequence: the home dispatches, is killed and started anew; the caller resends.
-    // Cause: the new process has the same name and address, but not the memory.
+fn runs_bid_once_when_home_restarts() {
     let mut net = TestNet::new(3, 3, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
     let home = issuing_home(&net);
@@ -103,11 +102,11 @@
     assert_eq!(run_count(&net, 1), 1);
 }
 
+/// The home is frozen for 10 s with a bid in its socket, then resumes. If it acted on state from
+/// before the freeze, the bid would run long after its caller got an unknown outcome, or a second
+/// time.
 #[test]
-fn frozen_home() {
-    // Symptom: a bid runs long after its caller was told nobody knows, or twice.
-    // Sequence: the home freezes for 10 s with the bid in its socket, then wakes up.
-    // Cause: it goes on believing what was true when it froze.
+fn frozen_home_starts_nothing_after_start_deadline() {
     let mut net = TestNet::new(3, 4, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
     let home = issuing_home(&net);
@@ -121,12 +120,11 @@
     assert_eq!(run_count(&net, 1), 0, "the ticket's start deadline has passed");
 }
 
+/// The keys rotate: one instance has the new list, the ticket's home does not, and the network
+/// fabric delivers a copy to each. The instance that can't open the ticket must not refuse the bid
+/// as "not run" while it runs through the home.
 #[test]
-fn withdrawn_key() {
-    // Symptom: a bid is called "not run" by one instance and runs through another.
-    // Sequence: keys rotate; one instance has the new list, the ticket's home has not;
-    //   the fabric hands a copy to each.
-    // Cause: the instance with the new list can't open the ticket any more.
+fn never_reports_not_run_for_ticket_under_withdrawn_key() {
     let mut net = TestNet::new(2, 5, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
     let home = issuing_home(&net);
@@ -142,11 +140,10 @@
     assert!(!refusals(&net.drain_answers(1)).contains(&RunOutcome::NotRun));
 }
 
+/// The rules deny a client account and its bid is refused; then a new list allows it and a late
+/// copy arrives. If the copy were decided again, a bid that was refused as "not run" would run.
 #[test]
-fn refusal_stands() {
-    // Symptom: a bid that was called "not run" runs a moment later.
-    // Sequence: rules deny the member; the bid is refused; a new list allows it; a late copy arrives.
-    // Cause: the copy is decided anew.
+fn keeps_refusal_of_bid_for_late_copies() {
     for (remember_refusals, expected) in [(false, 1), (true, 0)] {
         let switches = TrialSwitches { remember_refusals, ..TrialSwitches::default() };
         let mut net = TestNet::new(1, 6, EngineOptions::default().trial(switches));
@@ -167,7 +164,7 @@
 }
 
 #[test]
-fn used_up() {
+fn refuses_requests_beyond_ticket_count() {
     let mut net = TestNet::new(1, 7, EngineOptions::default().requests_per_ticket(2));
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
     for request in 1..=3 {
@@ -178,11 +175,10 @@
     assert_eq!(refusals(&net.drain_answers(1)), [RunOutcome::NotRun]);
 }
 
+/// A ticket is replayed for another caller and for another service address. Without a comparison
+/// with the packet, a caller could bid under another caller's admission.
 #[test]
-fn other_ticket() {
-    // Symptom: a caller bids under another's admission.
-    // Sequence: a ticket is replayed for another caller and for another service address.
-    // Cause: the ticket's contents aren't compared with the packet.
+fn refuses_ticket_of_another_caller_or_address() {
     let mut net = TestNet::new(1, 8, EngineOptions::default());
     let ticket = net.obtain_ticket(1, 0, "auction").unwrap();
     net.send(2, 0, &Packet { ticket: ticket.clone(), ..bid_packet(2, 1, 1, "auction") });
