--- a/crates/foxledge-engine/src/dispatch.rs
+++ b/crates/foxledge-engine/src/dispatch.rs
@@ -168,8 +168,8 @@
         {
             return Some(work.shard.service.clone());
         }
-        let (key, owner) = self.target_owners.get(&target.address)?;
-        let is_same = owner.incarnation == target.incarnation;
+        let (key, published) = self.target_owners.get(&target.address)?;
+        let is_same = published.incarnation == target.incarnation;
         is_same.then(|| key.service.clone())
     }
 
--- a/crates/foxledge-engine/src/forwarding.rs
+++ b/crates/foxledge-engine/src/forwarding.rs
@@ -27,7 +27,7 @@
 
 /// The caller's attempt from which an unreachable home leads to a final refusal instead of another
 /// resend request.
-const MAX_RESEND_ATTEMPT: u32 = 4;
+const FINAL_ATTEMPT: u32 = 4;
 
 impl FlowEngine {
     /// Forwards a packet to the highest-ranked home that hasn't been tried and isn't unresponsive.
@@ -44,8 +44,8 @@
             !forward.tried_instances.contains(&peer.name)
                 && !self.unresponsive_homes.contains(&peer.name, now)
         });
-        let is_here = next.is_none_or(|peer| peer.name == self.me.name);
-        if is_here || forward.hops >= MAX_HOPS {
+        let is_local = next.is_none_or(|peer| peer.name == self.me.name);
+        if is_local || forward.hops >= MAX_HOPS {
             return self.handle_as_home(now, forward.caller, forward.packet, forward.hops);
         }
         let Some(peer) = next else { return };
@@ -166,15 +166,15 @@
     /// Handles a packet whose ticket's home can't be reached.
     ///
     /// During a partition another instance may still reach the home, and the network fabric may
-    /// deliver the next copy to that instance. The caller is therefore asked to resend, up to
-    /// [`MAX_RESEND_ATTEMPT`] times. After that the request is refused with an unknown outcome.
+    /// deliver the next copy to that instance. The caller is therefore asked to resend. From
+    /// its attempt [`FINAL_ATTEMPT`] on, the request is refused with an unknown outcome.
     pub(crate) fn handle_unreachable_home(
         &mut self,
         now: ClockTime,
         caller: SocketAddr,
         packet: &Packet,
     ) {
-        if packet.takes_resend && packet.attempt < MAX_RESEND_ATTEMPT {
+        if packet.takes_resend && packet.attempt < FINAL_ATTEMPT {
             self.counters.resends_asked += 1;
             return self.send_data(caller, &reply_to(packet, PacketKind::Resend));
         }
--- a/crates/foxledge-engine/src/ledger.rs
+++ b/crates/foxledge-engine/src/ledger.rs
@@ -95,14 +95,15 @@
         self.entries.is_empty()
     }
 
-    /// Records the state of a request and keeps it at least until `forget_at`. An earlier record
-    /// never expires sooner because of it.
+    /// Records the state of a request and keeps it at least until `expires_at`. A later expiry that
+    /// was set before stays.
     pub fn record(&mut self, key: RequestKey, state: RequestState, expires_at: ClockTime) {
-        let later = self.entries.get(&key).map_or(expires_at, |old| old.expires_at.max(expires_at));
-        if let Some(old) = self.entries.insert(key, LedgerEntry { state, expires_at: later }) {
+        let latest =
+            self.entries.get(&key).map_or(expires_at, |old| old.expires_at.max(expires_at));
+        if let Some(old) = self.entries.insert(key, LedgerEntry { state, expires_at: latest }) {
             self.by_expiry.remove(&(old.expires_at, key));
         }
-        self.by_expiry.insert((later, key));
+        self.by_expiry.insert((latest, key));
     }
 
     /// Counts a request under a ticket. Returns false if `count` requests have used the ticket
--- a/crates/foxledge-engine/src/schedulers.rs
+++ b/crates/foxledge-engine/src/schedulers.rs
@@ -47,7 +47,7 @@
     }
 
     /// Creates the scheduler of a shard.
-    pub fn open(
+    pub fn create(
         &mut self,
         now: ClockTime,
         key: &ShardKey,
@@ -77,7 +77,7 @@
     }
 
     /// Returns the shards of one service that have a scheduler.
-    pub fn keys_of(&self, service: &ServiceName) -> Vec<ShardKey> {
+    pub fn keys_of_service(&self, service: &ServiceName) -> Vec<ShardKey> {
         let first = ShardKey { service: service.clone(), shard: 0 };
         let last = ShardKey { service: service.clone(), shard: u32::MAX };
         self.schedulers.range(first..=last).map(|(key, _)| key.clone()).collect()
--- a/crates/foxledge-engine/src/tickets.rs
+++ b/crates/foxledge-engine/src/tickets.rs
@@ -99,8 +99,7 @@
             let refusal = not_run_refusal(RefusalReason::TicketExpired, Duration::ZERO);
             return self.send_refusal(now, caller, &packet, refusal);
         }
-        let terms =
-            RunTerms { tracking: RunTracking::ByTicket, start_deadline, expires_at: expires_at };
+        let terms = RunTerms { tracking: RunTracking::ByTicket, start_deadline, expires_at };
         if !self.ledger.count_ticket_use(ticket.serial, ticket.count, expires_at) {
             return self.refuse_permanently(now, caller, &packet, terms, RefusalReason::Limit);
         }
--- a/crates/foxledge-engine/src/updates.rs
+++ b/crates/foxledge-engine/src/updates.rs
@@ -36,7 +36,7 @@
         self.rule_index = RuleIndex::new(list.clone());
         let old = std::mem::replace(&mut self.list, list);
         for name in &changed {
-            self.refresh_owners(name, &old);
+            self.refresh_target_owners(name, &old);
             self.refresh_service(now, name);
         }
         self.drop_idle_schedulers();
@@ -67,7 +67,7 @@
     }
 
     /// Updates the map from addresses to backend servers for one changed service.
-    fn refresh_owners(&mut self, name: &ServiceName, old: &RuleList) {
+    fn refresh_target_owners(&mut self, name: &ServiceName, old: &RuleList) {
         let old_targets = old.services.get(name).map_or(&[][..], |service| &service.targets);
         for target in old_targets {
             let is_same_service = self
@@ -98,7 +98,7 @@
         if let Some(service) = self.list.clone().services.get(name) {
             self.refresh_probed_shards(now, service);
         }
-        for key in self.schedulers.keys_of(name) {
+        for key in self.schedulers.keys_of_service(name) {
             let targets = self.targets_of(&key);
             let queue_limit = self.queue_limit_of(&key);
             let Some(scheduler) = self.schedulers.find(&key) else { continue };
@@ -136,7 +136,7 @@
         }
         let targets = self.targets_of(key);
         let queue_limit = self.queue_limit_of(key);
-        let effects = self.schedulers.open(now, key, targets, queue_limit);
+        let effects = self.schedulers.create(now, key, targets, queue_limit);
         self.apply_scheduler_effects(now, key, effects);
     }
 
--- a/crates/foxledge-engine/tests/common/targets.rs
+++ b/crates/foxledge-engine/tests/common/targets.rs
@@ -79,20 +79,20 @@
 
     /// Ends the run of a dispatch and answers it.
     pub fn end_run(&mut self, dispatch: u64) -> TargetSends {
-        let Some(known_dispatch) = self.dispatches.get_mut(&dispatch) else {
+        let Some(run) = self.dispatches.get_mut(&dispatch) else {
             return TargetSends::default();
         };
-        known_dispatch.is_ended = true;
-        let (opener, packet) = (known_dispatch.home_address, known_dispatch.packet.clone());
+        run.is_ended = true;
+        let (home_address, packet) = (run.home_address, run.packet.clone());
         self.busy_slots -= 1;
-        let mut sends = self.reply(opener, &packet, PacketKind::Answer);
-        sends.packets.extend(self.reply(opener, &packet, PacketKind::Done).packets);
+        let mut sends = self.reply(home_address, &packet, PacketKind::Answer);
+        sends.packets.extend(self.reply(home_address, &packet, PacketKind::Done).packets);
         sends
     }
 
     fn handle_work(&mut self, from: SocketAddr, packet: Packet) -> TargetSends {
-        if let Some(known_dispatch) = self.dispatches.get(&packet.dispatch) {
-            return match (&known_dispatch.refusal, known_dispatch.is_ended) {
+        if let Some(run) = self.dispatches.get(&packet.dispatch) {
+            return match (&run.refusal, run.is_ended) {
                 (Some(refusal), _) => self.refuse(from, &packet, refusal.reason()),
                 (None, true) => self.reply(from, &packet, PacketKind::Answer),
                 (None, false) => self.reply(from, &packet, PacketKind::Ack),
@@ -105,9 +105,9 @@
             reason: RefusalReason::TargetShed.into(),
             retry_after_ms: 10,
         });
-        let known_dispatch =
+        let run =
             KnownDispatch { home_address: from, packet: packet.clone(), is_ended: false, refusal };
-        self.dispatches.insert(packet.dispatch, known_dispatch);
+        self.dispatches.insert(packet.dispatch, run);
         if is_full {
             return self.refuse(from, &packet, RefusalReason::TargetShed);
         }
--- a/crates/foxledge-engine/tests/core_sweep.rs
+++ b/crates/foxledge-engine/tests/core_sweep.rs
@@ -42,7 +42,7 @@
         instance: usize,
     },
     SplitViews {
-        alone: usize,
+        isolated: usize,
     },
     HealViews,
     Drain {
@@ -77,7 +77,7 @@
         1 => instance.clone().prop_map(|instance| Step::Replace { instance }),
         1 => instance.clone().prop_map(|instance| Step::Freeze { instance }),
         1 => instance.clone().prop_map(|instance| Step::Unfreeze { instance }),
-        1 => instance.prop_map(|alone| Step::SplitViews { alone }),
+        1 => instance.prop_map(|isolated| Step::SplitViews { isolated }),
         1 => Just(Step::HealViews),
         1 => (0usize..2).prop_map(|target| Step::Drain { target }),
         1 => (0usize..4).prop_map(|reach| Step::RotateKeys { reach }),
@@ -132,15 +132,15 @@
                 self.net.kill(instance);
                 self.net.start_instance(instance);
                 self.highest_revisions[instance] = 0;
-                let list = self.list();
+                let list = self.current_list();
                 self.net.apply_list(instance, list);
                 self.net.distribute_full_view();
             }
             Step::Freeze { instance } => self.net.freeze(instance),
             Step::Unfreeze { instance } => self.net.unfreeze(instance),
-            Step::SplitViews { alone } => {
-                let rest: Vec<_> = (0..3).filter(|&i| i != alone).collect();
-                self.net.distribute_view(&[alone], &[alone]);
+            Step::SplitViews { isolated } => {
+                let rest: Vec<_> = (0..3).filter(|&i| i != isolated).collect();
+                self.net.distribute_view(&[isolated], &[isolated]);
                 self.net.distribute_view(&rest, &rest);
             }
             Step::HealViews => self.net.distribute_full_view(),
@@ -151,7 +151,7 @@
             }
             Step::Deny { instance } => {
                 self.revision += 1;
-                let mut list = self.list();
+                let mut list = self.current_list();
                 list.rules.clear();
                 self.net.apply_list(instance, list);
             }
@@ -183,7 +183,7 @@
     }
 
     /// Returns the current list: the backend servers as they are and the two newest keys.
-    fn list(&self) -> foxledge_core::lists::RuleList {
+    fn current_list(&self) -> foxledge_core::lists::RuleList {
         let mut list = self.net.current_list(self.revision);
         let oldest = self.newest_key.saturating_sub(1).max(1);
         list.keys = (oldest..=self.newest_key)
@@ -194,7 +194,7 @@
 
     fn publish(&mut self, instances: std::ops::Range<usize>) {
         self.revision += 1;
-        let list = self.list();
+        let list = self.current_list();
         for instance in instances {
             self.net.apply_list(instance, list.clone());
         }
@@ -311,11 +311,11 @@
 #[test]
 fn sweep_finds_a_fault_without_each_mechanism() {
     // The sweep has to be able to fail: without each of these mechanisms, it has to find a fault.
-    let on = TrialSwitches::default();
-    assert_eq!(violation_without(60, on), None);
-    assert!(violation_without(60, TrialSwitches { run_once: false, ..on }).is_some());
+    let all_on = TrialSwitches::default();
+    assert_eq!(violation_without(60, all_on), None);
+    assert!(violation_without(60, TrialSwitches { run_once: false, ..all_on }).is_some());
     // This needs a refusal, a new list and a late copy in one sequence, which is rarer.
-    let without_refusals = TrialSwitches { remember_refusals: false, ..on };
+    let without_refusals = TrialSwitches { remember_refusals: false, ..all_on };
     assert!(violation_without(1_000, without_refusals).is_some());
 }
 
