--- a/crates/foxledge-engine/src/counters.rs
+++ b/crates/foxledge-engine/src/counters.rs
@@ -60,7 +60,7 @@
     probes_sent,
     /// Checks sent to backend servers about acknowledged dispatches.
     checks_sent,
-    /// Refusals of backend servers dropped because the home had dispatched the work elsewhere or
+    /// Refusals of backend servers dropped because the home had dispatched the work again or
     /// had answered since.
     superseded,
     /// Resend requests sent to callers because their ticket's home couldn't be reached from this
--- a/crates/foxledge-engine/src/forwarding.rs
+++ b/crates/foxledge-engine/src/forwarding.rs
@@ -109,7 +109,7 @@
     /// available.
     ///
     /// The link to the home may be cut at one point only. If the home remains unresponsive, the
-    /// request may have been started, so its caller is told at once that the outcome is unknown.
+    /// request may have been started, so it is refused at once with an unknown outcome.
     fn retry_by_ticket(
         &mut self,
         now: ClockTime,
--- a/crates/foxledge-engine/tests/bad_datagrams.rs
+++ b/crates/foxledge-engine/tests/bad_datagrams.rs
@@ -86,7 +86,7 @@
     assert_eq!((counters.path_unsealed, counters.peer_unsealed), (1, 1));
 }
 
-/// An instance that has no list yet refuses at once instead of staying silent.
+/// An instance that has no list yet refuses at once instead of leaving the caller without a reply.
 #[test]
 fn refuses_at_once_without_a_list() {
     let mut net = TestNet::new(1, 4, EngineOptions::default());
@@ -135,7 +135,7 @@
             EngineEffect::SendData { to, bytes } if *to == sender => bytes.len(),
             _ => 0,
         }).sum();
-        prop_assert!(reply_bytes <= bytes.len(), "{reply_bytes} bytes sent for {} received", bytes.len());
+        prop_assert!(reply_bytes <= bytes.len(), "sent {reply_bytes} bytes for {}", bytes.len());
     }
 
     #[test]
