--- a/crates/foxledge-engine/tests/core_sweep.rs
+++ b/crates/foxledge-engine/tests/core_sweep.rs
@@ -328,7 +328,10 @@
     })]
 
     #[test]
-    fn invariants_hold_under_faults(seed in any::<u64>(), steps in proptest::collection::vec(step(), 1..40)) {
+    fn invariants_hold_under_faults(
+        seed in any::<u64>(),
+        steps in proptest::collection::vec(step(), 1..40),
+    ) {
         assert_eq!(sweep(seed, &steps, EngineOptions::default()), Vec::<String>::new());
     }
 }
