--- a/crates/foxledge-engine/src/home.rs
+++ b/crates/foxledge-engine/src/home.rs
@@ -1,4 +1,4 @@
-//! The home role: what is admitted, and what is answered to copies.
+//! The home role: admits requests and answers duplicates.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -17,30 +17,30 @@
 
 use crate::{
     engine::FlowEngine,
+    home_work::{HomeWork, RunTracking},
     ledger::{RequestKey, RequestState},
-    packets::{DEFAULT_RETRY, not_run, unknown},
-    work::{HomeWork, RunTracking},
+    packets::{DEFAULT_RETRY_DELAY, not_run_refusal, unknown_refusal},
 };
 
-/// Longest deadline that a caller's packet may ask for.
-const LONGEST_DEADLINE: Duration = Duration::from_secs(120);
-/// Deadline of a packet that names none.
-const DEFAULT_DEADLINE: Duration = Duration::from_secs(2);
+/// The maximum time that a caller's packet may request until its deadline.
+const MAX_REQUEST_TIME: Duration = Duration::from_secs(120);
+/// The time until the deadline of a packet that requests none.
+const DEFAULT_REQUEST_TIME: Duration = Duration::from_secs(2);
 
-/// `RunTerms` is on what terms a request may run here.
+/// The conditions under which a request may run at this home.
 #[derive(Clone, Copy, Debug)]
 pub struct RunTerms {
-    /// What can be said when it is refused.
+    /// Whether "not run" is guaranteed when the request is refused.
     pub tracking: RunTracking,
-    /// Until when it may be started.
+    /// The time until which the request may be started.
     pub start_deadline: ClockTime,
-    /// Until when the ledger has to know it.
-    pub forget_at: ClockTime,
+    /// The time until which the ledger has to keep the request.
+    pub expires_at: ClockTime,
 }
 
 impl FlowEngine {
-    /// Takes a packet as the home of its service.
-    pub(crate) fn take_as_home(
+    /// Handles a packet as the home of its service.
+    pub(crate) fn handle_as_home(
         &mut self,
         now: ClockTime,
         caller: SocketAddr,
@@ -49,8 +49,8 @@
     ) {
         self.counters.home_taken += 1;
         if self.is_new_work(&packet)
-            && let Ok(treatment) = self.decide(&packet)
-            && self.send_elsewhere(now, caller, &packet, &treatment, hops)
+            && let Ok(treatment) = self.decide_treatment(&packet)
+            && self.forward_to_other_centre(now, caller, &packet, &treatment, hops)
         {
             return;
         }
@@ -58,47 +58,50 @@
             PacketKind::TicketRequest => self.grant_ticket(now, caller, &packet),
             PacketKind::Cancel => self.cancel_request(now, &packet),
             PacketKind::Work if !packet.ticket.is_empty() => {
-                self.take_ticketed(now, caller, packet);
+                self.handle_ticketed_request(now, caller, packet);
             }
             PacketKind::Work if packet.idempotent || !self.options.trial.run_once => {
-                self.take_untracked(now, caller, packet);
+                self.handle_untracked_request(now, caller, packet);
             }
-            // Non-idempotent work without a ticket runs nowhere, so that a copy
-            // at another home can't run either. Its caller gets a ticket, if its
-            // packet is large enough to be answered by one.
+            // Non-idempotent work without a ticket isn't run anywhere, so that a copy at another
+            // home can't run either. The caller gets a ticket instead, provided that its packet is
+            // at least as large as the reply with the ticket.
             PacketKind::Work if packet.payload.len() >= TICKET_PADDING => {
                 self.grant_ticket(now, caller, &packet);
             }
             PacketKind::Work => {
-                let refusal = not_run(RefusalReason::BadTicket, Duration::ZERO);
-                self.refuse(now, caller, &packet, refusal);
+                let refusal = not_run_refusal(RefusalReason::BadTicket, Duration::ZERO);
+                self.send_refusal(now, caller, &packet, refusal);
             }
             _ => self.counters.malformed += 1,
         }
     }
 
-    /// True for a packet that any home may answer: no ticket, and unknown here.
+    /// Returns true for a packet that any home may admit: it has no ticket and this home doesn't
+    /// know its request.
     fn is_new_work(&self, packet: &Packet) -> bool {
-        let opens = matches!(packet.kind(), PacketKind::TicketRequest | PacketKind::Work);
-        opens && packet.ticket.is_empty() && self.ledger.find(&RequestKey::of(packet)).is_none()
+        let is_opening = matches!(packet.kind(), PacketKind::TicketRequest | PacketKind::Work);
+        is_opening
+            && packet.ticket.is_empty()
+            && self.ledger.find(&RequestKey::from_packet(packet)).is_none()
     }
 
-    /// Takes idempotent work.
-    fn take_untracked(&mut self, now: ClockTime, caller: SocketAddr, packet: Packet) {
-        let key = RequestKey::of(&packet);
+    /// Handles idempotent work without a ticket.
+    fn handle_untracked_request(&mut self, now: ClockTime, caller: SocketAddr, packet: Packet) {
+        let key = RequestKey::from_packet(&packet);
         if let Some(state) = self.ledger.find(&key).cloned() {
-            return self.take_copy(now, caller, &packet, state);
+            return self.handle_duplicate(now, caller, &packet, state);
         }
         let terms = RunTerms {
             tracking: RunTracking::Untracked,
             start_deadline: ClockTime::MAX,
-            forget_at: now.after(self.options.ledger_retention),
+            expires_at: now.after(self.options.ledger_retention),
         };
         self.open_request(now, caller, packet, terms);
     }
 
-    /// Answers a copy of a known request; it starts nothing.
-    pub(crate) fn take_copy(
+    /// Handles a duplicate of a known request without starting the work again.
+    pub(crate) fn handle_duplicate(
         &mut self,
         now: ClockTime,
         caller: SocketAddr,
@@ -115,11 +118,11 @@
             RequestState::Dispatched { dispatch, target } => {
                 self.send_to_target(now, caller, packet, dispatch, &target);
             }
-            RequestState::Refused(refusal) => self.refuse(now, caller, packet, refusal),
+            RequestState::Refused(refusal) => self.send_refusal(now, caller, packet, refusal),
         }
     }
 
-    /// Admits a request that isn't known yet, or refuses it.
+    /// Admits a new request or refuses it.
     pub(crate) fn open_request(
         &mut self,
         now: ClockTime,
@@ -129,52 +132,53 @@
     ) {
         let treatment = match self.admit(now, &packet, terms.tracking) {
             Ok(treatment) => treatment,
-            Err(reason) => return self.refuse_for_good(now, caller, &packet, terms, reason),
+            Err(reason) => return self.refuse_permanently(now, caller, &packet, terms, reason),
         };
         if self.ledger.is_full() {
-            // Nothing is recorded, so a copy may be admitted later: the home
-            // can't promise that it never runs.
-            let refusal = unknown(RefusalReason::Limit, DEFAULT_RETRY);
-            return self.refuse(now, caller, &packet, refusal);
+            // The refusal isn't recorded, so a copy may be admitted later and "not run" can't be
+            // guaranteed.
+            let refusal = unknown_refusal(RefusalReason::Limit, DEFAULT_RETRY_DELAY);
+            return self.send_refusal(now, caller, &packet, refusal);
         }
         let Some(mut work) = self.home_work(now, caller, &packet, &treatment, terms) else {
             return;
         };
         self.counters.requests_opened += 1;
-        self.last_work += 1;
-        let id = self.last_work;
+        self.last_work_id += 1;
+        let id = self.last_work_id;
         let item = work_item(id, &work, &packet, &treatment, terms.start_deadline);
         work.packet = Some(Box::new(packet));
-        let desk = work.desk.clone();
-        self.ledger.record(work.key, RequestState::Queued(id), terms.forget_at);
+        let shard = work.shard.clone();
+        self.ledger.record(work.key, RequestState::Queued(id), terms.expires_at);
         match work.kind {
             TrafficKind::Feed => self.opening_feeds += 1,
             TrafficKind::Bid | TrafficKind::Upload => self.open_requests += 1,
         }
         self.works.insert(id, work);
-        self.obtain_desk(now, &desk);
-        let Some(home_desk) = self.desks.find(&desk) else { return };
-        let effects = home_desk.submit(now, item);
-        self.carry_out(now, &desk, effects);
+        self.ensure_scheduler(now, &shard);
+        let Some(scheduler) = self.schedulers.find(&shard) else { return };
+        let effects = scheduler.submit(now, item);
+        self.apply_scheduler_effects(now, &shard, effects);
     }
 
-    /// How a request is served here, or why it isn't.
+    /// Returns how the request is served, or the reason for its refusal.
     fn admit(
         &mut self,
         now: ClockTime,
         packet: &Packet,
         tracking: RunTracking,
     ) -> Result<ServeTreatment, RefusalReason> {
-        let treatment = self.decide(packet)?;
-        if tracking == RunTracking::ByTicket && !self.can_serve(now, packet, &treatment) {
-            // The ticket was issued while a target could serve. Its caller gets
-            // another one, perhaps of another data centre, and asks anew.
+        let treatment = self.decide_treatment(packet)?;
+        if tracking == RunTracking::ByTicket && !self.has_local_target(now, packet, &treatment) {
+            // The ticket was issued while a backend server was available. After the refusal the
+            // caller requests another ticket, possibly of another data centre, and retries.
             return Err(RefusalReason::NoTarget);
         }
         Ok(treatment)
     }
 
-    /// What the home keeps of a request, without its opening packet; none of unknown work.
+    /// Creates the home's record of a request, without its opening packet. Returns none for an
+    /// unknown kind of work.
     fn home_work(
         &self,
         now: ClockTime,
@@ -184,40 +188,41 @@
         terms: RunTerms,
     ) -> Option<HomeWork> {
         Some(HomeWork {
-            key: RequestKey::of(packet),
-            address: self.shared_address(&packet.address, treatment),
-            member: self.shared_member(&packet.member),
-            desk: self.desk_key(packet, treatment),
+            key: RequestKey::from_packet(packet),
+            address: self.interned_address(&packet.address, treatment),
+            member: self.interned_member(&packet.member),
+            shard: self.shard_key(packet, treatment),
             packet: None,
             caller,
             kind: traffic_kind(packet.work())?,
             tracking: terms.tracking,
-            deadline: now.after(wanted_span(packet)),
-            arrived: now,
-            forget_at: terms.forget_at,
+            deadline: now.after(requested_time(packet)),
+            arrived_at: now,
+            expires_at: terms.expires_at,
             dispatch: 0,
         })
     }
 
-    /// The member's name, sharing the list's text: one copy per member, not per flow.
-    fn shared_member(&self, text: &str) -> MemberName {
-        let known = self.list.members.get_key_value(text);
-        known.map_or_else(|| MemberName::new(text), |(name, _)| name.clone())
+    /// Returns the client account's name with the list's shared string, so that it is stored once
+    /// per client account and not once per flow.
+    fn interned_member(&self, text: &str) -> MemberName {
+        let entry = self.list.members.get_key_value(text);
+        entry.map_or_else(|| MemberName::new(text), |(name, _)| name.clone())
     }
 
-    /// The service address, sharing the list's text.
-    fn shared_address(&self, text: &str, treatment: &ServeTreatment) -> ServiceAddress {
+    /// Returns the service address with the list's shared string.
+    fn interned_address(&self, text: &str, treatment: &ServeTreatment) -> ServiceAddress {
         let service = self.list.services.get(&treatment.service);
         service
-            .and_then(|service| service.addresses.iter().find(|known| known.as_str() == text))
+            .and_then(|service| service.addresses.iter().find(|address| address.as_str() == text))
             .map_or_else(|| ServiceAddress::new(text), ServiceAddress::clone)
     }
 
-    /// Refuses a request and remembers it, so that no copy is decided otherwise.
+    /// Refuses a request and records the refusal, so that every copy is refused as well.
     ///
-    /// A new list could let a copy in that arrives a moment later. Its caller
-    /// had been told "not run"; one would notice a refused bid that ran.
-    pub(crate) fn refuse_for_good(
+    /// Otherwise a new list could admit a copy that arrives a moment later, and a bid that was
+    /// refused as "not run" would run.
+    pub(crate) fn refuse_permanently(
         &mut self,
         now: ClockTime,
         caller: SocketAddr,
@@ -226,54 +231,54 @@
         reason: RefusalReason,
     ) {
         let refusal = match terms.tracking {
-            RunTracking::ByTicket => not_run(reason, DEFAULT_RETRY),
+            RunTracking::ByTicket => not_run_refusal(reason, DEFAULT_RETRY_DELAY),
             RunTracking::Untracked => self.untracked_refusal(packet, reason),
         };
         if self.ledger.is_full() {
-            let refusal = unknown(RefusalReason::Limit, DEFAULT_RETRY);
-            return self.refuse(now, caller, packet, refusal);
+            let refusal = unknown_refusal(RefusalReason::Limit, DEFAULT_RETRY_DELAY);
+            return self.send_refusal(now, caller, packet, refusal);
         }
-        self.remember_refusal(RequestKey::of(packet), refusal, terms.forget_at);
-        self.refuse(now, caller, packet, refusal);
+        self.record_refusal(RequestKey::from_packet(packet), refusal, terms.expires_at);
+        self.send_refusal(now, caller, packet, refusal);
     }
 
-    pub(crate) fn remember_refusal(
+    pub(crate) fn record_refusal(
         &mut self,
         key: RequestKey,
         refusal: Refusal,
-        forget_at: ClockTime,
+        expires_at: ClockTime,
     ) {
         if self.options.trial.remember_refusals {
-            self.ledger.record(key, RequestState::Refused(refusal), forget_at);
+            self.ledger.record(key, RequestState::Refused(refusal), expires_at);
         }
     }
 
     fn cancel_request(&mut self, now: ClockTime, packet: &Packet) {
-        let key = RequestKey::of(packet);
+        let key = RequestKey::from_packet(packet);
         let id = match self.ledger.find(&key) {
             Some(RequestState::Queued(id)) => *id,
             Some(RequestState::Dispatched { dispatch, .. }) => {
-                let Some(id) = self.dispatches.get(dispatch) else { return };
+                let Some(id) = self.work_by_dispatch.get(dispatch) else { return };
                 *id
             }
             _ => return,
         };
         let Some(work) = self.works.get(&id) else { return };
-        let desk = work.desk.clone();
-        let Some(home_desk) = self.desks.find(&desk) else { return };
-        let effects = home_desk.cancel(now, id);
-        self.carry_out(now, &desk, effects);
+        let shard = work.shard.clone();
+        let Some(scheduler) = self.schedulers.find(&shard) else { return };
+        let effects = scheduler.cancel(now, id);
+        self.apply_scheduler_effects(now, &shard, effects);
     }
 }
 
-pub(crate) fn wanted_span(packet: &Packet) -> Duration {
+pub(crate) fn requested_time(packet: &Packet) -> Duration {
     match packet.time_left_ms {
-        0 => DEFAULT_DEADLINE,
-        millis => Duration::from_millis(u64::from(millis)).min(LONGEST_DEADLINE),
+        0 => DEFAULT_REQUEST_TIME,
+        millis => Duration::from_millis(u64::from(millis)).min(MAX_REQUEST_TIME),
     }
 }
 
-/// What the desk has to know of a request.
+/// Creates the scheduler's work item for a request.
 fn work_item(
     id: u64,
     work: &HomeWork,
@@ -296,8 +301,8 @@
     }
 }
 
-/// As much of the opening packet as replies and tickets need.
-pub(crate) fn bare_packet(work: &HomeWork) -> Packet {
+/// Returns a packet with only those fields of the opening packet that replies and tickets need.
+pub(crate) fn reply_context(work: &HomeWork) -> Packet {
     Packet {
         caller: work.key.caller,
         flow: work.key.flow,
--- a/crates/foxledge-engine/src/journal.rs
+++ b/crates/foxledge-engine/src/journal.rs
@@ -1,4 +1,4 @@
-//! What was decided for recent flows, so that one id can be followed.
+//! A bounded journal of recent routing decisions by flow.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -9,63 +9,63 @@
 use foxledge_core::{lists::TargetSpec, names::TargetName, time::ClockTime};
 use serde::{Serialize, Serializer};
 
-/// Decisions kept for one flow.
-const EVENTS_PER_FLOW: usize = 12;
+/// The maximum number of decisions kept for one flow.
+const MAX_EVENTS_PER_FLOW: usize = 12;
 
-/// `FlowEvent` is one decision for a flow.
+/// A decision about a request of a flow.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FlowEvent {
-    /// Microseconds on this process's monotonic clock.
+    /// The time of the decision, in microseconds of this process's monotonic clock.
     pub at_us: u64,
-    /// Number of the request.
+    /// The number of the request.
     pub request: u64,
-    /// What was decided, as a short sentence.
+    /// The decision, as a short sentence.
     pub text: String,
-    /// The backend server that the request was sent to, if it was.
+    /// The backend server to which the request was sent, if it was.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub target: Option<TargetPlace>,
+    pub target: Option<TargetAddress>,
 }
 
 impl FlowEvent {
-    /// Makes a decision that sends the request nowhere.
+    /// Creates an event without a backend server.
     pub fn new(now: ClockTime, request: u64, text: impl Into<String>) -> FlowEvent {
         FlowEvent { at_us: now.as_micros(), request, text: text.into(), target: None }
     }
 
-    /// Sets the backend server that the request was sent to.
-    pub fn sent_to(self, target: TargetPlace) -> FlowEvent {
+    /// Sets the backend server to which the request was sent.
+    pub fn with_target(self, target: TargetAddress) -> FlowEvent {
         FlowEvent { target: Some(target), ..self }
     }
 }
 
-/// `TargetPlace` is a backend server by name and address, written `name@address`.
+/// The name and address of a backend server, written `name@address`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TargetPlace {
-    /// Published name.
+pub struct TargetAddress {
+    /// The published name.
     pub name: TargetName,
-    /// Where it is reached.
+    /// The address for datagrams.
     pub address: SocketAddr,
 }
 
-impl From<&TargetSpec> for TargetPlace {
-    fn from(spec: &TargetSpec) -> TargetPlace {
-        TargetPlace { name: spec.name.clone(), address: spec.address }
+impl From<&TargetSpec> for TargetAddress {
+    fn from(spec: &TargetSpec) -> TargetAddress {
+        TargetAddress { name: spec.name.clone(), address: spec.address }
     }
 }
 
-impl Display for TargetPlace {
+impl Display for TargetAddress {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}@{}", self.name, self.address)
     }
 }
 
-impl Serialize for TargetPlace {
+impl Serialize for TargetAddress {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.collect_str(self)
     }
 }
 
-/// `FlowJournal` is the decisions for the most recent flows; bounded.
+/// The recent decisions for a bounded number of flows.
 #[derive(Debug)]
 pub struct FlowJournal {
     flows: HashMap<u64, VecDeque<FlowEvent>>,
@@ -74,30 +74,31 @@
 }
 
 impl FlowJournal {
-    /// Makes an empty journal of at most `limit` flows.
+    /// Creates an empty journal for at most `limit` flows, and at least one.
     pub fn new(limit: usize) -> FlowJournal {
         FlowJournal { flows: HashMap::new(), order: VecDeque::new(), limit: limit.max(1) }
     }
 
-    /// Notes a decision.
-    pub fn note(&mut self, flow: u64, event: FlowEvent) {
+    /// Records a decision. The first decision of a new flow evicts the oldest flow when the journal
+    /// is full.
+    pub fn record(&mut self, flow: u64, event: FlowEvent) {
         if !self.flows.contains_key(&flow) {
-            self.make_room();
+            self.evict_oldest();
             self.order.push_back(flow);
         }
         let events = self.flows.entry(flow).or_default();
-        if events.len() == EVENTS_PER_FLOW {
+        if events.len() == MAX_EVENTS_PER_FLOW {
             events.pop_front();
         }
         events.push_back(event);
     }
 
-    /// The decisions for a flow, the oldest first.
-    pub fn read(&self, flow: u64) -> Vec<FlowEvent> {
+    /// Returns the decisions for a flow, the oldest first.
+    pub fn events_of(&self, flow: u64) -> Vec<FlowEvent> {
         self.flows.get(&flow).map(|events| events.iter().cloned().collect()).unwrap_or_default()
     }
 
-    fn make_room(&mut self) {
+    fn evict_oldest(&mut self) {
         if self.order.len() < self.limit {
             return;
         }
--- a/crates/foxledge-engine/src/ledger.rs
+++ b/crates/foxledge-engine/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The home's memory of requests: what makes a copy run nothing.
+//! The home's record of requests, by which duplicates are recognised.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -8,107 +8,109 @@
 use foxledge_core::{lists::TargetSpec, time::ClockTime};
 use foxledge_wire::flow::{Packet, Refusal};
 
-/// `RequestKey` is which request: callers choose the numbers.
+/// Identifies a request. Callers choose the numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestKey {
-    /// The caller.
+    /// The caller's id.
     pub caller: u64,
-    /// The flow.
+    /// The flow id.
     pub flow: u64,
-    /// Number of the request within the flow.
+    /// The number of the request within the flow.
     pub request: u64,
 }
 
 impl RequestKey {
-    /// The key of a packet's request.
-    pub fn of(packet: &Packet) -> RequestKey {
+    /// Returns the key of a packet's request.
+    pub fn from_packet(packet: &Packet) -> RequestKey {
         RequestKey { caller: packet.caller, flow: packet.flow, request: packet.request }
     }
 }
 
-/// `RequestState` is what became of a request at this home.
+/// The state of a request at this home.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestState {
-    /// Waits in a desk's queue under this work id.
+    /// Queued in a scheduler under this work id.
     Queued(u64),
-    /// Was sent to a backend server; every copy goes to the same one.
+    /// Sent to a backend server. Every duplicate is sent to the same one.
     Dispatched {
-        /// The dispatch that a copy repeats.
+        /// The dispatch id, which is the same for every duplicate.
         dispatch: u64,
         /// The backend server.
         target: Arc<TargetSpec>,
     },
-    /// Was refused for good; every copy gets the same refusal.
+    /// Refused. Every duplicate gets the same refusal.
     Refused(Refusal),
 }
 
-/// `RunLedger` is the requests that this process knows.
+/// The requests that this process knows, up to a fixed number.
 ///
-/// Invariant: a request whose ticket hasn't run out is never forgotten. If it
-/// were, a late copy would be taken for a new request and run a second time;
-/// one would notice a doubled bid. Therefore a full ledger refuses new
-/// requests and evicts none.
+/// Invariant: a request is never removed before its ticket has expired. Otherwise a late duplicate
+/// would count as a new request and run a second time, for example as a doubled bid. A full ledger
+/// therefore refuses new requests and evicts none.
 #[derive(Debug)]
-pub struct RunLedger {
+pub struct RequestLedger {
     entries: HashMap<RequestKey, LedgerEntry>,
-    by_deadline: BTreeSet<(ClockTime, RequestKey)>,
-    /// Requests opened under each ticket, by its serial.
-    uses: HashMap<u64, u32>,
-    uses_by_deadline: BTreeSet<(ClockTime, u64)>,
+    by_expiry: BTreeSet<(ClockTime, RequestKey)>,
+    /// The number of requests opened under each ticket, by the ticket's serial.
+    ticket_uses: HashMap<u64, u32>,
+    ticket_uses_by_expiry: BTreeSet<(ClockTime, u64)>,
     limit: usize,
 }
 
 #[derive(Debug)]
 struct LedgerEntry {
     state: RequestState,
-    forget_at: ClockTime,
+    expires_at: ClockTime,
 }
 
-impl RunLedger {
-    /// Makes an empty ledger of at most `limit` requests.
-    pub fn new(limit: usize) -> RunLedger {
-        RunLedger {
+impl RequestLedger {
+    /// Creates an empty ledger for at most `limit` requests.
+    pub fn new(limit: usize) -> RequestLedger {
+        RequestLedger {
             entries: HashMap::new(),
-            by_deadline: BTreeSet::new(),
-            uses: HashMap::new(),
-            uses_by_deadline: BTreeSet::new(),
+            by_expiry: BTreeSet::new(),
+            ticket_uses: HashMap::new(),
+            ticket_uses_by_expiry: BTreeSet::new(),
             limit,
         }
     }
 
-    /// What became of the request, if it is known.
+    /// Returns the state of a request, or none if it is unknown.
     pub fn find(&self, key: &RequestKey) -> Option<&RequestState> {
         self.entries.get(key).map(|entry| &entry.state)
     }
 
-    /// True when no further request fits.
+    /// Returns true when the ledger can't hold another request.
     pub fn is_full(&self) -> bool {
         self.entries.len() >= self.limit
     }
 
-    /// Requests known.
+    /// Returns the number of known requests.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// True when no request is known.
+    /// Returns true when no request is known.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Records the state of a request, to be forgotten at `forget_at` at the earliest.
-    pub fn record(&mut self, key: RequestKey, state: RequestState, forget_at: ClockTime) {
-        let later = self.entries.get(&key).map_or(forget_at, |old| old.forget_at.max(forget_at));
-        if let Some(old) = self.entries.insert(key, LedgerEntry { state, forget_at: later }) {
-            self.by_deadline.remove(&(old.forget_at, key));
+    /// Records the state of a request and keeps it at least until `expires_at`. A later expiry that
+    /// was set before stays.
+    pub fn record(&mut self, key: RequestKey, state: RequestState, expires_at: ClockTime) {
+        let latest =
+            self.entries.get(&key).map_or(expires_at, |old| old.expires_at.max(expires_at));
+        if let Some(old) = self.entries.insert(key, LedgerEntry { state, expires_at: latest }) {
+            self.by_expiry.remove(&(old.expires_at, key));
         }
-        self.by_deadline.insert((later, key));
+        self.by_expiry.insert((latest, key));
     }
 
-    /// Counts one more request under a ticket; false when the ticket is used up.
-    pub fn use_ticket(&mut self, serial: u64, count: u32, forget_at: ClockTime) -> bool {
-        let used = self.uses.entry(serial).or_insert_with(|| {
-            self.uses_by_deadline.insert((forget_at, serial));
+    /// Counts a request under a ticket. Returns false if `count` requests have used the ticket
+    /// already.
+    pub fn count_ticket_use(&mut self, serial: u64, count: u32, expires_at: ClockTime) -> bool {
+        let used = self.ticket_uses.entry(serial).or_insert_with(|| {
+            self.ticket_uses_by_expiry.insert((expires_at, serial));
             0
         });
         if *used >= count {
@@ -118,25 +120,25 @@
         true
     }
 
-    /// Forgets what has passed its deadline.
-    pub fn forget_past(&mut self, now: ClockTime) {
-        self.forget_uses(now);
-        while let Some(&(forget_at, key)) = self.by_deadline.first() {
-            if !forget_at.is_past(now) {
+    /// Removes requests and ticket uses that have expired.
+    pub fn remove_expired(&mut self, now: ClockTime) {
+        self.remove_expired_uses(now);
+        while let Some(&(expires_at, key)) = self.by_expiry.first() {
+            if !expires_at.is_past(now) {
                 return;
             }
-            self.by_deadline.pop_first();
+            self.by_expiry.pop_first();
             self.entries.remove(&key);
         }
     }
 
-    fn forget_uses(&mut self, now: ClockTime) {
-        while let Some(&(forget_at, serial)) = self.uses_by_deadline.first() {
-            if !forget_at.is_past(now) {
+    fn remove_expired_uses(&mut self, now: ClockTime) {
+        while let Some(&(expires_at, serial)) = self.ticket_uses_by_expiry.first() {
+            if !expires_at.is_past(now) {
                 return;
             }
-            self.uses_by_deadline.pop_first();
-            self.uses.remove(&serial);
+            self.ticket_uses_by_expiry.pop_first();
+            self.ticket_uses.remove(&serial);
         }
     }
 }
--- a/crates/foxledge-engine/src/lib.rs
+++ b/crates/foxledge-engine/src/lib.rs
@@ -1,33 +1,36 @@
-//! Entry and home decisions on datagrams.
+//! Routes callers' datagrams to backend servers and admits new work.
 //!
-//! [`FlowEngine`] is pure: datagrams, lists, views and the time come in,
-//! [`EngineEffect`]s go out. It has two roles. As *entry instance* it takes
-//! whatever the fabric hands it and sends it on: by flow token to the backend
-//! server that serves the flow, by ticket to the home that issued it, anything
-//! else to the home of the service. As *home* it admits work for the services
-//! that rendezvous hashing gives it.
+//! [`FlowEngine`] does no I/O: datagrams, lists, peer views and the current time come in, and
+//! [`EngineEffect`]s go out. It has two roles.
+//!
+//! As the *entry instance* it handles whatever the network fabric delivers to this instance and
+//! forwards it: a packet with a flow token goes to the backend server that serves the flow, a
+//! packet with a ticket goes to the home that issued the ticket, and anything else goes to the home
+//! of the service.
+//!
+//! As the *home* it admits work for the services that rendezvous hashing assigns to it.
 
-pub mod answers;
 pub mod counters;
-pub mod desks;
 pub mod dispatch;
 pub mod effects;
-pub mod elsewhere;
 pub mod engine;
 pub mod entry;
 pub mod explain;
+pub mod forwarding;
 pub mod forwards;
 pub mod home;
-pub mod homes;
+pub mod home_work;
 pub mod journal;
 pub mod ledger;
 pub mod options;
+pub mod other_centres;
 pub mod packets;
 pub mod placement;
-pub mod refresh;
+pub mod responses;
+pub mod schedulers;
 pub mod status;
 pub mod tickets;
-pub mod work;
+pub mod updates;
 
 pub use counters::EngineCounters;
 pub use effects::{EngineEffect, EnginePhase};
--- a/crates/foxledge-engine/src/placement.rs
+++ b/crates/foxledge-engine/src/placement.rs
@@ -1,4 +1,4 @@
-//! Which instance is the home of a flow's work.
+//! Assigns homes to service shards.
 
 use std::str::FromStr;
 
@@ -10,64 +10,75 @@
 };
 use serde::Serialize;
 
-/// `DeskKey` is one shard of a service's targets: each has a desk at its home.
+/// Identifies one shard of a service's backend servers. Each shard has a scheduler at its home.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
-pub struct DeskKey {
+pub struct ShardKey {
     /// The service.
     pub service: ServiceName,
-    /// Number of the shard, from 0.
+    /// The number of the shard, starting at 0.
     pub shard: u32,
 }
 
-impl DeskKey {
-    /// The text that rendezvous hashing uses.
+impl ShardKey {
+    /// Returns the key for rendezvous hashing.
     pub fn hash_text(&self) -> String {
         format!("{}#{}", self.service, self.shard)
     }
 }
 
-/// `PlacementKind` is the name of a way to place homes.
+/// The available strategies for assigning homes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlacementKind {
-    /// One home for each service (or shard of it) in a data centre.
+    /// One home for each service, or for each of its shards, in a data centre.
     ServiceHome,
-    /// Every entry instance admits by itself; nothing is pooled.
+    /// Every entry instance admits work itself. Queues and slots are not shared between instances.
     EntryLocal,
-    /// One home for each target; a flow's target follows from its id.
+    /// One home for each backend server. The flow id determines the backend server.
     TargetHome,
 }
 
 impl FromStr for PlacementKind {
     type Err = Error;
 
-    fn from_str(word: &str) -> Result<PlacementKind, Error> {
-        match word {
+    fn from_str(text: &str) -> Result<PlacementKind, Error> {
+        match text {
             "service-home" => Ok(PlacementKind::ServiceHome),
             "entry-local" => Ok(PlacementKind::EntryLocal),
             "target-home" => Ok(PlacementKind::TargetHome),
-            _ => Err(unknown_word("placement", word)),
+            _ => Err(unknown_word("placement", text)),
         }
     }
 }
 
-/// `HomePlacement` is a way to place homes.
+/// A strategy for assigning homes.
 pub trait HomePlacement {
-    /// How many shards a service has, given what is published and its targets here.
-    fn shards(&self, published: u32, targets: usize) -> u32;
-
-    /// True when `me` is among the best `ranks` homes of the desk.
-    fn holds_rank(&self, key: &DeskKey, me: &InstanceName, view: &PeerView, ranks: usize) -> bool {
+    /// Returns the number of shards of a service, given the published number and the number of its
+    /// backend servers in this data centre.
+    fn effective_shards(&self, published: u32, targets: usize) -> u32;
+
+    /// Returns true when `me` is among the `ranks` highest-ranked homes of the shard.
+    fn is_among_best_homes(
+        &self,
+        key: &ShardKey,
+        me: &InstanceName,
+        view: &PeerView,
+        ranks: usize,
+    ) -> bool {
         view.is_among_best_homes(&key.hash_text(), me, ranks)
     }
 
-    /// Instances that can be home for the desk, the best first.
-    fn ranked<'a>(&self, key: &DeskKey, me: &InstanceName, view: &'a PeerView)
-    -> Vec<&'a PeerInfo>;
+    /// Returns the home candidates of the shard, the highest-ranked first.
+    fn ranked_homes<'a>(
+        &self,
+        key: &ShardKey,
+        me: &InstanceName,
+        view: &'a PeerView,
+    ) -> Vec<&'a PeerInfo>;
 }
 
-/// Makes the placement of that kind.
-pub fn placement_of(kind: PlacementKind) -> Box<dyn HomePlacement> {
+/// Creates the strategy of that kind.
+pub fn new_placement(kind: PlacementKind) -> Box<dyn HomePlacement> {
     match kind {
         PlacementKind::ServiceHome => Box::new(ServiceHome),
         PlacementKind::EntryLocal => Box::new(EntryLocal),
@@ -75,19 +86,24 @@
     }
 }
 
-/// The shard that a flow belongs to.
-pub fn shard_of(flow: u64, shards: u32) -> u32 {
+/// Returns the shard of a flow.
+pub fn shard_for_flow(flow: u64, shards: u32) -> u32 {
     (digest_of(&flow.to_be_bytes()) % u64::from(shards.max(1))) as u32
 }
 
 struct ServiceHome;
 
 impl HomePlacement for ServiceHome {
-    fn shards(&self, published: u32, _targets: usize) -> u32 {
+    fn effective_shards(&self, published: u32, _targets: usize) -> u32 {
         published.max(1)
     }
 
-    fn ranked<'a>(&self, key: &DeskKey, _: &InstanceName, view: &'a PeerView) -> Vec<&'a PeerInfo> {
+    fn ranked_homes<'a>(
+        &self,
+        key: &ShardKey,
+        _: &InstanceName,
+        view: &'a PeerView,
+    ) -> Vec<&'a PeerInfo> {
         view.ranked_homes(&key.hash_text())
     }
 }
@@ -95,15 +111,20 @@
 struct EntryLocal;
 
 impl HomePlacement for EntryLocal {
-    fn holds_rank(&self, _: &DeskKey, _: &InstanceName, _: &PeerView, _: usize) -> bool {
+    fn is_among_best_homes(&self, _: &ShardKey, _: &InstanceName, _: &PeerView, _: usize) -> bool {
         true
     }
 
-    fn shards(&self, _published: u32, _targets: usize) -> u32 {
+    fn effective_shards(&self, _published: u32, _targets: usize) -> u32 {
         1
     }
 
-    fn ranked<'a>(&self, _: &DeskKey, me: &InstanceName, view: &'a PeerView) -> Vec<&'a PeerInfo> {
+    fn ranked_homes<'a>(
+        &self,
+        _: &ShardKey,
+        me: &InstanceName,
+        view: &'a PeerView,
+    ) -> Vec<&'a PeerInfo> {
         view.find(me).into_iter().collect()
     }
 }
@@ -111,11 +132,16 @@
 struct TargetHome;
 
 impl HomePlacement for TargetHome {
-    fn shards(&self, _published: u32, targets: usize) -> u32 {
+    fn effective_shards(&self, _published: u32, targets: usize) -> u32 {
         u32::try_from(targets).unwrap_or(u32::MAX).max(1)
     }
 
-    fn ranked<'a>(&self, key: &DeskKey, _: &InstanceName, view: &'a PeerView) -> Vec<&'a PeerInfo> {
+    fn ranked_homes<'a>(
+        &self,
+        key: &ShardKey,
+        _: &InstanceName,
+        view: &'a PeerView,
+    ) -> Vec<&'a PeerInfo> {
         view.ranked_homes(&key.hash_text())
     }
 }
--- a/crates/foxledge-engine/src/answers.rs
+++ b/crates/foxledge-engine/src/responses.rs
@@ -1,4 +1,4 @@
-//! What backend servers answer, on its way to callers and desks.
+//! Handles responses of backend servers for callers and schedulers.
 
 use std::net::SocketAddr;
 
@@ -14,59 +14,59 @@
 use crate::{
     effects::EnginePhase,
     engine::FlowEngine,
-    home::bare_packet,
+    home::reply_context,
+    home_work::RunTracking,
     ledger::RequestState,
-    packets::{refuse_reason, target_load},
-    placement::DeskKey,
-    work::RunTracking,
+    packets::{scheduler_reason, target_load},
+    placement::ShardKey,
 };
 
 impl FlowEngine {
-    /// Takes a probe's answer.
+    /// Passes the load report of a probe reply to the scheduler of the backend server.
     pub(crate) fn on_probe_reply(&mut self, now: ClockTime, from: SocketAddr, packet: &Packet) {
-        let Some((key, target)) = self.owners.get(&from).cloned() else { return };
+        let Some((key, target)) = self.target_owners.get(&from).cloned() else { return };
         let Some(load) = &packet.load else { return };
-        let Some(desk) = self.desks.find(&key) else { return };
-        let effects = desk.on_load_report(now, &target.name, target_load(load));
-        self.carry_out(now, &key, effects);
+        let Some(scheduler) = self.schedulers.find(&key) else { return };
+        let effects = scheduler.on_load_report(now, &target.name, target_load(load));
+        self.apply_scheduler_effects(now, &key, effects);
     }
 
-    /// Takes an answer, a feed item or a notice of a backend server.
+    /// Handles an answer, a feed item or a notification of a backend server.
     pub(crate) fn on_target_packet(&mut self, now: ClockTime, from: SocketAddr, packet: Packet) {
-        if let Some(&id) = self.dispatches.get(&packet.dispatch)
-            && let Some(desk) = self.works.get(&id).map(|work| work.desk.clone())
+        if let Some(&id) = self.work_by_dispatch.get(&packet.dispatch)
+            && let Some(shard) = self.works.get(&id).map(|work| work.shard.clone())
         {
-            return self.on_own_dispatch(now, from, id, &desk, packet);
+            return self.handle_dispatch_response(now, from, id, &shard, packet);
         }
         match packet.kind() {
             PacketKind::Done => {}
-            PacketKind::Refusal => self.relay_foreign_refusal(packet),
-            _ => self.relay_answer(packet),
+            PacketKind::Refusal => self.relay_unmatched_refusal(packet),
+            _ => self.relay_response(packet),
         }
     }
 
-    /// Relays a refusal that isn't about a present dispatch of this home.
+    /// Handles a refusal that matches no current dispatch of this home.
     ///
-    /// One that answers a packet sent by flow token goes to the caller, but
-    /// without "not run": the home that dispatched may place the work
-    /// elsewhere, so another instance can't vouch for it. One that answers a
-    /// home's dispatch is late: the home has placed the work elsewhere since, or
-    /// answered. Relayed, it would end the caller's wait for the real answer.
-    fn relay_foreign_refusal(&mut self, packet: Packet) {
-        match open_path(&self.ring, &packet.return_path) {
-            Ok(path) if path.by_token => self.relay_answer(without_promise(packet)),
+    /// A refusal of a packet that was sent by flow token is relayed to the caller, but never as
+    /// "not run": the home that dispatched the work may still dispatch it to another backend
+    /// server, which this instance can't know. A refusal of a home's dispatch is late: the home has
+    /// since dispatched the work to another backend server or has answered. If it were relayed, the
+    /// caller would stop waiting for the real answer.
+    fn relay_unmatched_refusal(&mut self, packet: Packet) {
+        match open_path(&self.key_ring, &packet.return_path) {
+            Ok(path) if path.by_token => self.relay_response(with_unknown_outcome(packet)),
             Ok(_) => self.counters.superseded += 1,
             Err(_) => self.counters.path_unsealed += 1,
         }
     }
 
-    /// Takes an answer to a dispatch of this home.
-    fn on_own_dispatch(
+    /// Handles a response to a current dispatch of this home.
+    fn handle_dispatch_response(
         &mut self,
         now: ClockTime,
         from: SocketAddr,
         id: u64,
-        desk: &DeskKey,
+        shard: &ShardKey,
         packet: Packet,
     ) {
         let Some(work) = self.works.get_mut(&id) else { return };
@@ -77,14 +77,14 @@
             return;
         }
         let (dispatch, load) = (packet.dispatch, packet.load.as_ref().map(target_load));
-        let signal = signal_of(&packet, work.kind);
+        let signal = target_signal(&packet, work.kind);
         match signal {
             TargetSignal::Accepted => {
                 if work.is_feed() {
                     let opening = work.packet.take();
                     self.opening_feeds -= usize::from(opening.is_some());
                 }
-                self.relay_answer(packet);
+                self.relay_response(packet);
             }
             TargetSignal::Ended => {
                 self.counters.ended += 1;
@@ -93,23 +93,23 @@
             }
             TargetSignal::NotRun(_) | TargetSignal::Unknown => {}
         }
-        let Some(home_desk) = self.desks.find(desk) else { return };
-        let effects = home_desk.on_signal(now, dispatch, signal, load);
-        self.carry_out(now, desk, effects);
+        let Some(scheduler) = self.schedulers.find(shard) else { return };
+        let effects = scheduler.on_signal(now, dispatch, signal, load);
+        self.apply_scheduler_effects(now, shard, effects);
         if signal == TargetSignal::Ended {
             self.remove_work(id);
         }
     }
 
-    /// A ticket to go with the final answer of a ticketed request.
+    /// Issues the next ticket, to be sent with the final answer of a request that had a ticket.
     fn renew_ticket(&mut self, now: ClockTime, id: u64) -> Option<Vec<u8>> {
         let work = self.works.get(&id)?;
         if self.phase == EnginePhase::Leaving || work.tracking != RunTracking::ByTicket {
             return None;
         }
-        let service = work.desk.service.clone();
-        let asked = bare_packet(work);
-        self.make_ticket(now, &asked, &service)
+        let service = work.shard.service.clone();
+        let context = reply_context(work);
+        self.issue_ticket(now, &context, &service)
     }
 
     fn relay_with_ticket(&mut self, packet: Packet, ticket: Option<Vec<u8>>) {
@@ -117,19 +117,19 @@
             return;
         }
         let ticket = ticket.unwrap_or_default();
-        self.relay_answer(Packet { ticket, ..packet });
+        self.relay_response(Packet { ticket, ..packet });
     }
 
-    /// Sends an answer on to the caller that its return path names.
+    /// Relays a response to the caller in its return path.
     ///
-    /// The path is sealed: without that, anybody could have this instance send
-    /// datagrams to an address of their choice.
-    fn relay_answer(&mut self, packet: Packet) {
+    /// The return path has to be sealed. Otherwise anyone could make this instance send datagrams
+    /// to an address of their choice.
+    fn relay_response(&mut self, packet: Packet) {
         if packet.return_path.is_empty() && packet.kind() == PacketKind::Ack {
-            // The answer to a check of this home; no caller asked.
+            // This acknowledges a check by this home, so there is no caller to relay it to.
             return;
         }
-        let Ok(path) = open_path(&self.ring, &packet.return_path) else {
+        let Ok(path) = open_path(&self.key_ring, &packet.return_path) else {
             self.counters.path_unsealed += 1;
             return;
         };
@@ -144,14 +144,15 @@
             ..packet
         };
         if packet.encoded_len() > MAX_DATAGRAM {
-            // The answer matters more than the next ticket, which can be asked for.
+            // The answer matters more than the next ticket, which the caller can request
+            // separately.
             packet.ticket.clear();
         }
         self.send_data(caller, &packet);
     }
 }
 
-fn signal_of(packet: &Packet, kind: TrafficKind) -> TargetSignal {
+fn target_signal(packet: &Packet, kind: TrafficKind) -> TargetSignal {
     match packet.kind() {
         PacketKind::Done => TargetSignal::Ended,
         PacketKind::Answer if kind != TrafficKind::Feed => TargetSignal::Ended,
@@ -163,12 +164,12 @@
 fn refusal_signal(refusal: Option<&Refusal>) -> TargetSignal {
     let Some(refusal) = refusal else { return TargetSignal::Unknown };
     match refusal.outcome() {
-        RunOutcome::NotRun => TargetSignal::NotRun(refuse_reason(refusal.reason())),
+        RunOutcome::NotRun => TargetSignal::NotRun(scheduler_reason(refusal.reason())),
         _ => TargetSignal::Unknown,
     }
 }
 
-fn without_promise(packet: Packet) -> Packet {
+fn with_unknown_outcome(packet: Packet) -> Packet {
     let mut refusal = packet.refusal.unwrap_or_default();
     refusal.outcome = RunOutcome::Unknown.into();
     if refusal.reason() == RefusalReason::Unspecified {
--- a/crates/foxledge-engine/tests/common/lists.rs
+++ b/crates/foxledge-engine/tests/common/lists.rs
@@ -1,4 +1,4 @@
-//! The published lists of the tests.
+//! Lists and backend servers for the tests.
 
 use std::sync::Arc;
 
@@ -12,19 +12,19 @@
 
 use super::{CENTRE, target_address};
 
-/// A list with an auction desk on the first targets and lot intake on the last.
+/// Returns a list with the services auction desk on `targets` and lot intake on `intake`.
 pub fn test_list(revision: u64, targets: &[TargetSpec], intake: &[TargetSpec]) -> RuleList {
     let mut list = RuleList {
         version: ListVersion { revision, digest: revision },
         keys: vec![KeySpec { id: 1, secret: vec![7; 32] }],
         ..RuleList::default()
     };
-    for (name, place, specs) in
+    for (name, address, specs) in
         [("auction-desk", "auction", targets), ("lot-intake", "intake", intake)]
     {
         let service = ServiceSpec {
             name: ServiceName::new(name),
-            addresses: vec![ServiceAddress::new(place)],
+            addresses: vec![ServiceAddress::new(address)],
             queue_limit: 50,
             shards: 1,
             targets: specs.to_vec(),
@@ -32,7 +32,10 @@
         list.services.insert(service.name.clone(), Arc::new(service));
         list.rules.push(FlowRule {
             name: RuleName::new(name),
-            when: FlowMatch { addresses: vec![ServiceAddress::new(place)], ..FlowMatch::default() },
+            when: FlowMatch {
+                addresses: vec![ServiceAddress::new(address)],
+                ..FlowMatch::default()
+            },
             then: FlowTreatment::Serve(ServeTreatment {
                 service: ServiceName::new(name),
                 priority: PaidPriority(1),
@@ -49,7 +52,7 @@
     list
 }
 
-/// A target of two slots that has been published under that number.
+/// Returns a backend server with two slots and the given published incarnation.
 pub fn target_spec(index: usize, incarnation: u64) -> TargetSpec {
     TargetSpec {
         name: format!("t{index}").as_str().into(),
