--- a/crates/foxledge-gossip/tests/common/mod.rs
+++ b/crates/foxledge-gossip/tests/common/mod.rs
@@ -630,8 +630,8 @@
             QueuedEvent::WatchTimeout { index, start_number, query } => {
                 let is_same_watch =
                     |watch: &(usize, u64, StoreQuery)| *watch == (index, start_number, query);
-                if let Some(index) = self.watches.iter().position(is_same_watch) {
-                    self.watches.swap_remove(index);
+                if let Some(position) = self.watches.iter().position(is_same_watch) {
+                    self.watches.swap_remove(position);
                     self.answer_watch(index, start_number, query);
                 }
             }
