--- a/crates/foxledge-ctl/src/check.rs
+++ b/crates/foxledge-ctl/src/check.rs
@@ -5,7 +5,7 @@
 use anyhow::{Context, Result};
 use clap::ArgMatches;
 use foxledge_core::{findings::FindingList, lists::RuleList};
-use foxledge_rules::{ListText, build_list};
+use foxledge_rules::{OwnedPart, build_list};
 use foxledge_settings::{DaemonSettings, load_packet_settings, load_settings};
 use serde_json::{Value, json};
 
@@ -92,7 +92,7 @@
     for file in files {
         let name = file.display().to_string();
         match read_text(file) {
-            Ok(text) => parts.push(ListText { name, text }),
+            Ok(text) => parts.push(OwnedPart { name, text }),
             Err(fault) => findings.add(&name, 0, "", fault),
         }
     }
--- a/crates/foxledge-document/src/notes.rs
+++ b/crates/foxledge-document/src/findings.rs
@@ -6,29 +6,29 @@
 
 use crate::paths::KeyPath;
 
-/// `Place` is where in a source something stands.
+/// `KeyLocation` is where in a source something stands.
 #[derive(Clone, Debug, Default)]
-pub struct Place {
+pub struct KeyLocation {
     /// Line from 1; 0 when unknown.
     pub line: usize,
     /// The path of the key.
     pub path: KeyPath,
 }
 
-/// `SourceNotes` collects the findings of one source.
+/// `SourceFindings` collects the findings of one source.
 #[derive(Debug)]
-pub struct SourceNotes {
+pub struct SourceFindings {
     name: String,
     line_starts: Vec<usize>,
     findings: RefCell<Vec<Finding>>,
 }
 
-impl SourceNotes {
+impl SourceFindings {
     /// Makes notes without findings for the source `name` with contents `text`.
-    pub fn new(name: &str, text: &str) -> SourceNotes {
+    pub fn new(name: &str, text: &str) -> SourceFindings {
         let breaks = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
         let line_starts = std::iter::once(0).chain(breaks.map(|(at, _)| at + 1)).collect();
-        SourceNotes { name: name.to_owned(), line_starts, findings: RefCell::default() }
+        SourceFindings { name: name.to_owned(), line_starts, findings: RefCell::default() }
     }
 
     /// The source's name.
@@ -42,7 +42,7 @@
     }
 
     /// Notes a finding.
-    pub fn add(&self, place: &Place, text: impl Into<String>) {
+    pub fn add(&self, place: &KeyLocation, text: impl Into<String>) {
         let finding = Finding {
             source: self.name.clone(),
             line: place.line,
@@ -53,12 +53,12 @@
     }
 
     /// True when nothing was found wrong so far.
-    pub fn is_clean(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.findings.borrow().is_empty()
     }
 
     /// Number of findings so far.
-    pub fn count(&self) -> usize {
+    pub fn len(&self) -> usize {
         self.findings.borrow().len()
     }
 
--- a/crates/foxledge-document/src/lib.rs
+++ b/crates/foxledge-document/src/lib.rs
@@ -4,13 +4,13 @@
 //! with its line and key, so settings and rule lists are read with a
 //! [`TableReader`], which notes a finding and goes on.
 
-pub mod notes;
+pub mod findings;
 pub mod paths;
 pub mod reader;
 
-pub use notes::{Place, SourceNotes};
+pub use findings::{KeyLocation, SourceFindings};
 pub use paths::KeyPath;
-pub use reader::{PlacedText, TableReader, read_document};
+pub use reader::{LocatedText, TableReader, read_document};
 
 /// Longest name, in bytes.
 ///
@@ -18,14 +18,14 @@
 /// beside a payload in one datagram. With longer names a list would be good and
 /// yet whole answers would be dropped as oversized; one would notice requests
 /// with large answers that never end.
-pub const MAX_NAME: usize = 32;
+pub const MAX_NAME_BYTES: usize = 32;
 
 /// What is wrong with a name, or none when it is good.
-pub fn name_fault(name: &str) -> Option<&'static str> {
+pub fn name_error(name: &str) -> Option<&'static str> {
     if name.is_empty() {
         return Some("must not be empty");
     }
-    if name.len() > MAX_NAME {
+    if name.len() > MAX_NAME_BYTES {
         return Some("must not be longer than 32 bytes");
     }
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '-' | '_');
--- a/crates/foxledge-document/src/paths.rs
+++ b/crates/foxledge-document/src/paths.rs
@@ -27,7 +27,7 @@
     }
 
     /// The index of the item that the path ends at, or none when it ends at a key.
-    pub fn index(&self) -> Option<usize> {
+    pub fn last_index(&self) -> Option<usize> {
         match self.0.as_deref() {
             Some(PathStep::Item(_, index)) => Some(*index),
             _ => None,
--- a/crates/foxledge-document/src/reader.rs
+++ b/crates/foxledge-document/src/reader.rs
@@ -13,8 +13,8 @@
 };
 
 use crate::{
-    name_fault,
-    notes::{Place, SourceNotes},
+    findings::{KeyLocation, SourceFindings},
+    name_error,
 };
 
 /// `TableReader` reads one table of a document.
@@ -23,9 +23,9 @@
 /// value is wrong; [`TableReader::finish`] notes the keys that nobody read.
 #[derive(Debug)]
 pub struct TableReader<'d> {
-    notes: &'d SourceNotes,
+    notes: &'d SourceFindings,
     table: Option<&'d DeTable<'d>>,
-    place: Place,
+    location: KeyLocation,
     state: TableState,
     known: RefCell<Vec<&'static str>>,
 }
@@ -39,33 +39,33 @@
     WrongType,
 }
 
-/// `PlacedText` is a text value with its place.
+/// `LocatedText` is a text value with its place.
 #[derive(Clone, Debug)]
-pub struct PlacedText<'d> {
+pub struct LocatedText<'d> {
     /// The value.
     pub text: &'d str,
     /// Where it stands.
-    pub place: Place,
+    pub location: KeyLocation,
 }
 
 /// Parses `text` and hands a reader of its root table to `read`.
 ///
 /// A text that is no TOML becomes one finding, and `read` isn't called.
 pub fn read_document<T>(
-    notes: &SourceNotes,
+    notes: &SourceFindings,
     text: &str,
     read: impl FnOnce(&TableReader<'_>) -> T,
 ) -> Option<T> {
     match DeTable::parse(text) {
         Ok(root) => {
-            let reader = TableReader::new(notes, Some(root.get_ref()), Place::default());
+            let reader = TableReader::new(notes, Some(root.get_ref()), KeyLocation::default());
             let value = read(&reader);
             reader.finish();
             Some(value)
         }
         Err(error) => {
             let line = error.span().map_or(0, |span| notes.line_at(span.start));
-            let place = Place { line, ..Place::default() };
+            let place = KeyLocation { line, ..KeyLocation::default() };
             notes.add(&place, format!("not TOML: {}", error.message()));
             None
         }
@@ -74,43 +74,43 @@
 
 impl<'d> TableReader<'d> {
     fn new(
-        notes: &'d SourceNotes,
+        notes: &'d SourceFindings,
         table: Option<&'d DeTable<'d>>,
-        place: Place,
+        place: KeyLocation,
     ) -> TableReader<'d> {
         let state = TableState::Readable;
-        TableReader { notes, table, place, state, known: RefCell::default() }
+        TableReader { notes, table, location: place, state, known: RefCell::default() }
     }
 
     /// Where the table stands.
-    pub fn place(&self) -> &Place {
-        &self.place
+    pub fn location(&self) -> &KeyLocation {
+        &self.location
     }
 
     /// Where a key's value stands; the table's line when the key is absent.
-    pub fn place_of(&self, key: &'static str) -> Place {
-        let line = self.find(key).map_or(self.place.line, |value| self.line_of(value));
-        Place { line, path: self.place.path.key(key) }
+    pub fn location_of(&self, key: &'static str) -> KeyLocation {
+        let line = self.find(key).map_or(self.location.line, |value| self.line_of(value));
+        KeyLocation { line, path: self.location.path.key(key) }
     }
 
     /// Notes a finding at a key.
-    pub fn note(&self, key: &'static str, text: impl Into<String>) {
-        self.notes.add(&self.place_of(key), text);
+    pub fn add_finding(&self, key: &'static str, text: impl Into<String>) {
+        self.notes.add(&self.location_of(key), text);
     }
 
     /// True when the key stands in the table; marks it as known.
-    pub fn has(&self, key: &'static str) -> bool {
+    pub fn has_key(&self, key: &'static str) -> bool {
         self.take(key).is_some()
     }
 
     /// The table under `key`; an absent one reads as empty.
     pub fn table(&self, key: &'static str) -> TableReader<'d> {
-        let place = self.place_of(key);
+        let place = self.location_of(key);
         match self.take(key).map(Spanned::get_ref) {
             None => TableReader::new(self.notes, None, place),
             Some(DeValue::Table(table)) => TableReader::new(self.notes, Some(table), place),
             Some(_) => {
-                self.note(key, "must be a table");
+                self.add_finding(key, "must be a table");
                 let reader = TableReader::new(self.notes, None, place);
                 TableReader { state: TableState::WrongType, ..reader }
             }
@@ -126,9 +126,9 @@
     /// The tables of the array under `key`; absent reads as none.
     pub fn tables(&self, key: &'static str) -> Vec<TableReader<'d>> {
         let mut readers = Vec::new();
-        let path = self.place.path.key(key);
+        let path = self.location.path.key(key);
         for (index, item) in self.items(key, "an array of tables").iter().enumerate() {
-            let place = Place { line: self.line_of(item), path: path.item(index) };
+            let place = KeyLocation { line: self.line_of(item), path: path.item(index) };
             match item.get_ref() {
                 DeValue::Table(table) => {
                     readers.push(TableReader::new(self.notes, Some(table), place));
@@ -148,13 +148,13 @@
     }
 
     /// The texts of the array under `key` with their places; absent reads as none.
-    pub fn texts(&self, key: &'static str) -> Vec<PlacedText<'d>> {
+    pub fn texts(&self, key: &'static str) -> Vec<LocatedText<'d>> {
         let mut texts = Vec::new();
-        let path = self.place.path.key(key);
+        let path = self.location.path.key(key);
         for (index, item) in self.items(key, "an array of texts").iter().enumerate() {
-            let place = Place { line: self.line_of(item), path: path.item(index) };
+            let place = KeyLocation { line: self.line_of(item), path: path.item(index) };
             match item.get_ref() {
-                DeValue::String(text) => texts.push(PlacedText { text, place }),
+                DeValue::String(text) => texts.push(LocatedText { text, location: place }),
                 _ => self.notes.add(&place, "must be a text"),
             }
         }
@@ -164,26 +164,26 @@
     /// The name under `key`; a bad one is a finding.
     pub fn name(&self, key: &'static str) -> Option<&'d str> {
         let name = self.text(key)?;
-        match name_fault(name) {
+        match name_error(name) {
             None => Some(name),
             Some(fault) => {
-                self.note(key, fault);
+                self.add_finding(key, fault);
                 None
             }
         }
     }
 
     /// The names of the array under `key`; bad ones and repeats are findings.
-    pub fn names(&self, key: &'static str) -> Vec<PlacedText<'d>> {
+    pub fn names(&self, key: &'static str) -> Vec<LocatedText<'d>> {
         let mut names = Vec::new();
         let mut seen = HashSet::new();
         for name in self.texts(key) {
-            if let Some(fault) = name_fault(name.text) {
-                self.notes.add(&name.place, fault);
+            if let Some(fault) = name_error(name.text) {
+                self.notes.add(&name.location, fault);
             } else if seen.insert(name.text) {
                 names.push(name);
             } else {
-                self.notes.add(&name.place, format!("\"{}\" stands twice", name.text));
+                self.notes.add(&name.location, format!("\"{}\" stands twice", name.text));
             }
         }
         names
@@ -199,7 +199,7 @@
         match number {
             Some(number) if range.contains(&number) => Some(number),
             _ => {
-                self.note(key, format!("must be from {} to {}", range.start(), range.end()));
+                self.add_finding(key, format!("must be from {} to {}", range.start(), range.end()));
                 None
             }
         }
@@ -219,13 +219,13 @@
         };
         let found = number.filter(|number| range.contains(number));
         if found.is_none() {
-            self.note(key, format!("must be from {} to {}", range.start(), range.end()));
+            self.add_finding(key, format!("must be from {} to {}", range.start(), range.end()));
         }
         found
     }
 
     /// The switch under `key`.
-    pub fn switch(&self, key: &'static str) -> Option<bool> {
+    pub fn boolean(&self, key: &'static str) -> Option<bool> {
         match self.take(key)?.get_ref() {
             DeValue::Boolean(on) => Some(*on),
             _ => self.note_type(key, "true or false"),
@@ -235,7 +235,7 @@
     /// The IP number with port under `key`.
     pub fn address(&self, key: &'static str) -> Option<SocketAddr> {
         let text = self.text(key)?;
-        self.parse_address(&PlacedText { text, place: self.place_of(key) })
+        self.parse_address(&LocatedText { text, location: self.location_of(key) })
     }
 
     /// The IP numbers with ports of the array under `key`; repeats are findings.
@@ -249,37 +249,39 @@
             if seen.insert(address) {
                 addresses.push(address);
             } else {
-                self.notes.add(&text.place, format!("\"{address}\" stands twice"));
+                self.notes.add(&text.location, format!("\"{address}\" stands twice"));
             }
         }
         addresses
     }
 
     /// The table under `key` whose keys and values are IP numbers with ports; absent reads as empty.
-    pub fn address_pairs(&self, key: &'static str) -> BTreeMap<SocketAddr, SocketAddr> {
+    pub fn address_map(&self, key: &'static str) -> BTreeMap<SocketAddr, SocketAddr> {
         let reader = self.table(key);
         let mut pairs = BTreeMap::new();
         let Some(table) = reader.table else { return pairs };
         for (name, value) in table {
             let line = self.notes.line_at(name.span().start);
-            let place = Place { line, path: reader.place.path.key(name.to_string()) };
+            let place = KeyLocation { line, path: reader.location.path.key(name.to_string()) };
             let DeValue::String(text) = value.get_ref() else {
                 self.notes.add(&place, "must be a text");
                 continue;
             };
             let from =
-                self.parse_address(&PlacedText { text: name.get_ref(), place: place.clone() });
-            let to = self.parse_address(&PlacedText { text, place });
+                self.parse_address(&LocatedText { text: name.get_ref(), location: place.clone() });
+            let to = self.parse_address(&LocatedText { text, location: place });
             pairs.extend(from.zip(to));
         }
         pairs
     }
 
     /// Notes an array that is missing or empty.
-    pub fn require_items(&self, key: &'static str) {
+    pub fn require_non_empty(&self, key: &'static str) {
         match self.find(key).map(Spanned::get_ref) {
             None => self.note_missing(key),
-            Some(DeValue::Array(array)) if array.is_empty() => self.note(key, "must not be empty"),
+            Some(DeValue::Array(array)) if array.is_empty() => {
+                self.add_finding(key, "must not be empty")
+            }
             Some(_) => {}
         }
     }
@@ -302,20 +304,20 @@
             let name: &str = key.get_ref();
             if !known.contains(&name) {
                 let line = self.notes.line_at(key.span().start);
-                let path = self.place.path.key(name.to_owned());
-                self.notes.add(&Place { line, path }, "unknown key");
+                let path = self.location.path.key(name.to_owned());
+                self.notes.add(&KeyLocation { line, path }, "unknown key");
             }
         }
     }
 
-    fn parse_address(&self, text: &PlacedText<'_>) -> Option<SocketAddr> {
+    fn parse_address(&self, text: &LocatedText<'_>) -> Option<SocketAddr> {
         let Ok(address) = text.text.parse::<SocketAddr>() else {
             let fault = format!("\"{}\" is not an IP number with a port", text.text);
-            self.notes.add(&text.place, fault);
+            self.notes.add(&text.location, fault);
             return None;
         };
         if address.port() == 0 {
-            self.notes.add(&text.place, "must not have port 0");
+            self.notes.add(&text.location, "must not have port 0");
             return None;
         }
         Some(address)
@@ -342,12 +344,12 @@
 
     fn note_missing(&self, key: &'static str) {
         if self.state == TableState::Readable {
-            self.note(key, "is missing");
+            self.add_finding(key, "is missing");
         }
     }
 
     fn note_type<T>(&self, key: &'static str, wanted: &str) -> Option<T> {
-        self.note(key, format!("must be {wanted}"));
+        self.add_finding(key, format!("must be {wanted}"));
         None
     }
 
--- a/crates/foxledge-engine/src/entry.rs
+++ b/crates/foxledge-engine/src/entry.rs
@@ -281,7 +281,7 @@
             data_centre: &self.me.data_centre,
             kind,
         };
-        let rule = self.index.decide(&traits).ok_or_else(|| {
+        let rule = self.index.first_match(&traits).ok_or_else(|| {
             let is_known = self
                 .list
                 .services
--- a/crates/foxledge-engine/src/explain.rs
+++ b/crates/foxledge-engine/src/explain.rs
@@ -73,7 +73,7 @@
             reasons.push(format!("member {} is not listed, so the flow is refused", traits.member));
             return;
         }
-        let Some(rule) = self.index.decide(traits) else {
+        let Some(rule) = self.index.first_match(traits) else {
             reasons.push("no rule matches, so the flow is refused".to_owned());
             return;
         };
--- a/crates/foxledge-members/src/lists/audit.rs
+++ b/crates/foxledge-members/src/lists/audit.rs
@@ -47,10 +47,10 @@
 pub(super) fn change_text(old: Option<&RuleList>, new: &RuleList) -> String {
     let Some(old) = old else { return "the first list".to_owned() };
     let summary = summarize_changes(old, new, MAX_CHANGES);
-    if summary.changes.is_empty() && summary.more == 0 {
+    if summary.changes.is_empty() && summary.omitted == 0 {
         return "no changes".to_owned();
     }
-    joined(summary.changes.iter(), summary.more)
+    joined(summary.changes.iter(), summary.omitted)
 }
 
 /// What is wrong with a list, in bounded size.
--- a/crates/foxledge-members/src/lists/builder.rs
+++ b/crates/foxledge-members/src/lists/builder.rs
@@ -25,7 +25,7 @@
     }
 
     fn prepare(&mut self, text: &str) {
-        ListAssembler::prepare(self, text);
+        ListAssembler::parse_ahead(self, text);
     }
 
     fn retain(&mut self, is_named: &dyn Fn(u64) -> bool) {
--- a/crates/foxledge-rules/examples/build_speed.rs
+++ b/crates/foxledge-rules/examples/build_speed.rs
@@ -13,7 +13,7 @@
     lists::{FlowTraits, RuleList},
     traffic::TrafficKind,
 };
-use foxledge_rules::{ListText, RuleIndex, build_list, diff_lists};
+use foxledge_rules::{OwnedPart, RuleIndex, build_list, diff_lists};
 
 const ROUNDS: u32 = 9;
 const DECISIONS: usize = 10_000;
@@ -29,10 +29,10 @@
 }
 
 fn measure(text: &str) {
-    let parts = [ListText { name: "list".to_owned(), text: text.to_owned() }];
+    let parts = [OwnedPart { name: "list".to_owned(), text: text.to_owned() }];
     let list = build_list(1, &parts).unwrap_or_else(|findings| panic!("{findings}"));
     let build = median(|| drop(black_box(build_list(1, &parts))));
-    let drained = [ListText { name: "list".to_owned(), text: drain_one(text) }];
+    let drained = [OwnedPart { name: "list".to_owned(), text: drain_one(text) }];
     let next = build_list(2, &drained).unwrap_or_else(|findings| panic!("{findings}"));
     let compare = median(|| assert_eq!(black_box(diff_lists(&list, &next)).len(), 1));
     let targets: usize = list.services.values().map(|service| service.targets.len()).sum();
@@ -40,7 +40,7 @@
     let index = RuleIndex::new(list.clone());
     let addresses = some_addresses(&list);
     let plain = median(|| decide_all(&addresses, |flow| list.first_match(flow).is_some()));
-    let indexed = median(|| decide_all(&addresses, |flow| index.decide(flow).is_some()));
+    let indexed = median(|| decide_all(&addresses, |flow| index.first_match(flow).is_some()));
     println!(
         "{:>9} {:>6} {:>8} {:>9} {:>10.2?} {:>10.2?} {:>8} ns {:>8} ns",
         text.len(),
--- a/crates/foxledge-rules/src/assembler.rs
+++ b/crates/foxledge-rules/src/assembler.rs
@@ -62,7 +62,7 @@
     /// Otherwise the last part to arrive would have the reading of all of them
     /// done at once, some 300 ms for 7 MB in which no datagram is answered.
     /// What comes of no list is dropped by [`ListAssembler::retain`].
-    pub fn prepare(&mut self, text: &str) {
+    pub fn parse_ahead(&mut self, text: &str) {
         let digest = digest_of(text.as_bytes());
         if text.len() > MAX_PART_BYTES || self.kept.contains_key(&digest) {
             return;
--- a/crates/foxledge-rules/src/build.rs
+++ b/crates/foxledge-rules/src/build.rs
@@ -4,9 +4,9 @@
 
 use crate::assembler::ListAssembler;
 
-/// `ListText` is one part of a list.
+/// `OwnedPart` is one part of a list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ListText {
+pub struct OwnedPart {
     /// Its name in the manifest, for the findings.
     pub name: String,
     /// Its contents.
@@ -22,8 +22,8 @@
     pub text: &'a str,
 }
 
-impl<'a> From<&'a ListText> for PartText<'a> {
-    fn from(part: &'a ListText) -> PartText<'a> {
+impl<'a> From<&'a OwnedPart> for PartText<'a> {
+    fn from(part: &'a OwnedPart) -> PartText<'a> {
         PartText { name: &part.name, text: &part.text }
     }
 }
@@ -31,7 +31,7 @@
 /// Builds the list that the parts make up, or says all that is wrong with them.
 ///
 /// Pure: the same revision and parts give the same answer on every instance.
-pub fn build_list(revision: u64, parts: &[ListText]) -> Result<RuleList, FindingList> {
+pub fn build_list(revision: u64, parts: &[OwnedPart]) -> Result<RuleList, FindingList> {
     let parts: Vec<_> = parts.iter().map(PartText::from).collect();
     ListAssembler::new().build(revision, &parts)
 }
--- a/crates/foxledge-rules/src/changes.rs
+++ b/crates/foxledge-rules/src/changes.rs
@@ -64,7 +64,7 @@
     /// The first differences, sorted by subject.
     pub changes: Vec<ListChange>,
     /// Subjects that differ besides.
-    pub more: usize,
+    pub omitted: usize,
 }
 
 /// Every difference between two lists, sorted by subject; secrets aren't shown.
@@ -100,7 +100,7 @@
         }
         diff_fields(subject, &old_fields, &new_fields)
     });
-    ChangeSummary { changes: changes.collect(), more }
+    ChangeSummary { changes: changes.collect(), omitted: more }
 }
 
 /// The fields of a subject by name, as texts.
--- a/crates/foxledge-rules/src/index.rs
+++ b/crates/foxledge-rules/src/index.rs
@@ -42,10 +42,10 @@
     }
 
     /// The first rule that matches, or none.
-    pub fn decide(&self, flow: &FlowTraits<'_>) -> Option<&FlowRule> {
+    pub fn first_match(&self, flow: &FlowTraits<'_>) -> Option<&FlowRule> {
         let with_address = self.with_address.get(flow.address).map_or(&[][..], Vec::as_slice);
-        let by_address = self.first_match(with_address, flow);
-        let by_any = self.first_match(&self.with_any, flow);
+        let by_address = self.first_among(with_address, flow);
+        let by_any = self.first_among(&self.with_any, flow);
         let first = match (by_address, by_any) {
             (Some(a), Some(b)) => a.min(b),
             (first, None) | (None, first) => first?,
@@ -53,7 +53,7 @@
         Some(&self.list.rules[first as usize])
     }
 
-    fn first_match(&self, numbers: &[u32], flow: &FlowTraits<'_>) -> Option<u32> {
+    fn first_among(&self, numbers: &[u32], flow: &FlowTraits<'_>) -> Option<u32> {
         let mut numbers = numbers.iter().copied();
         numbers.find(|number| self.list.rules[*number as usize].when.matches(flow))
     }
--- a/crates/foxledge-rules/src/lib.rs
+++ b/crates/foxledge-rules/src/lib.rs
@@ -21,7 +21,7 @@
 pub use assembler::{
     ListAssembler, MAX_LIST_BYTES, MAX_PART_BYTES, MAX_PARTS, MAX_RULE_ADDRESSES, MAX_RULES,
 };
-pub use build::{ListText, PartText, build_list};
+pub use build::{OwnedPart, PartText, build_list};
 pub use changes::{ChangeSubject, ChangeSummary, ListChange, diff_lists, summarize_changes};
 pub use index::RuleIndex;
 pub use version::list_version;
--- a/crates/foxledge-rules/src/parts.rs
+++ b/crates/foxledge-rules/src/parts.rs
@@ -16,7 +16,7 @@
     names::{CentreName, MemberName, RuleName, ServiceAddress, ServiceName, TargetName},
     traffic::TrafficKind,
 };
-use foxledge_document::{Place, PlacedText, SourceNotes, TableReader, read_document};
+use foxledge_document::{KeyLocation, LocatedText, SourceFindings, TableReader, read_document};
 
 use crate::{
     draft::{
@@ -36,7 +36,7 @@
 
 /// Reads one part, with the findings in it.
 pub(crate) fn read_part(text: &str) -> PartDraft {
-    let notes = SourceNotes::new("", text);
+    let notes = SourceFindings::new("", text);
     let draft = read_document(&notes, text, |root| {
         let mut reader = PartReader {
             notes: &notes,
@@ -96,14 +96,14 @@
     draft.counts = counts;
 }
 
-fn findings_of(notes: SourceNotes) -> Vec<PartFinding> {
+fn findings_of(notes: SourceFindings) -> Vec<PartFinding> {
     let findings = notes.into_findings();
     let findings = findings.iter().cloned();
     findings.map(|Finding { line, key, text, .. }| PartFinding { line, key, text }).collect()
 }
 
 struct PartReader<'a> {
-    notes: &'a SourceNotes,
+    notes: &'a SourceFindings,
     draft: PartDraft,
     services: NamePool<ServiceName>,
     centres: NamePool<CentreName>,
@@ -132,8 +132,8 @@
     }
 
     fn read_rule(&mut self, table: &TableReader<'_>) -> RuleDraft {
-        let findings_before = self.notes.count();
-        let row = RowPath::Rule(index_of(table.place()));
+        let findings_before = self.notes.len();
+        let row = RowPath::Rule(index_of(table.location()));
         let name = table.require("name", table.name("name"));
         let when = table.table("when");
         let addresses = when.names("address");
@@ -150,13 +150,13 @@
         table.finish();
         RuleDraft {
             spot: spot_of(table, row),
-            name_spot: PartSpot::new(&table.place_of("name"), row, FieldPath::Name),
+            name_spot: PartSpot::new(&table.location_of("name"), row, FieldPath::Name),
             name: name.map(RuleName::new),
             when: flow_match,
             address_spots: item_spots(&addresses, row, FieldPath::WhenAddress),
             member_spots: item_spots(&members, row, FieldPath::WhenMember),
             then,
-            is_sound: self.notes.count() == findings_before,
+            is_sound: self.notes.len() == findings_before,
         }
     }
 
@@ -164,9 +164,9 @@
         let mut kinds = Vec::new();
         for word in when.texts("kind") {
             match TrafficKind::from_str(word.text) {
-                Err(error) => self.notes.add(&word.place, error.to_string()),
+                Err(error) => self.notes.add(&word.location, error.to_string()),
                 Ok(kind) if kinds.contains(&kind) => {
-                    self.notes.add(&word.place, format!("\"{kind}\" stands twice"));
+                    self.notes.add(&word.location, format!("\"{kind}\" stands twice"));
                 }
                 Ok(kind) => kinds.push(kind),
             }
@@ -176,7 +176,7 @@
 
     fn read_then(&mut self, table: &TableReader<'_>, row: RowPath) -> Option<ThenDraft> {
         let then = table.require("then", table.optional_table("then"))?;
-        if then.switch("deny") == Some(true) {
+        if then.boolean("deny") == Some(true) {
             self.check_deny(&then);
             return Some(ThenDraft::Deny);
         }
@@ -188,7 +188,7 @@
         then.finish();
         Some(ThenDraft::Serve(ServeDraft {
             service: self.services.share(service?),
-            service_spot: PartSpot::new(&then.place_of("service"), row, FieldPath::ThenService),
+            service_spot: PartSpot::new(&then.location_of("service"), row, FieldPath::ThenService),
             priority: PaidPriority(priority as u8),
             weight: weight as u32,
             member_limit: member_limit as u32,
@@ -199,8 +199,8 @@
     /// Whoever writes more beside `deny` expects it to have an effect.
     fn check_deny(&self, then: &TableReader<'_>) {
         for key in ["service", "priority", "weight", "member_limit", "when_full"] {
-            if then.has(key) {
-                then.note(key, "has no meaning beside deny");
+            if then.has_key(key) {
+                then.add_finding(key, "has no meaning beside deny");
             }
         }
         then.finish();
@@ -211,24 +211,24 @@
             None | Some("queue") => FullAction::Queue,
             Some("refuse") => FullAction::Refuse,
             Some(_) => {
-                then.note("when_full", "must be \"queue\" or \"refuse\"");
+                then.add_finding("when_full", "must be \"queue\" or \"refuse\"");
                 FullAction::Queue
             }
         }
     }
 
     fn read_service(&mut self, table: &TableReader<'_>) {
-        let index = index_of(table.place());
+        let index = index_of(table.location());
         let row = RowPath::Service(index);
         let name = table.require("name", table.name("name"));
         let name = name.map(|name| self.services.share(name));
         let addresses = table.names("addresses");
-        table.require_items("addresses");
+        table.require_non_empty("addresses");
         let queue_limit = table.number_or("queue_limit", 0..=MAX_QUEUE, 400) as u32;
         let shards = table.number_or("shards", 1..=MAX_SHARDS, 1) as u32;
         for inner in table.tables("target") {
-            let row = RowPath::Inner(index, index_of(inner.place()));
-            let target = self.read_target_of(&inner, row, name.clone(), inner.place().line);
+            let row = RowPath::Inner(index, index_of(inner.location()));
+            let target = self.read_target_of(&inner, row, name.clone(), inner.location().line);
             self.draft.targets.extend(target);
         }
         table.finish();
@@ -236,22 +236,22 @@
         let addresses = addresses.iter().map(|name| ServiceAddress::new(name.text));
         let service = ServiceDraft {
             spot: spot_of(table, row),
-            name_spot: PartSpot::new(&table.place_of("name"), row, FieldPath::Name),
+            name_spot: PartSpot::new(&table.location_of("name"), row, FieldPath::Name),
             name,
             addresses: addresses.zip(spots).collect(),
             queue_limit,
             shards,
-            shards_spot: PartSpot::new(&table.place_of("shards"), row, FieldPath::Shards),
+            shards_spot: PartSpot::new(&table.location_of("shards"), row, FieldPath::Shards),
             spec: None,
         };
         self.draft.services.push(service);
     }
 
     fn read_target(&mut self, table: &TableReader<'_>) {
-        let row = RowPath::Target(index_of(table.place()));
+        let row = RowPath::Target(index_of(table.location()));
         let service = table.require("service", table.name("service"));
         let service = service.map(|name| self.services.share(name));
-        let target = self.read_target_of(table, row, service, table.place_of("service").line);
+        let target = self.read_target_of(table, row, service, table.location_of("service").line);
         self.draft.targets.extend(target);
     }
 
@@ -268,10 +268,10 @@
         let data_centre = table.require("data_centre", table.name("data_centre"));
         let slots = table.number_or("slots", 1..=MAX_SLOTS, 2) as u32;
         let connections = table.number_or("connections", 1..=MAX_CONNECTIONS, 2000) as u32;
-        let draining = table.switch("draining").unwrap_or(false);
+        let draining = table.boolean("draining").unwrap_or(false);
         table.finish();
         if address.is_some_and(|address| address.ip().is_unspecified()) {
-            table.note("address", "must name one IP number");
+            table.add_finding("address", "must name one IP number");
         }
         let target = TargetSpec {
             name: TargetName::new(name?),
@@ -285,8 +285,8 @@
         let service = service?;
         Some(TargetDraft {
             row,
-            name_line: table.place_of("name").line as u32,
-            address_line: table.place_of("address").line as u32,
+            name_line: table.location_of("name").line as u32,
+            address_line: table.location_of("address").line as u32,
             service_line: service_line as u32,
             name_digest: rendezvous_weight(&service, &target.name),
             address_digest: address_digest(target.address),
@@ -296,7 +296,7 @@
     }
 
     fn read_member(&self, table: &TableReader<'_>) -> Option<MemberDraft> {
-        let row = RowPath::Member(index_of(table.place()));
+        let row = RowPath::Member(index_of(table.location()));
         let name = table.require("name", table.name("name"));
         let secret = match table.text("secret") {
             Some(text) => self.read_secret(table, text).unwrap_or_default(),
@@ -304,18 +304,18 @@
         };
         table.finish();
         let member = MemberSpec { name: MemberName::new(name?), secret };
-        let spot = PartSpot::new(&table.place_of("name"), row, FieldPath::Name);
+        let spot = PartSpot::new(&table.location_of("name"), row, FieldPath::Name);
         Some(MemberDraft { spot, member })
     }
 
     fn read_key(&self, table: &TableReader<'_>) -> Option<KeyDraft> {
-        let row = RowPath::Key(index_of(table.place()));
+        let row = RowPath::Key(index_of(table.location()));
         let id = table.require("id", table.number("id", 1..=U32_MAX));
         let secret = table.require("secret", table.text("secret"));
         let secret = secret.and_then(|text| self.read_secret(table, text));
         table.finish();
         let key = KeySpec { id: id? as u32, secret: secret? };
-        let spot = PartSpot::new(&table.place_of("id"), row, FieldPath::Id);
+        let spot = PartSpot::new(&table.location_of("id"), row, FieldPath::Id);
         Some(KeyDraft { spot, key })
     }
 
@@ -323,7 +323,7 @@
         match parse_secret(text) {
             Ok(secret) => Some(secret),
             Err(fault) => {
-                table.note("secret", fault);
+                table.add_finding("secret", fault);
                 None
             }
         }
@@ -351,22 +351,23 @@
 }
 
 fn spot_of(table: &TableReader<'_>, row: RowPath) -> PartSpot {
-    PartSpot::new(table.place(), row, FieldPath::Row)
+    PartSpot::new(table.location(), row, FieldPath::Row)
 }
 
 fn item_spots(
-    names: &[PlacedText<'_>],
+    names: &[LocatedText<'_>],
     row: RowPath,
     field: impl Fn(u32) -> FieldPath,
 ) -> Vec<PartSpot> {
-    let spots =
-        names.iter().map(|name| PartSpot::new(&name.place, row, field(index_of(&name.place))));
+    let spots = names
+        .iter()
+        .map(|name| PartSpot::new(&name.location, row, field(index_of(&name.location))));
     spots.collect()
 }
 
 /// The index of the array's item at a place.
-fn index_of(place: &Place) -> u32 {
-    place.path.index().unwrap_or_default() as u32
+fn index_of(place: &KeyLocation) -> u32 {
+    place.path.last_index().unwrap_or_default() as u32
 }
 
 /// A number that is equal for equal addresses.
--- a/crates/foxledge-rules/src/spots.rs
+++ b/crates/foxledge-rules/src/spots.rs
@@ -2,11 +2,11 @@
 
 use std::fmt;
 
-use foxledge_document::Place;
+use foxledge_document::KeyLocation;
 
 /// `PartSpot` is where in a part something stands.
 ///
-/// A [`Place`] shares its path by counted pointers, which take more memory than
+/// A [`KeyLocation`] shares its path by counted pointers, which take more memory than
 /// the target they belong to. Parts are kept from list to list, so the path is
 /// kept as numbers here.
 #[derive(Clone, Copy, Debug)]
@@ -18,7 +18,7 @@
 
 impl PartSpot {
     /// The spot of a field of a row at a place that the document gave.
-    pub(crate) fn new(place: &Place, row: RowPath, field: FieldPath) -> PartSpot {
+    pub(crate) fn new(place: &KeyLocation, row: RowPath, field: FieldPath) -> PartSpot {
         PartSpot { line: place.line as u32, row, field }
     }
 }
--- a/crates/foxledge-rules/tests/common/mod.rs
+++ b/crates/foxledge-rules/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use expect_test::Expect;
-use foxledge_rules::{ListText, build_list};
+use foxledge_rules::{OwnedPart, build_list};
 
 /// A part in which nothing is wrong.
 pub const GOOD: &str = r#"[[service]]
@@ -30,12 +30,12 @@
 "#;
 
 /// One part.
-pub fn part(name: &str, text: &str) -> ListText {
-    ListText { name: name.to_owned(), text: text.to_owned() }
+pub fn part(name: &str, text: &str) -> OwnedPart {
+    OwnedPart { name: name.to_owned(), text: text.to_owned() }
 }
 
 /// Checks what is found in a whole list.
-pub fn check_parts(parts: &[ListText], findings: Expect) {
+pub fn check_parts(parts: &[OwnedPart], findings: Expect) {
     let found = build_list(1, parts).expect_err("this list is bad");
     findings.assert_eq(&found.to_string());
 }
--- a/crates/foxledge-rules/tests/good_lists.rs
+++ b/crates/foxledge-rules/tests/good_lists.rs
@@ -5,12 +5,12 @@
     lists::{FlowTraits, FlowTreatment, FullAction, RuleList},
     traffic::TrafficKind,
 };
-use foxledge_rules::{ListText, build_list, list_version};
+use foxledge_rules::{OwnedPart, build_list, list_version};
 
 const EXAMPLE: &str = include_str!("../../../docs/examples/lakeshore-rules.toml");
 
-fn part(name: &str, text: &str) -> ListText {
-    ListText { name: name.to_owned(), text: text.to_owned() }
+fn part(name: &str, text: &str) -> OwnedPart {
+    OwnedPart { name: name.to_owned(), text: text.to_owned() }
 }
 
 fn example() -> RuleList {
--- a/crates/foxledge-rules/tests/list_assembler.rs
+++ b/crates/foxledge-rules/tests/list_assembler.rs
@@ -1,7 +1,7 @@
 //! Lists built one after the other, of which only the changed parts are read.
 
 use foxledge_core::lists::RuleList;
-use foxledge_rules::{ListAssembler, ListText, PartText, build_list};
+use foxledge_rules::{ListAssembler, OwnedPart, PartText, build_list};
 use proptest::{prelude::*, sample::Index};
 
 /// Parts that are good together in many combinations, and some that never are.
@@ -32,13 +32,13 @@
 }
 
 /// Builds each list with one assembler and with `build_list`; counts the good ones.
-fn check_sequence(lists: &[Vec<ListText>]) -> Result<usize, TestCaseError> {
+fn check_sequence(lists: &[Vec<OwnedPart>]) -> Result<usize, TestCaseError> {
     let mut assembler = ListAssembler::new();
     let mut good = 0;
     for (revision, list) in (1..).zip(lists) {
         let parts: Vec<_> = list.iter().map(PartText::from).collect();
         for part in parts.iter().step_by(2) {
-            assembler.prepare(part.text);
+            assembler.parse_ahead(part.text);
         }
         let built = verdict(assembler.build(revision, &parts));
         good += usize::from(built.is_ok());
@@ -48,12 +48,12 @@
     Ok(good)
 }
 
-fn part(name: usize, text: &str) -> ListText {
-    ListText { name: format!("p{name}"), text: text.to_owned() }
+fn part(name: usize, text: &str) -> OwnedPart {
+    OwnedPart { name: format!("p{name}"), text: text.to_owned() }
 }
 
 /// A list of a few of the parts, under names that don't stay with their texts.
-fn any_list() -> impl Strategy<Value = Vec<ListText>> {
+fn any_list() -> impl Strategy<Value = Vec<OwnedPart>> {
     let picks = proptest::collection::vec((0..10usize, any::<Index>()), 1..9);
     picks.prop_map(|picks| {
         picks.into_iter().map(|(name, at)| part(name, PARTS[at.index(PARTS.len())])).collect()
@@ -61,7 +61,7 @@
 }
 
 /// A good list, to which one change after the other is made.
-fn changed_lists() -> impl Strategy<Value = Vec<Vec<ListText>>> {
+fn changed_lists() -> impl Strategy<Value = Vec<Vec<OwnedPart>>> {
     let change = (any::<Index>(), any::<Index>(), 0..4u8);
     proptest::collection::vec(change, 1..12).prop_map(|changes| {
         let mut list: Vec<_> =
--- a/crates/foxledge-rules/tests/list_changes.rs
+++ b/crates/foxledge-rules/tests/list_changes.rs
@@ -2,12 +2,12 @@
 
 use expect_test::{Expect, expect};
 use foxledge_core::lists::RuleList;
-use foxledge_rules::{ChangeSummary, ListText, build_list, diff_lists, summarize_changes};
+use foxledge_rules::{ChangeSummary, OwnedPart, build_list, diff_lists, summarize_changes};
 
 const EXAMPLE: &str = include_str!("../../../docs/examples/lakeshore-rules.toml");
 
 fn build(text: &str) -> RuleList {
-    let part = ListText { name: "lakeshore".to_owned(), text: text.to_owned() };
+    let part = OwnedPart { name: "lakeshore".to_owned(), text: text.to_owned() };
     build_list(1, &[part]).map_err(|findings| findings.to_string()).unwrap()
 }
 
@@ -112,6 +112,6 @@
     let all = diff_lists(&old, &new);
     let summary = summarize_changes(&old, &new, 2);
     assert_eq!(summary.changes, all[..2]);
-    assert_eq!(summary.more, all.len() - 2);
+    assert_eq!(summary.omitted, all.len() - 2);
     assert_eq!(summarize_changes(&old, &old, 2), ChangeSummary::default());
 }
--- a/crates/foxledge-rules/tests/list_fuzz.rs
+++ b/crates/foxledge-rules/tests/list_fuzz.rs
@@ -1,6 +1,6 @@
 //! Generated bad input: no text panics, and the verdict is the same twice.
 
-use foxledge_rules::{ListText, build_list};
+use foxledge_rules::{OwnedPart, build_list};
 use proptest::prelude::*;
 
 const EXAMPLE: &str = include_str!("../../../docs/examples/lakeshore-rules.toml");
@@ -41,7 +41,7 @@
     "\"\" = 2026-12-02\n",
 ];
 
-fn verdict(parts: &[ListText]) -> Result<String, String> {
+fn verdict(parts: &[OwnedPart]) -> Result<String, String> {
     match build_list(3, parts) {
         Ok(list) => Ok(format!("{:?} {:?} {:?}", list.version, list.rules, list.services)),
         Err(findings) => Err(findings.to_string()),
@@ -49,7 +49,7 @@
 }
 
 fn check(texts: Vec<String>) -> Result<(), TestCaseError> {
-    let parts = (0..).zip(texts).map(|(n, text)| ListText { name: format!("p{n}"), text });
+    let parts = (0..).zip(texts).map(|(n, text)| OwnedPart { name: format!("p{n}"), text });
     let parts: Vec<_> = parts.collect();
     let first = verdict(&parts);
     prop_assert_eq!(&first, &verdict(&parts));
@@ -103,6 +103,6 @@
     let dotted = format!("{}y = 1\n", "a.".repeat(50_000));
     let inline = format!("x = {}1{}\n", "{ a = ".repeat(50_000), " }".repeat(50_000));
     for text in [deep, dotted, inline] {
-        assert!(verdict(&[ListText { name: "deep".to_owned(), text }]).is_err());
+        assert!(verdict(&[OwnedPart { name: "deep".to_owned(), text }]).is_err());
     }
 }
--- a/crates/foxledge-rules/tests/name_sizes.rs
+++ b/crates/foxledge-rules/tests/name_sizes.rs
@@ -6,7 +6,7 @@
 //! Cause: limits of names and of payloads that don't go together.
 
 use foxledge_core::lists::KeySpec;
-use foxledge_document::MAX_NAME;
+use foxledge_document::MAX_NAME_BYTES;
 use foxledge_seal::{
     keys::KeyRing,
     seals::{seal_datagram, seal_path, seal_ticket, seal_token},
@@ -23,7 +23,7 @@
 const ADDRESS: &str = "[1111:2222:3333:4444:5555:6666:7777:8888]:65535";
 
 fn longest_name() -> String {
-    "n".repeat(MAX_NAME)
+    "n".repeat(MAX_NAME_BYTES)
 }
 
 fn ring() -> KeyRing {
--- a/crates/foxledge-rules/tests/rule_order.rs
+++ b/crates/foxledge-rules/tests/rule_order.rs
@@ -7,7 +7,7 @@
     names::{CentreName, MemberName, RuleName, ServiceAddress},
     traffic::TrafficKind,
 };
-use foxledge_rules::{ListText, RuleIndex, build_list};
+use foxledge_rules::{OwnedPart, RuleIndex, build_list};
 use proptest::{collection::vec, prelude::*, sample::subsequence};
 
 /// The last name of each stands for all names that no rule has.
@@ -108,13 +108,13 @@
         let list = Arc::new(RuleList { rules, ..RuleList::default() });
         let index = RuleIndex::new(list.clone());
         for flow in all_flows() {
-            prop_assert_eq!(index.decide(&flow), list.first_match(&flow));
+            prop_assert_eq!(index.first_match(&flow), list.first_match(&flow));
         }
     }
 
     #[test]
     fn never_matching_rules_are_found(rules in rules()) {
-        let part = ListText { name: "list".to_owned(), text: list_text(&rules) };
+        let part = OwnedPart { name: "list".to_owned(), text: list_text(&rules) };
         let found: Vec<_> = match build_list(1, &[part]) {
             Ok(list) => {
                 prop_assert_eq!(&list.rules, &rules);
--- a/crates/foxledge-settings/src/checks.rs
+++ b/crates/foxledge-settings/src/checks.rs
@@ -14,12 +14,15 @@
             continue;
         };
         if *key != "admin" && address.ip().is_unspecified() {
-            table.note(key, "must name one IP number, because peers are told it");
+            table.add_finding(key, "must name one IP number, because peers are told it");
         }
         let mut earlier = named[..at].iter();
         let shared = earlier.find(|(_, other)| other.is_some_and(|other| clash(other, *address)));
         if let Some((other, _)) = shared {
-            table.note(key, format!("has the same port as {}", table.place_of(other).path));
+            table.add_finding(
+                key,
+                format!("has the same port as {}", table.location_of(other).path),
+            );
         }
     }
 }
@@ -32,10 +35,10 @@
 /// A peer that is suspected before its next heartbeat is due flaps for ever.
 pub(crate) fn check_silences(table: &TableReader<'_>, peers: &PeerSettings) {
     if peers.suspect_after_ms <= peers.heartbeat_ms {
-        table.note("suspect_after_ms", "must be more than peers.heartbeat_ms");
+        table.add_finding("suspect_after_ms", "must be more than peers.heartbeat_ms");
     }
     if peers.dead_after_ms <= peers.suspect_after_ms {
-        table.note("dead_after_ms", "must be more than peers.suspect_after_ms");
+        table.add_finding("dead_after_ms", "must be more than peers.suspect_after_ms");
     }
 }
 
@@ -43,6 +46,6 @@
 /// promised to answer.
 pub(crate) fn check_stop(table: &TableReader<'_>, stop: &StopSettings, flow: &FlowSettings) {
     if stop.limit_ms <= flow.ticket_ms {
-        table.note("limit_ms", "must be more than flow.ticket_ms");
+        table.add_finding("limit_ms", "must be more than flow.ticket_ms");
     }
 }
--- a/crates/foxledge-settings/src/packet_settings.rs
+++ b/crates/foxledge-settings/src/packet_settings.rs
@@ -7,7 +7,7 @@
     findings::FindingList,
     names::{CentreName, InstanceName, RegionName},
 };
-use foxledge_document::{SourceNotes, TableReader, read_document};
+use foxledge_document::{SourceFindings, TableReader, read_document};
 
 /// Largest settings file, in bytes.
 const LARGEST_FILE: usize = 1_000_000;
@@ -91,9 +91,9 @@
     if text.len() > LARGEST_FILE {
         return Err(whole_finding(source, "is larger than 1 MB"));
     }
-    let notes = SourceNotes::new(source, text);
+    let notes = SourceFindings::new(source, text);
     match read_document(&notes, text, read_settings).flatten() {
-        Some(settings) if notes.is_clean() => Ok(settings),
+        Some(settings) if notes.is_empty() => Ok(settings),
         _ => Err(notes.into_findings()),
     }
 }
@@ -117,9 +117,9 @@
     let peer = listen.require("peer", address_v4(&listen, "peer"));
     let peer_public = address_v4(&listen, "peer_public").or(peer);
     let admin = listen.require("admin", listen.address("admin"));
-    let metrics = listen.has("metrics").then(|| listen.address("metrics"));
+    let metrics = listen.has_key("metrics").then(|| listen.address("metrics"));
     if data.is_some() && data == peer {
-        listen.note("peer", "must differ from data");
+        listen.add_finding("peer", "must differ from data");
     }
     listen.finish();
 
@@ -141,7 +141,7 @@
     log.finish();
 
     let load = root.table("load");
-    let shares_load = load.switch("enabled").unwrap_or(false);
+    let shares_load = load.boolean("enabled").unwrap_or(false);
     load.finish();
     let admission = read_admission(&root.table("admission"), shares_load);
 
@@ -168,14 +168,14 @@
 
 /// Admission decides by the load of all instances, so it needs their reports.
 fn read_admission(table: &TableReader<'_>, shares_load: bool) -> Option<AdmissionSettings> {
-    let is_enabled = table.switch("enabled").unwrap_or(false);
+    let is_enabled = table.boolean("enabled").unwrap_or(false);
     let floor_percent = table.number_or("floor_percent", 0..=50, FLOOR_PERCENT) as u32;
     let share = table.decimal("account_share", 0.0..=100.0).unwrap_or(ACCOUNT_SHARE);
     if share > 0.0 && share < 1.0 {
-        table.note("account_share", "must be 0 or from 1 to 100");
+        table.add_finding("account_share", "must be 0 or from 1 to 100");
     }
     if is_enabled && !shares_load {
-        table.note("enabled", "needs load.enabled");
+        table.add_finding("enabled", "needs load.enabled");
     }
     table.finish();
     let account_percent = (share * 100.0).round() as u32;
@@ -222,7 +222,7 @@
         if let (Some(name), Some(region)) = (name, region) {
             let former = regions.insert(CentreName::new(name), RegionName::new(region));
             if former.is_some() {
-                table.note("name", format!("\"{name}\" stands twice"));
+                table.add_finding("name", format!("\"{name}\" stands twice"));
             }
         }
         table.finish();
@@ -254,7 +254,7 @@
             Ok(seed) => seeds.push(seed),
             Err(_) => {
                 let fault = format!("\"{}\" is not an IPv4 number with a port", text.text);
-                table.note("seeds", fault);
+                table.add_finding("seeds", fault);
             }
         }
     }
@@ -264,7 +264,7 @@
 fn filled_text<'d>(table: &TableReader<'d>, key: &'static str) -> Option<&'d str> {
     let text = table.text(key)?;
     if text.is_empty() {
-        table.note(key, "must not be empty");
+        table.add_finding(key, "must not be empty");
         return None;
     }
     Some(text)
@@ -275,7 +275,7 @@
     let address = table.address(key)?;
     let found = v4_of(address);
     if found.is_none() {
-        table.note(key, "must be an IPv4 address");
+        table.add_finding(key, "must be an IPv4 address");
     }
     found
 }
--- a/crates/foxledge-settings/src/parse.rs
+++ b/crates/foxledge-settings/src/parse.rs
@@ -6,7 +6,7 @@
     findings::FindingList,
     names::{CentreName, InstanceName},
 };
-use foxledge_document::{SourceNotes, TableReader, read_document};
+use foxledge_document::{SourceFindings, TableReader, read_document};
 use log::LevelFilter;
 
 use crate::{
@@ -41,9 +41,9 @@
     if text.len() > LARGEST_FILE {
         return Err(whole_finding(source_name, "is larger than 1 MB"));
     }
-    let notes = SourceNotes::new(source_name, text);
+    let notes = SourceFindings::new(source_name, text);
     match read_document(&notes, text, read_settings).flatten() {
-        Some(settings) if notes.is_clean() => Ok(settings),
+        Some(settings) if notes.is_empty() => Ok(settings),
         _ => Err(notes.into_findings()),
     }
 }
@@ -106,7 +106,7 @@
 }
 
 fn read_platform(table: &TableReader<'_>) -> PlatformSettings {
-    table.require_items("addresses");
+    table.require_non_empty("addresses");
     let platform = PlatformSettings {
         addresses: table.addresses("addresses"),
         wait_ms: millis(table, "wait_ms", 10_000),
@@ -195,14 +195,14 @@
 
 fn read_trial(table: &TableReader<'_>) -> TrialSettings {
     let trial = TrialSettings {
-        run_once: table.switch("run_once").unwrap_or(true),
-        refuse_stale_lists: table.switch("refuse_stale_lists").unwrap_or(true),
-        check_target_owner: table.switch("check_target_owner").unwrap_or(true),
-        pass_over_homes: table.switch("pass_over_homes").unwrap_or(true),
-        remember_refusals: table.switch("remember_refusals").unwrap_or(true),
-        graceful_stop: table.switch("graceful_stop").unwrap_or(true),
-        fair_order: table.switch("fair_order").unwrap_or(true),
-        routes: table.address_pairs("routes"),
+        run_once: table.boolean("run_once").unwrap_or(true),
+        refuse_stale_lists: table.boolean("refuse_stale_lists").unwrap_or(true),
+        check_target_owner: table.boolean("check_target_owner").unwrap_or(true),
+        pass_over_homes: table.boolean("pass_over_homes").unwrap_or(true),
+        remember_refusals: table.boolean("remember_refusals").unwrap_or(true),
+        graceful_stop: table.boolean("graceful_stop").unwrap_or(true),
+        fair_order: table.boolean("fair_order").unwrap_or(true),
+        routes: table.address_map("routes"),
     };
     table.finish();
     trial
@@ -219,7 +219,7 @@
 fn file<'d>(table: &TableReader<'d>, key: &'static str) -> Option<&'d str> {
     let path = table.require(key, table.text(key))?;
     if path.is_empty() {
-        table.note(key, "must not be empty");
+        table.add_finding(key, "must not be empty");
         return None;
     }
     Some(path)
@@ -230,7 +230,7 @@
     let found = words.iter().find(|(word, _)| *word == text);
     if found.is_none() {
         let known: Vec<_> = words.iter().map(|(word, _)| format!("\"{word}\"")).collect();
-        table.note(key, format!("must be one of {}", known.join(", ")));
+        table.add_finding(key, format!("must be one of {}", known.join(", ")));
     }
     found.map(|(_, value)| *value)
 }
