--- a/crates/foxledge-document/src/reader.rs
+++ b/crates/foxledge-document/src/reader.rs
@@ -23,11 +23,11 @@
 /// value is wrong; [`TableReader::finish`] notes the keys that nobody read.
 #[derive(Debug)]
 pub struct TableReader<'d> {
-    notes: &'d SourceFindings,
+    findings: &'d SourceFindings,
     table: Option<&'d DeTable<'d>>,
     location: KeyLocation,
     state: TableState,
-    known: RefCell<Vec<&'static str>>,
+    read_keys: RefCell<Vec<&'static str>>,
 }
 
 /// `TableState` is whether the lack of a key is worth a finding.
@@ -79,7 +79,13 @@
         place: KeyLocation,
     ) -> TableReader<'d> {
         let state = TableState::Readable;
-        TableReader { notes, table, location: place, state, known: RefCell::default() }
+        TableReader {
+            findings: notes,
+            table,
+            location: place,
+            state,
+            read_keys: RefCell::default(),
+        }
     }
 
     /// Where the table stands.
@@ -89,29 +95,29 @@
 
     /// Where a key's value stands; the table's line when the key is absent.
     pub fn location_of(&self, key: &'static str) -> KeyLocation {
-        let line = self.find(key).map_or(self.location.line, |value| self.line_of(value));
+        let line = self.get(key).map_or(self.location.line, |value| self.line_of(value));
         KeyLocation { line, path: self.location.path.key(key) }
     }
 
     /// Notes a finding at a key.
     pub fn add_finding(&self, key: &'static str, text: impl Into<String>) {
-        self.notes.add(&self.location_of(key), text);
+        self.findings.add(&self.location_of(key), text);
     }
 
     /// True when the key stands in the table; marks it as known.
     pub fn has_key(&self, key: &'static str) -> bool {
-        self.take(key).is_some()
+        self.read_value(key).is_some()
     }
 
     /// The table under `key`; an absent one reads as empty.
     pub fn table(&self, key: &'static str) -> TableReader<'d> {
         let place = self.location_of(key);
-        match self.take(key).map(Spanned::get_ref) {
-            None => TableReader::new(self.notes, None, place),
-            Some(DeValue::Table(table)) => TableReader::new(self.notes, Some(table), place),
+        match self.read_value(key).map(Spanned::get_ref) {
+            None => TableReader::new(self.findings, None, place),
+            Some(DeValue::Table(table)) => TableReader::new(self.findings, Some(table), place),
             Some(_) => {
                 self.add_finding(key, "must be a table");
-                let reader = TableReader::new(self.notes, None, place);
+                let reader = TableReader::new(self.findings, None, place);
                 TableReader { state: TableState::WrongType, ..reader }
             }
         }
@@ -127,13 +133,13 @@
     pub fn tables(&self, key: &'static str) -> Vec<TableReader<'d>> {
         let mut readers = Vec::new();
         let path = self.location.path.key(key);
-        for (index, item) in self.items(key, "an array of tables").iter().enumerate() {
+        for (index, item) in self.read_items(key, "an array of tables").iter().enumerate() {
             let place = KeyLocation { line: self.line_of(item), path: path.item(index) };
             match item.get_ref() {
                 DeValue::Table(table) => {
-                    readers.push(TableReader::new(self.notes, Some(table), place));
+                    readers.push(TableReader::new(self.findings, Some(table), place));
                 }
-                _ => self.notes.add(&place, "must be a table"),
+                _ => self.findings.add(&place, "must be a table"),
             }
         }
         readers
@@ -141,9 +147,9 @@
 
     /// The text under `key`.
     pub fn text(&self, key: &'static str) -> Option<&'d str> {
-        match self.take(key)?.get_ref() {
+        match self.read_value(key)?.get_ref() {
             DeValue::String(text) => Some(text),
-            _ => self.note_type(key, "a text"),
+            _ => self.add_type_error(key, "a text"),
         }
     }
 
@@ -151,11 +157,11 @@
     pub fn texts(&self, key: &'static str) -> Vec<LocatedText<'d>> {
         let mut texts = Vec::new();
         let path = self.location.path.key(key);
-        for (index, item) in self.items(key, "an array of texts").iter().enumerate() {
+        for (index, item) in self.read_items(key, "an array of texts").iter().enumerate() {
             let place = KeyLocation { line: self.line_of(item), path: path.item(index) };
             match item.get_ref() {
                 DeValue::String(text) => texts.push(LocatedText { text, location: place }),
-                _ => self.notes.add(&place, "must be a text"),
+                _ => self.findings.add(&place, "must be a text"),
             }
         }
         texts
@@ -179,11 +185,11 @@
         let mut seen = HashSet::new();
         for name in self.texts(key) {
             if let Some(fault) = name_error(name.text) {
-                self.notes.add(&name.location, fault);
+                self.findings.add(&name.location, fault);
             } else if seen.insert(name.text) {
                 names.push(name);
             } else {
-                self.notes.add(&name.location, format!("\"{}\" stands twice", name.text));
+                self.findings.add(&name.location, format!("\"{}\" stands twice", name.text));
             }
         }
         names
@@ -191,8 +197,8 @@
 
     /// The number under `key`; one outside of `range` is a finding.
     pub fn number(&self, key: &'static str, range: RangeInclusive<u64>) -> Option<u64> {
-        let DeValue::Integer(integer) = self.take(key)?.get_ref() else {
-            return self.note_type(key, "a whole number");
+        let DeValue::Integer(integer) = self.read_value(key)?.get_ref() else {
+            return self.add_type_error(key, "a whole number");
         };
         let number = i128::from_str_radix(integer.as_str(), integer.radix()).ok();
         let number = number.and_then(|number| u64::try_from(number).ok());
@@ -212,10 +218,10 @@
 
     /// The number under `key`, whole or with decimals; one outside of `range` is a finding.
     pub fn decimal(&self, key: &'static str, range: RangeInclusive<f64>) -> Option<f64> {
-        let number: Option<f64> = match self.take(key)?.get_ref() {
+        let number: Option<f64> = match self.read_value(key)?.get_ref() {
             DeValue::Integer(integer) => integer.as_str().parse().ok(),
             DeValue::Float(float) => float.as_str().parse().ok(),
-            _ => return self.note_type(key, "a number"),
+            _ => return self.add_type_error(key, "a number"),
         };
         let found = number.filter(|number| range.contains(number));
         if found.is_none() {
@@ -226,9 +232,9 @@
 
     /// The switch under `key`.
     pub fn boolean(&self, key: &'static str) -> Option<bool> {
-        match self.take(key)?.get_ref() {
+        match self.read_value(key)?.get_ref() {
             DeValue::Boolean(on) => Some(*on),
-            _ => self.note_type(key, "true or false"),
+            _ => self.add_type_error(key, "true or false"),
         }
     }
 
@@ -249,7 +255,7 @@
             if seen.insert(address) {
                 addresses.push(address);
             } else {
-                self.notes.add(&text.location, format!("\"{address}\" stands twice"));
+                self.findings.add(&text.location, format!("\"{address}\" stands twice"));
             }
         }
         addresses
@@ -261,10 +267,10 @@
         let mut pairs = BTreeMap::new();
         let Some(table) = reader.table else { return pairs };
         for (name, value) in table {
-            let line = self.notes.line_at(name.span().start);
+            let line = self.findings.line_at(name.span().start);
             let place = KeyLocation { line, path: reader.location.path.key(name.to_string()) };
             let DeValue::String(text) = value.get_ref() else {
-                self.notes.add(&place, "must be a text");
+                self.findings.add(&place, "must be a text");
                 continue;
             };
             let from =
@@ -277,8 +283,8 @@
 
     /// Notes an array that is missing or empty.
     pub fn require_non_empty(&self, key: &'static str) {
-        match self.find(key).map(Spanned::get_ref) {
-            None => self.note_missing(key),
+        match self.get(key).map(Spanned::get_ref) {
+            None => self.add_missing(key),
             Some(DeValue::Array(array)) if array.is_empty() => {
                 self.add_finding(key, "must not be empty")
             }
@@ -288,8 +294,8 @@
 
     /// Notes a missing key and passes the value on.
     pub fn require<T>(&self, key: &'static str, value: Option<T>) -> Option<T> {
-        if value.is_none() && self.find(key).is_none() {
-            self.note_missing(key);
+        if value.is_none() && self.get(key).is_none() {
+            self.add_missing(key);
         }
         value
     }
@@ -299,13 +305,13 @@
         let Some(table) = self.table else {
             return;
         };
-        let known = self.known.borrow();
+        let known = self.read_keys.borrow();
         for key in table.keys() {
             let name: &str = key.get_ref();
             if !known.contains(&name) {
-                let line = self.notes.line_at(key.span().start);
+                let line = self.findings.line_at(key.span().start);
                 let path = self.location.path.key(name.to_owned());
-                self.notes.add(&KeyLocation { line, path }, "unknown key");
+                self.findings.add(&KeyLocation { line, path }, "unknown key");
             }
         }
     }
@@ -313,47 +319,47 @@
     fn parse_address(&self, text: &LocatedText<'_>) -> Option<SocketAddr> {
         let Ok(address) = text.text.parse::<SocketAddr>() else {
             let fault = format!("\"{}\" is not an IP number with a port", text.text);
-            self.notes.add(&text.location, fault);
+            self.findings.add(&text.location, fault);
             return None;
         };
         if address.port() == 0 {
-            self.notes.add(&text.location, "must not have port 0");
+            self.findings.add(&text.location, "must not have port 0");
             return None;
         }
         Some(address)
     }
 
-    fn find(&self, key: &str) -> Option<&'d Spanned<DeValue<'d>>> {
+    fn get(&self, key: &str) -> Option<&'d Spanned<DeValue<'d>>> {
         self.table?.get(key)
     }
 
-    fn take(&self, key: &'static str) -> Option<&'d Spanned<DeValue<'d>>> {
-        self.known.borrow_mut().push(key);
-        self.find(key)
+    fn read_value(&self, key: &'static str) -> Option<&'d Spanned<DeValue<'d>>> {
+        self.read_keys.borrow_mut().push(key);
+        self.get(key)
     }
 
-    fn items(&self, key: &'static str, wanted: &str) -> &'d [Spanned<DeValue<'d>>] {
-        let Some(value) = self.take(key) else {
+    fn read_items(&self, key: &'static str, wanted: &str) -> &'d [Spanned<DeValue<'d>>] {
+        let Some(value) = self.read_value(key) else {
             return &[];
         };
         match value.get_ref() {
             DeValue::Array(array) => array,
-            _ => self.note_type(key, wanted).unwrap_or(&[]),
+            _ => self.add_type_error(key, wanted).unwrap_or(&[]),
         }
     }
 
-    fn note_missing(&self, key: &'static str) {
+    fn add_missing(&self, key: &'static str) {
         if self.state == TableState::Readable {
             self.add_finding(key, "is missing");
         }
     }
 
-    fn note_type<T>(&self, key: &'static str, wanted: &str) -> Option<T> {
+    fn add_type_error<T>(&self, key: &'static str, wanted: &str) -> Option<T> {
         self.add_finding(key, format!("must be {wanted}"));
         None
     }
 
     fn line_of(&self, value: &Spanned<DeValue<'_>>) -> usize {
-        self.notes.line_at(value.span().start)
+        self.findings.line_at(value.span().start)
     }
 }
--- a/crates/foxledge-rules/src/assembler.rs
+++ b/crates/foxledge-rules/src/assembler.rs
@@ -17,10 +17,10 @@
 
 use crate::{
     build::PartText,
-    checks::{BoundRule, check_draft},
-    draft::{ListDraft, PartDraft, ThenDraft},
-    parts::read_part,
-    sources::{ListSources, WHOLE_LIST},
+    checks::{BoundRule, check_list},
+    list_findings::{LIST_SOURCE, ListFindings},
+    parsed::{ParsedList, ParsedPart, ParsedTreatment},
+    part_reader::read_part,
     version::list_version,
 };
 
@@ -48,7 +48,7 @@
 #[derive(Debug, Default)]
 pub struct ListAssembler {
     /// Invariant: none has findings; the parts of the last good list, and those prepared since.
-    kept: HashMap<u64, Arc<PartDraft>>,
+    parsed_parts: HashMap<u64, Arc<ParsedPart>>,
 }
 
 impl ListAssembler {
@@ -64,19 +64,19 @@
     /// What comes of no list is dropped by [`ListAssembler::retain`].
     pub fn parse_ahead(&mut self, text: &str) {
         let digest = digest_of(text.as_bytes());
-        if text.len() > MAX_PART_BYTES || self.kept.contains_key(&digest) {
+        if text.len() > MAX_PART_BYTES || self.parsed_parts.contains_key(&digest) {
             return;
         }
         let draft = read_part(text);
         // The findings are bounded only by the part's size; they are found again.
         if draft.findings.is_empty() {
-            self.kept.insert(digest, Arc::new(draft));
+            self.parsed_parts.insert(digest, Arc::new(draft));
         }
     }
 
     /// Keeps what was read of the parts with these digests.
     pub fn retain(&mut self, is_named: impl Fn(u64) -> bool) {
-        self.kept.retain(|digest, _| is_named(*digest));
+        self.parsed_parts.retain(|digest, _| is_named(*digest));
     }
 
     /// Builds the list that the parts make up, or says all that is wrong with them.
@@ -87,27 +87,27 @@
     ) -> Result<RuleList, FindingList> {
         check_parts(parts)?;
         let digests: Vec<_> = parts.iter().map(|part| digest_of(part.text.as_bytes())).collect();
-        let drafts = self.read(parts, &digests);
+        let drafts = self.parse_parts(parts, &digests);
         let findings = drafts.iter().map(|draft| draft.findings.clone());
         let names = parts.iter().map(|part| part.name);
-        let sources = ListSources::new(names.clone().zip(findings));
-        let draft = ListDraft { parts: &drafts };
-        let rules = check_draft(&sources, draft);
-        if !sources.are_clean() {
+        let sources = ListFindings::new(names.clone().zip(findings));
+        let draft = ParsedList { parts: &drafts };
+        let rules = check_list(&sources, draft);
+        if !sources.is_empty() {
             return Err(sources.into_findings());
         }
         let Some(list) = assemble(draft, rules) else { return Err(sources.into_findings()) };
         let version = list_version(revision, names.zip(digests.iter().copied()));
-        self.kept = digests.into_iter().zip(drafts).collect();
+        self.parsed_parts = digests.into_iter().zip(drafts).collect();
         Ok(RuleList { version, ..list })
     }
 
     /// Reads the parts that aren't kept; equal ones once.
-    fn read(&self, parts: &[PartText<'_>], digests: &[u64]) -> Vec<Arc<PartDraft>> {
-        let mut read: HashMap<u64, Arc<PartDraft>> = HashMap::new();
+    fn parse_parts(&self, parts: &[PartText<'_>], digests: &[u64]) -> Vec<Arc<ParsedPart>> {
+        let mut read: HashMap<u64, Arc<ParsedPart>> = HashMap::new();
         let mut drafts = Vec::new();
         for (part, digest) in parts.iter().zip(digests) {
-            let draft = self.kept.get(digest).or_else(|| read.get(digest)).cloned();
+            let draft = self.parsed_parts.get(digest).or_else(|| read.get(digest)).cloned();
             let draft = draft.unwrap_or_else(|| {
                 let draft = Arc::new(read_part(part.text));
                 read.insert(*digest, draft.clone());
@@ -126,16 +126,16 @@
 fn check_parts(parts: &[PartText<'_>]) -> Result<(), FindingList> {
     let mut findings = FindingList::new();
     if parts.is_empty() {
-        findings.add(WHOLE_LIST, 0, "", "has no parts");
+        findings.add(LIST_SOURCE, 0, "", "has no parts");
     }
     if parts.len() > MAX_PARTS {
         let text = format!("has {} parts, more than {MAX_PARTS}", parts.len());
-        findings.add(WHOLE_LIST, 0, "", text);
+        findings.add(LIST_SOURCE, 0, "", text);
         return Err(findings);
     }
     let bytes: usize = parts.iter().map(|part| part.text.len()).sum();
     if bytes > MAX_LIST_BYTES {
-        findings.add(WHOLE_LIST, 0, "", format!("has {bytes} bytes, more than {MAX_LIST_BYTES}"));
+        findings.add(LIST_SOURCE, 0, "", format!("has {bytes} bytes, more than {MAX_LIST_BYTES}"));
     }
     let mut names = HashSet::new();
     for part in parts {
@@ -151,7 +151,7 @@
     if findings.is_empty() { Ok(()) } else { Err(findings) }
 }
 
-fn assemble(draft: ListDraft<'_>, rules: Vec<BoundRule<'_>>) -> Option<RuleList> {
+fn assemble(draft: ParsedList<'_>, rules: Vec<BoundRule<'_>>) -> Option<RuleList> {
     let rules: Option<Vec<_>> = rules.into_iter().map(assemble_rule).collect();
     Some(RuleList {
         rules: rules?,
@@ -163,9 +163,9 @@
 }
 
 fn assemble_rule(rule: BoundRule<'_>) -> Option<FlowRule> {
-    let then = match rule.draft.then.as_ref()? {
-        ThenDraft::Deny => FlowTreatment::Deny,
-        ThenDraft::Serve(serve) => FlowTreatment::Serve(ServeTreatment {
+    let then = match rule.rule.then.as_ref()? {
+        ParsedTreatment::Deny => FlowTreatment::Deny,
+        ParsedTreatment::Serve(serve) => FlowTreatment::Serve(ServeTreatment {
             service: serve.service.clone(),
             priority: serve.priority,
             weight: serve.weight,
@@ -173,18 +173,18 @@
             when_full: serve.when_full,
         }),
     };
-    let when = &rule.draft.when;
+    let when = &rule.rule.when;
     let when = FlowMatch {
         addresses: rule.addresses.into_owned(),
         members: when.members.clone(),
         data_centres: when.data_centres.clone(),
         kinds: when.kinds.clone(),
     };
-    Some(FlowRule { name: rule.draft.name.clone()?, when, then })
+    Some(FlowRule { name: rule.rule.name.clone()?, when, then })
 }
 
-fn assemble_services(draft: ListDraft<'_>) -> Option<BTreeMap<ServiceName, Arc<ServiceSpec>>> {
-    let mut scattered = scattered_targets(draft);
+fn assemble_services(draft: ParsedList<'_>) -> Option<BTreeMap<ServiceName, Arc<ServiceSpec>>> {
+    let mut scattered = targets_of_split_services(draft);
     let mut services = BTreeMap::new();
     for (_, service) in draft.services() {
         let name = service.name.as_ref()?;
@@ -198,10 +198,12 @@
 }
 
 /// The targets, in order, of services that have some outside of their own part.
-fn scattered_targets<'a>(draft: ListDraft<'a>) -> HashMap<&'a ServiceName, Vec<TargetSpec>> {
+fn targets_of_split_services<'a>(
+    draft: ParsedList<'a>,
+) -> HashMap<&'a ServiceName, Vec<TargetSpec>> {
     let mut scattered: HashMap<_, _> = HashMap::new();
     for part in draft.parts {
-        scattered.extend(part.foreign_services().map(|name| (name, Vec::new())));
+        scattered.extend(part.services_of_other_parts().map(|name| (name, Vec::new())));
     }
     if scattered.is_empty() {
         return scattered;
@@ -214,12 +216,12 @@
     scattered
 }
 
-fn assemble_members(draft: ListDraft<'_>) -> HashMap<MemberName, MemberSpec> {
+fn assemble_members(draft: ParsedList<'_>) -> HashMap<MemberName, MemberSpec> {
     let members = draft.members().map(|(_, draft)| &draft.member);
     members.map(|member| (member.name.clone(), member.clone())).collect()
 }
 
-fn assemble_keys(draft: ListDraft<'_>) -> Vec<KeySpec> {
+fn assemble_keys(draft: ParsedList<'_>) -> Vec<KeySpec> {
     let mut keys: Vec<_> = draft.keys().map(|(_, draft)| draft.key.clone()).collect();
     keys.sort_by_key(|key| key.id);
     keys
--- a/crates/foxledge-rules/src/changes.rs
+++ b/crates/foxledge-rules/src/changes.rs
@@ -79,7 +79,7 @@
 pub fn summarize_changes(old: &RuleList, new: &RuleList, limit: usize) -> ChangeSummary {
     let same_rules = old.rules == new.rules;
     let moved = if same_rules { MovedRules::new() } else { moved_rules(old, new) };
-    let rules_of = |list| if same_rules { RuleBook::new() } else { rule_book(list) };
+    let rules_of = |list| if same_rules { RuleMap::new() } else { rules_by_name(list) };
     let (old_rules, new_rules) = (rules_of(old), rules_of(new));
     let mut subjects = BTreeSet::new();
     add_differing_rules(&mut subjects, &old_rules, &new_rules);
@@ -95,8 +95,8 @@
         if let ChangeSubject::Rule(name) = &subject
             && let Some((old_before, new_before)) = moved.get(name)
         {
-            old_fields.insert("after", shown(old_before));
-            new_fields.insert("after", shown(new_before));
+            old_fields.insert("after", plain_value(old_before));
+            new_fields.insert("after", plain_value(new_before));
         }
         diff_fields(subject, &old_fields, &new_fields)
     });
@@ -107,9 +107,9 @@
 type FieldList = BTreeMap<&'static str, FieldValue>;
 
 /// The rules of a list by name.
-type RuleBook<'l> = HashMap<&'l RuleName, &'l FlowRule>;
+type RuleMap<'l> = HashMap<&'l RuleName, &'l FlowRule>;
 
-fn rule_book(list: &RuleList) -> RuleBook<'_> {
+fn rules_by_name(list: &RuleList) -> RuleMap<'_> {
     list.rules.iter().map(|rule| (&rule.name, rule)).collect()
 }
 
@@ -119,23 +119,23 @@
 /// `FieldValue` is what a field shows and what it is compared by.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct FieldValue {
-    shown: String,
-    hidden: Vec<u8>,
+    text: String,
+    secret: Vec<u8>,
 }
 
-fn shown(value: impl fmt::Display) -> FieldValue {
-    FieldValue { shown: value.to_string(), hidden: Vec::new() }
+fn plain_value(value: impl fmt::Display) -> FieldValue {
+    FieldValue { text: value.to_string(), secret: Vec::new() }
 }
 
 /// A secret shows only whether there is one.
-fn secret(value: &[u8]) -> FieldValue {
+fn secret_value(value: &[u8]) -> FieldValue {
     let word = if value.is_empty() { "none" } else { "set" };
-    FieldValue { shown: word.to_owned(), hidden: value.to_vec() }
+    FieldValue { text: word.to_owned(), secret: value.to_vec() }
 }
 
-fn names<N: fmt::Display>(names: &[N]) -> FieldValue {
+fn name_list<N: fmt::Display>(names: &[N]) -> FieldValue {
     let names: Vec<_> = names.iter().map(N::to_string).collect();
-    shown(if names.is_empty() { "any".to_owned() } else { names.join(" ") })
+    plain_value(if names.is_empty() { "any".to_owned() } else { names.join(" ") })
 }
 
 fn diff_fields(subject: ChangeSubject, old: &FieldList, new: &FieldList) -> Option<ListChange> {
@@ -145,7 +145,7 @@
     let differing = |from: &FieldList, other: &FieldList| {
         let fields = from.iter().filter(|(field, value)| other.get(*field) != Some(*value));
         let texts: Vec<_> =
-            fields.map(|(field, value)| format!("{field}={}", value.shown)).collect();
+            fields.map(|(field, value)| format!("{field}={}", value.text)).collect();
         texts.join(", ")
     };
     Some(ListChange { subject, old: differing(old, new), new: differing(new, old) })
@@ -153,8 +153,8 @@
 
 fn add_differing_rules(
     subjects: &mut BTreeSet<ChangeSubject>,
-    rules: &RuleBook<'_>,
-    others: &RuleBook<'_>,
+    rules: &RuleMap<'_>,
+    others: &RuleMap<'_>,
 ) {
     let differing = rules.iter().filter(|(name, rule)| others.get(*name) != Some(*rule));
     subjects.extend(differing.map(|(name, _)| ChangeSubject::Rule((*name).clone())));
@@ -195,7 +195,7 @@
 }
 
 /// The fields of a subject; none when the list doesn't have it.
-fn fields_of(list: &RuleList, rules: &RuleBook<'_>, subject: &ChangeSubject) -> FieldList {
+fn fields_of(list: &RuleList, rules: &RuleMap<'_>, subject: &ChangeSubject) -> FieldList {
     let fields = match subject {
         ChangeSubject::Rule(name) => rules.get(name).map(|rule| rule_fields(rule)),
         ChangeSubject::Service(name) => {
@@ -215,26 +215,26 @@
 }
 
 fn secret_fields(value: &[u8]) -> FieldList {
-    FieldList::from([("secret", secret(value))])
+    FieldList::from([("secret", secret_value(value))])
 }
 
 fn rule_fields(rule: &FlowRule) -> FieldList {
     let mut fields = FieldList::from([
-        ("address", names(&rule.when.addresses)),
-        ("member", names(&rule.when.members)),
-        ("data_centre", names(&rule.when.data_centres)),
-        ("kind", names(&rule.when.kinds)),
+        ("address", name_list(&rule.when.addresses)),
+        ("member", name_list(&rule.when.members)),
+        ("data_centre", name_list(&rule.when.data_centres)),
+        ("kind", name_list(&rule.when.kinds)),
     ]);
     match &rule.then {
         FlowTreatment::Deny => {
-            fields.insert("deny", shown(true));
+            fields.insert("deny", plain_value(true));
         }
         FlowTreatment::Serve(serve) => fields.extend([
-            ("service", shown(&serve.service)),
-            ("priority", shown(serve.priority.0)),
-            ("weight", shown(serve.weight)),
-            ("member_limit", shown(serve.member_limit)),
-            ("when_full", shown(format!("{:?}", serve.when_full).to_lowercase())),
+            ("service", plain_value(&serve.service)),
+            ("priority", plain_value(serve.priority.0)),
+            ("weight", plain_value(serve.weight)),
+            ("member_limit", plain_value(serve.member_limit)),
+            ("when_full", plain_value(format!("{:?}", serve.when_full).to_lowercase())),
         ]),
     }
     fields
@@ -242,20 +242,20 @@
 
 fn service_fields(service: &ServiceSpec) -> FieldList {
     FieldList::from([
-        ("addresses", names(&service.addresses)),
-        ("queue_limit", shown(service.queue_limit)),
-        ("shards", shown(service.shards)),
+        ("addresses", name_list(&service.addresses)),
+        ("queue_limit", plain_value(service.queue_limit)),
+        ("shards", plain_value(service.shards)),
     ])
 }
 
 fn target_fields(target: &TargetSpec) -> FieldList {
     FieldList::from([
-        ("address", shown(target.address)),
-        ("incarnation", shown(target.incarnation)),
-        ("data_centre", shown(&target.data_centre)),
-        ("slots", shown(target.slots)),
-        ("connections", shown(target.connections)),
-        ("draining", shown(target.draining)),
+        ("address", plain_value(target.address)),
+        ("incarnation", plain_value(target.incarnation)),
+        ("data_centre", plain_value(&target.data_centre)),
+        ("slots", plain_value(target.slots)),
+        ("connections", plain_value(target.connections)),
+        ("draining", plain_value(target.draining)),
     ])
 }
 
--- a/crates/foxledge-rules/src/checks.rs
+++ b/crates/foxledge-rules/src/checks.rs
@@ -14,39 +14,39 @@
 
 use crate::{
     assembler::{MAX_RULE_ADDRESSES, MAX_RULES},
-    draft::{ListDraft, RuleDraft, ServiceDraft, ThenDraft},
+    list_findings::ListFindings,
+    locations::{ListLocation, PartLocation},
+    parsed::{ParsedList, ParsedRule, ParsedService, ParsedTreatment},
     shadows::check_shadows,
-    sources::ListSources,
-    spots::{ListSpot, PartSpot},
 };
 
 /// Notes what is wrong across tables and parts, and gives each rule without an
 /// address condition the addresses of its service.
-pub(crate) fn check_draft<'a>(
-    sources: &ListSources<'_>,
-    draft: ListDraft<'a>,
+pub(crate) fn check_list<'a>(
+    sources: &ListFindings<'_>,
+    draft: ParsedList<'a>,
 ) -> Vec<BoundRule<'a>> {
     if let Some((part, rule)) = draft.rules().nth(MAX_RULES) {
-        sources.add(part, &rule.spot, format!("is one rule more than {MAX_RULES}"));
+        sources.add(part, &rule.location, format!("is one rule more than {MAX_RULES}"));
         return Vec::new();
     }
     check_members_and_keys(sources, draft);
     check_targets(sources, draft);
-    let book = ServiceBook::read(sources, draft);
+    let book = ServiceIndex::build(sources, draft);
     check_rule_names(sources, draft);
     let rules = bind_rules(sources, &book, draft);
     check_shadows(sources, &rules);
     rules
 }
 
-fn check_rule_names(sources: &ListSources<'_>, draft: ListDraft<'_>) {
+fn check_rule_names(sources: &ListFindings<'_>, draft: ParsedList<'_>) {
     let members: HashSet<_> = draft.members().map(|(_, member)| &member.member.name).collect();
     let names = draft.rules().filter_map(|(_, rule)| rule.name.as_deref());
-    if !all_differ(names.map(name_digest)) {
-        note_rule_repeats(sources, draft);
+    if !are_unique(names.map(name_digest)) {
+        report_duplicate_rules(sources, draft);
     }
     for (part, rule) in draft.rules() {
-        for (member, spot) in rule.when.members.iter().zip(&rule.member_spots) {
+        for (member, spot) in rule.when.members.iter().zip(&rule.member_locations) {
             if !members.contains(member) {
                 sources.add(part, spot, format!("no member \"{member}\""));
             }
@@ -54,11 +54,11 @@
     }
 }
 
-fn note_rule_repeats(sources: &ListSources<'_>, draft: ListDraft<'_>) {
-    let mut names = NameBook::new();
+fn report_duplicate_rules(sources: &ListFindings<'_>, draft: ParsedList<'_>) {
+    let mut names = NameRegistry::new();
     for (part, rule) in draft.rules() {
         if let Some(name) = &rule.name {
-            names.enter(sources, name, part, rule.name_spot);
+            names.register(sources, name, part, rule.name_location);
         }
     }
 }
@@ -67,17 +67,17 @@
 #[derive(Debug)]
 pub(crate) struct BoundRule<'a> {
     pub(crate) part: usize,
-    pub(crate) draft: &'a RuleDraft,
+    pub(crate) rule: &'a ParsedRule,
     /// Its own, or those of its service.
     pub(crate) addresses: Cow<'a, [ServiceAddress]>,
     /// True while no finding says that what it matches was read wrong.
-    pub(crate) is_sound: bool,
+    pub(crate) is_comparable: bool,
 }
 
 impl BoundRule<'_> {
     /// Where the rule stands.
-    pub(crate) fn spot(&self) -> ListSpot {
-        ListSpot { part: self.part, spot: self.draft.spot }
+    pub(crate) fn location(&self) -> ListLocation {
+        ListLocation { part: self.part, location: self.rule.location }
     }
 }
 
@@ -88,9 +88,9 @@
 /// this no rule that serves matches an address outside of its service. Returns
 /// the rules that were bound before the addresses became too many.
 fn bind_rules<'a>(
-    sources: &ListSources<'_>,
-    book: &ServiceBook<'a>,
-    draft: ListDraft<'a>,
+    sources: &ListFindings<'_>,
+    book: &ServiceIndex<'a>,
+    draft: ParsedList<'a>,
 ) -> Vec<BoundRule<'a>> {
     let mut addresses = 0;
     let mut rules = Vec::new();
@@ -101,7 +101,7 @@
         addresses += bound.addresses.len();
         if addresses > MAX_RULE_ADDRESSES {
             let text = "brings the addresses of all rules above";
-            sources.add(part, &rule.spot, format!("{text} {MAX_RULE_ADDRESSES}"));
+            sources.add(part, &rule.location, format!("{text} {MAX_RULE_ADDRESSES}"));
             break;
         }
         rules.push(bound);
@@ -110,17 +110,17 @@
 }
 
 fn bind_rule<'a>(
-    sources: &ListSources<'_>,
-    book: &ServiceBook<'a>,
+    sources: &ListFindings<'_>,
+    book: &ServiceIndex<'a>,
     part: usize,
-    rule: &'a RuleDraft,
+    rule: &'a ParsedRule,
 ) -> BoundRule<'a> {
     let addresses = Cow::Borrowed(&rule.when.addresses[..]);
-    let mut bound = BoundRule { part, draft: rule, addresses, is_sound: rule.is_sound };
-    let placed = rule.when.addresses.iter().zip(&rule.address_spots);
+    let mut bound = BoundRule { part, rule: rule, addresses, is_comparable: rule.is_fully_read };
+    let placed = rule.when.addresses.iter().zip(&rule.address_locations);
     let serve = match &rule.then {
-        Some(ThenDraft::Serve(serve)) => serve,
-        Some(ThenDraft::Deny) => {
+        Some(ParsedTreatment::Serve(serve)) => serve,
+        Some(ParsedTreatment::Deny) => {
             for (address, spot) in placed {
                 if !book.owners.contains_key(address) {
                     sources.add(part, spot, format!("no service has the address \"{address}\""));
@@ -131,8 +131,8 @@
         None => return bound,
     };
     let Some(service) = book.services.get(&serve.service) else {
-        sources.add(part, &serve.service_spot, format!("no service \"{}\"", serve.service));
-        bound.is_sound = false;
+        sources.add(part, &serve.service_location, format!("no service \"{}\"", serve.service));
+        bound.is_comparable = false;
         return bound;
     };
     for (address, spot) in placed {
@@ -144,29 +144,29 @@
     if rule.when.addresses.is_empty() {
         bound.addresses = service.addresses.iter().map(|(address, _)| address.clone()).collect();
         // A service without a good address has a finding of its own.
-        bound.is_sound &= !bound.addresses.is_empty();
+        bound.is_comparable &= !bound.addresses.is_empty();
     }
     bound
 }
 
-/// `NameBook` knows what names were given, and where first.
-struct NameBook<N> {
-    first: HashMap<N, (usize, PartSpot)>,
+/// `NameRegistry` knows what names were given, and where first.
+struct NameRegistry<N> {
+    first_uses: HashMap<N, (usize, PartLocation)>,
 }
 
-impl<N: Eq + Hash + fmt::Display> NameBook<N> {
-    fn new() -> NameBook<N> {
-        NameBook { first: HashMap::new() }
+impl<N: Eq + Hash + fmt::Display> NameRegistry<N> {
+    fn new() -> NameRegistry<N> {
+        NameRegistry { first_uses: HashMap::new() }
     }
 
     /// Enters a name; one that was entered before is a finding.
-    fn enter(&mut self, sources: &ListSources<'_>, name: N, part: usize, spot: PartSpot) {
-        match self.first.entry(name) {
+    fn register(&mut self, sources: &ListFindings<'_>, name: N, part: usize, spot: PartLocation) {
+        match self.first_uses.entry(name) {
             Entry::Occupied(entry) => {
                 let (earlier_part, earlier) = *entry.get();
-                let spot = ListSpot { part, spot };
-                let earlier = ListSpot { part: earlier_part, spot: earlier };
-                sources.add_repeat(spot, entry.key(), earlier);
+                let spot = ListLocation { part, location: spot };
+                let earlier = ListLocation { part: earlier_part, location: earlier };
+                sources.add_duplicate(spot, entry.key(), earlier);
             }
             Entry::Vacant(entry) => {
                 entry.insert((part, spot));
@@ -175,48 +175,48 @@
     }
 }
 
-fn check_members_and_keys(sources: &ListSources<'_>, draft: ListDraft<'_>) {
-    let mut members = NameBook::new();
+fn check_members_and_keys(sources: &ListFindings<'_>, draft: ParsedList<'_>) {
+    let mut members = NameRegistry::new();
     for (part, member) in draft.members() {
-        members.enter(sources, &member.member.name, part, member.spot);
+        members.register(sources, &member.member.name, part, member.location);
     }
-    let mut keys = NameBook::new();
+    let mut keys = NameRegistry::new();
     for (part, key) in draft.keys() {
-        keys.enter(sources, key.key.id, part, key.spot);
+        keys.register(sources, key.key.id, part, key.location);
     }
     if draft.keys().next().is_none() {
-        sources.add_whole("has no [[key]], so no ticket could be sealed");
+        sources.add_to_list("has no [[key]], so no ticket could be sealed");
     }
 }
 
 /// A target address that two services share would take one service's packets
 /// to the other; callers would see answers of the wrong service.
-fn check_targets(sources: &ListSources<'_>, draft: ListDraft<'_>) {
+fn check_targets(sources: &ListFindings<'_>, draft: ParsedList<'_>) {
     let names = draft.targets().map(|(_, target)| target.name_digest);
     let addresses = draft.targets().map(|(_, target)| target.address_digest);
-    if !all_differ(names) || !all_differ(addresses) {
-        note_target_repeats(sources, draft);
+    if !are_unique(names) || !are_unique(addresses) {
+        report_duplicate_targets(sources, draft);
     }
     check_target_counts(sources, draft);
 }
 
-fn note_target_repeats(sources: &ListSources<'_>, draft: ListDraft<'_>) {
-    let mut names = NameBook::new();
-    let mut addresses = NameBook::new();
+fn report_duplicate_targets(sources: &ListFindings<'_>, draft: ParsedList<'_>) {
+    let mut names = NameRegistry::new();
+    let mut addresses = NameRegistry::new();
     for (part, target) in draft.targets() {
         let Some(spec) = draft.parts[part].target(target) else { continue };
-        let name = TargetKey { service: &target.service, target: &spec.name };
-        names.enter(sources, name, part, target.name_spot());
-        addresses.enter(sources, spec.address, part, target.address_spot());
+        let name = TargetPath { service: &target.service, target: &spec.name };
+        names.register(sources, name, part, target.name_location());
+        addresses.register(sources, spec.address, part, target.address_location());
     }
 }
 
 /// Checks that each target has a service, and each service enough targets.
-fn check_target_counts(sources: &ListSources<'_>, draft: ListDraft<'_>) {
+fn check_target_counts(sources: &ListFindings<'_>, draft: ParsedList<'_>) {
     let services = draft.services().filter_map(|(_, service)| service.name.as_ref());
     let mut counts: HashMap<&ServiceName, usize> = services.map(|name| (name, 0)).collect();
     let mut has_strays = false;
-    for count in draft.parts.iter().flat_map(|part| &part.counts) {
+    for count in draft.parts.iter().flat_map(|part| &part.target_counts) {
         match counts.get_mut(&count.service) {
             Some(sum) => *sum += count.targets,
             None => has_strays = true,
@@ -226,7 +226,7 @@
         for (part, target) in draft.targets() {
             if !counts.contains_key(&target.service) {
                 let text = format!("no service \"{}\"", target.service);
-                sources.add(part, &target.service_spot(), text);
+                sources.add(part, &target.service_location(), text);
             }
         }
     }
@@ -240,7 +240,7 @@
 ///
 /// Sorting numbers costs a tenth of entering names in a map. Names whose digests
 /// happen to be equal are compared by their text after that.
-fn all_differ(digests: impl Iterator<Item = u64>) -> bool {
+fn are_unique(digests: impl Iterator<Item = u64>) -> bool {
     let mut digests: Vec<_> = digests.collect();
     digests.sort_unstable();
     digests.windows(2).all(|pair| pair[0] != pair[1])
@@ -250,57 +250,57 @@
     digest_of(name.as_bytes())
 }
 
-/// `TargetKey` is the name of a target in its service.
+/// `TargetPath` is the name of a target in its service.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-struct TargetKey<'a> {
+struct TargetPath<'a> {
     service: &'a ServiceName,
     target: &'a TargetName,
 }
 
-impl fmt::Display for TargetKey<'_> {
+impl fmt::Display for TargetPath<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}", self.service, self.target)
     }
 }
 
-fn check_shards(sources: &ListSources<'_>, part: usize, service: &ServiceDraft, targets: usize) {
+fn check_shards(sources: &ListFindings<'_>, part: usize, service: &ParsedService, targets: usize) {
     if targets == 0 {
-        sources.add(part, &service.spot, "has no target");
+        sources.add(part, &service.location, "has no target");
     } else if service.shards as usize > targets {
         let text = format!("must not be more than the number of the service's targets, {targets}");
-        sources.add(part, &service.shards_spot, text);
+        sources.add(part, &service.shards_location, text);
     }
 }
 
-fn note_service_repeats(sources: &ListSources<'_>, draft: ListDraft<'_>) {
-    let mut names = NameBook::new();
-    let mut addresses = NameBook::new();
+fn report_duplicate_services(sources: &ListFindings<'_>, draft: ParsedList<'_>) {
+    let mut names = NameRegistry::new();
+    let mut addresses = NameRegistry::new();
     for (part, service) in draft.services() {
         for (address, spot) in &service.addresses {
-            addresses.enter(sources, address, part, *spot);
+            addresses.register(sources, address, part, *spot);
         }
         if let Some(name) = &service.name {
-            names.enter(sources, name, part, service.name_spot);
+            names.register(sources, name, part, service.name_location);
         }
     }
 }
 
-/// `ServiceBook` knows which service each address leads to.
-struct ServiceBook<'a> {
-    services: HashMap<&'a ServiceName, &'a ServiceDraft>,
+/// `ServiceIndex` knows which service each address leads to.
+struct ServiceIndex<'a> {
+    services: HashMap<&'a ServiceName, &'a ParsedService>,
     owners: HashMap<&'a ServiceAddress, &'a ServiceName>,
 }
 
-impl<'a> ServiceBook<'a> {
+impl<'a> ServiceIndex<'a> {
     /// Reads the services; names and addresses given twice are findings.
-    fn read(sources: &ListSources<'_>, draft: ListDraft<'a>) -> ServiceBook<'a> {
+    fn build(sources: &ListFindings<'_>, draft: ParsedList<'a>) -> ServiceIndex<'a> {
         let names = draft.services().filter_map(|(_, service)| service.name.as_deref());
         let addresses = draft.services().flat_map(|(_, service)| &service.addresses);
         let addresses = addresses.map(|(address, _)| address.as_str());
-        if !all_differ(names.map(name_digest)) || !all_differ(addresses.map(name_digest)) {
-            note_service_repeats(sources, draft);
+        if !are_unique(names.map(name_digest)) || !are_unique(addresses.map(name_digest)) {
+            report_duplicate_services(sources, draft);
         }
-        let mut book = ServiceBook { services: HashMap::new(), owners: HashMap::new() };
+        let mut book = ServiceIndex { services: HashMap::new(), owners: HashMap::new() };
         for (_, service) in draft.services() {
             let Some(name) = &service.name else {
                 continue;
--- a/crates/foxledge-rules/src/index.rs
+++ b/crates/foxledge-rules/src/index.rs
@@ -15,9 +15,9 @@
 pub struct RuleIndex {
     list: Arc<RuleList>,
     /// Numbers of the rules that name the address, in order.
-    with_address: HashMap<ServiceAddress, Vec<u32>>,
+    by_address: HashMap<ServiceAddress, Vec<u32>>,
     /// Numbers of the rules that name no address, in order.
-    with_any: Vec<u32>,
+    any_address: Vec<u32>,
 }
 
 impl RuleIndex {
@@ -33,7 +33,7 @@
                 with_address.entry(address.clone()).or_default().push(number);
             }
         }
-        RuleIndex { list, with_address, with_any }
+        RuleIndex { list, by_address: with_address, any_address: with_any }
     }
 
     /// The list.
@@ -43,9 +43,9 @@
 
     /// The first rule that matches, or none.
     pub fn first_match(&self, flow: &FlowTraits<'_>) -> Option<&FlowRule> {
-        let with_address = self.with_address.get(flow.address).map_or(&[][..], Vec::as_slice);
+        let with_address = self.by_address.get(flow.address).map_or(&[][..], Vec::as_slice);
         let by_address = self.first_among(with_address, flow);
-        let by_any = self.first_among(&self.with_any, flow);
+        let by_any = self.first_among(&self.any_address, flow);
         let first = match (by_address, by_any) {
             (Some(a), Some(b)) => a.min(b),
             (first, None) | (None, first) => first?,
--- a/crates/foxledge-rules/src/lib.rs
+++ b/crates/foxledge-rules/src/lib.rs
@@ -9,13 +9,13 @@
 mod build;
 pub mod changes;
 mod checks;
-mod draft;
 pub mod index;
-mod parts;
+mod list_findings;
+mod locations;
+mod parsed;
+mod part_reader;
 mod secrets;
 mod shadows;
-mod sources;
-mod spots;
 mod version;
 
 pub use assembler::{
--- a/crates/foxledge-rules/src/spots.rs
+++ b/crates/foxledge-rules/src/locations.rs
@@ -4,39 +4,39 @@
 
 use foxledge_document::KeyLocation;
 
-/// `PartSpot` is where in a part something stands.
+/// `PartLocation` is where in a part something stands.
 ///
 /// A [`KeyLocation`] shares its path by counted pointers, which take more memory than
 /// the target they belong to. Parts are kept from list to list, so the path is
 /// kept as numbers here.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct PartSpot {
+pub(crate) struct PartLocation {
     pub(crate) line: u32,
     pub(crate) row: RowPath,
     pub(crate) field: FieldPath,
 }
 
-impl PartSpot {
+impl PartLocation {
     /// The spot of a field of a row at a place that the document gave.
-    pub(crate) fn new(place: &KeyLocation, row: RowPath, field: FieldPath) -> PartSpot {
-        PartSpot { line: place.line as u32, row, field }
+    pub(crate) fn new(place: &KeyLocation, row: RowPath, field: FieldPath) -> PartLocation {
+        PartLocation { line: place.line as u32, row, field }
     }
 }
 
-impl fmt::Display for PartSpot {
+impl fmt::Display for PartLocation {
     /// Writes the path of the key.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}{}", self.row, self.field)
     }
 }
 
-/// `ListSpot` is where in a list something stands.
+/// `ListLocation` is where in a list something stands.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ListSpot {
+pub(crate) struct ListLocation {
     /// Index of the part.
     pub(crate) part: usize,
     /// Where in the part.
-    pub(crate) spot: PartSpot,
+    pub(crate) location: PartLocation,
 }
 
 /// `RowPath` is the path of one row of an array of tables.
@@ -45,7 +45,7 @@
     Rule(u32),
     Service(u32),
     /// A target inside of a service.
-    Inner(u32, u32),
+    NestedTarget(u32, u32),
     Target(u32),
     Member(u32),
     Key(u32),
@@ -56,7 +56,7 @@
         match self {
             RowPath::Rule(row) => write!(f, "rule[{row}]"),
             RowPath::Service(row) => write!(f, "service[{row}]"),
-            RowPath::Inner(row, target) => write!(f, "service[{row}].target[{target}]"),
+            RowPath::NestedTarget(row, target) => write!(f, "service[{row}].target[{target}]"),
             RowPath::Target(row) => write!(f, "target[{row}]"),
             RowPath::Member(row) => write!(f, "member[{row}]"),
             RowPath::Key(row) => write!(f, "key[{row}]"),
--- a/crates/foxledge-rules/src/draft.rs
+++ b/crates/foxledge-rules/src/parsed.rs
@@ -7,27 +7,27 @@
     names::{RuleName, ServiceAddress, ServiceName},
 };
 
-use crate::spots::{FieldPath, PartSpot, RowPath};
+use crate::locations::{FieldPath, PartLocation, RowPath};
 
-/// `PartDraft` is everything that could be read of one part.
+/// `ParsedPart` is everything that could be read of one part.
 ///
 /// It doesn't know its part's name or place in the list, so that it can be kept
 /// under the digest of the part's text alone.
 ///
 /// Invariant: what couldn't be read is left out or none, and a finding says why.
 #[derive(Debug, Default)]
-pub(crate) struct PartDraft {
-    pub(crate) rules: Vec<RuleDraft>,
-    pub(crate) services: Vec<ServiceDraft>,
-    pub(crate) targets: Vec<TargetDraft>,
-    pub(crate) members: Vec<MemberDraft>,
-    pub(crate) keys: Vec<KeyDraft>,
+pub(crate) struct ParsedPart {
+    pub(crate) rules: Vec<ParsedRule>,
+    pub(crate) services: Vec<ParsedService>,
+    pub(crate) targets: Vec<ParsedTarget>,
+    pub(crate) members: Vec<ParsedMember>,
+    pub(crate) keys: Vec<ParsedKey>,
     pub(crate) findings: Vec<PartFinding>,
     /// The services that the part has targets of.
-    pub(crate) counts: Vec<TargetCount>,
+    pub(crate) target_counts: Vec<TargetCount>,
 }
 
-impl PartDraft {
+impl ParsedPart {
     /// Gives back the memory that growing left over.
     pub(crate) fn shrink(&mut self) {
         self.rules.shrink_to_fit();
@@ -38,10 +38,10 @@
     }
 
     /// The target of one of the part's drafts.
-    pub(crate) fn target<'a>(&'a self, draft: &'a TargetDraft) -> Option<&'a TargetSpec> {
-        match &draft.place {
-            TargetPlace::Here(target) => Some(target),
-            TargetPlace::Service { service, target } => {
+    pub(crate) fn target<'a>(&'a self, draft: &'a ParsedTarget) -> Option<&'a TargetSpec> {
+        match &draft.storage {
+            TargetStorage::Inline(target) => Some(target),
+            TargetStorage::InService { service, target } => {
                 let spec = self.services.get(*service as usize)?.spec.as_ref()?;
                 spec.targets.get(*target as usize)
             }
@@ -49,8 +49,9 @@
     }
 
     /// Services of other parts that this part has targets of.
-    pub(crate) fn foreign_services(&self) -> impl Iterator<Item = &ServiceName> {
-        let foreign = self.counts.iter().filter(|count| count.home == CountHome::OtherPart);
+    pub(crate) fn services_of_other_parts(&self) -> impl Iterator<Item = &ServiceName> {
+        let foreign =
+            self.target_counts.iter().filter(|count| count.scope == CountScope::OtherPart);
         foreign.map(|count| &count.service)
     }
 }
@@ -60,12 +61,12 @@
 pub(crate) struct TargetCount {
     pub(crate) service: ServiceName,
     pub(crate) targets: usize,
-    pub(crate) home: CountHome,
+    pub(crate) scope: CountScope,
 }
 
-/// `CountHome` is whether the counted targets stand beside their service.
+/// `CountScope` is whether the counted targets stand beside their service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CountHome {
+pub(crate) enum CountScope {
     /// The service stands in the same part.
     SamePart,
     /// The service stands in another part, or nowhere.
@@ -80,85 +81,85 @@
     pub(crate) text: String,
 }
 
-/// `ListDraft` is the drafts of all parts in order.
+/// `ParsedList` is the drafts of all parts in order.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ListDraft<'a> {
-    pub(crate) parts: &'a [Arc<PartDraft>],
+pub(crate) struct ParsedList<'a> {
+    pub(crate) parts: &'a [Arc<ParsedPart>],
 }
 
-impl<'a> ListDraft<'a> {
-    pub(crate) fn rules(self) -> impl Iterator<Item = (usize, &'a RuleDraft)> {
+impl<'a> ParsedList<'a> {
+    pub(crate) fn rules(self) -> impl Iterator<Item = (usize, &'a ParsedRule)> {
         self.rows(|part| &part.rules)
     }
 
-    pub(crate) fn services(self) -> impl Iterator<Item = (usize, &'a ServiceDraft)> {
+    pub(crate) fn services(self) -> impl Iterator<Item = (usize, &'a ParsedService)> {
         self.rows(|part| &part.services)
     }
 
-    pub(crate) fn targets(self) -> impl Iterator<Item = (usize, &'a TargetDraft)> {
+    pub(crate) fn targets(self) -> impl Iterator<Item = (usize, &'a ParsedTarget)> {
         self.rows(|part| &part.targets)
     }
 
-    pub(crate) fn members(self) -> impl Iterator<Item = (usize, &'a MemberDraft)> {
+    pub(crate) fn members(self) -> impl Iterator<Item = (usize, &'a ParsedMember)> {
         self.rows(|part| &part.members)
     }
 
-    pub(crate) fn keys(self) -> impl Iterator<Item = (usize, &'a KeyDraft)> {
+    pub(crate) fn keys(self) -> impl Iterator<Item = (usize, &'a ParsedKey)> {
         self.rows(|part| &part.keys)
     }
 
     /// The rows of one kind, each with the index of its part.
     fn rows<T: 'a>(
         self,
-        rows: impl Fn(&'a PartDraft) -> &'a Vec<T>,
+        rows: impl Fn(&'a ParsedPart) -> &'a Vec<T>,
     ) -> impl Iterator<Item = (usize, &'a T)> {
         let parts = self.parts.iter().enumerate();
         parts.flat_map(move |(number, part)| rows(part).iter().map(move |row| (number, row)))
     }
 }
 
-/// `RuleDraft` is one rule.
+/// `ParsedRule` is one rule.
 #[derive(Debug)]
-pub(crate) struct RuleDraft {
-    pub(crate) spot: PartSpot,
-    pub(crate) name_spot: PartSpot,
+pub(crate) struct ParsedRule {
+    pub(crate) location: PartLocation,
+    pub(crate) name_location: PartLocation,
     pub(crate) name: Option<RuleName>,
     pub(crate) when: FlowMatch,
-    pub(crate) address_spots: Vec<PartSpot>,
-    pub(crate) member_spots: Vec<PartSpot>,
-    pub(crate) then: Option<ThenDraft>,
+    pub(crate) address_locations: Vec<PartLocation>,
+    pub(crate) member_locations: Vec<PartLocation>,
+    pub(crate) then: Option<ParsedTreatment>,
     /// True while no finding says that what it matches was read wrong.
-    pub(crate) is_sound: bool,
+    pub(crate) is_fully_read: bool,
 }
 
-/// `ThenDraft` is what a rule decides.
+/// `ParsedTreatment` is what a rule decides.
 #[derive(Debug)]
-pub(crate) enum ThenDraft {
+pub(crate) enum ParsedTreatment {
     Deny,
-    Serve(ServeDraft),
+    Serve(ParsedServe),
 }
 
-/// `ServeDraft` is how a matched flow is served.
+/// `ParsedServe` is how a matched flow is served.
 #[derive(Debug)]
-pub(crate) struct ServeDraft {
+pub(crate) struct ParsedServe {
     pub(crate) service: ServiceName,
-    pub(crate) service_spot: PartSpot,
+    pub(crate) service_location: PartLocation,
     pub(crate) priority: PaidPriority,
     pub(crate) weight: u32,
     pub(crate) member_limit: u32,
     pub(crate) when_full: FullAction,
 }
 
-/// `ServiceDraft` is one service without its targets.
+/// `ParsedService` is one service without its targets.
 #[derive(Debug)]
-pub(crate) struct ServiceDraft {
-    pub(crate) spot: PartSpot,
-    pub(crate) name_spot: PartSpot,
+pub(crate) struct ParsedService {
+    pub(crate) location: PartLocation,
+    pub(crate) name_location: PartLocation,
     pub(crate) name: Option<ServiceName>,
-    pub(crate) addresses: Vec<(ServiceAddress, PartSpot)>,
+    pub(crate) addresses: Vec<(ServiceAddress, PartLocation)>,
     pub(crate) queue_limit: u32,
     pub(crate) shards: u32,
-    pub(crate) shards_spot: PartSpot,
+    pub(crate) shards_location: PartLocation,
     /// The service with the targets of its own part; none without a name.
     ///
     /// Lists that keep the part share it, so that whoever compares two lists
@@ -166,7 +167,7 @@
     pub(crate) spec: Option<Arc<ServiceSpec>>,
 }
 
-impl ServiceDraft {
+impl ParsedService {
     /// The service with these targets.
     pub(crate) fn to_spec(&self, name: &ServiceName, targets: Vec<TargetSpec>) -> ServiceSpec {
         ServiceSpec {
@@ -179,11 +180,11 @@
     }
 }
 
-/// `TargetDraft` is one target and the service that it belongs to.
+/// `ParsedTarget` is one target and the service that it belongs to.
 ///
 /// Small, as there are tens of thousands of them and each check walks over all.
 #[derive(Debug)]
-pub(crate) struct TargetDraft {
+pub(crate) struct ParsedTarget {
     pub(crate) row: RowPath,
     pub(crate) name_line: u32,
     pub(crate) address_line: u32,
@@ -193,47 +194,47 @@
     pub(crate) name_digest: u64,
     /// Equal for equal addresses.
     pub(crate) address_digest: u64,
-    pub(crate) place: TargetPlace,
+    pub(crate) storage: TargetStorage,
 }
 
 /// `TargetPlace` is where in a part's draft a target is.
 #[derive(Debug)]
-pub(crate) enum TargetPlace {
+pub(crate) enum TargetStorage {
     /// In the `spec` of a service of the part, by their indices.
-    Service { service: u32, target: u32 },
+    InService { service: u32, target: u32 },
     /// Here; the service stands in another part.
-    Here(Box<TargetSpec>),
+    Inline(Box<TargetSpec>),
 }
 
-impl TargetDraft {
-    pub(crate) fn name_spot(&self) -> PartSpot {
-        PartSpot { line: self.name_line, row: self.row, field: FieldPath::Name }
+impl ParsedTarget {
+    pub(crate) fn name_location(&self) -> PartLocation {
+        PartLocation { line: self.name_line, row: self.row, field: FieldPath::Name }
     }
 
-    pub(crate) fn address_spot(&self) -> PartSpot {
-        PartSpot { line: self.address_line, row: self.row, field: FieldPath::Address }
+    pub(crate) fn address_location(&self) -> PartLocation {
+        PartLocation { line: self.address_line, row: self.row, field: FieldPath::Address }
     }
 
     /// Where the service is named: by the target, or by the service around it.
-    pub(crate) fn service_spot(&self) -> PartSpot {
+    pub(crate) fn service_location(&self) -> PartLocation {
         let field = match self.row {
-            RowPath::Inner(..) => FieldPath::Row,
+            RowPath::NestedTarget(..) => FieldPath::Row,
             _ => FieldPath::Service,
         };
-        PartSpot { line: self.service_line, row: self.row, field }
+        PartLocation { line: self.service_line, row: self.row, field }
     }
 }
 
-/// `MemberDraft` is one member.
+/// `ParsedMember` is one member.
 #[derive(Debug)]
-pub(crate) struct MemberDraft {
-    pub(crate) spot: PartSpot,
+pub(crate) struct ParsedMember {
+    pub(crate) location: PartLocation,
     pub(crate) member: MemberSpec,
 }
 
-/// `KeyDraft` is one key.
+/// `ParsedKey` is one key.
 #[derive(Debug)]
-pub(crate) struct KeyDraft {
-    pub(crate) spot: PartSpot,
+pub(crate) struct ParsedKey {
+    pub(crate) location: PartLocation,
     pub(crate) key: KeySpec,
 }
--- a/crates/foxledge-rules/src/parts.rs
+++ b/crates/foxledge-rules/src/part_reader.rs
@@ -19,43 +19,43 @@
 use foxledge_document::{KeyLocation, LocatedText, SourceFindings, TableReader, read_document};
 
 use crate::{
-    draft::{
-        CountHome, KeyDraft, MemberDraft, PartDraft, PartFinding, RuleDraft, ServeDraft,
-        ServiceDraft, TargetCount, TargetDraft, TargetPlace, ThenDraft,
+    locations::{FieldPath, PartLocation, RowPath},
+    parsed::{
+        CountScope, ParsedKey, ParsedMember, ParsedPart, ParsedRule, ParsedServe, ParsedService,
+        ParsedTarget, ParsedTreatment, PartFinding, TargetCount, TargetStorage,
     },
     secrets::parse_secret,
-    spots::{FieldPath, PartSpot, RowPath},
 };
 
 const U32_MAX: u64 = u32::MAX as u64;
 const MAX_WEIGHT: u64 = 1_000_000;
-const MAX_QUEUE: u64 = 1_000_000;
+const MAX_QUEUE_LIMIT: u64 = 1_000_000;
 const MAX_SHARDS: u64 = 1000;
 const MAX_SLOTS: u64 = 100_000;
 const MAX_CONNECTIONS: u64 = 10_000_000;
 
 /// Reads one part, with the findings in it.
-pub(crate) fn read_part(text: &str) -> PartDraft {
+pub(crate) fn read_part(text: &str) -> ParsedPart {
     let notes = SourceFindings::new("", text);
     let draft = read_document(&notes, text, |root| {
         let mut reader = PartReader {
-            notes: &notes,
-            draft: PartDraft::default(),
+            findings: &notes,
+            part: ParsedPart::default(),
             services: NamePool::new(),
             centres: NamePool::new(),
         };
-        reader.read(root);
-        reader.draft
+        reader.read_root(root);
+        reader.part
     });
     let mut draft = draft.unwrap_or_default();
-    draft.findings = findings_of(notes);
-    add_specs(&mut draft);
+    draft.findings = part_findings(notes);
+    build_specs(&mut draft);
     draft.shrink();
     draft
 }
 
 /// Makes each service with the targets that its part has of it, and counts targets.
-fn add_specs(draft: &mut PartDraft) {
+fn build_specs(draft: &mut ParsedPart) {
     let mut numbers: HashMap<&ServiceName, u32> = HashMap::new();
     for (number, service) in (0..).zip(&draft.services) {
         // A name given twice is a finding of the whole list, so that it doesn't
@@ -73,15 +73,15 @@
             continue;
         };
         let own = &mut targets[service as usize];
-        let place = TargetPlace::Service { service, target: own.len() as u32 };
-        if let TargetPlace::Here(spec) = std::mem::replace(&mut target.place, place) {
+        let place = TargetStorage::InService { service, target: own.len() as u32 };
+        if let TargetStorage::Inline(spec) = std::mem::replace(&mut target.storage, place) {
             own.push(*spec);
         }
     }
     let foreign = foreign.into_iter().map(|(service, targets)| TargetCount {
         service: service.clone(),
         targets,
-        home: CountHome::OtherPart,
+        scope: CountScope::OtherPart,
     });
     let mut counts: Vec<_> = foreign.collect();
     for (service, mut targets) in draft.services.iter_mut().zip(targets) {
@@ -89,31 +89,31 @@
         targets.shrink_to_fit();
         if !targets.is_empty() {
             let (service, targets) = (name.clone(), targets.len());
-            counts.push(TargetCount { service, targets, home: CountHome::SamePart });
+            counts.push(TargetCount { service, targets, scope: CountScope::SamePart });
         }
         service.spec = Some(Arc::new(service.to_spec(&name, targets)));
     }
-    draft.counts = counts;
+    draft.target_counts = counts;
 }
 
-fn findings_of(notes: SourceFindings) -> Vec<PartFinding> {
+fn part_findings(notes: SourceFindings) -> Vec<PartFinding> {
     let findings = notes.into_findings();
     let findings = findings.iter().cloned();
     findings.map(|Finding { line, key, text, .. }| PartFinding { line, key, text }).collect()
 }
 
 struct PartReader<'a> {
-    notes: &'a SourceFindings,
-    draft: PartDraft,
+    findings: &'a SourceFindings,
+    part: ParsedPart,
     services: NamePool<ServiceName>,
     centres: NamePool<CentreName>,
 }
 
 impl PartReader<'_> {
-    fn read(&mut self, root: &TableReader<'_>) {
+    fn read_root(&mut self, root: &TableReader<'_>) {
         for table in root.tables("rule") {
             let rule = self.read_rule(&table);
-            self.draft.rules.push(rule);
+            self.part.rules.push(rule);
         }
         for table in root.tables("service") {
             self.read_service(&table);
@@ -123,17 +123,17 @@
         }
         for table in root.tables("member") {
             let member = self.read_member(&table);
-            self.draft.members.extend(member);
+            self.part.members.extend(member);
         }
         for table in root.tables("key") {
             let key = self.read_key(&table);
-            self.draft.keys.extend(key);
+            self.part.keys.extend(key);
         }
     }
 
-    fn read_rule(&mut self, table: &TableReader<'_>) -> RuleDraft {
-        let findings_before = self.notes.len();
-        let row = RowPath::Rule(index_of(table.location()));
+    fn read_rule(&mut self, table: &TableReader<'_>) -> ParsedRule {
+        let findings_before = self.findings.len();
+        let row = RowPath::Rule(last_index(table.location()));
         let name = table.require("name", table.name("name"));
         let when = table.table("when");
         let addresses = when.names("address");
@@ -142,21 +142,21 @@
         let flow_match = FlowMatch {
             addresses: addresses.iter().map(|name| ServiceAddress::new(name.text)).collect(),
             members: members.iter().map(|name| MemberName::new(name.text)).collect(),
-            data_centres: centres.iter().map(|name| self.centres.share(name.text)).collect(),
+            data_centres: centres.iter().map(|name| self.centres.intern(name.text)).collect(),
             kinds: self.read_kinds(&when),
         };
         when.finish();
         let then = self.read_then(table, row);
         table.finish();
-        RuleDraft {
-            spot: spot_of(table, row),
-            name_spot: PartSpot::new(&table.location_of("name"), row, FieldPath::Name),
+        ParsedRule {
+            location: row_location(table, row),
+            name_location: PartLocation::new(&table.location_of("name"), row, FieldPath::Name),
             name: name.map(RuleName::new),
             when: flow_match,
-            address_spots: item_spots(&addresses, row, FieldPath::WhenAddress),
-            member_spots: item_spots(&members, row, FieldPath::WhenMember),
+            address_locations: item_locations(&addresses, row, FieldPath::WhenAddress),
+            member_locations: item_locations(&members, row, FieldPath::WhenMember),
             then,
-            is_sound: self.notes.len() == findings_before,
+            is_fully_read: self.findings.len() == findings_before,
         }
     }
 
@@ -164,9 +164,9 @@
         let mut kinds = Vec::new();
         for word in when.texts("kind") {
             match TrafficKind::from_str(word.text) {
-                Err(error) => self.notes.add(&word.location, error.to_string()),
+                Err(error) => self.findings.add(&word.location, error.to_string()),
                 Ok(kind) if kinds.contains(&kind) => {
-                    self.notes.add(&word.location, format!("\"{kind}\" stands twice"));
+                    self.findings.add(&word.location, format!("\"{kind}\" stands twice"));
                 }
                 Ok(kind) => kinds.push(kind),
             }
@@ -174,11 +174,11 @@
         kinds
     }
 
-    fn read_then(&mut self, table: &TableReader<'_>, row: RowPath) -> Option<ThenDraft> {
+    fn read_then(&mut self, table: &TableReader<'_>, row: RowPath) -> Option<ParsedTreatment> {
         let then = table.require("then", table.optional_table("then"))?;
         if then.boolean("deny") == Some(true) {
             self.check_deny(&then);
-            return Some(ThenDraft::Deny);
+            return Some(ParsedTreatment::Deny);
         }
         let service = then.require("service", then.name("service"));
         let priority = then.number_or("priority", 0..=PaidPriority::HIGHEST.0.into(), 0);
@@ -186,9 +186,13 @@
         let member_limit = then.number_or("member_limit", 0..=U32_MAX, 0);
         let when_full = self.read_when_full(&then);
         then.finish();
-        Some(ThenDraft::Serve(ServeDraft {
-            service: self.services.share(service?),
-            service_spot: PartSpot::new(&then.location_of("service"), row, FieldPath::ThenService),
+        Some(ParsedTreatment::Serve(ParsedServe {
+            service: self.services.intern(service?),
+            service_location: PartLocation::new(
+                &then.location_of("service"),
+                row,
+                FieldPath::ThenService,
+            ),
             priority: PaidPriority(priority as u8),
             weight: weight as u32,
             member_limit: member_limit as u32,
@@ -218,50 +222,55 @@
     }
 
     fn read_service(&mut self, table: &TableReader<'_>) {
-        let index = index_of(table.location());
+        let index = last_index(table.location());
         let row = RowPath::Service(index);
         let name = table.require("name", table.name("name"));
-        let name = name.map(|name| self.services.share(name));
+        let name = name.map(|name| self.services.intern(name));
         let addresses = table.names("addresses");
         table.require_non_empty("addresses");
-        let queue_limit = table.number_or("queue_limit", 0..=MAX_QUEUE, 400) as u32;
+        let queue_limit = table.number_or("queue_limit", 0..=MAX_QUEUE_LIMIT, 400) as u32;
         let shards = table.number_or("shards", 1..=MAX_SHARDS, 1) as u32;
         for inner in table.tables("target") {
-            let row = RowPath::Inner(index, index_of(inner.location()));
-            let target = self.read_target_of(&inner, row, name.clone(), inner.location().line);
-            self.draft.targets.extend(target);
+            let row = RowPath::NestedTarget(index, last_index(inner.location()));
+            let target = self.read_target_fields(&inner, row, name.clone(), inner.location().line);
+            self.part.targets.extend(target);
         }
         table.finish();
-        let spots = item_spots(&addresses, row, FieldPath::Addresses);
+        let spots = item_locations(&addresses, row, FieldPath::Addresses);
         let addresses = addresses.iter().map(|name| ServiceAddress::new(name.text));
-        let service = ServiceDraft {
-            spot: spot_of(table, row),
-            name_spot: PartSpot::new(&table.location_of("name"), row, FieldPath::Name),
+        let service = ParsedService {
+            location: row_location(table, row),
+            name_location: PartLocation::new(&table.location_of("name"), row, FieldPath::Name),
             name,
             addresses: addresses.zip(spots).collect(),
             queue_limit,
             shards,
-            shards_spot: PartSpot::new(&table.location_of("shards"), row, FieldPath::Shards),
+            shards_location: PartLocation::new(
+                &table.location_of("shards"),
+                row,
+                FieldPath::Shards,
+            ),
             spec: None,
         };
-        self.draft.services.push(service);
+        self.part.services.push(service);
     }
 
     fn read_target(&mut self, table: &TableReader<'_>) {
-        let row = RowPath::Target(index_of(table.location()));
+        let row = RowPath::Target(last_index(table.location()));
         let service = table.require("service", table.name("service"));
-        let service = service.map(|name| self.services.share(name));
-        let target = self.read_target_of(table, row, service, table.location_of("service").line);
-        self.draft.targets.extend(target);
+        let service = service.map(|name| self.services.intern(name));
+        let target =
+            self.read_target_fields(table, row, service, table.location_of("service").line);
+        self.part.targets.extend(target);
     }
 
-    fn read_target_of(
+    fn read_target_fields(
         &mut self,
         table: &TableReader<'_>,
         row: RowPath,
         service: Option<ServiceName>,
         service_line: usize,
-    ) -> Option<TargetDraft> {
+    ) -> Option<ParsedTarget> {
         let name = table.require("name", table.name("name"));
         let address = table.require("address", table.address("address"));
         let incarnation = table.require("incarnation", table.number("incarnation", 1..=u64::MAX));
@@ -277,13 +286,13 @@
             name: TargetName::new(name?),
             address: address?,
             incarnation: incarnation?,
-            data_centre: self.centres.share(data_centre?),
+            data_centre: self.centres.intern(data_centre?),
             slots,
             connections,
             draining,
         };
         let service = service?;
-        Some(TargetDraft {
+        Some(ParsedTarget {
             row,
             name_line: table.location_of("name").line as u32,
             address_line: table.location_of("address").line as u32,
@@ -291,12 +300,12 @@
             name_digest: rendezvous_weight(&service, &target.name),
             address_digest: address_digest(target.address),
             service,
-            place: TargetPlace::Here(Box::new(target)),
+            storage: TargetStorage::Inline(Box::new(target)),
         })
     }
 
-    fn read_member(&self, table: &TableReader<'_>) -> Option<MemberDraft> {
-        let row = RowPath::Member(index_of(table.location()));
+    fn read_member(&self, table: &TableReader<'_>) -> Option<ParsedMember> {
+        let row = RowPath::Member(last_index(table.location()));
         let name = table.require("name", table.name("name"));
         let secret = match table.text("secret") {
             Some(text) => self.read_secret(table, text).unwrap_or_default(),
@@ -304,19 +313,19 @@
         };
         table.finish();
         let member = MemberSpec { name: MemberName::new(name?), secret };
-        let spot = PartSpot::new(&table.location_of("name"), row, FieldPath::Name);
-        Some(MemberDraft { spot, member })
+        let spot = PartLocation::new(&table.location_of("name"), row, FieldPath::Name);
+        Some(ParsedMember { location: spot, member })
     }
 
-    fn read_key(&self, table: &TableReader<'_>) -> Option<KeyDraft> {
-        let row = RowPath::Key(index_of(table.location()));
+    fn read_key(&self, table: &TableReader<'_>) -> Option<ParsedKey> {
+        let row = RowPath::Key(last_index(table.location()));
         let id = table.require("id", table.number("id", 1..=U32_MAX));
         let secret = table.require("secret", table.text("secret"));
         let secret = secret.and_then(|text| self.read_secret(table, text));
         table.finish();
         let key = KeySpec { id: id? as u32, secret: secret? };
-        let spot = PartSpot::new(&table.location_of("id"), row, FieldPath::Id);
-        Some(KeyDraft { spot, key })
+        let spot = PartLocation::new(&table.location_of("id"), row, FieldPath::Id);
+        Some(ParsedKey { location: spot, key })
     }
 
     fn read_secret(&self, table: &TableReader<'_>, text: &str) -> Option<Vec<u8>> {
@@ -340,7 +349,7 @@
         NamePool { names: HashSet::new() }
     }
 
-    fn share(&mut self, text: &str) -> N {
+    fn intern(&mut self, text: &str) -> N {
         if let Some(name) = self.names.get(text) {
             return name.clone();
         }
@@ -350,23 +359,23 @@
     }
 }
 
-fn spot_of(table: &TableReader<'_>, row: RowPath) -> PartSpot {
-    PartSpot::new(table.location(), row, FieldPath::Row)
+fn row_location(table: &TableReader<'_>, row: RowPath) -> PartLocation {
+    PartLocation::new(table.location(), row, FieldPath::Row)
 }
 
-fn item_spots(
+fn item_locations(
     names: &[LocatedText<'_>],
     row: RowPath,
     field: impl Fn(u32) -> FieldPath,
-) -> Vec<PartSpot> {
+) -> Vec<PartLocation> {
     let spots = names
         .iter()
-        .map(|name| PartSpot::new(&name.location, row, field(index_of(&name.location))));
+        .map(|name| PartLocation::new(&name.location, row, field(last_index(&name.location))));
     spots.collect()
 }
 
 /// The index of the array's item at a place.
-fn index_of(place: &KeyLocation) -> u32 {
+fn last_index(place: &KeyLocation) -> u32 {
     place.path.last_index().unwrap_or_default() as u32
 }
 
--- a/crates/foxledge-rules/src/secrets.rs
+++ b/crates/foxledge-rules/src/secrets.rs
@@ -1,12 +1,12 @@
 //! Secrets written as hex digits.
 
 /// Shortest secret that is worth the name, in bytes.
-pub(crate) const MIN_SECRET: usize = 16;
+pub(crate) const MIN_SECRET_BYTES: usize = 16;
 
 /// Reads a secret, or says what is wrong with it; never repeats the secret.
 pub(crate) fn parse_secret(text: &str) -> Result<Vec<u8>, &'static str> {
     let secret = hex::decode(text).map_err(|_| "must be an even number of hex digits")?;
-    if secret.len() < MIN_SECRET {
+    if secret.len() < MIN_SECRET_BYTES {
         return Err("must be at least 16 bytes (32 hex digits)");
     }
     Ok(secret)
