--- a/crates/foxledge-document/src/findings.rs
+++ b/crates/foxledge-document/src/findings.rs
@@ -1,4 +1,4 @@
-//! Findings of one source, with offsets turned into lines.
+//! The findings in one source text, with byte offsets converted to lines.
 
 use std::cell::RefCell;
 
@@ -6,16 +6,16 @@
 
 use crate::paths::KeyPath;
 
-/// `KeyLocation` is where in a source something stands.
+/// The location of a key or value in a source.
 #[derive(Clone, Debug, Default)]
 pub struct KeyLocation {
-    /// Line from 1; 0 when unknown.
+    /// The line number from 1; 0 if unknown.
     pub line: usize,
     /// The path of the key.
     pub path: KeyPath,
 }
 
-/// `SourceFindings` collects the findings of one source.
+/// Collects the findings in one source.
 #[derive(Debug)]
 pub struct SourceFindings {
     name: String,
@@ -24,45 +24,45 @@
 }
 
 impl SourceFindings {
-    /// Makes notes without findings for the source `name` with contents `text`.
+    /// Creates an empty collection for the source `name`, whose contents are `text`.
     pub fn new(name: &str, text: &str) -> SourceFindings {
         let breaks = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
-        let line_starts = std::iter::once(0).chain(breaks.map(|(at, _)| at + 1)).collect();
+        let line_starts = std::iter::once(0).chain(breaks.map(|(offset, _)| offset + 1)).collect();
         SourceFindings { name: name.to_owned(), line_starts, findings: RefCell::default() }
     }
 
-    /// The source's name.
+    /// Returns the name of the source.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// The line, from 1, of a byte offset.
+    /// Returns the line, counted from 1, that contains a byte offset.
     pub fn line_at(&self, offset: usize) -> usize {
         self.line_starts.partition_point(|start| *start <= offset)
     }
 
-    /// Notes a finding.
-    pub fn add(&self, place: &KeyLocation, text: impl Into<String>) {
+    /// Adds a finding at a location.
+    pub fn add(&self, location: &KeyLocation, text: impl Into<String>) {
         let finding = Finding {
             source: self.name.clone(),
-            line: place.line,
-            key: place.path.to_string(),
+            line: location.line,
+            key: location.path.to_string(),
             text: text.into(),
         };
         self.findings.borrow_mut().push(finding);
     }
 
-    /// True when nothing was found wrong so far.
+    /// Returns `true` if there are no findings so far.
     pub fn is_empty(&self) -> bool {
         self.findings.borrow().is_empty()
     }
 
-    /// Number of findings so far.
+    /// Returns the number of findings so far.
     pub fn len(&self) -> usize {
         self.findings.borrow().len()
     }
 
-    /// The findings by line; those of one line stay in the order found.
+    /// Returns the findings sorted by line; findings in one line keep their order.
     pub fn into_findings(self) -> FindingList {
         let mut findings = self.findings.into_inner();
         findings.sort_by_key(|finding| finding.line);
--- a/crates/foxledge-document/src/lib.rs
+++ b/crates/foxledge-document/src/lib.rs
@@ -1,8 +1,8 @@
-//! TOML documents read key by key.
+//! A reader of TOML documents that reports all errors at once.
 //!
-//! A deserializer stops at its first error. Operators want all of them, each
+//! A deserializer stops at its first error. Operators need all of them, each
 //! with its line and key, so settings and rule lists are read with a
-//! [`TableReader`], which notes a finding and goes on.
+//! [`TableReader`], which records a finding and continues.
 
 pub mod findings;
 pub mod paths;
@@ -12,15 +12,15 @@
 pub use paths::KeyPath;
 pub use reader::{LocatedText, TableReader, read_document};
 
-/// Longest name, in bytes.
+/// The maximum length of a name, in bytes.
 ///
-/// Tickets, flow tokens and return paths carry up to five names, and travel
-/// beside a payload in one datagram. With longer names a list would be good and
-/// yet whole answers would be dropped as oversized; one would notice requests
-/// with large answers that never end.
+/// Tickets, flow tokens and return paths carry up to five names and share one
+/// datagram with a payload. With longer names a list would be accepted, but full
+/// parts of answers would be dropped as oversized, so that requests with large
+/// answers would never complete.
 pub const MAX_NAME_BYTES: usize = 32;
 
-/// What is wrong with a name, or none when it is good.
+/// Returns what is wrong with a name, or `None` if it is valid.
 pub fn name_error(name: &str) -> Option<&'static str> {
     if name.is_empty() {
         return Some("must not be empty");
--- a/crates/foxledge-document/src/paths.rs
+++ b/crates/foxledge-document/src/paths.rs
@@ -1,11 +1,11 @@
-//! Paths of keys, such as `rule[2].then.service`.
+//! Paths of keys in a document, such as `rule[2].then.service`.
 
 use std::{borrow::Cow, fmt, rc::Rc};
 
-/// `KeyPath` is the path of a key or of an array's item from a document's root.
+/// The path from the root of a document to a key or to an item of an array.
 ///
-/// It shares its beginning with its neighbours and is written out only when a
-/// finding needs it: a good list of a megabyte has tens of thousands of them.
+/// A path shares its parent with its siblings and is formatted only for a
+/// finding, as a valid list of one megabyte has tens of thousands of paths.
 #[derive(Clone, Debug, Default)]
 pub struct KeyPath(Option<Rc<PathStep>>);
 
@@ -16,17 +16,18 @@
 }
 
 impl KeyPath {
-    /// The path of a key of the table here.
+    /// Returns the path of a key in the table at this path.
     pub fn key(&self, key: impl Into<Cow<'static, str>>) -> KeyPath {
         KeyPath(Some(Rc::new(PathStep::Key(self.clone(), key.into()))))
     }
 
-    /// The path of an item, counted from 0, of the array here.
+    /// Returns the path of an item, counted from 0, in the array at this path.
     pub fn item(&self, index: usize) -> KeyPath {
         KeyPath(Some(Rc::new(PathStep::Item(self.clone(), index))))
     }
 
-    /// The index of the item that the path ends at, or none when it ends at a key.
+    /// Returns the index of the array item at the end of the path, or `None` if the path ends
+    /// with a key.
     pub fn last_index(&self) -> Option<usize> {
         match self.0.as_deref() {
             Some(PathStep::Item(_, index)) => Some(*index),
--- a/crates/foxledge-document/src/reader.rs
+++ b/crates/foxledge-document/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reading a table key by key.
+//! Reads the tables of a document key by key.
 
 use std::{
     cell::RefCell,
@@ -17,10 +17,10 @@
     name_error,
 };
 
-/// `TableReader` reads one table of a document.
+/// Reads one table of a document.
 ///
-/// Each method that reads a key marks it as known and notes a finding when its
-/// value is wrong; [`TableReader::finish`] notes the keys that nobody read.
+/// Each method that reads a key marks the key as read and adds a finding if its
+/// value is invalid; [`TableReader::finish`] reports the keys that weren't read.
 #[derive(Debug)]
 pub struct TableReader<'d> {
     findings: &'d SourceFindings,
@@ -30,43 +30,44 @@
     read_keys: RefCell<Vec<&'static str>>,
 }
 
-/// `TableState` is whether the lack of a key is worth a finding.
+/// Whether a missing key of the table is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TableState {
-    /// A table, or nothing where one may stand.
+    /// The value is a table or absent.
     Readable,
-    /// Something else stands there, which already is a finding.
+    /// The value has another type, which was reported already.
     WrongType,
 }
 
-/// `LocatedText` is a text value with its place.
+/// A text value with its location.
 #[derive(Clone, Debug)]
 pub struct LocatedText<'d> {
-    /// The value.
+    /// The text.
     pub text: &'d str,
-    /// Where it stands.
+    /// The location of the text.
     pub location: KeyLocation,
 }
 
-/// Parses `text` and hands a reader of its root table to `read`.
+/// Parses `text` and calls `read` with a reader of the root table.
 ///
-/// A text that is no TOML becomes one finding, and `read` isn't called.
+/// If the text isn't valid TOML, adds one finding and returns `None` without
+/// calling `read`.
 pub fn read_document<T>(
-    notes: &SourceFindings,
+    findings: &SourceFindings,
     text: &str,
     read: impl FnOnce(&TableReader<'_>) -> T,
 ) -> Option<T> {
     match DeTable::parse(text) {
         Ok(root) => {
-            let reader = TableReader::new(notes, Some(root.get_ref()), KeyLocation::default());
+            let reader = TableReader::new(findings, Some(root.get_ref()), KeyLocation::default());
             let value = read(&reader);
             reader.finish();
             Some(value)
         }
         Err(error) => {
-            let line = error.span().map_or(0, |span| notes.line_at(span.start));
-            let place = KeyLocation { line, ..KeyLocation::default() };
-            notes.add(&place, format!("not TOML: {}", error.message()));
+            let line = error.span().map_or(0, |span| findings.line_at(span.start));
+            let location = KeyLocation { line, ..KeyLocation::default() };
+            findings.add(&location, format!("not TOML: {}", error.message()));
             None
         }
     }
@@ -74,78 +75,73 @@
 
 impl<'d> TableReader<'d> {
     fn new(
-        notes: &'d SourceFindings,
+        findings: &'d SourceFindings,
         table: Option<&'d DeTable<'d>>,
-        place: KeyLocation,
+        location: KeyLocation,
     ) -> TableReader<'d> {
         let state = TableState::Readable;
-        TableReader {
-            findings: notes,
-            table,
-            location: place,
-            state,
-            read_keys: RefCell::default(),
-        }
+        TableReader { findings, table, location, state, read_keys: RefCell::default() }
     }
 
-    /// Where the table stands.
+    /// Returns the location of the table.
     pub fn location(&self) -> &KeyLocation {
         &self.location
     }
 
-    /// Where a key's value stands; the table's line when the key is absent.
+    /// Returns the location of a key's value, with the table's line if the key is absent.
     pub fn location_of(&self, key: &'static str) -> KeyLocation {
         let line = self.get(key).map_or(self.location.line, |value| self.line_of(value));
         KeyLocation { line, path: self.location.path.key(key) }
     }
 
-    /// Notes a finding at a key.
+    /// Adds a finding at a key.
     pub fn add_finding(&self, key: &'static str, text: impl Into<String>) {
         self.findings.add(&self.location_of(key), text);
     }
 
-    /// True when the key stands in the table; marks it as known.
+    /// Returns `true` if the table has the key, and marks the key as read.
     pub fn has_key(&self, key: &'static str) -> bool {
         self.read_value(key).is_some()
     }
 
-    /// The table under `key`; an absent one reads as empty.
+    /// Returns a reader of the table under `key`; an absent table is read as empty.
     pub fn table(&self, key: &'static str) -> TableReader<'d> {
-        let place = self.location_of(key);
+        let location = self.location_of(key);
         match self.read_value(key).map(Spanned::get_ref) {
-            None => TableReader::new(self.findings, None, place),
-            Some(DeValue::Table(table)) => TableReader::new(self.findings, Some(table), place),
+            None => TableReader::new(self.findings, None, location),
+            Some(DeValue::Table(table)) => TableReader::new(self.findings, Some(table), location),
             Some(_) => {
                 self.add_finding(key, "must be a table");
-                let reader = TableReader::new(self.findings, None, place);
+                let reader = TableReader::new(self.findings, None, location);
                 TableReader { state: TableState::WrongType, ..reader }
             }
         }
     }
 
-    /// The table under `key`, or none when it is absent or no table.
+    /// Returns a reader of the table under `key`, or `None` if the key is absent or its value is
+    /// not a table.
     pub fn optional_table(&self, key: &'static str) -> Option<TableReader<'d>> {
         let reader = self.table(key);
         reader.table.is_some().then_some(reader)
     }
 
-    /// The tables of the array under `key`; absent reads as none.
+    /// Returns a reader of each table in the array under `key`; an absent array is read as empty.
     pub fn tables(&self, key: &'static str) -> Vec<TableReader<'d>> {
         let mut readers = Vec::new();
         let path = self.location.path.key(key);
         for (index, item) in self.read_items(key, "an array of tables").iter().enumerate() {
-            let place = KeyLocation { line: self.line_of(item), path: path.item(index) };
+            let location = KeyLocation { line: self.line_of(item), path: path.item(index) };
             match item.get_ref() {
                 DeValue::Table(table) => {
-                    readers.push(TableReader::new(self.findings, Some(table), place));
+                    readers.push(TableReader::new(self.findings, Some(table), location));
                 }
-                _ => self.findings.add(&place, "must be a table"),
+                _ => self.findings.add(&location, "must be a table"),
             }
         }
         readers
     }
 
-    /// The text under `key`.
+    /// Returns the text under `key`.
     pub fn text(&self, key: &'static str) -> Option<&'d str> {
         match self.read_value(key)?.get_ref() {
             DeValue::String(text) => Some(text),
@@ -153,39 +149,40 @@
         }
     }
 
-    /// The texts of the array under `key` with their places; absent reads as none.
+    /// Returns the texts in the array under `key` with their locations; an absent array is read as
+    /// empty.
     pub fn texts(&self, key: &'static str) -> Vec<LocatedText<'d>> {
         let mut texts = Vec::new();
         let path = self.location.path.key(key);
         for (index, item) in self.read_items(key, "an array of texts").iter().enumerate() {
-            let place = KeyLocation { line: self.line_of(item), path: path.item(index) };
+            let location = KeyLocation { line: self.line_of(item), path: path.item(index) };
             match item.get_ref() {
-                DeValue::String(text) => texts.push(LocatedText { text, location: place }),
-                _ => self.findings.add(&place, "must be a text"),
+                DeValue::String(text) => texts.push(LocatedText { text, location }),
+                _ => self.findings.add(&location, "must be a text"),
             }
         }
         texts
     }
 
-    /// The name under `key`; a bad one is a finding.
+    /// Returns the name under `key`; an invalid name is a finding.
     pub fn name(&self, key: &'static str) -> Option<&'d str> {
         let name = self.text(key)?;
         match name_error(name) {
             None => Some(name),
-            Some(fault) => {
-                self.add_finding(key, fault);
+            Some(error) => {
+                self.add_finding(key, error);
                 None
             }
         }
     }
 
-    /// The names of the array under `key`; bad ones and repeats are findings.
+    /// Returns the names in the array under `key`; invalid and duplicate names are findings.
     pub fn names(&self, key: &'static str) -> Vec<LocatedText<'d>> {
         let mut names = Vec::new();
         let mut seen = HashSet::new();
         for name in self.texts(key) {
-            if let Some(fault) = name_error(name.text) {
-                self.findings.add(&name.location, fault);
+            if let Some(error) = name_error(name.text) {
+                self.findings.add(&name.location, error);
             } else if seen.insert(name.text) {
                 names.push(name);
             } else {
@@ -195,7 +192,7 @@
         names
     }
 
-    /// The number under `key`; one outside of `range` is a finding.
+    /// Returns the integer under `key`; a value outside `range` is a finding.
     pub fn number(&self, key: &'static str, range: RangeInclusive<u64>) -> Option<u64> {
         let DeValue::Integer(integer) = self.read_value(key)?.get_ref() else {
             return self.add_type_error(key, "a whole number");
@@ -211,40 +208,40 @@
         }
     }
 
-    /// The number under `key`, or `default` when absent or wrong.
+    /// Returns the integer under `key`, or `default` if it is absent or invalid.
     pub fn number_or(&self, key: &'static str, range: RangeInclusive<u64>, default: u64) -> u64 {
         self.number(key, range).unwrap_or(default)
     }
 
-    /// The number under `key`, whole or with decimals; one outside of `range` is a finding.
+    /// Returns the integer or decimal number under `key`; a value outside `range` is a finding.
     pub fn decimal(&self, key: &'static str, range: RangeInclusive<f64>) -> Option<f64> {
         let number: Option<f64> = match self.read_value(key)?.get_ref() {
             DeValue::Integer(integer) => integer.as_str().parse().ok(),
             DeValue::Float(float) => float.as_str().parse().ok(),
             _ => return self.add_type_error(key, "a number"),
         };
-        let found = number.filter(|number| range.contains(number));
-        if found.is_none() {
+        let valid = number.filter(|number| range.contains(number));
+        if valid.is_none() {
             self.add_finding(key, format!("must be from {} to {}", range.start(), range.end()));
         }
-        found
+        valid
     }
 
-    /// The switch under `key`.
+    /// Returns the boolean under `key`.
     pub fn boolean(&self, key: &'static str) -> Option<bool> {
         match self.read_value(key)?.get_ref() {
-            DeValue::Boolean(on) => Some(*on),
+            DeValue::Boolean(value) => Some(*value),
             _ => self.add_type_error(key, "true or false"),
         }
     }
 
-    /// The IP number with port under `key`.
+    /// Returns the socket address under `key`.
     pub fn address(&self, key: &'static str) -> Option<SocketAddr> {
         let text = self.text(key)?;
         self.parse_address(&LocatedText { text, location: self.location_of(key) })
     }
 
-    /// The IP numbers with ports of the array under `key`; repeats are findings.
+    /// Returns the socket addresses in the array under `key`; duplicates are findings.
     pub fn addresses(&self, key: &'static str) -> Vec<SocketAddr> {
         let mut addresses = Vec::new();
         let mut seen = HashSet::new();
@@ -261,27 +258,28 @@
         addresses
     }
 
-    /// The table under `key` whose keys and values are IP numbers with ports; absent reads as empty.
+    /// Returns the table under `key`, whose keys and values are socket addresses; an absent table
+    /// is read as empty.
     pub fn address_map(&self, key: &'static str) -> BTreeMap<SocketAddr, SocketAddr> {
         let reader = self.table(key);
         let mut pairs = BTreeMap::new();
         let Some(table) = reader.table else { return pairs };
         for (name, value) in table {
             let line = self.findings.line_at(name.span().start);
-            let place = KeyLocation { line, path: reader.location.path.key(name.to_string()) };
+            let location = KeyLocation { line, path: reader.location.path.key(name.to_string()) };
             let DeValue::String(text) = value.get_ref() else {
-                self.findings.add(&place, "must be a text");
+                self.findings.add(&location, "must be a text");
                 continue;
             };
-            let from =
-                self.parse_address(&LocatedText { text: name.get_ref(), location: place.clone() });
-            let to = self.parse_address(&LocatedText { text, location: place });
+            let from = self
+                .parse_address(&LocatedText { text: name.get_ref(), location: location.clone() });
+            let to = self.parse_address(&LocatedText { text, location });
             pairs.extend(from.zip(to));
         }
         pairs
     }
 
-    /// Notes an array that is missing or empty.
+    /// Adds a finding if the array under `key` is missing or empty.
     pub fn require_non_empty(&self, key: &'static str) {
         match self.get(key).map(Spanned::get_ref) {
             None => self.add_missing(key),
@@ -292,7 +290,7 @@
         }
     }
 
-    /// Notes a missing key and passes the value on.
+    /// Adds a finding if `key` is missing, and returns `value` unchanged.
     pub fn require<T>(&self, key: &'static str, value: Option<T>) -> Option<T> {
         if value.is_none() && self.get(key).is_none() {
             self.add_missing(key);
@@ -300,15 +298,15 @@
         value
     }
 
-    /// Notes every key of the table that nobody read.
+    /// Adds a finding for each key of the table that wasn't read.
     pub fn finish(&self) {
         let Some(table) = self.table else {
             return;
         };
-        let known = self.read_keys.borrow();
+        let read_keys = self.read_keys.borrow();
         for key in table.keys() {
             let name: &str = key.get_ref();
-            if !known.contains(&name) {
+            if !read_keys.contains(&name) {
                 let line = self.findings.line_at(key.span().start);
                 let path = self.location.path.key(name.to_owned());
                 self.findings.add(&KeyLocation { line, path }, "unknown key");
@@ -318,8 +316,8 @@
 
     fn parse_address(&self, text: &LocatedText<'_>) -> Option<SocketAddr> {
         let Ok(address) = text.text.parse::<SocketAddr>() else {
-            let fault = format!("\"{}\" is not an IP number with a port", text.text);
-            self.findings.add(&text.location, fault);
+            let error = format!("\"{}\" is not an IP number with a port", text.text);
+            self.findings.add(&text.location, error);
             return None;
         };
         if address.port() == 0 {
@@ -338,13 +336,13 @@
         self.get(key)
     }
 
-    fn read_items(&self, key: &'static str, wanted: &str) -> &'d [Spanned<DeValue<'d>>] {
+    fn read_items(&self, key: &'static str, expected: &str) -> &'d [Spanned<DeValue<'d>>] {
         let Some(value) = self.read_value(key) else {
             return &[];
         };
         match value.get_ref() {
             DeValue::Array(array) => array,
-            _ => self.add_type_error(key, wanted).unwrap_or(&[]),
+            _ => self.add_type_error(key, expected).unwrap_or(&[]),
         }
     }
 
@@ -354,8 +352,8 @@
         }
     }
 
-    fn add_type_error<T>(&self, key: &'static str, wanted: &str) -> Option<T> {
-        self.add_finding(key, format!("must be {wanted}"));
+    fn add_type_error<T>(&self, key: &'static str, expected: &str) -> Option<T> {
+        self.add_finding(key, format!("must be {expected}"));
         None
     }
 
--- a/crates/foxledge-rules/examples/build_speed.rs
+++ b/crates/foxledge-rules/examples/build_speed.rs
@@ -1,4 +1,7 @@
-//! Prints how long lists of several sizes take to build, compare and decide.
+//! Measures the time to build and compare lists of several sizes and to match flows.
+//!
+//! The columns `decide` and `by index` are the times to match one flow by a scan of all rules and
+//! by the index.
 //!
 //! `cargo run --release -p foxledge-rules --example build_speed`
 
@@ -16,15 +19,15 @@
 use foxledge_rules::{OwnedPart, RuleIndex, build_list, diff_lists};
 
 const ROUNDS: u32 = 9;
-const DECISIONS: usize = 10_000;
+const LOOKUPS: usize = 10_000;
 
 fn main() {
     println!(
         "{:>9} {:>6} {:>8} {:>9} {:>10} {:>10} {:>11} {:>11}",
         "bytes", "rules", "services", "targets", "build", "compare", "decide", "by index"
     );
-    for size in [10_000, 100_000, 300_000, 1_000_000] {
-        measure(&list_text(size));
+    for min_bytes in [10_000, 100_000, 300_000, 1_000_000] {
+        measure(&list_text(min_bytes));
     }
 }
 
@@ -32,15 +35,15 @@
     let parts = [OwnedPart { name: "list".to_owned(), text: text.to_owned() }];
     let list = build_list(1, &parts).unwrap_or_else(|findings| panic!("{findings}"));
     let build = median(|| drop(black_box(build_list(1, &parts))));
-    let drained = [OwnedPart { name: "list".to_owned(), text: drain_one(text) }];
-    let next = build_list(2, &drained).unwrap_or_else(|findings| panic!("{findings}"));
+    let drained_parts = [OwnedPart { name: "list".to_owned(), text: drain_one(text) }];
+    let next = build_list(2, &drained_parts).unwrap_or_else(|findings| panic!("{findings}"));
     let compare = median(|| assert_eq!(black_box(diff_lists(&list, &next)).len(), 1));
     let targets: usize = list.services.values().map(|service| service.targets.len()).sum();
     let list = Arc::new(list);
     let index = RuleIndex::new(list.clone());
-    let addresses = some_addresses(&list);
-    let plain = median(|| decide_all(&addresses, |flow| list.first_match(flow).is_some()));
-    let indexed = median(|| decide_all(&addresses, |flow| index.first_match(flow).is_some()));
+    let addresses = service_addresses(&list);
+    let scanned = median(|| match_all(&addresses, |flow| list.first_match(flow).is_some()));
+    let indexed = median(|| match_all(&addresses, |flow| index.first_match(flow).is_some()));
     println!(
         "{:>9} {:>6} {:>8} {:>9} {:>10.2?} {:>10.2?} {:>8} ns {:>8} ns",
         text.len(),
@@ -49,12 +52,12 @@
         targets,
         build,
         compare,
-        plain.as_nanos() / DECISIONS as u128,
-        indexed.as_nanos() / DECISIONS as u128,
+        scanned.as_nanos() / LOOKUPS as u128,
+        indexed.as_nanos() / LOOKUPS as u128,
     );
 }
 
-/// Median time of some rounds.
+/// Returns the median run time of several rounds.
 fn median(mut run: impl FnMut()) -> Duration {
     let mut times: Vec<_> = (0..ROUNDS)
         .map(|_| {
@@ -67,42 +70,42 @@
     times[times.len() / 2]
 }
 
-fn some_addresses(list: &RuleList) -> Vec<String> {
+fn service_addresses(list: &RuleList) -> Vec<String> {
     let services = list.services.values();
     services.flat_map(|service| service.addresses.iter().map(ToString::to_string)).collect()
 }
 
-fn decide_all(addresses: &[String], decide: impl Fn(&FlowTraits<'_>) -> bool) {
-    let mut served = 0;
-    for number in 0..DECISIONS {
-        // Steps by a prime, so that the whole list is asked.
+fn match_all(addresses: &[String], matches: impl Fn(&FlowTraits<'_>) -> bool) {
+    let mut match_count = 0;
+    for number in 0..LOOKUPS {
+        // The step is a prime number, so that the lookups cover the whole list.
         let address = &addresses[number * 7919 % addresses.len()];
         let traits =
             FlowTraits { address, member: "m0", data_centre: "toledo", kind: TrafficKind::Bid };
-        served += usize::from(decide(&traits));
+        match_count += usize::from(matches(&traits));
     }
-    black_box(served);
+    black_box(match_count);
 }
 
-/// A list of about `size` bytes: each service has two rules and seven targets.
-fn list_text(size: usize) -> String {
+/// Creates a list of at least `min_bytes` bytes; each service has two rules and seven targets.
+fn list_text(min_bytes: usize) -> String {
     let mut text = String::from(
         "[[key]]\nid = 1\nsecret = \"000102030405060708090a0b0c0d0e0f\"\n[[member]]\nname = \"m0\"\n",
     );
     let mut number = 0;
-    while text.len() < size {
-        push_service(&mut text, number).expect("writing to a string");
+    while text.len() < min_bytes {
+        write_service(&mut text, number).expect("writing to a string succeeds");
         number += 1;
     }
     text
 }
 
-/// The same list with its first target draining.
+/// Returns the same list with its first target draining.
 fn drain_one(text: &str) -> String {
     text.replacen("incarnation = 1\n", "incarnation = 1\ndraining = true\n", 1)
 }
 
-fn push_service(text: &mut String, number: usize) -> std::fmt::Result {
+fn write_service(text: &mut String, number: usize) -> std::fmt::Result {
     writeln!(text, "[[rule]]\nname = \"bids-{number}\"")?;
     writeln!(text, "when = {{ address = [\"s{number}.lakeshore\"], kind = [\"bid\"] }}")?;
     writeln!(text, "then = {{ service = \"service-{number}\", priority = 5 }}")?;
--- a/crates/foxledge-rules/examples/list_growth/main.rs
+++ b/crates/foxledge-rules/examples/list_growth/main.rs
@@ -1,9 +1,10 @@
-//! Prints as one JSON line what a list of one size costs to build, to change and to hold.
+//! Measures the time and memory to build, change and store a list, and prints one JSON line.
 //!
 //! `cargo run --release -p foxledge-rules --example list_growth targets 38000 16384`
 //!
 //! The size is a number of targets or of bytes (`bytes 5000000 16384`); the last argument is the
-//! size of a part in bytes. One size a run, so that resident bytes aren't those of another size.
+//! size of a part in bytes. Each run measures one size, so that the resident memory doesn't include
+//! that of another size.
 
 mod texts;
 
@@ -20,10 +21,10 @@
 
 use texts::{TextParts, resident_bytes, status_bytes};
 
-/// Changes, one part each, of which the medians are told.
+/// The number of measured changes, each to one part; medians are reported.
 const CHANGES: usize = 31;
-/// Changes a day at the target's size.
-const CHANGES_A_DAY: f64 = 16_000.0;
+/// The number of changes a day at the target size.
+const CHANGES_PER_DAY: f64 = 16_000.0;
 
 fn main() {
     measure(TextParts::from_arguments());
@@ -46,18 +47,18 @@
         texts.change_one(change);
         let next =
             timed(&mut costs.build, || Arc::new(build(&mut assembler, 2 + change as u64, &texts)));
-        let differ = timed(&mut costs.compare, || differing_services(&list, &next));
-        assert_eq!(differ, 1);
+        let differing_count = timed(&mut costs.compare, || differing_services(&list, &next));
+        assert_eq!(differing_count, 1);
         let changes = timed(&mut costs.diff, || summarize_changes(&list, &next, 5).changes.len());
         assert_eq!(changes, 1);
         index = timed(&mut costs.index, || RuleIndex::new(next.clone()));
         list = next;
     }
     black_box(&index);
-    let changed = resident_bytes();
+    let after_changes = resident_bytes();
 
     let targets: usize = list.services.values().map(|service| service.targets.len()).sum();
-    let travels = texts.manifest(1).encoded_len() + texts.parts[0].1.len();
+    let sent_bytes = texts.manifest(1).encoded_len() + texts.parts[0].1.len();
     let change = median(&costs.build);
     let line = json!({
         "targets": targets,
@@ -74,16 +75,16 @@
         "index_ms": millis(median(&costs.index)),
         "text_resident_bytes": with_texts.saturating_sub(before),
         "list_and_kept_resident_bytes": built.saturating_sub(with_texts),
-        "all_resident_bytes_after_changes": changed.saturating_sub(before),
+        "all_resident_bytes_after_changes": after_changes.saturating_sub(before),
         "peak_process_bytes": status_bytes("VmHWM:"),
-        "change_travel_bytes": travels,
-        "travel_bytes_a_second_at_target_rate": travels as f64 * CHANGES_A_DAY / 86_400.0,
-        "core_share_at_target_rate": change.as_secs_f64() * CHANGES_A_DAY / 86_400.0,
+        "change_travel_bytes": sent_bytes,
+        "travel_bytes_a_second_at_target_rate": sent_bytes as f64 * CHANGES_PER_DAY / 86_400.0,
+        "core_share_at_target_rate": change.as_secs_f64() * CHANGES_PER_DAY / 86_400.0,
     });
     println!("{line}");
 }
 
-/// `ChangeCosts` is the times of each step of a change.
+/// The times that each step of a change took.
 #[derive(Default)]
 struct ChangeCosts {
     build: Vec<Duration>,
@@ -98,7 +99,7 @@
     assembler.build(revision, &parts).unwrap_or_else(|findings| panic!("{findings}"))
 }
 
-/// What the engine compares at each list.
+/// Counts the services that differ, as the engine does for each new list.
 fn differing_services(old: &RuleList, new: &RuleList) -> usize {
     let services = new.services.iter();
     services.filter(|(name, service)| old.services.get(*name) != Some(service)).count()
--- a/crates/foxledge-rules/examples/list_growth/texts.rs
+++ b/crates/foxledge-rules/examples/list_growth/texts.rs
@@ -1,4 +1,4 @@
-//! Lists of any size, in parts.
+//! Generates lists of any size, split into parts.
 
 #![allow(dead_code)]
 
@@ -7,57 +7,58 @@
 use foxledge_core::hash::digest_of;
 use foxledge_wire::control::{Manifest, ManifestPart};
 
-/// Targets of a service: 38,000 targets of 5,800 services at the target's size.
-const TARGETS_EACH: f64 = 38_000.0 / 5_800.0;
-/// Services with a second rule: 6,000 rules at the target's size.
-const SECOND_RULE_EACH: usize = 29;
+/// The mean number of targets of a service: 38,000 targets of 5,800 services at the target size.
+const TARGETS_PER_SERVICE: f64 = 38_000.0 / 5_800.0;
+/// One in this many services has a second rule: 6,000 rules at the target size.
+const SERVICES_PER_SECOND_RULE: usize = 29;
 
-/// `WantedSize` is how large a list is to be.
+/// The size of a list to generate.
 #[derive(Clone, Copy)]
-pub enum WantedSize {
+pub enum ListSize {
     Targets(usize),
     Bytes(usize),
 }
 
-/// `TextParts` is the names and texts of a list's parts.
+/// The names and texts of the parts of a list.
 pub struct TextParts {
     pub parts: Vec<(String, String)>,
 }
 
 impl TextParts {
-    /// Reads the size from a command line: targets or bytes, how many, and the bytes of a part.
+    /// Generates a list from the command line arguments: `targets` or `bytes`, the size of the
+    /// list, and the size of a part in bytes.
     pub fn from_arguments() -> TextParts {
         let arguments: Vec<_> = env::args().skip(1).collect();
         let [kind, size, part_bytes] = arguments.as_slice() else {
-            panic!("give targets or bytes, the size, and the bytes of a part");
+            panic!("expected targets or bytes, the list size, and the part size in bytes");
         };
-        let size: usize = size.parse().expect("the size is a number");
-        let part_bytes: usize = part_bytes.parse().expect("the bytes of a part are a number");
-        let wanted = match kind.as_str() {
-            "targets" => WantedSize::Targets(size),
-            "bytes" => WantedSize::Bytes(size),
-            _ => panic!("give targets or bytes"),
+        let size: usize = size.parse().expect("the list size must be a number");
+        let part_bytes: usize = part_bytes.parse().expect("the part size must be a number");
+        let list_size = match kind.as_str() {
+            "targets" => ListSize::Targets(size),
+            "bytes" => ListSize::Bytes(size),
+            _ => panic!("the first argument must be targets or bytes"),
         };
-        TextParts::new(wanted, part_bytes)
+        TextParts::new(list_size, part_bytes)
     }
 
-    pub fn new(wanted: WantedSize, part_bytes: usize) -> TextParts {
+    pub fn new(list_size: ListSize, part_bytes: usize) -> TextParts {
         let head = "[[key]]\nid = 1\nsecret = \"000102030405060708090a0b0c0d0e0f\"\n\
                     [[member]]\nname = \"bricks-and-co\"\n";
         let mut texts = TextParts { parts: vec![("part-0".to_owned(), head.to_owned())] };
         let mut targets = 0;
         for service in 0.. {
-            let missing = match wanted {
-                WantedSize::Targets(wanted) => wanted.saturating_sub(targets),
-                WantedSize::Bytes(wanted) if texts.bytes() < wanted => usize::MAX,
-                WantedSize::Bytes(_) => 0,
+            let remaining = match list_size {
+                ListSize::Targets(count) => count.saturating_sub(targets),
+                ListSize::Bytes(bytes) if texts.bytes() < bytes => usize::MAX,
+                ListSize::Bytes(_) => 0,
             };
-            if missing == 0 {
+            if remaining == 0 {
                 break;
             }
-            // A number with a fraction becomes whole numbers of the same mean.
-            let upto = ((service + 1) as f64 * TARGETS_EACH) as usize;
-            let count = upto.saturating_sub(targets).clamp(1, missing);
+            // Rounding the running total gives whole numbers with the same mean.
+            let target_end = ((service + 1) as f64 * TARGETS_PER_SERVICE) as usize;
+            let count = target_end.saturating_sub(targets).clamp(1, remaining);
             let text = service_text(service, targets, count);
             targets += count;
             texts.push(&text, part_bytes);
@@ -66,7 +67,7 @@
     }
 
     fn push(&mut self, text: &str, part_bytes: usize) {
-        let last = &mut self.parts.last_mut().expect("there is a first part").1;
+        let last = &mut self.parts.last_mut().expect("the list has a first part").1;
         if last.len() + text.len() <= part_bytes {
             last.push_str(text);
         } else {
@@ -90,21 +91,21 @@
         Manifest { revision, parts: parts.collect() }
     }
 
-    /// Has one target of one part drain, or serve again; returns the part.
+    /// Toggles the `draining` flag of one target, and returns the index of the changed part.
     pub fn change_one(&mut self, change: usize) -> usize {
-        let at = change * 7919 % self.parts.len();
-        let text = &mut self.parts[at].1;
+        let index = change * 7919 % self.parts.len();
+        let text = &mut self.parts[index].1;
         *text = match text.find("draining = true") {
             Some(_) => text.replacen("draining = true", "draining = false", 1),
             None => text.replacen("draining = false", "draining = true", 1),
         };
-        at
+        index
     }
 }
 
 fn service_text(service: usize, first_target: usize, targets: usize) -> String {
     let mut text = String::new();
-    write_service(&mut text, service, first_target, targets).expect("writing to a string");
+    write_service(&mut text, service, first_target, targets).expect("writing to a string succeeds");
     text
 }
 
@@ -114,7 +115,7 @@
     first_target: usize,
     targets: usize,
 ) -> std::fmt::Result {
-    if service.is_multiple_of(SECOND_RULE_EACH) {
+    if service.is_multiple_of(SERVICES_PER_SECOND_RULE) {
         writeln!(text, "[[rule]]\nname = \"bids-{service}\"")?;
         writeln!(text, "when = {{ address = [\"s{service}.lakeshore\"], kind = [\"bid\"] }}")?;
         writeln!(text, "then = {{ service = \"service-{service}\", priority = 5 }}")?;
@@ -137,7 +138,8 @@
     status_bytes("VmRSS:")
 }
 
-/// A size of this process, as Linux tells it; 0 elsewhere.
+/// Returns a memory size of this process, in bytes, from a field of Linux's
+/// `/proc/self/status`; 0 on other systems.
 pub fn status_bytes(field: &str) -> usize {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix(field));
--- a/crates/foxledge-rules/src/assembler.rs
+++ b/crates/foxledge-rules/src/assembler.rs
@@ -1,4 +1,4 @@
-//! From parts to a list, again at each change.
+//! Builds successive lists from their parts and parses only the parts that changed.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -24,62 +24,69 @@
     version::list_version,
 };
 
-/// Largest list, all parts together, in bytes.
+/// The maximum total size of the parts of a list, in bytes.
 ///
-/// At the target's size, 38,000 targets and 6,000 rules, a list has some 5 MB.
+/// A list of the target size, with 38,000 targets and 6,000 rules, has about 5 MB.
 pub const MAX_LIST_BYTES: usize = 16 << 20;
-/// Largest part, in bytes: the platform's largest value.
+/// The maximum size of a part, in bytes, which is the maximum size of a value on the platform.
 pub const MAX_PART_BYTES: usize = 1 << 20;
-/// Most parts of a list.
+/// The maximum number of parts in a list.
 pub const MAX_PARTS: usize = 4096;
-/// Most rules of a list.
+/// The maximum number of rules in a list.
 pub const MAX_RULES: usize = 20_000;
-/// Most addresses that the rules of a list name or imply, all together.
+/// The maximum total number of addresses that the rules of a list name or imply.
 pub const MAX_RULE_ADDRESSES: usize = 200_000;
 
-/// `ListAssembler` builds one list after the other and reads only what changed.
+/// Builds successive lists and parses only the parts that changed.
 ///
-/// It keeps what each part of the last good list read to, by the digest of the
-/// part's text. Without that each of 16,000 changes a day would read the whole
-/// list anew, some 5 MB at the target's size.
+/// The assembler caches the parsed parts of the last valid list by the digest of
+/// their texts. Without the cache, each of 16,000 changes a day would parse the
+/// whole list again, about 5 MB at the target size.
 ///
-/// What was built before never changes a verdict: a part reads to the same under
-/// each name and beside each other part, and all else is checked anew.
+/// The cache never affects the result: parsing a part depends neither on its name
+/// nor on other parts, and the list as a whole is validated again each time.
 #[derive(Debug, Default)]
 pub struct ListAssembler {
-    /// Invariant: none has findings; the parts of the last good list, and those prepared since.
+    /// The parsed parts of the last valid list, and those parsed ahead since then, by digest.
+    ///
+    /// Invariant: no part has findings.
     parsed_parts: HashMap<u64, Arc<ParsedPart>>,
 }
 
 impl ListAssembler {
-    /// Makes an assembler that has read nothing.
+    /// Creates an assembler with an empty cache.
     pub fn new() -> ListAssembler {
         ListAssembler::default()
     }
 
-    /// Reads a part before its list is whole, so that building finds it read.
+    /// Parses a part before all parts of its list have arrived, and caches the result.
     ///
-    /// Otherwise the last part to arrive would have the reading of all of them
-    /// done at once, some 300 ms for 7 MB in which no datagram is answered.
-    /// What comes of no list is dropped by [`ListAssembler::retain`].
+    /// Otherwise all parts would be parsed at once when the last one arrives, which
+    /// takes about 300 ms for 7 MB, and no datagram would be answered meanwhile.
+    /// [`ListAssembler::retain`] evicts parts that no list uses in the end.
     pub fn parse_ahead(&mut self, text: &str) {
         let digest = digest_of(text.as_bytes());
         if text.len() > MAX_PART_BYTES || self.parsed_parts.contains_key(&digest) {
             return;
         }
-        let draft = read_part(text);
-        // The findings are bounded only by the part's size; they are found again.
-        if draft.findings.is_empty() {
-            self.parsed_parts.insert(digest, Arc::new(draft));
+        let parsed = read_part(text);
+        // Findings aren't cached, as only the size of the part bounds them. Building the list
+        // parses the part again.
+        if parsed.findings.is_empty() {
+            self.parsed_parts.insert(digest, Arc::new(parsed));
         }
     }
 
-    /// Keeps what was read of the parts with these digests.
-    pub fn retain(&mut self, is_named: impl Fn(u64) -> bool) {
-        self.parsed_parts.retain(|digest, _| is_named(*digest));
+    /// Evicts the cached parts whose digests aren't referenced.
+    pub fn retain(&mut self, is_referenced: impl Fn(u64) -> bool) {
+        self.parsed_parts.retain(|digest, _| is_referenced(*digest));
     }
 
-    /// Builds the list that the parts make up, or says all that is wrong with them.
+    /// Builds a list from its parts.
+    ///
+    /// # Errors
+    ///
+    /// Returns all findings if the parts don't form a valid list.
     pub fn build(
         &mut self,
         revision: u64,
@@ -87,42 +94,45 @@
     ) -> Result<RuleList, FindingList> {
         check_parts(parts)?;
         let digests: Vec<_> = parts.iter().map(|part| digest_of(part.text.as_bytes())).collect();
-        let drafts = self.parse_parts(parts, &digests);
-        let findings = drafts.iter().map(|draft| draft.findings.clone());
+        let parsed_parts = self.parse_parts(parts, &digests);
+        let findings = parsed_parts.iter().map(|part| part.findings.clone());
         let names = parts.iter().map(|part| part.name);
-        let sources = ListFindings::new(names.clone().zip(findings));
-        let draft = ParsedList { parts: &drafts };
-        let rules = check_list(&sources, draft);
-        if !sources.is_empty() {
-            return Err(sources.into_findings());
+        let list_findings = ListFindings::new(names.clone().zip(findings));
+        let parsed_list = ParsedList { parts: &parsed_parts };
+        let rules = check_list(&list_findings, parsed_list);
+        if !list_findings.is_empty() {
+            return Err(list_findings.into_findings());
         }
-        let Some(list) = assemble(draft, rules) else { return Err(sources.into_findings()) };
+        let Some(list) = assemble(parsed_list, rules) else {
+            return Err(list_findings.into_findings());
+        };
         let version = list_version(revision, names.zip(digests.iter().copied()));
-        self.parsed_parts = digests.into_iter().zip(drafts).collect();
+        self.parsed_parts = digests.into_iter().zip(parsed_parts).collect();
         Ok(RuleList { version, ..list })
     }
 
-    /// Reads the parts that aren't kept; equal ones once.
+    /// Parses the parts that aren't cached, and parses equal parts only once.
     fn parse_parts(&self, parts: &[PartText<'_>], digests: &[u64]) -> Vec<Arc<ParsedPart>> {
-        let mut read: HashMap<u64, Arc<ParsedPart>> = HashMap::new();
-        let mut drafts = Vec::new();
+        let mut newly_parsed: HashMap<u64, Arc<ParsedPart>> = HashMap::new();
+        let mut parsed_parts = Vec::new();
         for (part, digest) in parts.iter().zip(digests) {
-            let draft = self.parsed_parts.get(digest).or_else(|| read.get(digest)).cloned();
-            let draft = draft.unwrap_or_else(|| {
-                let draft = Arc::new(read_part(part.text));
-                read.insert(*digest, draft.clone());
-                draft
+            let parsed =
+                self.parsed_parts.get(digest).or_else(|| newly_parsed.get(digest)).cloned();
+            let parsed = parsed.unwrap_or_else(|| {
+                let parsed = Arc::new(read_part(part.text));
+                newly_parsed.insert(*digest, parsed.clone());
+                parsed
             });
-            drafts.push(draft);
+            parsed_parts.push(parsed);
         }
-        drafts
+        parsed_parts
     }
 }
 
-/// Refuses what isn't worth reading.
+/// Checks the number, sizes and names of the parts before they are parsed.
 ///
-/// Without the bounds one oversized list stops every instance at the same time
-/// while it is read and checked; one would notice missed heartbeats fleet-wide.
+/// Without the limits, parsing and validating one oversized list would block all
+/// instances at the same time, so that heartbeats would be missed across the fleet.
 fn check_parts(parts: &[PartText<'_>]) -> Result<(), FindingList> {
     let mut findings = FindingList::new();
     if parts.is_empty() {
@@ -151,19 +161,19 @@
     if findings.is_empty() { Ok(()) } else { Err(findings) }
 }
 
-fn assemble(draft: ParsedList<'_>, rules: Vec<BoundRule<'_>>) -> Option<RuleList> {
+fn assemble(list: ParsedList<'_>, rules: Vec<BoundRule<'_>>) -> Option<RuleList> {
     let rules: Option<Vec<_>> = rules.into_iter().map(assemble_rule).collect();
     Some(RuleList {
         rules: rules?,
-        services: assemble_services(draft)?,
-        members: assemble_members(draft),
-        keys: assemble_keys(draft),
+        services: assemble_services(list)?,
+        members: assemble_members(list),
+        keys: assemble_keys(list),
         ..RuleList::default()
     })
 }
 
-fn assemble_rule(rule: BoundRule<'_>) -> Option<FlowRule> {
-    let then = match rule.rule.then.as_ref()? {
+fn assemble_rule(bound: BoundRule<'_>) -> Option<FlowRule> {
+    let then = match bound.rule.then.as_ref()? {
         ParsedTreatment::Deny => FlowTreatment::Deny,
         ParsedTreatment::Serve(serve) => FlowTreatment::Serve(ServeTreatment {
             service: serve.service.clone(),
@@ -173,22 +183,22 @@
             when_full: serve.when_full,
         }),
     };
-    let when = &rule.rule.when;
+    let when = &bound.rule.when;
     let when = FlowMatch {
-        addresses: rule.addresses.into_owned(),
+        addresses: bound.addresses.into_owned(),
         members: when.members.clone(),
         data_centres: when.data_centres.clone(),
         kinds: when.kinds.clone(),
     };
-    Some(FlowRule { name: rule.rule.name.clone()?, when, then })
+    Some(FlowRule { name: bound.rule.name.clone()?, when, then })
 }
 
-fn assemble_services(draft: ParsedList<'_>) -> Option<BTreeMap<ServiceName, Arc<ServiceSpec>>> {
-    let mut scattered = targets_of_split_services(draft);
+fn assemble_services(list: ParsedList<'_>) -> Option<BTreeMap<ServiceName, Arc<ServiceSpec>>> {
+    let mut split = targets_of_split_services(list);
     let mut services = BTreeMap::new();
-    for (_, service) in draft.services() {
+    for (_, service) in list.services() {
         let name = service.name.as_ref()?;
-        let spec = match scattered.remove(name) {
+        let spec = match split.remove(name) {
             Some(targets) => Arc::new(service.to_spec(name, targets)),
             None => service.spec.clone()?,
         };
@@ -197,32 +207,32 @@
     Some(services)
 }
 
-/// The targets, in order, of services that have some outside of their own part.
+/// Returns the targets, in order, of each service that has targets in other parts.
 fn targets_of_split_services<'a>(
-    draft: ParsedList<'a>,
+    list: ParsedList<'a>,
 ) -> HashMap<&'a ServiceName, Vec<TargetSpec>> {
-    let mut scattered: HashMap<_, _> = HashMap::new();
-    for part in draft.parts {
-        scattered.extend(part.services_of_other_parts().map(|name| (name, Vec::new())));
+    let mut split: HashMap<_, _> = HashMap::new();
+    for part in list.parts {
+        split.extend(part.services_of_other_parts().map(|name| (name, Vec::new())));
     }
-    if scattered.is_empty() {
-        return scattered;
+    if split.is_empty() {
+        return split;
     }
-    for (part, target) in draft.targets() {
-        if let Some(targets) = scattered.get_mut(&target.service) {
-            targets.extend(draft.parts[part].target(target).cloned());
+    for (part, target) in list.targets() {
+        if let Some(targets) = split.get_mut(&target.service) {
+            targets.extend(list.parts[part].target(target).cloned());
         }
     }
-    scattered
+    split
 }
 
-fn assemble_members(draft: ParsedList<'_>) -> HashMap<MemberName, MemberSpec> {
-    let members = draft.members().map(|(_, draft)| &draft.member);
+fn assemble_members(list: ParsedList<'_>) -> HashMap<MemberName, MemberSpec> {
+    let members = list.members().map(|(_, row)| &row.member);
     members.map(|member| (member.name.clone(), member.clone())).collect()
 }
 
-fn assemble_keys(draft: ParsedList<'_>) -> Vec<KeySpec> {
-    let mut keys: Vec<_> = draft.keys().map(|(_, draft)| draft.key.clone()).collect();
+fn assemble_keys(list: ParsedList<'_>) -> Vec<KeySpec> {
+    let mut keys: Vec<_> = list.keys().map(|(_, row)| row.key.clone()).collect();
     keys.sort_by_key(|key| key.id);
     keys
 }
--- a/crates/foxledge-rules/src/build.rs
+++ b/crates/foxledge-rules/src/build.rs
@@ -1,24 +1,24 @@
-//! From parts to a list, once.
+//! Builds a list from its parts without keeping anything for the next list.
 
 use foxledge_core::{findings::FindingList, lists::RuleList};
 
 use crate::assembler::ListAssembler;
 
-/// `OwnedPart` is one part of a list.
+/// One part of a list, with its own copy of the text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnedPart {
-    /// Its name in the manifest, for the findings.
+    /// The name in the manifest, which findings refer to.
     pub name: String,
-    /// Its contents.
+    /// The contents of the part.
     pub text: String,
 }
 
-/// `PartText` is one part of a list whose texts are kept elsewhere.
+/// One part of a list, whose name and text are borrowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartText<'a> {
-    /// Its name in the manifest, for the findings.
+    /// The name in the manifest, which findings refer to.
     pub name: &'a str,
-    /// Its contents.
+    /// The contents of the part.
     pub text: &'a str,
 }
 
@@ -28,9 +28,14 @@
     }
 }
 
-/// Builds the list that the parts make up, or says all that is wrong with them.
+/// Builds a list from its parts.
 ///
-/// Pure: the same revision and parts give the same answer on every instance.
+/// The result depends only on the revision and the parts, so it is the same on
+/// every instance.
+///
+/// # Errors
+///
+/// Returns all findings if the parts don't form a valid list.
 pub fn build_list(revision: u64, parts: &[OwnedPart]) -> Result<RuleList, FindingList> {
     let parts: Vec<_> = parts.iter().map(PartText::from).collect();
     ListAssembler::new().build(revision, &parts)
--- a/crates/foxledge-rules/src/changes.rs
+++ b/crates/foxledge-rules/src/changes.rs
@@ -1,4 +1,4 @@
-//! What changed from one list to the next, for the audit trail.
+//! Computes the differences between two lists for the audit trail.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap, HashSet},
@@ -10,18 +10,18 @@
     names::{MemberName, RuleName, ServiceName, TargetName},
 };
 
-/// `ChangeSubject` is what a change is about.
+/// The item of a list that a change concerns.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ChangeSubject {
-    /// A rule.
+    /// A rule, by name.
     Rule(RuleName),
-    /// A service.
+    /// A service, by name.
     Service(ServiceName),
-    /// A backend server of a service.
+    /// A backend server, by the names of its service and itself.
     Target(ServiceName, TargetName),
-    /// A member.
+    /// A member, by name.
     Member(MemberName),
-    /// A key.
+    /// A key, by id.
     Key(u32),
 }
 
@@ -37,14 +37,14 @@
     }
 }
 
-/// `ListChange` is one difference between two lists.
+/// A change of one item between two lists.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListChange {
-    /// What changed.
+    /// The changed item.
     pub subject: ChangeSubject,
-    /// The fields that differ, as they were; empty when the subject is new.
+    /// The fields that differ, with their old values; empty if the item was added.
     pub old: String,
-    /// The fields that differ, as they are; empty when the subject is gone.
+    /// The fields that differ, with their new values; empty if the item was removed.
     pub new: String,
 }
 
@@ -58,24 +58,24 @@
     }
 }
 
-/// `ChangeSummary` is the first differences between two lists and the number of others.
+/// The first changes between two lists, and the number of further changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChangeSummary {
-    /// The first differences, sorted by subject.
+    /// The first changes, sorted by subject.
     pub changes: Vec<ListChange>,
-    /// Subjects that differ besides.
+    /// The number of changed items that `changes` omits.
     pub omitted: usize,
 }
 
-/// Every difference between two lists, sorted by subject; secrets aren't shown.
+/// Returns all changes between two lists, sorted by subject, without the values of secrets.
 pub fn diff_lists(old: &RuleList, new: &RuleList) -> Vec<ListChange> {
     summarize_changes(old, new, usize::MAX).changes
 }
 
-/// The first `limit` differences between two lists; only these are written out.
+/// Returns the first `limit` changes between two lists, and the number of further changes.
 ///
-/// A list that replaces another wholly differs in each of 38,000 targets; their
-/// texts would take more memory than both lists.
+/// Only the returned changes are formatted: if a list is replaced completely, each of
+/// 38,000 targets differs, and their texts would take more memory than both lists.
 pub fn summarize_changes(old: &RuleList, new: &RuleList, limit: usize) -> ChangeSummary {
     let same_rules = old.rules == new.rules;
     let moved = if same_rules { MovedRules::new() } else { moved_rules(old, new) };
@@ -87,9 +87,9 @@
     add_differing(&mut subjects, old, new);
     add_differing(&mut subjects, new, old);
     subjects.extend(moved.keys().map(|name| ChangeSubject::Rule((*name).clone())));
-    let more = subjects.len().saturating_sub(limit);
-    let told = subjects.into_iter().take(limit);
-    let changes = told.filter_map(|subject| {
+    let omitted = subjects.len().saturating_sub(limit);
+    let listed = subjects.into_iter().take(limit);
+    let changes = listed.filter_map(|subject| {
         let mut old_fields = fields_of(old, &old_rules, &subject);
         let mut new_fields = fields_of(new, &new_rules, &subject);
         if let ChangeSubject::Rule(name) = &subject
@@ -100,10 +100,10 @@
         }
         diff_fields(subject, &old_fields, &new_fields)
     });
-    ChangeSummary { changes: changes.collect(), omitted: more }
+    ChangeSummary { changes: changes.collect(), omitted }
 }
 
-/// The fields of a subject by name, as texts.
+/// The fields of an item by name.
 type FieldList = BTreeMap<&'static str, FieldValue>;
 
 /// The rules of a list by name.
@@ -113,10 +113,10 @@
     list.rules.iter().map(|rule| (&rule.name, rule)).collect()
 }
 
-/// For each rule that moved, the names of the rules before it, then and now.
+/// The names of the rules before each moved rule in the old and in the new list.
 type MovedRules<'l> = BTreeMap<&'l RuleName, (&'l str, &'l str)>;
 
-/// `FieldValue` is what a field shows and what it is compared by.
+/// The value of a field: the text to show, and the bytes of a secret, which are only compared.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct FieldValue {
     text: String,
@@ -127,10 +127,10 @@
     FieldValue { text: value.to_string(), secret: Vec::new() }
 }
 
-/// A secret shows only whether there is one.
+/// Creates the value of a secret, whose text shows only whether the secret is set.
 fn secret_value(value: &[u8]) -> FieldValue {
-    let word = if value.is_empty() { "none" } else { "set" };
-    FieldValue { text: word.to_owned(), secret: value.to_vec() }
+    let text = if value.is_empty() { "none" } else { "set" };
+    FieldValue { text: text.to_owned(), secret: value.to_vec() }
 }
 
 fn name_list<N: fmt::Display>(names: &[N]) -> FieldValue {
@@ -160,12 +160,13 @@
     subjects.extend(differing.map(|(name, _)| ChangeSubject::Rule((*name).clone())));
 }
 
-/// Adds the subjects of a list, but for its rules, that aren't the same in the other list.
+/// Adds the items of a list, except for rules, that the other list lacks or has with
+/// other values.
 fn add_differing(subjects: &mut BTreeSet<ChangeSubject>, list: &RuleList, other: &RuleList) {
     for service in list.services.values() {
-        let former = other.services.get(&service.name);
-        if former != Some(service) {
-            add_differing_service(subjects, service, former.map(AsRef::as_ref));
+        let other_service = other.services.get(&service.name);
+        if other_service != Some(service) {
+            add_differing_service(subjects, service, other_service.map(AsRef::as_ref));
         }
     }
     for member in list.members.values() {
@@ -194,7 +195,7 @@
     );
 }
 
-/// The fields of a subject; none when the list doesn't have it.
+/// Returns the fields of an item, which are empty if the list doesn't contain the item.
 fn fields_of(list: &RuleList, rules: &RuleMap<'_>, subject: &ChangeSubject) -> FieldList {
     let fields = match subject {
         ChangeSubject::Rule(name) => rules.get(name).map(|rule| rule_fields(rule)),
@@ -259,36 +260,37 @@
     ])
 }
 
-/// The rules that moved, each with the rule that it stands after.
+/// Returns the rules that moved, each with the rules before it in both lists.
 ///
-/// The rules that keep their order are a longest increasing subsequence of the
-/// old positions; all others moved. Fredman, "On computing the length of
-/// longest increasing subsequences", Discrete Mathematics 11(1), 1975.
+/// The rules of a longest increasing subsequence of the old positions keep their
+/// order; all others moved. Fredman, "On computing the length of longest increasing
+/// subsequences", Discrete Mathematics 11(1), 1975.
 fn moved_rules<'l>(old: &'l RuleList, new: &'l RuleList) -> MovedRules<'l> {
     let old_names = common_rules(old, new);
     let new_names = common_rules(new, old);
-    let old_places: HashMap<_, _> = old_names.iter().copied().zip(0..).collect();
-    let places: Vec<usize> = new_names.iter().map(|name| old_places[name]).collect();
-    let kept = longest_increasing(&places);
-    let moved = places.iter().enumerate().filter(|(at, _)| kept.binary_search(at).is_err());
-    let before = moved.map(|(at, place)| {
-        (new_names[at], (name_before(&old_names, *place), name_before(&new_names, at)))
+    let old_positions: HashMap<_, _> = old_names.iter().copied().zip(0..).collect();
+    let positions: Vec<usize> = new_names.iter().map(|name| old_positions[name]).collect();
+    let kept = longest_increasing(&positions);
+    let moved =
+        positions.iter().enumerate().filter(|(index, _)| kept.binary_search(index).is_err());
+    let moves = moved.map(|(index, position)| {
+        (new_names[index], (name_before(&old_names, *position), name_before(&new_names, index)))
     });
-    before.collect()
+    moves.collect()
 }
 
 fn common_rules<'l>(list: &'l RuleList, other: &RuleList) -> Vec<&'l RuleName> {
-    let known: HashSet<_> = other.rules.iter().map(|rule| &rule.name).collect();
-    list.rules.iter().map(|rule| &rule.name).filter(|name| known.contains(name)).collect()
+    let other_names: HashSet<_> = other.rules.iter().map(|rule| &rule.name).collect();
+    list.rules.iter().map(|rule| &rule.name).filter(|name| other_names.contains(name)).collect()
 }
 
-fn name_before<'l>(names: &[&'l RuleName], at: usize) -> &'l str {
-    at.checked_sub(1).map_or("none", |before| names[before].as_str())
+fn name_before<'l>(names: &[&'l RuleName], index: usize) -> &'l str {
+    index.checked_sub(1).map_or("none", |previous| names[previous].as_str())
 }
 
-/// Indices of a longest increasing subsequence.
+/// Returns the indices of a longest increasing subsequence.
 fn longest_increasing(values: &[usize]) -> Vec<usize> {
-    // For each length, the index of the smallest value that ends such a subsequence.
+    // For each length, the index of the smallest value that ends a subsequence of that length.
     let mut ends: Vec<usize> = Vec::new();
     let mut previous = vec![None; values.len()];
     for (index, value) in values.iter().enumerate() {
@@ -300,7 +302,7 @@
             ends[length] = index;
         }
     }
-    // Walk back from the end of the longest one.
+    // Follow the predecessors from the end of the longest subsequence.
     let mut kept = Vec::new();
     let mut next = ends.last().copied();
     while let Some(index) = next {
--- a/crates/foxledge-rules/src/index.rs
+++ b/crates/foxledge-rules/src/index.rs
@@ -1,4 +1,4 @@
-//! Rules by service address.
+//! Finds the rules of a list by service address.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -7,54 +7,54 @@
     names::ServiceAddress,
 };
 
-/// `RuleIndex` is a list whose rules are found by address.
+/// A rule list with an index of its rules by service address.
 ///
-/// [`RuleIndex::decide`] gives the answer of [`RuleList::decide`] without
-/// walking over the rules of all other addresses.
+/// [`RuleIndex::first_match`] returns the same rule as [`RuleList::first_match`]
+/// without checking the rules of other addresses.
 #[derive(Clone, Debug)]
 pub struct RuleIndex {
     list: Arc<RuleList>,
-    /// Numbers of the rules that name the address, in order.
+    /// The positions of the rules that name each address, in ascending order.
     by_address: HashMap<ServiceAddress, Vec<u32>>,
-    /// Numbers of the rules that name no address, in order.
+    /// The positions of the rules that name no address, in ascending order.
     any_address: Vec<u32>,
 }
 
 impl RuleIndex {
-    /// Indexes a list.
+    /// Creates an index of a list.
     pub fn new(list: Arc<RuleList>) -> RuleIndex {
-        let mut with_address: HashMap<_, Vec<u32>> = HashMap::new();
-        let mut with_any = Vec::new();
-        for (number, rule) in (0..).zip(&list.rules) {
+        let mut by_address: HashMap<_, Vec<u32>> = HashMap::new();
+        let mut any_address = Vec::new();
+        for (position, rule) in (0..).zip(&list.rules) {
             if rule.when.addresses.is_empty() {
-                with_any.push(number);
+                any_address.push(position);
             }
             for address in &rule.when.addresses {
-                with_address.entry(address.clone()).or_default().push(number);
+                by_address.entry(address.clone()).or_default().push(position);
             }
         }
-        RuleIndex { list, by_address: with_address, any_address: with_any }
+        RuleIndex { list, by_address, any_address }
     }
 
-    /// The list.
+    /// Returns the list.
     pub fn list(&self) -> &Arc<RuleList> {
         &self.list
     }
 
-    /// The first rule that matches, or none.
+    /// Returns the first rule that matches a flow, or `None` if no rule matches.
     pub fn first_match(&self, flow: &FlowTraits<'_>) -> Option<&FlowRule> {
-        let with_address = self.by_address.get(flow.address).map_or(&[][..], Vec::as_slice);
-        let by_address = self.first_among(with_address, flow);
-        let by_any = self.first_among(&self.any_address, flow);
-        let first = match (by_address, by_any) {
+        let named = self.by_address.get(flow.address).map_or(&[][..], Vec::as_slice);
+        let by_address = self.first_among(named, flow);
+        let any_address = self.first_among(&self.any_address, flow);
+        let first = match (by_address, any_address) {
             (Some(a), Some(b)) => a.min(b),
             (first, None) | (None, first) => first?,
         };
         Some(&self.list.rules[first as usize])
     }
 
-    fn first_among(&self, numbers: &[u32], flow: &FlowTraits<'_>) -> Option<u32> {
-        let mut numbers = numbers.iter().copied();
-        numbers.find(|number| self.list.rules[*number as usize].when.matches(flow))
+    fn first_among(&self, positions: &[u32], flow: &FlowTraits<'_>) -> Option<u32> {
+        let mut positions = positions.iter().copied();
+        positions.find(|position| self.list.rules[*position as usize].when.matches(flow))
     }
 }
--- a/crates/foxledge-rules/src/lib.rs
+++ b/crates/foxledge-rules/src/lib.rs
@@ -1,9 +1,9 @@
-//! List parts to rule lists, or findings.
+//! Parses, validates and builds rule lists from their parts.
 //!
 //! [`build_list`] is a pure function of the parts' contents: every instance
-//! gives the same verdict on the same list, and a refused list is refused with
-//! all its findings. [`ListAssembler`] gives the same verdicts and reads only
-//! the parts that it hasn't read before.
+//! accepts or rejects the same lists, and a rejected list is returned with all of
+//! its findings. [`ListAssembler`] returns the same results but parses only the
+//! parts that it hasn't parsed before.
 
 mod assembler;
 mod build;
--- a/crates/foxledge-rules/src/list_findings.rs
+++ b/crates/foxledge-rules/src/list_findings.rs
@@ -1,4 +1,4 @@
-//! The findings of all parts of a list.
+//! Collects the findings in all parts of a list.
 
 use std::cell::RefCell;
 
@@ -9,10 +9,10 @@
     parsed::PartFinding,
 };
 
-/// Source of the findings that have no place in a part.
+/// The source of findings that concern the whole list.
 pub(crate) const LIST_SOURCE: &str = "list";
 
-/// `ListFindings` collects the findings of a list by part.
+/// Collects the findings in a list by part.
 #[derive(Debug)]
 pub(crate) struct ListFindings<'a> {
     part_names: Vec<&'a str>,
@@ -21,54 +21,61 @@
 }
 
 impl<'a> ListFindings<'a> {
-    /// Makes a collection for the parts of these names and what was found on reading each.
+    /// Creates a collection from the name of each part and the findings of parsing it.
     pub(crate) fn new(
         parts: impl Iterator<Item = (&'a str, Vec<PartFinding>)>,
     ) -> ListFindings<'a> {
-        let (names, findings): (Vec<_>, Vec<_>) = parts.unzip();
+        let (part_names, findings): (Vec<_>, Vec<_>) = parts.unzip();
         ListFindings {
-            part_names: names,
+            part_names,
             part_findings: RefCell::new(findings),
             list_findings: RefCell::default(),
         }
     }
 
-    /// Notes a finding.
-    pub(crate) fn add(&self, part: usize, spot: &PartLocation, text: impl Into<String>) {
-        let finding =
-            PartFinding { line: spot.line as usize, key: spot.to_string(), text: text.into() };
+    /// Adds a finding at a location in a part.
+    pub(crate) fn add(&self, part: usize, location: &PartLocation, text: impl Into<String>) {
+        let finding = PartFinding {
+            line: location.line as usize,
+            key: location.to_string(),
+            text: text.into(),
+        };
         self.part_findings.borrow_mut()[part].push(finding);
     }
 
-    /// Notes a finding that has no place in a part.
+    /// Adds a finding that concerns the whole list.
     pub(crate) fn add_to_list(&self, text: impl Into<String>) {
         self.list_findings.borrow_mut().add(LIST_SOURCE, 0, "", text);
     }
 
-    /// Notes that the name at `spot` was given before, at `earlier`.
+    /// Adds the finding that the name at `location` is already used at `earlier`.
     pub(crate) fn add_duplicate(
         &self,
-        spot: ListLocation,
+        location: ListLocation,
         name: impl std::fmt::Display,
         earlier: ListLocation,
     ) {
-        let place = self.format_location(earlier);
-        self.add(spot.part, &spot.location, format!("\"{name}\" stands already in {place}"));
+        let earlier = self.format_location(earlier);
+        self.add(
+            location.part,
+            &location.location,
+            format!("\"{name}\" is already used in {earlier}"),
+        );
     }
 
-    /// The spot as `part:line`.
-    pub(crate) fn format_location(&self, spot: ListLocation) -> String {
-        format!("{}:{}", self.part_names[spot.part], spot.location.line)
+    /// Formats a location as `part:line`.
+    pub(crate) fn format_location(&self, location: ListLocation) -> String {
+        format!("{}:{}", self.part_names[location.part], location.location.line)
     }
 
-    /// True when nothing was found wrong.
+    /// Returns `true` if there are no findings.
     pub(crate) fn is_empty(&self) -> bool {
         self.list_findings.borrow().is_empty()
             && self.part_findings.borrow().iter().all(Vec::is_empty)
     }
 
-    /// The findings by part and line, those without a part first; those of one
-    /// line stay in the order found.
+    /// Returns the findings sorted by part and line, with those of the whole list
+    /// first; findings in one line keep their order.
     pub(crate) fn into_findings(self) -> FindingList {
         let mut list = self.list_findings.into_inner();
         for (name, mut findings) in self.part_names.into_iter().zip(self.part_findings.into_inner())
--- a/crates/foxledge-rules/src/locations.rs
+++ b/crates/foxledge-rules/src/locations.rs
@@ -1,14 +1,14 @@
-//! Where in a list something stands, small enough to be kept for each target.
+//! Locations in a list, small enough to be stored for each target.
 
 use std::fmt;
 
 use foxledge_document::KeyLocation;
 
-/// `PartLocation` is where in a part something stands.
+/// The location of a row or field in a part.
 ///
-/// A [`KeyLocation`] shares its path by counted pointers, which take more memory than
-/// the target they belong to. Parts are kept from list to list, so the path is
-/// kept as numbers here.
+/// A [`KeyLocation`] shares its path through reference-counted pointers, which take
+/// more memory than the target they belong to. Parsed parts are retained from list
+/// to list, so the path is stored as numbers here.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PartLocation {
     pub(crate) line: u32,
@@ -17,34 +17,34 @@
 }
 
 impl PartLocation {
-    /// The spot of a field of a row at a place that the document gave.
-    pub(crate) fn new(place: &KeyLocation, row: RowPath, field: FieldPath) -> PartLocation {
-        PartLocation { line: place.line as u32, row, field }
+    /// Creates the location of a field of a row from the location in the document.
+    pub(crate) fn new(location: &KeyLocation, row: RowPath, field: FieldPath) -> PartLocation {
+        PartLocation { line: location.line as u32, row, field }
     }
 }
 
 impl fmt::Display for PartLocation {
-    /// Writes the path of the key.
+    /// Formats the path of the key.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}{}", self.row, self.field)
     }
 }
 
-/// `ListLocation` is where in a list something stands.
+/// The location of a row or field in a list.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ListLocation {
-    /// Index of the part.
+    /// The index of the part.
     pub(crate) part: usize,
-    /// Where in the part.
+    /// The location in the part.
     pub(crate) location: PartLocation,
 }
 
-/// `RowPath` is the path of one row of an array of tables.
+/// The path of one row in an array of tables.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum RowPath {
     Rule(u32),
     Service(u32),
-    /// A target inside of a service.
+    /// A target nested in a service, by the indices of the service and the target.
     NestedTarget(u32, u32),
     Target(u32),
     Member(u32),
@@ -64,7 +64,7 @@
     }
 }
 
-/// `FieldPath` is the path of a field in its row.
+/// The path of a field within its row.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum FieldPath {
     /// The row itself.
--- a/crates/foxledge-rules/src/parsed.rs
+++ b/crates/foxledge-rules/src/parsed.rs
@@ -1,4 +1,4 @@
-//! A list as read from its parts, before it is checked as a whole.
+//! The parsed parts of a list, before the list is validated as a whole.
 
 use std::sync::Arc;
 
@@ -9,12 +9,13 @@
 
 use crate::locations::{FieldPath, PartLocation, RowPath};
 
-/// `ParsedPart` is everything that could be read of one part.
+/// The rows parsed from one part.
 ///
-/// It doesn't know its part's name or place in the list, so that it can be kept
-/// under the digest of the part's text alone.
+/// It contains neither the name of the part nor its position in the list, so that it
+/// can be cached by the digest of the part's text alone.
 ///
-/// Invariant: what couldn't be read is left out or none, and a finding says why.
+/// Invariant: rows and fields that couldn't be parsed are omitted or `None`, and a
+/// finding gives the reason.
 #[derive(Debug, Default)]
 pub(crate) struct ParsedPart {
     pub(crate) rules: Vec<ParsedRule>,
@@ -23,12 +24,12 @@
     pub(crate) members: Vec<ParsedMember>,
     pub(crate) keys: Vec<ParsedKey>,
     pub(crate) findings: Vec<PartFinding>,
-    /// The services that the part has targets of.
+    /// The number of targets in the part by service.
     pub(crate) target_counts: Vec<TargetCount>,
 }
 
 impl ParsedPart {
-    /// Gives back the memory that growing left over.
+    /// Releases the unused capacity of the vectors.
     pub(crate) fn shrink(&mut self) {
         self.rules.shrink_to_fit();
         self.services.shrink_to_fit();
@@ -37,10 +38,10 @@
         self.keys.shrink_to_fit();
     }
 
-    /// The target of one of the part's drafts.
-    pub(crate) fn target<'a>(&'a self, draft: &'a ParsedTarget) -> Option<&'a TargetSpec> {
-        match &draft.storage {
-            TargetStorage::Inline(target) => Some(target),
+    /// Returns the specification of one of the part's targets.
+    pub(crate) fn target<'a>(&'a self, target: &'a ParsedTarget) -> Option<&'a TargetSpec> {
+        match &target.storage {
+            TargetStorage::Inline(spec) => Some(spec),
             TargetStorage::InService { service, target } => {
                 let spec = self.services.get(*service as usize)?.spec.as_ref()?;
                 spec.targets.get(*target as usize)
@@ -48,15 +49,14 @@
         }
     }
 
-    /// Services of other parts that this part has targets of.
+    /// Iterates over the services that aren't in this part but have targets in it.
     pub(crate) fn services_of_other_parts(&self) -> impl Iterator<Item = &ServiceName> {
-        let foreign =
-            self.target_counts.iter().filter(|count| count.scope == CountScope::OtherPart);
-        foreign.map(|count| &count.service)
+        let counts = self.target_counts.iter().filter(|count| count.scope == CountScope::OtherPart);
+        counts.map(|count| &count.service)
     }
 }
 
-/// `TargetCount` is how many targets of a service a part has.
+/// The number of targets of one service in a part.
 #[derive(Debug)]
 pub(crate) struct TargetCount {
     pub(crate) service: ServiceName,
@@ -64,16 +64,16 @@
     pub(crate) scope: CountScope,
 }
 
-/// `CountScope` is whether the counted targets stand beside their service.
+/// Whether the counted targets are in the same part as their service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CountScope {
-    /// The service stands in the same part.
+    /// The service is in the same part.
     SamePart,
-    /// The service stands in another part, or nowhere.
+    /// The service is in another part or doesn't exist.
     OtherPart,
 }
 
-/// `PartFinding` is one thing that is wrong in a part.
+/// One problem in a part.
 #[derive(Clone, Debug)]
 pub(crate) struct PartFinding {
     pub(crate) line: usize,
@@ -81,7 +81,7 @@
     pub(crate) text: String,
 }
 
-/// `ParsedList` is the drafts of all parts in order.
+/// The parsed parts of a list in order.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ParsedList<'a> {
     pub(crate) parts: &'a [Arc<ParsedPart>],
@@ -108,17 +108,17 @@
         self.rows(|part| &part.keys)
     }
 
-    /// The rows of one kind, each with the index of its part.
+    /// Iterates over the rows of one kind, each with the index of its part.
     fn rows<T: 'a>(
         self,
         rows: impl Fn(&'a ParsedPart) -> &'a Vec<T>,
     ) -> impl Iterator<Item = (usize, &'a T)> {
         let parts = self.parts.iter().enumerate();
-        parts.flat_map(move |(number, part)| rows(part).iter().map(move |row| (number, row)))
+        parts.flat_map(move |(index, part)| rows(part).iter().map(move |row| (index, row)))
     }
 }
 
-/// `ParsedRule` is one rule.
+/// A parsed rule.
 #[derive(Debug)]
 pub(crate) struct ParsedRule {
     pub(crate) location: PartLocation,
@@ -128,18 +128,18 @@
     pub(crate) address_locations: Vec<PartLocation>,
     pub(crate) member_locations: Vec<PartLocation>,
     pub(crate) then: Option<ParsedTreatment>,
-    /// True while no finding says that what it matches was read wrong.
+    /// Whether the rule was parsed without findings.
     pub(crate) is_fully_read: bool,
 }
 
-/// `ParsedTreatment` is what a rule decides.
+/// What a rule does with the flows that it matches.
 #[derive(Debug)]
 pub(crate) enum ParsedTreatment {
     Deny,
     Serve(ParsedServe),
 }
 
-/// `ParsedServe` is how a matched flow is served.
+/// How a rule serves the flows that it matches.
 #[derive(Debug)]
 pub(crate) struct ParsedServe {
     pub(crate) service: ServiceName,
@@ -150,7 +150,7 @@
     pub(crate) when_full: FullAction,
 }
 
-/// `ParsedService` is one service without its targets.
+/// A parsed service.
 #[derive(Debug)]
 pub(crate) struct ParsedService {
     pub(crate) location: PartLocation,
@@ -160,15 +160,15 @@
     pub(crate) queue_limit: u32,
     pub(crate) shards: u32,
     pub(crate) shards_location: PartLocation,
-    /// The service with the targets of its own part; none without a name.
+    /// The service with the targets of its own part; `None` if the service has no name.
     ///
-    /// Lists that keep the part share it, so that whoever compares two lists
-    /// knows by the address alone that nothing changed.
+    /// Lists that contain the same part share this allocation, so that a comparison of
+    /// two lists can recognise an unchanged service by its pointer.
     pub(crate) spec: Option<Arc<ServiceSpec>>,
 }
 
 impl ParsedService {
-    /// The service with these targets.
+    /// Creates the specification of the service with these targets.
     pub(crate) fn to_spec(&self, name: &ServiceName, targets: Vec<TargetSpec>) -> ServiceSpec {
         ServiceSpec {
             name: name.clone(),
@@ -180,9 +180,10 @@
     }
 }
 
-/// `ParsedTarget` is one target and the service that it belongs to.
+/// A parsed target and the service that it belongs to.
 ///
-/// Small, as there are tens of thousands of them and each check walks over all.
+/// It is kept small, as a list has tens of thousands of targets and each check
+/// iterates over all of them.
 #[derive(Debug)]
 pub(crate) struct ParsedTarget {
     pub(crate) row: RowPath,
@@ -190,19 +191,19 @@
     pub(crate) address_line: u32,
     pub(crate) service_line: u32,
     pub(crate) service: ServiceName,
-    /// Equal for equal names of a service and its target.
+    /// The digest of the names of the service and the target.
     pub(crate) name_digest: u64,
-    /// Equal for equal addresses.
+    /// The digest of the address.
     pub(crate) address_digest: u64,
     pub(crate) storage: TargetStorage,
 }
 
-/// `TargetPlace` is where in a part's draft a target is.
+/// Where the specification of a parsed target is stored.
 #[derive(Debug)]
 pub(crate) enum TargetStorage {
-    /// In the `spec` of a service of the part, by their indices.
+    /// In the `spec` of a service in the same part, by the indices of the service and the target.
     InService { service: u32, target: u32 },
-    /// Here; the service stands in another part.
+    /// In the target itself, because its service is in another part.
     Inline(Box<TargetSpec>),
 }
 
@@ -215,7 +216,7 @@
         PartLocation { line: self.address_line, row: self.row, field: FieldPath::Address }
     }
 
-    /// Where the service is named: by the target, or by the service around it.
+    /// Returns where the service is named: in the target or in the enclosing service.
     pub(crate) fn service_location(&self) -> PartLocation {
         let field = match self.row {
             RowPath::NestedTarget(..) => FieldPath::Row,
@@ -225,14 +226,14 @@
     }
 }
 
-/// `ParsedMember` is one member.
+/// A parsed member.
 #[derive(Debug)]
 pub(crate) struct ParsedMember {
     pub(crate) location: PartLocation,
     pub(crate) member: MemberSpec,
 }
 
-/// `ParsedKey` is one key.
+/// A parsed key.
 #[derive(Debug)]
 pub(crate) struct ParsedKey {
     pub(crate) location: PartLocation,
--- a/crates/foxledge-rules/src/part_reader.rs
+++ b/crates/foxledge-rules/src/part_reader.rs
@@ -1,4 +1,4 @@
-//! Reading the tables of one part.
+//! Parses the tables of one part.
 
 use std::{
     borrow::Borrow,
@@ -34,12 +34,12 @@
 const MAX_SLOTS: u64 = 100_000;
 const MAX_CONNECTIONS: u64 = 10_000_000;
 
-/// Reads one part, with the findings in it.
+/// Parses one part and collects its findings.
 pub(crate) fn read_part(text: &str) -> ParsedPart {
-    let notes = SourceFindings::new("", text);
-    let draft = read_document(&notes, text, |root| {
+    let findings = SourceFindings::new("", text);
+    let part = read_document(&findings, text, |root| {
         let mut reader = PartReader {
-            findings: &notes,
+            findings: &findings,
             part: ParsedPart::default(),
             services: NamePool::new(),
             centres: NamePool::new(),
@@ -47,44 +47,45 @@
         reader.read_root(root);
         reader.part
     });
-    let mut draft = draft.unwrap_or_default();
-    draft.findings = part_findings(notes);
-    build_specs(&mut draft);
-    draft.shrink();
-    draft
+    let mut part = part.unwrap_or_default();
+    part.findings = part_findings(findings);
+    build_specs(&mut part);
+    part.shrink();
+    part
 }
 
-/// Makes each service with the targets that its part has of it, and counts targets.
-fn build_specs(draft: &mut ParsedPart) {
-    let mut numbers: HashMap<&ServiceName, u32> = HashMap::new();
-    for (number, service) in (0..).zip(&draft.services) {
-        // A name given twice is a finding of the whole list, so that it doesn't
-        // matter that a second service of the name gets no targets here.
+/// Moves the targets of the part into the specifications of their services, and counts
+/// the targets by service.
+fn build_specs(part: &mut ParsedPart) {
+    let mut positions: HashMap<&ServiceName, u32> = HashMap::new();
+    for (position, service) in (0..).zip(&part.services) {
+        // A second service of the same name gets no targets, which doesn't matter, as the
+        // check of the whole list reports the duplicate name.
         if let Some(name) = &service.name {
-            numbers.entry(name).or_insert(number);
+            positions.entry(name).or_insert(position);
         }
     }
     let mut targets: Vec<Vec<TargetSpec>> = Vec::new();
-    targets.resize_with(draft.services.len(), Vec::new);
-    let mut foreign: HashMap<&ServiceName, usize> = HashMap::new();
-    for target in &mut draft.targets {
-        let Some(service) = numbers.get(&target.service).copied() else {
-            *foreign.entry(&target.service).or_default() += 1;
+    targets.resize_with(part.services.len(), Vec::new);
+    let mut other_counts: HashMap<&ServiceName, usize> = HashMap::new();
+    for target in &mut part.targets {
+        let Some(service) = positions.get(&target.service).copied() else {
+            *other_counts.entry(&target.service).or_default() += 1;
             continue;
         };
-        let own = &mut targets[service as usize];
-        let place = TargetStorage::InService { service, target: own.len() as u32 };
-        if let TargetStorage::Inline(spec) = std::mem::replace(&mut target.storage, place) {
-            own.push(*spec);
+        let service_targets = &mut targets[service as usize];
+        let storage = TargetStorage::InService { service, target: service_targets.len() as u32 };
+        if let TargetStorage::Inline(spec) = std::mem::replace(&mut target.storage, storage) {
+            service_targets.push(*spec);
         }
     }
-    let foreign = foreign.into_iter().map(|(service, targets)| TargetCount {
+    let other_counts = other_counts.into_iter().map(|(service, targets)| TargetCount {
         service: service.clone(),
         targets,
         scope: CountScope::OtherPart,
     });
-    let mut counts: Vec<_> = foreign.collect();
-    for (service, mut targets) in draft.services.iter_mut().zip(targets) {
+    let mut counts: Vec<_> = other_counts.collect();
+    for (service, mut targets) in part.services.iter_mut().zip(targets) {
         let Some(name) = service.name.clone() else { continue };
         targets.shrink_to_fit();
         if !targets.is_empty() {
@@ -93,11 +94,11 @@
         }
         service.spec = Some(Arc::new(service.to_spec(&name, targets)));
     }
-    draft.target_counts = counts;
+    part.target_counts = counts;
 }
 
-fn part_findings(notes: SourceFindings) -> Vec<PartFinding> {
-    let findings = notes.into_findings();
+fn part_findings(findings: SourceFindings) -> Vec<PartFinding> {
+    let findings = findings.into_findings();
     let findings = findings.iter().cloned();
     findings.map(|Finding { line, key, text, .. }| PartFinding { line, key, text }).collect()
 }
@@ -162,11 +163,11 @@
 
     fn read_kinds(&self, when: &TableReader<'_>) -> Vec<TrafficKind> {
         let mut kinds = Vec::new();
-        for word in when.texts("kind") {
-            match TrafficKind::from_str(word.text) {
-                Err(error) => self.findings.add(&word.location, error.to_string()),
+        for kind_name in when.texts("kind") {
+            match TrafficKind::from_str(kind_name.text) {
+                Err(error) => self.findings.add(&kind_name.location, error.to_string()),
                 Ok(kind) if kinds.contains(&kind) => {
-                    self.findings.add(&word.location, format!("\"{kind}\" stands twice"));
+                    self.findings.add(&kind_name.location, format!("\"{kind}\" stands twice"));
                 }
                 Ok(kind) => kinds.push(kind),
             }
@@ -200,11 +201,11 @@
         }))
     }
 
-    /// Whoever writes more beside `deny` expects it to have an effect.
+    /// Reports the keys that have no effect beside `deny`, as their author expects one.
     fn check_deny(&self, then: &TableReader<'_>) {
         for key in ["service", "priority", "weight", "member_limit", "when_full"] {
             if then.has_key(key) {
-                then.add_finding(key, "has no meaning beside deny");
+                then.add_finding(key, "has no effect beside deny");
             }
         }
         then.finish();
@@ -236,13 +237,13 @@
             self.part.targets.extend(target);
         }
         table.finish();
-        let spots = item_locations(&addresses, row, FieldPath::Addresses);
+        let locations = item_locations(&addresses, row, FieldPath::Addresses);
         let addresses = addresses.iter().map(|name| ServiceAddress::new(name.text));
         let service = ParsedService {
             location: row_location(table, row),
             name_location: PartLocation::new(&table.location_of("name"), row, FieldPath::Name),
             name,
-            addresses: addresses.zip(spots).collect(),
+            addresses: addresses.zip(locations).collect(),
             queue_limit,
             shards,
             shards_location: PartLocation::new(
@@ -313,8 +314,8 @@
         };
         table.finish();
         let member = MemberSpec { name: MemberName::new(name?), secret };
-        let spot = PartLocation::new(&table.location_of("name"), row, FieldPath::Name);
-        Some(ParsedMember { location: spot, member })
+        let location = PartLocation::new(&table.location_of("name"), row, FieldPath::Name);
+        Some(ParsedMember { location, member })
     }
 
     fn read_key(&self, table: &TableReader<'_>) -> Option<ParsedKey> {
@@ -324,22 +325,22 @@
         let secret = secret.and_then(|text| self.read_secret(table, text));
         table.finish();
         let key = KeySpec { id: id? as u32, secret: secret? };
-        let spot = PartLocation::new(&table.location_of("id"), row, FieldPath::Id);
-        Some(ParsedKey { location: spot, key })
+        let location = PartLocation::new(&table.location_of("id"), row, FieldPath::Id);
+        Some(ParsedKey { location, key })
     }
 
     fn read_secret(&self, table: &TableReader<'_>, text: &str) -> Option<Vec<u8>> {
         match parse_secret(text) {
             Ok(secret) => Some(secret),
-            Err(fault) => {
-                table.add_finding("secret", fault);
+            Err(error) => {
+                table.add_finding("secret", error);
                 None
             }
         }
     }
 }
 
-/// `NamePool` lets equal names of a part share their text.
+/// Interns names, so that equal names in a part share their text.
 struct NamePool<N> {
     names: HashSet<N>,
 }
@@ -368,18 +369,18 @@
     row: RowPath,
     field: impl Fn(u32) -> FieldPath,
 ) -> Vec<PartLocation> {
-    let spots = names
+    let locations = names
         .iter()
         .map(|name| PartLocation::new(&name.location, row, field(last_index(&name.location))));
-    spots.collect()
+    locations.collect()
 }
 
-/// The index of the array's item at a place.
-fn last_index(place: &KeyLocation) -> u32 {
-    place.path.last_index().unwrap_or_default() as u32
+/// Returns the index of the array item at a location.
+fn last_index(location: &KeyLocation) -> u32 {
+    location.path.last_index().unwrap_or_default() as u32
 }
 
-/// A number that is equal for equal addresses.
+/// Returns a digest that is equal for equal addresses.
 fn address_digest(address: SocketAddr) -> u64 {
     let ip = match address.ip() {
         IpAddr::V4(ip) => u64::from(u32::from(ip)),
--- a/crates/foxledge-rules/src/secrets.rs
+++ b/crates/foxledge-rules/src/secrets.rs
@@ -1,9 +1,13 @@
-//! Secrets written as hex digits.
+//! Parses secrets written as hex digits.
 
-/// Shortest secret that is worth the name, in bytes.
+/// The minimum length of a secret, in bytes.
 pub(crate) const MIN_SECRET_BYTES: usize = 16;
 
-/// Reads a secret, or says what is wrong with it; never repeats the secret.
+/// Parses a secret.
+///
+/// # Errors
+///
+/// Returns a description of the problem, which never contains the secret.
 pub(crate) fn parse_secret(text: &str) -> Result<Vec<u8>, &'static str> {
     let secret = hex::decode(text).map_err(|_| "must be an even number of hex digits")?;
     if secret.len() < MIN_SECRET_BYTES {
--- a/crates/foxledge-rules/src/shadows.rs
+++ b/crates/foxledge-rules/src/shadows.rs
@@ -1,4 +1,4 @@
-//! Rules that can never match, because an earlier one takes all they match.
+//! Finds rules that can never match because an earlier rule matches all of their flows.
 
 use std::collections::HashMap;
 
@@ -6,35 +6,42 @@
 
 use crate::{checks::BoundRule, list_findings::ListFindings, locations::ListLocation};
 
-/// Notes each rule whose matches are all taken by one earlier rule.
+/// Adds a finding for each rule that is shadowed by one earlier rule.
 ///
-/// Rules that aren't sound are left out: what was read of them may match more
-/// than what was meant.
-pub(crate) fn check_shadows(sources: &ListFindings<'_>, rules: &[BoundRule<'_>]) {
-    let mut numbers = NameInterner::default();
-    let sets: Vec<_> = rules.iter().map(|rule| RuleConditions::new(&mut numbers, rule)).collect();
+/// Rules with findings about their conditions are skipped, as what was parsed of
+/// them may match more than was intended.
+pub(crate) fn check_shadows(findings: &ListFindings<'_>, rules: &[BoundRule<'_>]) {
+    let mut interner = NameInterner::default();
+    let all_conditions: Vec<_> =
+        rules.iter().map(|rule| RuleConditions::new(&mut interner, rule)).collect();
     let mut earlier = EarlierRules::default();
-    for (number, (rule, set)) in rules.iter().zip(&sets).enumerate() {
+    for (position, (rule, conditions)) in rules.iter().zip(&all_conditions).enumerate() {
         if !rule.is_comparable {
             continue;
         }
-        let mut candidates = earlier.candidates(set).into_iter();
-        let taker = candidates.find(|taker| sets[*taker].covers(set));
-        if let Some(taker) = taker {
-            report_shadowed_rule(sources, &rules[taker], rule.location());
+        let mut candidates = earlier.candidates(conditions).into_iter();
+        let shadowing = candidates.find(|shadowing| all_conditions[*shadowing].covers(conditions));
+        if let Some(shadowing) = shadowing {
+            report_shadowed_rule(findings, &rules[shadowing], rule.location());
         }
-        earlier.insert(number, set);
+        earlier.insert(position, conditions);
     }
 }
 
-fn report_shadowed_rule(sources: &ListFindings<'_>, taker: &BoundRule<'_>, spot: ListLocation) {
-    let name = taker.rule.name.as_deref().unwrap_or_default();
-    let place = sources.format_location(taker.location());
-    let text = format!("never matches: rule \"{name}\" ({place}) takes it all before");
-    sources.add(spot.part, &spot.location, text);
+fn report_shadowed_rule(
+    findings: &ListFindings<'_>,
+    shadowing: &BoundRule<'_>,
+    location: ListLocation,
+) {
+    let name = shadowing.rule.name.as_deref().unwrap_or_default();
+    let shadowing_location = findings.format_location(shadowing.location());
+    let text = format!(
+        "never matches: the earlier rule \"{name}\" ({shadowing_location}) matches all its flows"
+    );
+    findings.add(location.part, &location.location, text);
 }
 
-/// `NameInterner` gives each name of a rule's conditions a number.
+/// Assigns an id to each name in the conditions of the rules.
 #[derive(Default)]
 struct NameInterner<'a> {
     ids: HashMap<&'a str, u32>,
@@ -47,17 +54,17 @@
     }
 
     fn intern_all(&mut self, names: impl Iterator<Item = &'a str>) -> NameSet {
-        let mut numbers: Vec<_> = names.map(|name| self.intern(name)).collect();
-        numbers.sort_unstable();
-        let mask = numbers.iter().fold(0, |mask, number| mask | 1 << (number % u64::BITS));
-        NameSet { ids: numbers, mask }
+        let mut ids: Vec<_> = names.map(|name| self.intern(name)).collect();
+        ids.sort_unstable();
+        let mask = ids.iter().fold(0, |mask, id| mask | 1 << (id % u64::BITS));
+        NameSet { ids, mask }
     }
 }
 
-/// `NameSet` is the names of one condition; an empty one is every name.
+/// The names of one condition; an empty set matches every name.
 struct NameSet {
     ids: Vec<u32>,
-    /// One bit for each number modulo 64, to tell most sets apart at once.
+    /// One bit for each id modulo 64, which rules out most pairs of sets without a search.
     mask: u64,
 }
 
@@ -69,11 +76,11 @@
         if other.ids.is_empty() || other.mask & !self.mask != 0 {
             return false;
         }
-        other.ids.iter().all(|number| self.ids.binary_search(number).is_ok())
+        other.ids.iter().all(|id| self.ids.binary_search(id).is_ok())
     }
 }
 
-/// `RuleConditions` is the conditions of one rule.
+/// The conditions of one rule.
 struct RuleConditions {
     addresses: NameSet,
     members: NameSet,
@@ -82,12 +89,12 @@
 }
 
 impl RuleConditions {
-    fn new<'a>(numbers: &mut NameInterner<'a>, rule: &'a BoundRule<'_>) -> RuleConditions {
+    fn new<'a>(interner: &mut NameInterner<'a>, rule: &'a BoundRule<'_>) -> RuleConditions {
         let when = &rule.rule.when;
         RuleConditions {
-            addresses: numbers.intern_all(rule.addresses.iter().map(|name| name.as_str())),
-            members: numbers.intern_all(when.members.iter().map(|name| name.as_str())),
-            centres: numbers.intern_all(when.data_centres.iter().map(|name| name.as_str())),
+            addresses: interner.intern_all(rule.addresses.iter().map(|name| name.as_str())),
+            members: interner.intern_all(when.members.iter().map(|name| name.as_str())),
+            centres: interner.intern_all(when.data_centres.iter().map(|name| name.as_str())),
             kinds: kind_mask(&when.kinds),
         }
     }
@@ -105,10 +112,11 @@
     kinds.iter().fold(0, |mask, kind| mask | 1 << *kind as u8)
 }
 
-/// `EarlierRules` finds the few earlier rules that could cover a rule.
+/// Finds the few earlier rules that could cover a rule.
 ///
-/// A rule that covers another has the same condition on members or none, and
-/// likewise on addresses. The shortest of those lists is enough to look at.
+/// A rule that covers another either names all of the other's members or has no
+/// condition on members, and likewise for addresses. It is enough to check the
+/// shorter of these two lists.
 #[derive(Default)]
 struct EarlierRules {
     addresses: ConditionIndex,
@@ -116,18 +124,18 @@
 }
 
 impl EarlierRules {
-    fn insert(&mut self, rule: usize, sets: &RuleConditions) {
-        self.addresses.insert(rule, &sets.addresses);
-        self.members.insert(rule, &sets.members);
+    fn insert(&mut self, rule: usize, conditions: &RuleConditions) {
+        self.addresses.insert(rule, &conditions.addresses);
+        self.members.insert(rule, &conditions.members);
     }
 
-    fn candidates(&self, sets: &RuleConditions) -> Vec<usize> {
-        let by_address = self.addresses.candidates(&sets.addresses);
-        let by_member = self.members.candidates(&sets.members);
+    fn candidates(&self, conditions: &RuleConditions) -> Vec<usize> {
+        let by_address = self.addresses.candidates(&conditions.addresses);
+        let by_member = self.members.candidates(&conditions.members);
         let shorter =
             if total_len(by_address) <= total_len(by_member) { by_address } else { by_member };
         let mut candidates = shorter.concat();
-        // The first rule that takes it all is the one to name.
+        // The finding names the first rule that covers the given one.
         candidates.sort_unstable();
         candidates
     }
@@ -137,7 +145,7 @@
     lists.iter().map(|list| list.len()).sum()
 }
 
-/// `ConditionIndex` is the earlier rules by the names of one condition.
+/// An index of the earlier rules by the names of one condition.
 #[derive(Default)]
 struct ConditionIndex {
     with_name: HashMap<u32, Vec<usize>>,
@@ -149,19 +157,19 @@
         if names.ids.is_empty() {
             self.without_condition.push(rule);
         }
-        for number in &names.ids {
-            self.with_name.entry(*number).or_default().push(rule);
+        for id in &names.ids {
+            self.with_name.entry(*id).or_default().push(rule);
         }
     }
 
-    /// The rules without the condition, and those with the rarest of the names.
+    /// Returns the rules without the condition, and the rules with the rarest of the names.
     fn candidates(&self, names: &NameSet) -> [&[usize]; 2] {
-        let lists = names.ids.iter().map(|number| self.with_name(*number));
+        let lists = names.ids.iter().map(|id| self.with_name(*id));
         let rarest = lists.min_by_key(|list| list.len()).unwrap_or(&[]);
         [&self.without_condition, rarest]
     }
 
-    fn with_name(&self, number: u32) -> &[usize] {
-        self.with_name.get(&number).map_or(&[], Vec::as_slice)
+    fn with_name(&self, id: u32) -> &[usize] {
+        self.with_name.get(&id).map_or(&[], Vec::as_slice)
     }
 }
--- a/crates/foxledge-rules/tests/bad_lists.rs
+++ b/crates/foxledge-rules/tests/bad_lists.rs
@@ -1,32 +1,32 @@
-//! Parts that are bad in themselves, with the exact findings.
+//! The exact findings of parts that are invalid on their own.
 
 mod common;
 
-use common::{GOOD, check, check_parts, part};
+use common::{VALID_PART, check_list, check_part, part};
 use expect_test::expect;
 use foxledge_rules::{MAX_LIST_BYTES, MAX_PART_BYTES, MAX_PARTS, MAX_RULES, build_list};
 
 #[test]
-fn good_base_is_good() {
-    build_list(1, &[part("good", GOOD), part("more", "# nothing\n")]).unwrap();
+fn accepts_the_valid_part_of_the_other_tests() {
+    build_list(1, &[part("good", VALID_PART), part("more", "# nothing\n")]).unwrap();
 }
 
 #[test]
-fn no_list_at_all() {
-    check_parts(
+fn reports_lists_without_parts_or_keys_and_duplicate_part_names() {
+    check_list(
         &[],
         expect![[r#"
         list: has no parts
     "#]],
     );
-    check_parts(
+    check_list(
         &[part("empty", "")],
         expect![[r#"
         list: has no [[key]], so no ticket could be sealed
     "#]],
     );
-    check_parts(
-        &[part("same", GOOD), part("same", "")],
+    check_list(
+        &[part("same", VALID_PART), part("same", "")],
         expect![[r#"
         same: is the name of two parts
     "#]],
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn syntax_error_in_each_part() {
-    check_parts(
+fn reports_the_syntax_errors_of_all_parts() {
+    check_list(
         &[part("a", "[[rule]\n"), part("b", "\nx = \n")],
         expect![[r#"
         list: has no [[key]], so no ticket could be sealed
@@ -46,25 +46,26 @@
 }
 
 #[test]
-fn too_large() {
-    let whole = "#".repeat(MAX_PART_BYTES);
+fn rejects_lists_and_parts_above_the_size_limits() {
+    let full_part = "#".repeat(MAX_PART_BYTES);
     let count = MAX_LIST_BYTES / MAX_PART_BYTES;
-    let mut parts: Vec<_> = (0..count).map(|n| part(&format!("p{n}"), &whole)).collect();
-    check_parts(
+    let mut parts: Vec<_> =
+        (0..count).map(|number| part(&format!("p{number}"), &full_part)).collect();
+    check_list(
         &parts,
         expect![[r#"
         list: has no [[key]], so no ticket could be sealed
     "#]],
     );
     parts.push(part("one-more", "#"));
-    check_parts(
+    check_list(
         &parts,
         expect![[r#"
         list: has 16777217 bytes, more than 16777216
     "#]],
     );
-    check_parts(
-        &[part("good", GOOD), part("big", &format!("{whole}#")), part("big", "")],
+    check_list(
+        &[part("good", VALID_PART), part("big", &format!("{full_part}#")), part("big", "")],
         expect![[r#"
         big: has 1048577 bytes, more than 1048576
         big: is the name of two parts
@@ -73,9 +74,9 @@
 }
 
 #[test]
-fn too_many_parts() {
-    let parts: Vec<_> = (0..=MAX_PARTS).map(|n| part(&format!("p{n}"), "")).collect();
-    check_parts(
+fn rejects_lists_with_too_many_parts() {
+    let parts: Vec<_> = (0..=MAX_PARTS).map(|number| part(&format!("p{number}"), "")).collect();
+    check_list(
         &parts,
         expect![[r#"
         list: has 4097 parts, more than 4096
@@ -84,38 +85,38 @@
 }
 
 #[test]
-fn too_many_rules() {
+fn rejects_lists_with_too_many_rules() {
     let rule = "[[rule]]\nname='r'\nthen.deny=true\n";
-    check(
+    check_part(
         &rule.repeat(MAX_RULES + 1),
         expect![[r#"
-        more:60001: rule[20000]: is one rule more than 20000
+        more:60001: rule[20000]: exceeds the limit of 20000 rules
     "#]],
     );
 }
 
 #[test]
-fn too_many_implied_addresses() {
-    let addresses: Vec<_> = (0..1500).map(|n| format!("\"a{n}\"")).collect();
+fn rejects_rules_that_imply_too_many_addresses() {
+    let addresses: Vec<_> = (0..1500).map(|number| format!("\"a{number}\"")).collect();
     let mut text = format!("[[service]]\nname = \"wide\"\naddresses = [{}]\n", addresses.join(","));
     text += "[[service.target]]\nname = \"w1\"\naddress = \"10.0.0.3:1\"\nincarnation = 1\n\
              data_centre = \"erie\"\n";
-    for n in 0..140 {
+    for number in 0..140 {
         text += &format!(
-            "[[member]]\nname = \"m{n}\"\n[[rule]]\nname = \"r{n}\"\n\
-             when = {{ member = [\"m{n}\"] }}\nthen = {{ service = \"wide\" }}\n"
+            "[[member]]\nname = \"m{number}\"\n[[rule]]\nname = \"r{number}\"\n\
+             when = {{ member = [\"m{number}\"] }}\nthen = {{ service = \"wide\" }}\n"
         );
     }
-    check(
+    check_part(
         &text,
         expect![[r#"
-        more:809: rule[133]: brings the addresses of all rules above 200000
+        more:809: rule[133]: raises the number of addresses of all rules above 200000
     "#]],
     );
 }
 
 #[test]
-fn unknown_keys() {
+fn reports_unknown_keys() {
     let text = r#"title = "x"
 [[rule]]
 name = "r"
@@ -132,7 +133,7 @@
 secret = "000102030405060708090a0b0c0d0e0f"
 until = "tomorrow"
 "#;
-    check(
+    check_part(
         text,
         expect![[r#"
         more:1: title: unknown key
@@ -147,7 +148,7 @@
 }
 
 #[test]
-fn wrong_types() {
+fn reports_values_of_the_wrong_type() {
     let text = r#"member = "bricks"
 key = [1]
 [[rule]]
@@ -166,7 +167,7 @@
 data_centre = ""
 draining = "no"
 "#;
-    check(
+    check_part(
         text,
         expect![[r#"
         more:1: member: must be an array of tables
@@ -192,8 +193,8 @@
 }
 
 #[test]
-fn missing_keys() {
-    check(
+fn reports_missing_keys() {
+    check_part(
         "[[rule]]\n[[service]]\n[[target]]\n[[member]]\n[[key]]\n",
         expect![[r#"
         more:1: rule[0].name: is missing
@@ -211,19 +212,19 @@
         more:5: key[0].secret: is missing
     "#]],
     );
-    check(
+    check_part(
         "[[rule]]\nname = \"r\"\nthen = {}\n",
         expect![[r#"
         more:3: rule[0].then.service: is missing
     "#]],
     );
-    check(
+    check_part(
         "[[rule]]\nname = \"r\"\nthen = { deny = false }\n",
         expect![[r#"
         more:3: rule[0].then.service: is missing
     "#]],
     );
-    check(
+    check_part(
         "[[service]]\nname = \"s\"\naddresses = []\n",
         expect![[r#"
         more:1: service[0]: has no target
@@ -233,7 +234,7 @@
 }
 
 #[test]
-fn numbers_out_of_range() {
+fn reports_numbers_outside_their_range() {
     let text = r#"[[rule]]
 name = "r"
 then = { service = "desk", priority = 8, weight = 0, member_limit = -1 }
@@ -253,7 +254,7 @@
 id = 4294967296
 secret = "00"
 "#;
-    check(
+    check_part(
         text,
         expect![[r#"
         more:3: rule[0].then.priority: must be from 0 to 7
@@ -273,7 +274,7 @@
 }
 
 #[test]
-fn bad_secrets() {
+fn reports_invalid_secrets() {
     let text = r#"[[member]]
 name = "a"
 secret = "00112233445566778899aabbccddee"
@@ -287,7 +288,7 @@
 id = 2
 secret = "0011223344556677"
 "#;
-    check(
+    check_part(
         text,
         expect![[r#"
         more:3: member[0].secret: must be at least 16 bytes (32 hex digits)
@@ -299,7 +300,7 @@
 }
 
 #[test]
-fn names_that_are_too_long_or_strange() {
+fn reports_names_that_are_too_long_or_have_invalid_characters() {
     let text = r#"[[member]]
 name = "a-name-of-just-thirty-two-bytes."
 [[member]]
@@ -309,7 +310,7 @@
 [[member]]
 name = "größe"
 "#;
-    check(
+    check_part(
         text,
         expect![[r#"
         more:4: member[1].name: must not be longer than 32 bytes
@@ -320,13 +321,13 @@
 }
 
 #[test]
-fn deny_stands_alone() {
+fn reports_keys_without_effect_beside_deny() {
     let text = "[[rule]]\nname = \"r\"\nthen = { deny = true, service = \"desk\", priority = 1 }\n";
-    check(
+    check_part(
         text,
         expect![[r#"
-            more:3: rule[0].then.service: has no meaning beside deny
-            more:3: rule[0].then.priority: has no meaning beside deny
+            more:3: rule[0].then.service: has no effect beside deny
+            more:3: rule[0].then.priority: has no effect beside deny
         "#]],
     );
 }
--- a/crates/foxledge-rules/tests/bad_relations.rs
+++ b/crates/foxledge-rules/tests/bad_relations.rs
@@ -1,12 +1,12 @@
-//! Lists whose entries contradict each other, with the exact findings.
+//! The exact findings of lists whose rows conflict with each other.
 
 mod common;
 
-use common::check;
+use common::check_part;
 use expect_test::expect;
 
 #[test]
-fn names_given_twice() {
+fn reports_duplicate_names_across_parts() {
     let text = r#"[[rule]]
 name = "r"
 then = { service = "desk" }
@@ -28,23 +28,22 @@
 id = 1
 secret = "000102030405060708090a0b0c0d0e0f"
 "#;
-    check(
+    check_part(
         text,
         expect![[r#"
-        more:5: rule[1].name: "r" stands already in more:2
-        more:8: service[0].name: "desk" stands already in good:2
-        more:12: target[0].name: "desk/a1" stands already in good:5
-        more:17: member[0].name: "bricks" stands already in good:19
-        more:19: key[0].id: "1" stands already in good:21
+        more:5: rule[1].name: "r" is already used in more:2
+        more:8: service[0].name: "desk" is already used in good:2
+        more:12: target[0].name: "desk/a1" is already used in good:5
+        more:17: member[0].name: "bricks" is already used in good:19
+        more:19: key[0].id: "1" is already used in good:21
     "#]],
     );
 }
 
-/// Symptom: a packet for lot intake reaches the auction desk.
-/// Sequence: a list sends an address or a target's address to two services.
-/// Cause: the check of addresses against their service is missing.
+/// Without this check, packets for one service reach the backend servers of another
+/// service when a list assigns an address or a target's address to both services.
 #[test]
-fn addresses_of_another_service() {
+fn reports_addresses_that_belong_to_another_service() {
     let text = r#"[[rule]]
 name = "crossed"
 when = { address = ["auction", "lots"] }
@@ -72,7 +71,7 @@
 incarnation = 1
 data_centre = "toledo"
 "#;
-    check(
+    check_part(
         text,
         expect![[r#"
         more:3: rule[0].when.address[1]: "lots" is no address of service "desk"
@@ -80,8 +79,8 @@
         more:11: rule[2].when.member[0]: no member "nobody"
         more:11: rule[2].when.address[0]: no service has the address "shop"
         more:15: service[0].addresses[2]: "third" stands twice
-        more:15: service[0].addresses[0]: "lots" stands already in good:11
-        more:18: service[0].target[0].address: "10.0.0.1:9001" stands already in good:6
+        more:15: service[0].addresses[0]: "lots" is already used in good:11
+        more:18: service[0].target[0].address: "10.0.0.1:9001" is already used in good:6
         more:22: target[0].service: no service "fourth"
         more:24: target[0].address: must name one IP number
     "#]],
@@ -89,7 +88,7 @@
 }
 
 #[test]
-fn shards_and_targets() {
+fn reports_services_without_targets_or_with_more_shards_than_targets() {
     let text = r#"[[service]]
 name = "bare"
 addresses = ["bare"]
@@ -103,7 +102,7 @@
 incarnation = 1
 data_centre = "toledo"
 "#;
-    check(
+    check_part(
         text,
         expect![[r#"
             more:1: service[0]: has no target
@@ -113,7 +112,7 @@
 }
 
 #[test]
-fn rules_that_never_match() {
+fn reports_shadowed_rules() {
     let text = r#"[[rule]]
 name = "bids"
 when = { kind = ["bid"] }
@@ -145,20 +144,20 @@
 name = "after-all"
 then = { service = "lots" }
 "#;
-    check(
+    check_part(
         text,
         expect![[r#"
-        more:5: rule[1]: never matches: rule "bids" (more:1) takes it all before
-        more:13: rule[3]: never matches: rule "in-toledo" (more:9) takes it all before
-        more:21: rule[5]: never matches: rule "bricks" (more:17) takes it all before
-        more:28: rule[7]: never matches: rule "the-rest" (more:25) takes it all before
+        more:5: rule[1]: never matches: the earlier rule "bids" (more:1) matches all its flows
+        more:13: rule[3]: never matches: the earlier rule "in-toledo" (more:9) matches all its flows
+        more:21: rule[5]: never matches: the earlier rule "bricks" (more:17) matches all its flows
+        more:28: rule[7]: never matches: the earlier rule "the-rest" (more:25) matches all its flows
     "#]],
     );
 }
 
-/// Rules that were read wrong take part in no comparison; all others do.
+/// Rules with findings about their conditions aren't compared with other rules; all others are.
 #[test]
-fn never_matching_beside_other_findings() {
+fn reports_shadowed_rules_beside_other_findings() {
     let text = r#"[[rule]]
 name = "misread"
 when = { member = [1] }
@@ -178,13 +177,13 @@
 when = { kind = ["upload"] }
 then = { service = "lots" }
 "#;
-    check(
+    check_part(
         text,
         expect![[r#"
         more:3: rule[0].when.member[0]: must be a text
         more:7: rule[1].then.service: no service "shop"
         more:11: rule[2].then.priority: must be from 0 to 7
-        more:15: rule[4]: never matches: rule "lots" (more:12) takes it all before
+        more:15: rule[4]: never matches: the earlier rule "lots" (more:12) matches all its flows
     "#]],
     );
 }
--- a/crates/foxledge-rules/tests/common/mod.rs
+++ b/crates/foxledge-rules/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! A good part, and the check of a bad list's findings.
+//! A valid part, and functions that check the findings of an invalid list.
 #![allow(dead_code)]
 
 use expect_test::Expect;
 use foxledge_rules::{OwnedPart, build_list};
 
-/// A part in which nothing is wrong.
-pub const GOOD: &str = r#"[[service]]
+/// A part without findings.
+pub const VALID_PART: &str = r#"[[service]]
 name = "desk"
 addresses = ["auction"]
 [[service.target]]
@@ -29,18 +29,18 @@
 secret = "000102030405060708090a0b0c0d0e0f"
 "#;
 
-/// One part.
+/// Creates a part.
 pub fn part(name: &str, text: &str) -> OwnedPart {
     OwnedPart { name: name.to_owned(), text: text.to_owned() }
 }
 
-/// Checks what is found in a whole list.
-pub fn check_parts(parts: &[OwnedPart], findings: Expect) {
-    let found = build_list(1, parts).expect_err("this list is bad");
-    findings.assert_eq(&found.to_string());
+/// Checks the findings of a list.
+pub fn check_list(parts: &[OwnedPart], findings: Expect) {
+    let actual = build_list(1, parts).expect_err("the list must be rejected");
+    findings.assert_eq(&actual.to_string());
 }
 
-/// Checks a part `more` beside one that is good.
-pub fn check(text: &str, findings: Expect) {
-    check_parts(&[part("good", GOOD), part("more", text)], findings);
+/// Checks the findings of a list that consists of a valid part `good` and a part `more`.
+pub fn check_part(text: &str, findings: Expect) {
+    check_list(&[part("good", VALID_PART), part("more", text)], findings);
 }
--- a/crates/foxledge-rules/tests/good_lists.rs
+++ b/crates/foxledge-rules/tests/good_lists.rs
@@ -1,4 +1,4 @@
-//! Good lists: the documented example, defaults, versions.
+//! Valid lists: the documented example, default values and versions.
 
 use foxledge_core::{
     hash::digest_of,
@@ -17,7 +17,7 @@
     build_list(7, &[part("lakeshore", EXAMPLE)]).map_err(|findings| findings.to_string()).unwrap()
 }
 
-fn decided(
+fn matching_rule(
     list: &RuleList,
     address: &str,
     member: &str,
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn example_decides_as_it_says() {
+fn example_matches_flows_with_the_documented_rules() {
     let list = example();
     let cases = [
         ("auction.lakeshore", "bricks-and-co", "erie", TrafficKind::Bid, "closing-bids"),
@@ -40,12 +40,12 @@
         ("lots.lakeshore", "studs-of-erie", "erie", TrafficKind::Upload, "the-rest"),
     ];
     for (address, member, centre, kind, rule) in cases {
-        assert_eq!(decided(&list, address, member, centre, kind), rule, "{address} {kind}");
+        assert_eq!(matching_rule(&list, address, member, centre, kind), rule, "{address} {kind}");
     }
 }
 
 #[test]
-fn defaults_are_filled_in() {
+fn fills_in_default_values() {
     let list = example();
     let FlowTreatment::Serve(bids) = &list.rules[1].then else { panic!("bids are served") };
     assert_eq!((bids.weight, bids.when_full), (1, FullAction::Queue));
@@ -57,11 +57,10 @@
     assert!(list.members["studs-of-erie"].secret.is_empty());
 }
 
-/// Symptom: a rule written for the auction desk takes lot intake's packets.
-/// Sequence: the rule has no address; a flow of another service's address comes.
-/// Cause: "matches everything" instead of "everything of its service".
+/// A rule without an address condition must match only the addresses of its own service.
+/// If it matched all addresses, a rule for the auction desk would match flows to lot intake.
 #[test]
-fn rules_without_address_keep_to_their_service() {
+fn rules_without_address_match_only_addresses_of_their_service() {
     let list = example();
     for rule in &list.rules {
         if let FlowTreatment::Serve(serve) = &rule.then {
@@ -73,9 +72,9 @@
 }
 
 #[test]
-fn parts_add_up() {
-    let cut = EXAMPLE.find("[[service]]").unwrap();
-    let (rules, rest) = EXAMPLE.split_at(cut);
+fn split_list_equals_the_whole_list_except_for_its_version() {
+    let boundary = EXAMPLE.find("[[service]]").unwrap();
+    let (rules, rest) = EXAMPLE.split_at(boundary);
     let split = build_list(7, &[part("rules", rules), part("rest", rest)]).unwrap();
     let whole = example();
     assert_ne!(split.version, whole.version);
@@ -83,7 +82,7 @@
 }
 
 #[test]
-fn newest_key_stands_last() {
+fn sorts_keys_by_id() {
     let key = |id| format!("[[key]]\nid = {id}\nsecret = \"{}\"\n", "ab".repeat(16));
     let list = build_list(1, &[part("keys", &(key(9) + &key(2)))]).unwrap();
     let ids: Vec<_> = list.keys.iter().map(|key| key.id).collect();
@@ -91,7 +90,7 @@
 }
 
 #[test]
-fn version_tells_contents_names_and_order() {
+fn version_depends_on_revision_contents_names_and_order() {
     let digest = digest_of(EXAMPLE.as_bytes());
     let version = list_version(7, [("lakeshore", digest)].into_iter());
     assert_eq!(example().version, version);
@@ -103,7 +102,7 @@
         list_version(8, [("a", 1)].into_iter()),
         list_version(7, [].into_iter()),
     ];
-    for (number, version) in versions.iter().enumerate() {
-        assert!(!versions[..number].contains(version), "{version:?}");
+    for (index, version) in versions.iter().enumerate() {
+        assert!(!versions[..index].contains(version), "{version:?}");
     }
 }
--- a/crates/foxledge-rules/tests/list_changes.rs
+++ b/crates/foxledge-rules/tests/list_changes.rs
@@ -1,4 +1,4 @@
-//! What the audit trail says of a new list.
+//! The changes that the audit trail records for a new list.
 
 use expect_test::{Expect, expect};
 use foxledge_core::lists::RuleList;
@@ -11,26 +11,26 @@
     build_list(1, &[part]).map_err(|findings| findings.to_string()).unwrap()
 }
 
-fn check(new: &str, changes: Expect) {
-    let found = diff_lists(&build(EXAMPLE), &build(new));
-    let lines: Vec<_> = found.iter().map(|change| format!("{change}\n")).collect();
-    changes.assert_eq(&lines.concat());
+fn check(new: &str, expected: Expect) {
+    let changes = diff_lists(&build(EXAMPLE), &build(new));
+    let lines: Vec<_> = changes.iter().map(|change| format!("{change}\n")).collect();
+    expected.assert_eq(&lines.concat());
 }
 
-fn replaced(from: &str, to: &str) -> String {
+fn with_replacement(from: &str, to: &str) -> String {
     assert!(EXAMPLE.contains(from), "{from}");
     EXAMPLE.replace(from, to)
 }
 
 #[test]
-fn same_list_has_no_changes() {
+fn equal_lists_have_no_changes() {
     check(&format!("{EXAMPLE}# a comment\n"), expect![[""]]);
 }
 
 #[test]
-fn fields_that_differ() {
+fn shows_only_the_fields_that_differ() {
     check(
-        &replaced("draining = false", "draining = true")
+        &with_replacement("draining = false", "draining = true")
             .replace("queue_limit = 400", "queue_limit = 90"),
         expect![[r#"
             service auction-desk changed: queue_limit=400 -> queue_limit=90
@@ -38,13 +38,13 @@
         "#]],
     );
     check(
-        &replaced("priority = 5, weight = 2", "priority = 6"),
+        &with_replacement("priority = 5, weight = 2", "priority = 6"),
         expect![[r#"
         rule closing-bids changed: priority=5, weight=2 -> priority=6, weight=1
     "#]],
     );
     check(
-        &replaced(
+        &with_replacement(
             "then = { service = \"lot-intake\", member_limit = 4 }",
             "then = { deny = true }",
         ),
@@ -55,19 +55,19 @@
 }
 
 #[test]
-fn added_and_removed() {
-    let more = "[[key]]\nid = 2\nsecret = \"000102030405060708090a0b0c0d0e0f\"\n\
+fn shows_added_and_removed_items() {
+    let additions = "[[key]]\nid = 2\nsecret = \"000102030405060708090a0b0c0d0e0f\"\n\
                 [[member]]\nname = \"new-shop\"\n[[target]]\nservice = \"lot-intake\"\n\
                 name = \"i2\"\naddress = \"10.0.1.32:9001\"\nincarnation = 1\ndata_centre = \"erie\"\n";
     check(
-        &format!("{EXAMPLE}{more}"),
+        &format!("{EXAMPLE}{additions}"),
         expect![[r#"
         target lot-intake/i2 added: address=10.0.1.32:9001, connections=2000, data_centre=erie, draining=false, incarnation=1, slots=2
         member new-shop added: secret=none
         key 2 added: secret=set
     "#]],
     );
-    let removed = diff_lists(&build(&format!("{EXAMPLE}{more}")), &build(EXAMPLE));
+    let removed = diff_lists(&build(&format!("{EXAMPLE}{additions}")), &build(EXAMPLE));
     let lines: Vec<_> = removed.iter().map(ToString::to_string).collect();
     expect![[r#"
         target lot-intake/i2 removed: address=10.0.1.32:9001, connections=2000, data_centre=erie, draining=false, incarnation=1, slots=2
@@ -76,15 +76,18 @@
 }
 
 #[test]
-fn secrets_are_not_shown() {
+fn hides_secrets() {
     check(
-        &replaced("\"00112233445566778899aabbccddeeff\"", "\"ffeeddccbbaa99887766554433221100\""),
+        &with_replacement(
+            "\"00112233445566778899aabbccddeeff\"",
+            "\"ffeeddccbbaa99887766554433221100\"",
+        ),
         expect![[r#"
             member bricks-and-co changed: secret=set -> secret=set
         "#]],
     );
     check(
-        &replaced("secret = \"00112233445566778899aabbccddeeff\"", ""),
+        &with_replacement("secret = \"00112233445566778899aabbccddeeff\"", ""),
         expect![[r#"
         member bricks-and-co changed: secret=set -> secret=none
     "#]],
@@ -92,7 +95,7 @@
 }
 
 #[test]
-fn rules_that_moved() {
+fn shows_moved_rules_with_the_rule_before() {
     let feeds = EXAMPLE.find("# Price feeds").unwrap();
     let photos = EXAMPLE.find("# Lot photos").unwrap();
     let first = EXAMPLE.find("# Bids of the large").unwrap();
@@ -107,7 +110,7 @@
 }
 
 #[test]
-fn a_summary_is_bounded() {
+fn summary_is_limited_and_counts_omitted_changes() {
     let (old, new) = (build(EXAMPLE), RuleList::default());
     let all = diff_lists(&old, &new);
     let summary = summarize_changes(&old, &new, 2);
--- a/crates/foxledge-rules/tests/list_fuzz.rs
+++ b/crates/foxledge-rules/tests/list_fuzz.rs
@@ -1,11 +1,11 @@
-//! Generated bad input: no text panics, and the verdict is the same twice.
+//! Generated invalid input: building never panics and gives the same result twice.
 
 use foxledge_rules::{OwnedPart, build_list};
 use proptest::prelude::*;
 
 const EXAMPLE: &str = include_str!("../../../docs/examples/lakeshore-rules.toml");
 
-/// Pieces of lists, so that many generated texts get past the TOML parser.
+/// Pieces of lists, so that many generated texts are valid TOML.
 const PIECES: &[&str] = &[
     "[[rule]]\n",
     "[[service]]\n",
@@ -41,7 +41,7 @@
     "\"\" = 2026-12-02\n",
 ];
 
-fn verdict(parts: &[OwnedPart]) -> Result<String, String> {
+fn build_result(parts: &[OwnedPart]) -> Result<String, String> {
     match build_list(3, parts) {
         Ok(list) => Ok(format!("{:?} {:?} {:?}", list.version, list.rules, list.services)),
         Err(findings) => Err(findings.to_string()),
@@ -49,30 +49,31 @@
 }
 
 fn check(texts: Vec<String>) -> Result<(), TestCaseError> {
-    let parts = (0..).zip(texts).map(|(n, text)| OwnedPart { name: format!("p{n}"), text });
+    let parts =
+        (0..).zip(texts).map(|(number, text)| OwnedPart { name: format!("p{number}"), text });
     let parts: Vec<_> = parts.collect();
-    let first = verdict(&parts);
-    prop_assert_eq!(&first, &verdict(&parts));
-    // A refusal without a finding would tell the operator nothing.
+    let first = build_result(&parts);
+    prop_assert_eq!(&first, &build_result(&parts));
+    // A rejection without a finding would give the operator no reason.
     prop_assert_ne!(first, Err(String::new()));
     Ok(())
 }
 
-fn soup() -> impl Strategy<Value = String> {
+fn random_pieces() -> impl Strategy<Value = String> {
     let piece = proptest::sample::select(PIECES);
     proptest::collection::vec(piece, 0..30).prop_map(|pieces| pieces.concat())
 }
 
-/// The example with some spans replaced.
-fn damaged() -> impl Strategy<Value = String> {
-    let cut =
+/// Generates the example with some spans replaced.
+fn damaged_example() -> impl Strategy<Value = String> {
+    let replacement_span =
         (0..EXAMPLE.len(), 0..40usize, proptest::string::string_regex("[ -~\n]{0,8}").unwrap());
-    proptest::collection::vec(cut, 1..4).prop_map(|cuts| {
+    proptest::collection::vec(replacement_span, 1..4).prop_map(|replacement_spans| {
         let mut text = EXAMPLE.to_owned();
-        for (at, length, instead) in cuts {
+        for (at, length, replacement) in replacement_spans {
             let start = at.min(text.len());
             let end = (start + length).min(text.len());
-            text.replace_range(start..end, &instead);
+            text.replace_range(start..end, &replacement);
         }
         text
     })
@@ -82,27 +83,27 @@
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_text(texts in proptest::collection::vec(any::<String>(), 0..3)) {
+    fn random_texts_are_deterministic(texts in proptest::collection::vec(any::<String>(), 0..3)) {
         check(texts)?;
     }
 
     #[test]
-    fn pieces_of_lists(texts in proptest::collection::vec(soup(), 1..4)) {
+    fn random_pieces_are_deterministic(texts in proptest::collection::vec(random_pieces(), 1..4)) {
         check(texts)?;
     }
 
     #[test]
-    fn damaged_example(text in damaged()) {
+    fn damaged_examples_are_deterministic(text in damaged_example()) {
         check(vec![text])?;
     }
 }
 
 #[test]
-fn deep_nesting() {
+fn rejects_deeply_nested_texts() {
     let deep = format!("x = {}{}\n", "[".repeat(50_000), "]".repeat(50_000));
     let dotted = format!("{}y = 1\n", "a.".repeat(50_000));
     let inline = format!("x = {}1{}\n", "{ a = ".repeat(50_000), " }".repeat(50_000));
     for text in [deep, dotted, inline] {
-        assert!(verdict(&[OwnedPart { name: "deep".to_owned(), text }]).is_err());
+        assert!(build_result(&[OwnedPart { name: "deep".to_owned(), text }]).is_err());
     }
 }
--- a/crates/foxledge-rules/tests/name_sizes.rs
+++ b/crates/foxledge-rules/tests/name_sizes.rs
@@ -1,9 +1,8 @@
-//! The longest names that a list may have, in the largest datagrams.
+//! Names of the maximum length in datagrams with a full payload.
 //!
-//! Symptom: a bidder never receives the whole of a large answer.
-//! Sequence: a list with long names is accepted; an answer's part with a full payload is dropped
-//! as oversized, at the instance or at the caller, and so is each resend of it.
-//! Cause: limits of names and of payloads that don't go together.
+//! If the limits on names and payloads don't fit together, a list with long names is accepted, but
+//! the instance or the caller drops each full part of an answer as oversized, retransmissions
+//! included, so that a bidder never receives the whole of a large answer.
 
 use foxledge_core::lists::KeySpec;
 use foxledge_document::MAX_NAME_BYTES;
@@ -19,62 +18,62 @@
     },
 };
 
-/// Longest text of an IP number with a port.
+/// The longest text form of a socket address.
 const ADDRESS: &str = "[1111:2222:3333:4444:5555:6666:7777:8888]:65535";
 
-fn longest_name() -> String {
+fn max_length_name() -> String {
     "n".repeat(MAX_NAME_BYTES)
 }
 
-fn ring() -> KeyRing {
+fn key_ring() -> KeyRing {
     KeyRing::from_keys(&[KeySpec { id: u32::MAX, secret: vec![7; 32] }])
 }
 
 fn token() -> Vec<u8> {
     let token = FlowToken {
-        address: longest_name(),
-        service: longest_name(),
-        member: longest_name(),
+        address: max_length_name(),
+        service: max_length_name(),
+        member: max_length_name(),
         caller: u64::MAX,
         flow: u64::MAX,
         request: u64::MAX,
-        target: longest_name(),
+        target: max_length_name(),
         target_address: ADDRESS.to_owned(),
         target_incarnation: u64::MAX,
-        data_centre: longest_name(),
+        data_centre: max_length_name(),
         dispatch: u64::MAX,
     };
-    seal_token(&ring(), &token).unwrap()
+    seal_token(&key_ring(), &token).unwrap()
 }
 
 fn ticket() -> Vec<u8> {
     let ticket = Ticket {
-        address: longest_name(),
-        service: longest_name(),
-        member: longest_name(),
+        address: max_length_name(),
+        service: max_length_name(),
+        member: max_length_name(),
         caller: u64::MAX,
-        home: longest_name(),
+        home: max_length_name(),
         home_address: ADDRESS.to_owned(),
         home_incarnation: u64::MAX,
         serial: u64::MAX,
         start_deadline_us: u64::MAX,
         count: u32::MAX,
     };
-    seal_ticket(&ring(), &ticket).unwrap()
+    seal_ticket(&key_ring(), &ticket).unwrap()
 }
 
 fn return_path() -> Vec<u8> {
     let path = ReturnPath { caller_address: ADDRESS.to_owned(), token: token(), by_token: true };
-    seal_path(&ring(), &path).unwrap()
+    seal_path(&key_ring(), &path).unwrap()
 }
 
-fn full_part(kind: PacketKind) -> Packet {
+fn full_packet(kind: PacketKind) -> Packet {
     Packet {
         version: 1,
         kind: kind.into(),
         flow: u64::MAX,
-        address: longest_name(),
-        member: longest_name(),
+        address: max_length_name(),
+        member: max_length_name(),
         caller: u64::MAX,
         request: u64::from(u32::MAX),
         work: WorkKind::Upload.into(),
@@ -89,22 +88,22 @@
 }
 
 fn work_by_ticket() -> Packet {
-    let work = full_part(PacketKind::Work);
+    let work = full_packet(PacketKind::Work);
     Packet { ticket: ticket(), credential: vec![1; 32], ..work }
 }
 
-fn at_target(kind: PacketKind) -> Packet {
+fn packet_to_target(kind: PacketKind) -> Packet {
     Packet {
-        service: longest_name(),
+        service: max_length_name(),
         target_incarnation: u64::MAX,
         dispatch: u64::MAX,
         return_path: return_path(),
-        ..full_part(kind)
+        ..full_packet(kind)
     }
 }
 
 #[test]
-fn packets_with_the_longest_names_are_taken() {
+fn decodes_full_packets_with_names_of_maximum_length() {
     let load = LoadReport {
         busy_slots: 100_000,
         connections: 10_000_000,
@@ -115,23 +114,30 @@
     };
     let packets = [
         ("work by ticket", work_by_ticket()),
-        ("work by token", Packet { token: token(), ..full_part(PacketKind::Work) }),
-        ("work to a backend server", at_target(PacketKind::Work)),
-        ("answer to an instance", Packet { load: Some(load), ..at_target(PacketKind::Answer) }),
+        ("work by token", Packet { token: token(), ..full_packet(PacketKind::Work) }),
+        ("work to a backend server", packet_to_target(PacketKind::Work)),
+        (
+            "answer to an instance",
+            Packet { load: Some(load), ..packet_to_target(PacketKind::Answer) },
+        ),
         (
             "answer to a caller",
-            Packet { token: token(), service: longest_name(), ..full_part(PacketKind::Answer) },
+            Packet {
+                token: token(),
+                service: max_length_name(),
+                ..full_packet(PacketKind::Answer)
+            },
         ),
     ];
-    for (what, packet) in packets {
+    for (description, packet) in packets {
         let bytes = encode_packet(&packet);
-        let taken = decode_packet(&bytes);
-        assert!(taken.is_ok(), "{what} of {} bytes: {:?}", bytes.len(), taken.err());
+        let decoded = decode_packet(&bytes);
+        assert!(decoded.is_ok(), "{description} of {} bytes: {:?}", bytes.len(), decoded.err());
     }
 }
 
 #[test]
-fn forwarded_packets_fit_a_datagram() {
+fn forwarded_full_packets_fit_in_a_datagram() {
     let forward = Forward {
         forward_id: u64::MAX,
         caller_address: ADDRESS.to_owned(),
@@ -141,6 +147,6 @@
         from_other_centre: true,
     };
     let datagram = PeerDatagram { body: Some(Body::Forward(forward)) };
-    let size = seal_datagram(&ring(), &datagram).unwrap().len();
+    let size = seal_datagram(&key_ring(), &datagram).unwrap().len();
     assert!(size <= MAX_DATAGRAM, "{size} bytes");
 }
--- a/crates/foxledge-rules/tests/rule_order.rs
+++ b/crates/foxledge-rules/tests/rule_order.rs
@@ -1,4 +1,4 @@
-//! Deciding by index, and rules that can never match, against plain search.
+//! Compares the rule index and the check for shadowed rules with exhaustive search.
 
 use std::{fmt::Write, sync::Arc};
 
@@ -10,7 +10,7 @@
 use foxledge_rules::{OwnedPart, RuleIndex, build_list};
 use proptest::{collection::vec, prelude::*, sample::subsequence};
 
-/// The last name of each stands for all names that no rule has.
+/// The last name of each array represents all names that no rule contains.
 const ADDRESSES: [&str; 4] = ["a1", "a2", "a3", "other"];
 const MEMBERS: [&str; 4] = ["m1", "m2", "m3", "other"];
 const CENTRES: [&str; 3] = ["c1", "c2", "other"];
@@ -29,15 +29,15 @@
 data_centre = "c1"
 "#;
 
-fn some(names: &'static [&'static str]) -> impl Strategy<Value = Vec<&'static str>> {
+fn some_of(names: &'static [&'static str]) -> impl Strategy<Value = Vec<&'static str>> {
     let known = names[..names.len() - 1].to_vec();
-    let most = known.len();
-    subsequence(known, 0..=most)
+    let max_count = known.len();
+    subsequence(known, 0..=max_count)
 }
 
 fn rules() -> impl Strategy<Value = Vec<FlowRule>> {
     let kinds = subsequence(TrafficKind::ALL.to_vec(), 0..=3);
-    let when = (some(&ADDRESSES), some(&MEMBERS), some(&CENTRES), kinds);
+    let when = (some_of(&ADDRESSES), some_of(&MEMBERS), some_of(&CENTRES), kinds);
     let when = when.prop_map(|(addresses, members, centres, kinds)| FlowMatch {
         addresses: addresses.into_iter().map(ServiceAddress::new).collect(),
         members: members.into_iter().map(MemberName::new).collect(),
@@ -89,22 +89,22 @@
     names.iter().map(N::to_string).collect()
 }
 
-/// Names of the rules all of whose flows one earlier rule matches.
-fn never_matching(rules: &[FlowRule]) -> Vec<String> {
+/// Returns the paths of the rules all of whose flows are matched by one earlier rule.
+fn shadowed_rules(rules: &[FlowRule]) -> Vec<String> {
     let flows = all_flows();
     let covers = |earlier: &FlowRule, rule: &FlowRule| {
         flows.iter().filter(|flow| rule.when.matches(flow)).all(|flow| earlier.when.matches(flow))
     };
-    let numbers = (0..rules.len())
-        .filter(|at| rules[..*at].iter().any(|earlier| covers(earlier, &rules[*at])));
-    numbers.map(|at| format!("rule[{at}]")).collect()
+    let positions = (0..rules.len())
+        .filter(|index| rules[..*index].iter().any(|earlier| covers(earlier, &rules[*index])));
+    positions.map(|index| format!("rule[{index}]")).collect()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn index_decides_like_the_list(rules in rules()) {
+    fn index_finds_the_same_rule_as_the_list(rules in rules()) {
         let list = Arc::new(RuleList { rules, ..RuleList::default() });
         let index = RuleIndex::new(list.clone());
         for flow in all_flows() {
@@ -113,15 +113,15 @@
     }
 
     #[test]
-    fn never_matching_rules_are_found(rules in rules()) {
+    fn reports_exactly_the_shadowed_rules(rules in rules()) {
         let part = OwnedPart { name: "list".to_owned(), text: list_text(&rules) };
-        let found: Vec<_> = match build_list(1, &[part]) {
+        let reported: Vec<_> = match build_list(1, &[part]) {
             Ok(list) => {
                 prop_assert_eq!(&list.rules, &rules);
                 Vec::new()
             }
             Err(findings) => findings.iter().map(|finding| finding.key.clone()).collect(),
         };
-        prop_assert_eq!(found, never_matching(&rules));
+        prop_assert_eq!(reported, shadowed_rules(&rules));
     }
 }
