--- a/crates/foxledge-rules/src/assembler.rs
+++ b/crates/foxledge-rules/src/assembler.rs
@@ -98,14 +98,12 @@
         let findings = parsed_parts.iter().map(|part| part.findings.clone());
         let names = parts.iter().map(|part| part.name);
         let list_findings = ListFindings::new(names.clone().zip(findings));
-        let parsed_list = ParsedList { parts: &parsed_parts };
-        let rules = check_list(&list_findings, parsed_list);
+        let parsed = ParsedList { parts: &parsed_parts };
+        let rules = check_list(&list_findings, parsed);
         if !list_findings.is_empty() {
             return Err(list_findings.into_findings());
         }
-        let Some(list) = assemble(parsed_list, rules) else {
-            return Err(list_findings.into_findings());
-        };
+        let Some(list) = assemble(parsed, rules) else { return Err(list_findings.into_findings()) };
         let version = list_version(revision, names.zip(digests.iter().copied()));
         self.parsed_parts = digests.into_iter().zip(parsed_parts).collect();
         Ok(RuleList { version, ..list })
--- a/crates/foxledge-rules/src/checks.rs
+++ b/crates/foxledge-rules/src/checks.rs
@@ -144,7 +144,7 @@
     };
     for (address, location) in located_addresses {
         if index.owners.get(address) != Some(&&serve.service) {
-            let text = format!("\"{address}\" is no address of service \"{}\"", serve.service);
+            let text = format!("\"{address}\" is not an address of service \"{}\"", serve.service);
             findings.add(part, location, text);
         }
     }
--- a/crates/foxledge-rules/tests/bad_relations.rs
+++ b/crates/foxledge-rules/tests/bad_relations.rs
@@ -74,7 +74,7 @@
     check_part(
         text,
         expect![[r#"
-        more:3: rule[0].when.address[1]: "lots" is no address of service "desk"
+        more:3: rule[0].when.address[1]: "lots" is not an address of service "desk"
         more:8: rule[1].then.service: no service "shop"
         more:11: rule[2].when.member[0]: no member "nobody"
         more:11: rule[2].when.address[0]: no service has the address "shop"
