--- a/crates/foxledge-rules/examples/list_growth/main.rs
+++ b/crates/foxledge-rules/examples/list_growth/main.rs
@@ -23,7 +23,7 @@
 
 /// The number of measured changes, each to one part; medians are reported.
 const CHANGES: usize = 31;
-/// The number of changes a day at the target size.
+/// The number of changes a day at the planned size.
 const CHANGES_PER_DAY: f64 = 16_000.0;
 
 fn main() {
--- a/crates/foxledge-rules/examples/list_growth/texts.rs
+++ b/crates/foxledge-rules/examples/list_growth/texts.rs
@@ -7,9 +7,9 @@
 use foxledge_core::hash::digest_of;
 use foxledge_wire::control::{Manifest, ManifestPart};
 
-/// The mean number of targets of a service: 38,000 targets of 5,800 services at the target size.
+/// The mean number of targets of a service: 38,000 targets of 5,800 services at the planned size.
 const TARGETS_PER_SERVICE: f64 = 38_000.0 / 5_800.0;
-/// One in this many services has a second rule: 6,000 rules at the target size.
+/// One in this many services has a second rule: 6,000 rules at the planned size.
 const SERVICES_PER_SECOND_RULE: usize = 29;
 
 /// The size of a list to generate.
--- a/crates/foxledge-rules/src/assembler.rs
+++ b/crates/foxledge-rules/src/assembler.rs
@@ -26,7 +26,7 @@
 
 /// The maximum total size of the parts of a list, in bytes.
 ///
-/// A list of the target size, with 38,000 targets and 6,000 rules, has about 5 MB.
+/// A list of the planned size, with 38,000 targets and 6,000 rules, has about 5 MB.
 pub const MAX_LIST_BYTES: usize = 16 << 20;
 /// The maximum size of a part, in bytes, which is the maximum size of a value on the platform.
 pub const MAX_PART_BYTES: usize = 1 << 20;
@@ -41,7 +41,7 @@
 ///
 /// The assembler caches the parsed parts of the last valid list by the digest of
 /// their texts. Without the cache, each of 16,000 changes a day would parse the
-/// whole list again, about 5 MB at the target size.
+/// whole list again, about 5 MB at the planned size.
 ///
 /// The cache never affects the result: parsing a part depends neither on its name
 /// nor on other parts, and the list as a whole is validated again each time.
