--- a/crates/foxledge-rules/src/assembler.rs
+++ b/crates/foxledge-rules/src/assembler.rs
@@ -171,7 +171,7 @@
 }
 
 fn assemble_rule(bound: BoundRule<'_>) -> Option<FlowRule> {
-    let then = match bound.rule.then.as_ref()? {
+    let then = match bound.parsed.then.as_ref()? {
         ParsedTreatment::Deny => FlowTreatment::Deny,
         ParsedTreatment::Serve(serve) => FlowTreatment::Serve(ServeTreatment {
             service: serve.service.clone(),
@@ -181,14 +181,14 @@
             when_full: serve.when_full,
         }),
     };
-    let when = &bound.rule.when;
+    let when = &bound.parsed.when;
     let when = FlowMatch {
         addresses: bound.addresses.into_owned(),
         members: when.members.clone(),
         data_centres: when.data_centres.clone(),
         kinds: when.kinds.clone(),
     };
-    Some(FlowRule { name: bound.rule.name.clone()?, when, then })
+    Some(FlowRule { name: bound.parsed.name.clone()?, when, then })
 }
 
 fn assemble_services(list: ParsedList<'_>) -> Option<BTreeMap<ServiceName, Arc<ServiceSpec>>> {
--- a/crates/foxledge-rules/src/checks.rs
+++ b/crates/foxledge-rules/src/checks.rs
@@ -69,7 +69,7 @@
 #[derive(Debug)]
 pub(crate) struct BoundRule<'a> {
     pub(crate) part: usize,
-    pub(crate) rule: &'a ParsedRule,
+    pub(crate) parsed: &'a ParsedRule,
     /// The addresses that the rule names, or else all addresses of its service.
     pub(crate) addresses: Cow<'a, [ServiceAddress]>,
     /// Whether the conditions are known well enough to compare the rule with others.
@@ -79,7 +79,7 @@
 impl BoundRule<'_> {
     /// Returns the location of the rule.
     pub(crate) fn location(&self) -> ListLocation {
-        ListLocation { part: self.part, location: self.rule.location }
+        ListLocation { part: self.part, location: self.parsed.location }
     }
 }
 
@@ -119,7 +119,7 @@
     rule: &'a ParsedRule,
 ) -> BoundRule<'a> {
     let addresses = Cow::Borrowed(&rule.when.addresses[..]);
-    let mut bound = BoundRule { part, rule, addresses, is_comparable: rule.is_fully_read };
+    let mut bound = BoundRule { part, parsed: rule, addresses, is_comparable: rule.is_fully_read };
     let located_addresses = rule.when.addresses.iter().zip(&rule.address_locations);
     let serve = match &rule.then {
         Some(ParsedTreatment::Serve(serve)) => serve,
--- a/crates/foxledge-rules/src/shadows.rs
+++ b/crates/foxledge-rules/src/shadows.rs
@@ -33,7 +33,7 @@
     shadowing: &BoundRule<'_>,
     location: ListLocation,
 ) {
-    let name = shadowing.rule.name.as_deref().unwrap_or_default();
+    let name = shadowing.parsed.name.as_deref().unwrap_or_default();
     let shadowing_location = findings.format_location(shadowing.location());
     let text = format!(
         "never matches: the earlier rule \"{name}\" ({shadowing_location}) matches all its flows"
@@ -90,7 +90,7 @@
 
 impl RuleConditions {
     fn new<'a>(interner: &mut NameInterner<'a>, rule: &'a BoundRule<'_>) -> RuleConditions {
-        let when = &rule.rule.when;
+        let when = &rule.parsed.when;
         RuleConditions {
             addresses: interner.intern_all(rule.addresses.iter().map(|name| name.as_str())),
             members: interner.intern_all(when.members.iter().map(|name| name.as_str())),
