--- a/crates/foxledge-document/src/reader.rs
+++ b/crates/foxledge-document/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reading a table key by key.
+//! Reads the tables of a document key by key.
 
 use std::{
     cell::RefCell,
@@ -13,60 +13,61 @@
 };
 
 use crate::{
-    name_fault,
-    notes::{Place, SourceNotes},
+    findings::{KeyLocation, SourceFindings},
+    name_error,
 };
 
-/// `TableReader` reads one table of a document.
+/// Reads one table of a document.
 ///
-/// Each method that reads a key marks it as known and notes a finding when its
-/// value is wrong; [`TableReader::finish`] notes the keys that nobody read.
+/// Each method that reads a key marks the key as read and adds a finding if its
+/// value is invalid; [`TableReader::finish`] reports the keys that weren't read.
 #[derive(Debug)]
 pub struct TableReader<'d> {
-    notes: &'d SourceNotes,
+    findings: &'d SourceFindings,
     table: Option<&'d DeTable<'d>>,
-    place: Place,
+    location: KeyLocation,
     state: TableState,
-    known: RefCell<Vec<&'static str>>,
+    read_keys: RefCell<Vec<&'static str>>,
 }
 
-/// `TableState` is whether the lack of a key is worth a finding.
+/// Whether a missing key of the table is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TableState {
-    /// A table, or nothing where one may stand.
+    /// The value is a table or absent.
     Readable,
-    /// Something else stands there, which already is a finding.
+    /// The value has another type, which was reported already.
     WrongType,
 }
 
-/// `PlacedText` is a text value with its place.
+/// A text value with its location.
 #[derive(Clone, Debug)]
-pub struct PlacedText<'d> {
-    /// The value.
+pub struct LocatedText<'d> {
+    /// The text.
     pub text: &'d str,
-    /// Where it stands.
-    pub place: Place,
+    /// The location of the text.
+    pub location: KeyLocation,
 }
 
-/// Parses `text` and hands a reader of its root table to `read`.
+/// Parses `text` and calls `read` with a reader of the root table.
 ///
-/// A text that is no TOML becomes one finding, and `read` isn't called.
+/// If the text isn't valid TOML, adds one finding and returns `None` without
+/// calling `read`.
 pub fn read_document<T>(
-    notes: &SourceNotes,
+    findings: &SourceFindings,
     text: &str,
     read: impl FnOnce(&TableReader<'_>) -> T,
 ) -> Option<T> {
     match DeTable::parse(text) {
         Ok(root) => {
-            let reader = TableReader::new(notes, Some(root.get_ref()), Place::default());
+            let reader = TableReader::new(findings, Some(root.get_ref()), KeyLocation::default());
             let value = read(&reader);
             reader.finish();
             Some(value)
         }
         Err(error) => {
-            let line = error.span().map_or(0, |span| notes.line_at(span.start));
-            let place = Place { line, ..Place::default() };
-            notes.add(&place, format!("not TOML: {}", error.message()));
+            let line = error.span().map_or(0, |span| findings.line_at(span.start));
+            let location = KeyLocation { line, ..KeyLocation::default() };
+            findings.add(&location, format!("not TOML: {}", error.message()));
             None
         }
     }
@@ -74,171 +75,173 @@
 
 impl<'d> TableReader<'d> {
     fn new(
-        notes: &'d SourceNotes,
+        findings: &'d SourceFindings,
         table: Option<&'d DeTable<'d>>,
-        place: Place,
+        location: KeyLocation,
     ) -> TableReader<'d> {
         let state = TableState::Readable;
-        TableReader { notes, table, place, state, known: RefCell::default() }
+        TableReader { findings, table, location, state, read_keys: RefCell::default() }
     }
 
-    /// Where the table stands.
-    pub fn place(&self) -> &Place {
-        &self.place
+    /// Returns the location of the table.
+    pub fn location(&self) -> &KeyLocation {
+        &self.location
     }
 
-    /// Where a key's value stands; the table's line when the key is absent.
-    pub fn place_of(&self, key: &'static str) -> Place {
-        let line = self.find(key).map_or(self.place.line, |value| self.line_of(value));
-        Place { line, path: self.place.path.key(key) }
+    /// Returns the location of a key's value, with the table's line if the key is absent.
+    pub fn location_of(&self, key: &'static str) -> KeyLocation {
+        let line = self.get(key).map_or(self.location.line, |value| self.line_of(value));
+        KeyLocation { line, path: self.location.path.key(key) }
     }
 
-    /// Notes a finding at a key.
-    pub fn note(&self, key: &'static str, text: impl Into<String>) {
-        self.notes.add(&self.place_of(key), text);
+    /// Adds a finding at a key.
+    pub fn add_finding(&self, key: &'static str, text: impl Into<String>) {
+        self.findings.add(&self.location_of(key), text);
     }
 
-    /// True when the key stands in the table; marks it as known.
-    pub fn has(&self, key: &'static str) -> bool {
-        self.take(key).is_some()
+    /// Returns `true` if the table has the key, and marks the key as read.
+    pub fn has_key(&self, key: &'static str) -> bool {
+        self.read_value(key).is_some()
     }
 
-    /// The table under `key`; an absent one reads as empty.
+    /// Returns a reader of the table under `key`; an absent table is read as empty.
     pub fn table(&self, key: &'static str) -> TableReader<'d> {
-        let place = self.place_of(key);
-        match self.take(key).map(Spanned::get_ref) {
-            None => TableReader::new(self.notes, None, place),
-            Some(DeValue::Table(table)) => TableReader::new(self.notes, Some(table), place),
+        let location = self.location_of(key);
+        match self.read_value(key).map(Spanned::get_ref) {
+            None => TableReader::new(self.findings, None, location),
+            Some(DeValue::Table(table)) => TableReader::new(self.findings, Some(table), location),
             Some(_) => {
-                self.note(key, "must be a table");
-                let reader = TableReader::new(self.notes, None, place);
+                self.add_finding(key, "must be a table");
+                let reader = TableReader::new(self.findings, None, location);
                 TableReader { state: TableState::WrongType, ..reader }
             }
         }
     }
 
-    /// The table under `key`, or none when it is absent or no table.
+    /// Returns a reader of the table under `key`, or `None` if the key is absent or its value is
+    /// not a table.
     pub fn optional_table(&self, key: &'static str) -> Option<TableReader<'d>> {
         let reader = self.table(key);
         reader.table.is_some().then_some(reader)
     }
 
-    /// The tables of the array under `key`; absent reads as none.
+    /// Returns a reader of each table in the array under `key`; an absent array is read as empty.
     pub fn tables(&self, key: &'static str) -> Vec<TableReader<'d>> {
         let mut readers = Vec::new();
-        let path = self.place.path.key(key);
-        for (index, item) in self.items(key, "an array of tables").iter().enumerate() {
-            let place = Place { line: self.line_of(item), path: path.item(index) };
+        let path = self.location.path.key(key);
+        for (index, item) in self.read_items(key, "an array of tables").iter().enumerate() {
+            let location = KeyLocation { line: self.line_of(item), path: path.item(index) };
             match item.get_ref() {
                 DeValue::Table(table) => {
-                    readers.push(TableReader::new(self.notes, Some(table), place));
+                    readers.push(TableReader::new(self.findings, Some(table), location));
                 }
-                _ => self.notes.add(&place, "must be a table"),
+                _ => self.findings.add(&location, "must be a table"),
             }
         }
         readers
     }
 
-    /// The text under `key`.
+    /// Returns the text under `key`.
     pub fn text(&self, key: &'static str) -> Option<&'d str> {
-        match self.take(key)?.get_ref() {
+        match self.read_value(key)?.get_ref() {
             DeValue::String(text) => Some(text),
-            _ => self.note_type(key, "a text"),
+            _ => self.add_type_error(key, "a text"),
         }
     }
 
-    /// The texts of the array under `key` with their places; absent reads as none.
-    pub fn texts(&self, key: &'static str) -> Vec<PlacedText<'d>> {
+    /// Returns the texts in the array under `key` with their locations; an absent array is read as
+    /// empty.
+    pub fn texts(&self, key: &'static str) -> Vec<LocatedText<'d>> {
         let mut texts = Vec::new();
-        let path = self.place.path.key(key);
-        for (index, item) in self.items(key, "an array of texts").iter().enumerate() {
-            let place = Place { line: self.line_of(item), path: path.item(index) };
+        let path = self.location.path.key(key);
+        for (index, item) in self.read_items(key, "an array of texts").iter().enumerate() {
+            let location = KeyLocation { line: self.line_of(item), path: path.item(index) };
             match item.get_ref() {
-                DeValue::String(text) => texts.push(PlacedText { text, place }),
-                _ => self.notes.add(&place, "must be a text"),
+                DeValue::String(text) => texts.push(LocatedText { text, location }),
+                _ => self.findings.add(&location, "must be a text"),
             }
         }
         texts
     }
 
-    /// The name under `key`; a bad one is a finding.
+    /// Returns the name under `key`; an invalid name is a finding.
     pub fn name(&self, key: &'static str) -> Option<&'d str> {
         let name = self.text(key)?;
-        match name_fault(name) {
+        match name_error(name) {
             None => Some(name),
-            Some(fault) => {
-                self.note(key, fault);
+            Some(error) => {
+                self.add_finding(key, error);
                 None
             }
         }
     }
 
-    /// The names of the array under `key`; bad ones and repeats are findings.
-    pub fn names(&self, key: &'static str) -> Vec<PlacedText<'d>> {
+    /// Returns the names in the array under `key`; invalid and duplicate names are findings.
+    pub fn names(&self, key: &'static str) -> Vec<LocatedText<'d>> {
         let mut names = Vec::new();
         let mut seen = HashSet::new();
         for name in self.texts(key) {
-            if let Some(fault) = name_fault(name.text) {
-                self.notes.add(&name.place, fault);
+            if let Some(error) = name_error(name.text) {
+                self.findings.add(&name.location, error);
             } else if seen.insert(name.text) {
                 names.push(name);
             } else {
-                self.notes.add(&name.place, format!("\"{}\" stands twice", name.text));
+                self.findings.add(&name.location, format!("\"{}\" stands twice", name.text));
             }
         }
         names
     }
 
-    /// The number under `key`; one outside of `range` is a finding.
+    /// Returns the integer under `key`; a value outside `range` is a finding.
     pub fn number(&self, key: &'static str, range: RangeInclusive<u64>) -> Option<u64> {
-        let DeValue::Integer(integer) = self.take(key)?.get_ref() else {
-            return self.note_type(key, "a whole number");
+        let DeValue::Integer(integer) = self.read_value(key)?.get_ref() else {
+            return self.add_type_error(key, "a whole number");
         };
         let number = i128::from_str_radix(integer.as_str(), integer.radix()).ok();
         let number = number.and_then(|number| u64::try_from(number).ok());
         match number {
             Some(number) if range.contains(&number) => Some(number),
             _ => {
-                self.note(key, format!("must be from {} to {}", range.start(), range.end()));
+                self.add_finding(key, format!("must be from {} to {}", range.start(), range.end()));
                 None
             }
         }
     }
 
-    /// The number under `key`, or `default` when absent or wrong.
+    /// Returns the integer under `key`, or `default` if it is absent or invalid.
     pub fn number_or(&self, key: &'static str, range: RangeInclusive<u64>, default: u64) -> u64 {
         self.number(key, range).unwrap_or(default)
     }
 
-    /// The number under `key`, whole or with decimals; one outside of `range` is a finding.
+    /// Returns the integer or decimal number under `key`; a value outside `range` is a finding.
     pub fn decimal(&self, key: &'static str, range: RangeInclusive<f64>) -> Option<f64> {
-        let number: Option<f64> = match self.take(key)?.get_ref() {
+        let number: Option<f64> = match self.read_value(key)?.get_ref() {
             DeValue::Integer(integer) => integer.as_str().parse().ok(),
             DeValue::Float(float) => float.as_str().parse().ok(),
-            _ => return self.note_type(key, "a number"),
+            _ => return self.add_type_error(key, "a number"),
         };
-        let found = number.filter(|number| range.contains(number));
-        if found.is_none() {
-            self.note(key, format!("must be from {} to {}", range.start(), range.end()));
+        let valid = number.filter(|number| range.contains(number));
+        if valid.is_none() {
+            self.add_finding(key, format!("must be from {} to {}", range.start(), range.end()));
         }
-        found
+        valid
     }
 
-    /// The switch under `key`.
-    pub fn switch(&self, key: &'static str) -> Option<bool> {
-        match self.take(key)?.get_ref() {
-            DeValue::Boolean(on) => Some(*on),
-            _ => self.note_type(key, "true or false"),
+    /// Returns the boolean under `key`.
+    pub fn boolean(&self, key: &'static str) -> Option<bool> {
+        match self.read_value(key)?.get_ref() {
+            DeValue::Boolean(value) => Some(*value),
+            _ => self.add_type_error(key, "true or false"),
         }
     }
 
-    /// The IP number with port under `key`.
+    /// Returns the socket address under `key`.
     pub fn address(&self, key: &'static str) -> Option<SocketAddr> {
         let text = self.text(key)?;
-        self.parse_address(&PlacedText { text, place: self.place_of(key) })
+        self.parse_address(&LocatedText { text, location: self.location_of(key) })
     }
 
-    /// The IP numbers with ports of the array under `key`; repeats are findings.
+    /// Returns the socket addresses in the array under `key`; duplicates are findings.
     pub fn addresses(&self, key: &'static str) -> Vec<SocketAddr> {
         let mut addresses = Vec::new();
         let mut seen = HashSet::new();
@@ -249,109 +252,112 @@
             if seen.insert(address) {
                 addresses.push(address);
             } else {
-                self.notes.add(&text.place, format!("\"{address}\" stands twice"));
+                self.findings.add(&text.location, format!("\"{address}\" stands twice"));
             }
         }
         addresses
     }
 
-    /// The table under `key` whose keys and values are IP numbers with ports; absent reads as empty.
-    pub fn address_pairs(&self, key: &'static str) -> BTreeMap<SocketAddr, SocketAddr> {
+    /// Returns the table under `key`, whose keys and values are socket addresses; an absent table
+    /// is read as empty.
+    pub fn address_map(&self, key: &'static str) -> BTreeMap<SocketAddr, SocketAddr> {
         let reader = self.table(key);
         let mut pairs = BTreeMap::new();
         let Some(table) = reader.table else { return pairs };
         for (name, value) in table {
-            let line = self.notes.line_at(name.span().start);
-            let place = Place { line, path: reader.place.path.key(name.to_string()) };
+            let line = self.findings.line_at(name.span().start);
+            let location = KeyLocation { line, path: reader.location.path.key(name.to_string()) };
             let DeValue::String(text) = value.get_ref() else {
-                self.notes.add(&place, "must be a text");
+                self.findings.add(&location, "must be a text");
                 continue;
             };
-            let from =
-                self.parse_address(&PlacedText { text: name.get_ref(), place: place.clone() });
-            let to = self.parse_address(&PlacedText { text, place });
+            let from = self
+                .parse_address(&LocatedText { text: name.get_ref(), location: location.clone() });
+            let to = self.parse_address(&LocatedText { text, location });
             pairs.extend(from.zip(to));
         }
         pairs
     }
 
-    /// Notes an array that is missing or empty.
-    pub fn require_items(&self, key: &'static str) {
-        match self.find(key).map(Spanned::get_ref) {
-            None => self.note_missing(key),
-            Some(DeValue::Array(array)) if array.is_empty() => self.note(key, "must not be empty"),
+    /// Adds a finding if the array under `key` is missing or empty.
+    pub fn require_non_empty(&self, key: &'static str) {
+        match self.get(key).map(Spanned::get_ref) {
+            None => self.add_missing(key),
+            Some(DeValue::Array(array)) if array.is_empty() => {
+                self.add_finding(key, "must not be empty")
+            }
             Some(_) => {}
         }
     }
 
-    /// Notes a missing key and passes the value on.
+    /// Adds a finding if `key` is missing, and returns `value` unchanged.
     pub fn require<T>(&self, key: &'static str, value: Option<T>) -> Option<T> {
-        if value.is_none() && self.find(key).is_none() {
-            self.note_missing(key);
+        if value.is_none() && self.get(key).is_none() {
+            self.add_missing(key);
         }
         value
     }
 
-    /// Notes every key of the table that nobody read.
+    /// Adds a finding for each key of the table that wasn't read.
     pub fn finish(&self) {
         let Some(table) = self.table else {
             return;
         };
-        let known = self.known.borrow();
+        let read_keys = self.read_keys.borrow();
         for key in table.keys() {
             let name: &str = key.get_ref();
-            if !known.contains(&name) {
-                let line = self.notes.line_at(key.span().start);
-                let path = self.place.path.key(name.to_owned());
-                self.notes.add(&Place { line, path }, "unknown key");
+            if !read_keys.contains(&name) {
+                let line = self.findings.line_at(key.span().start);
+                let path = self.location.path.key(name.to_owned());
+                self.findings.add(&KeyLocation { line, path }, "unknown key");
             }
         }
     }
 
-    fn parse_address(&self, text: &PlacedText<'_>) -> Option<SocketAddr> {
+    fn parse_address(&self, text: &LocatedText<'_>) -> Option<SocketAddr> {
         let Ok(address) = text.text.parse::<SocketAddr>() else {
-            let fault = format!("\"{}\" is not an IP number with a port", text.text);
-            self.notes.add(&text.place, fault);
+            let error = format!("\"{}\" is not an IP number with a port", text.text);
+            self.findings.add(&text.location, error);
             return None;
         };
         if address.port() == 0 {
-            self.notes.add(&text.place, "must not have port 0");
+            self.findings.add(&text.location, "must not have port 0");
             return None;
         }
         Some(address)
     }
 
-    fn find(&self, key: &str) -> Option<&'d Spanned<DeValue<'d>>> {
+    fn get(&self, key: &str) -> Option<&'d Spanned<DeValue<'d>>> {
         self.table?.get(key)
     }
 
-    fn take(&self, key: &'static str) -> Option<&'d Spanned<DeValue<'d>>> {
-        self.known.borrow_mut().push(key);
-        self.find(key)
+    fn read_value(&self, key: &'static str) -> Option<&'d Spanned<DeValue<'d>>> {
+        self.read_keys.borrow_mut().push(key);
+        self.get(key)
     }
 
-    fn items(&self, key: &'static str, wanted: &str) -> &'d [Spanned<DeValue<'d>>] {
-        let Some(value) = self.take(key) else {
+    fn read_items(&self, key: &'static str, expected: &str) -> &'d [Spanned<DeValue<'d>>] {
+        let Some(value) = self.read_value(key) else {
             return &[];
         };
         match value.get_ref() {
             DeValue::Array(array) => array,
-            _ => self.note_type(key, wanted).unwrap_or(&[]),
+            _ => self.add_type_error(key, expected).unwrap_or(&[]),
         }
     }
 
-    fn note_missing(&self, key: &'static str) {
+    fn add_missing(&self, key: &'static str) {
         if self.state == TableState::Readable {
-            self.note(key, "is missing");
+            self.add_finding(key, "is missing");
         }
     }
 
-    fn note_type<T>(&self, key: &'static str, wanted: &str) -> Option<T> {
-        self.note(key, format!("must be {wanted}"));
+    fn add_type_error<T>(&self, key: &'static str, expected: &str) -> Option<T> {
+        self.add_finding(key, format!("must be {expected}"));
         None
     }
 
     fn line_of(&self, value: &Spanned<DeValue<'_>>) -> usize {
-        self.notes.line_at(value.span().start)
+        self.findings.line_at(value.span().start)
     }
 }
--- a/crates/foxledge-engine/src/entry.rs
+++ b/crates/foxledge-engine/src/entry.rs
@@ -286,7 +286,7 @@
             data_centre: &self.me.data_centre,
             kind,
         };
-        let rule = self.rule_index.decide(&traits).ok_or_else(|| {
+        let rule = self.rule_index.first_match(&traits).ok_or_else(|| {
             let is_known_address = self
                 .list
                 .services
--- a/crates/foxledge-members/src/lists/audit.rs
+++ b/crates/foxledge-members/src/lists/audit.rs
@@ -47,10 +47,10 @@
 pub(super) fn describe_changes(old: Option<&RuleList>, new: &RuleList) -> String {
     let Some(old) = old else { return "the first list".to_owned() };
     let summary = summarize_changes(old, new, MAX_CHANGES);
-    if summary.changes.is_empty() && summary.more == 0 {
+    if summary.changes.is_empty() && summary.omitted == 0 {
         return "no changes".to_owned();
     }
-    join_items(summary.changes.iter(), summary.more)
+    join_items(summary.changes.iter(), summary.omitted)
 }
 
 /// Describes the findings in a list, in bounded length.
--- a/crates/foxledge-rules/src/parts.rs
+++ b/crates/foxledge-rules/src/part_reader.rs
@@ -1,4 +1,4 @@
-//! Reading the tables of one part.
+//! Parses the tables of one part.
 
 use std::{
     borrow::Borrow,
@@ -16,104 +16,105 @@
     names::{CentreName, MemberName, RuleName, ServiceAddress, ServiceName, TargetName},
     traffic::TrafficKind,
 };
-use foxledge_document::{Place, PlacedText, SourceNotes, TableReader, read_document};
+use foxledge_document::{KeyLocation, LocatedText, SourceFindings, TableReader, read_document};
 
 use crate::{
-    draft::{
-        CountHome, KeyDraft, MemberDraft, PartDraft, PartFinding, RuleDraft, ServeDraft,
-        ServiceDraft, TargetCount, TargetDraft, TargetPlace, ThenDraft,
+    locations::{FieldPath, PartLocation, RowPath},
+    parsed::{
+        CountScope, ParsedKey, ParsedMember, ParsedPart, ParsedRule, ParsedServe, ParsedService,
+        ParsedTarget, ParsedTreatment, PartFinding, TargetCount, TargetStorage,
     },
     secrets::parse_secret,
-    spots::{FieldPath, PartSpot, RowPath},
 };
 
 const U32_MAX: u64 = u32::MAX as u64;
 const MAX_WEIGHT: u64 = 1_000_000;
-const MAX_QUEUE: u64 = 1_000_000;
+const MAX_QUEUE_LIMIT: u64 = 1_000_000;
 const MAX_SHARDS: u64 = 1000;
 const MAX_SLOTS: u64 = 100_000;
 const MAX_CONNECTIONS: u64 = 10_000_000;
 
-/// Reads one part, with the findings in it.
-pub(crate) fn read_part(text: &str) -> PartDraft {
-    let notes = SourceNotes::new("", text);
-    let draft = read_document(&notes, text, |root| {
+/// Parses one part and collects its findings.
+pub(crate) fn read_part(text: &str) -> ParsedPart {
+    let findings = SourceFindings::new("", text);
+    let part = read_document(&findings, text, |root| {
         let mut reader = PartReader {
-            notes: &notes,
-            draft: PartDraft::default(),
+            findings: &findings,
+            part: ParsedPart::default(),
             services: NamePool::new(),
             centres: NamePool::new(),
         };
-        reader.read(root);
-        reader.draft
+        reader.read_root(root);
+        reader.part
     });
-    let mut draft = draft.unwrap_or_default();
-    draft.findings = findings_of(notes);
-    add_specs(&mut draft);
-    draft.shrink();
-    draft
+    let mut part = part.unwrap_or_default();
+    part.findings = part_findings(findings);
+    build_specs(&mut part);
+    part.shrink();
+    part
 }
 
-/// Makes each service with the targets that its part has of it, and counts targets.
-fn add_specs(draft: &mut PartDraft) {
-    let mut numbers: HashMap<&ServiceName, u32> = HashMap::new();
-    for (number, service) in (0..).zip(&draft.services) {
-        // A name given twice is a finding of the whole list, so that it doesn't
-        // matter that a second service of the name gets no targets here.
+/// Moves the targets of the part into the specifications of their services, and counts
+/// the targets by service.
+fn build_specs(part: &mut ParsedPart) {
+    let mut positions: HashMap<&ServiceName, u32> = HashMap::new();
+    for (position, service) in (0..).zip(&part.services) {
+        // A second service of the same name gets no targets, which doesn't matter, as the
+        // check of the whole list reports the duplicate name.
         if let Some(name) = &service.name {
-            numbers.entry(name).or_insert(number);
+            positions.entry(name).or_insert(position);
         }
     }
     let mut targets: Vec<Vec<TargetSpec>> = Vec::new();
-    targets.resize_with(draft.services.len(), Vec::new);
-    let mut foreign: HashMap<&ServiceName, usize> = HashMap::new();
-    for target in &mut draft.targets {
-        let Some(service) = numbers.get(&target.service).copied() else {
-            *foreign.entry(&target.service).or_default() += 1;
+    targets.resize_with(part.services.len(), Vec::new);
+    let mut other_counts: HashMap<&ServiceName, usize> = HashMap::new();
+    for target in &mut part.targets {
+        let Some(service) = positions.get(&target.service).copied() else {
+            *other_counts.entry(&target.service).or_default() += 1;
             continue;
         };
-        let own = &mut targets[service as usize];
-        let place = TargetPlace::Service { service, target: own.len() as u32 };
-        if let TargetPlace::Here(spec) = std::mem::replace(&mut target.place, place) {
-            own.push(*spec);
+        let service_targets = &mut targets[service as usize];
+        let storage = TargetStorage::InService { service, target: service_targets.len() as u32 };
+        if let TargetStorage::Inline(spec) = std::mem::replace(&mut target.storage, storage) {
+            service_targets.push(*spec);
         }
     }
-    let foreign = foreign.into_iter().map(|(service, targets)| TargetCount {
+    let other_counts = other_counts.into_iter().map(|(service, targets)| TargetCount {
         service: service.clone(),
         targets,
-        home: CountHome::OtherPart,
+        scope: CountScope::OtherPart,
     });
-    let mut counts: Vec<_> = foreign.collect();
-    for (service, mut targets) in draft.services.iter_mut().zip(targets) {
+    let mut counts: Vec<_> = other_counts.collect();
+    for (service, mut targets) in part.services.iter_mut().zip(targets) {
         let Some(name) = service.name.clone() else { continue };
         targets.shrink_to_fit();
         if !targets.is_empty() {
             let (service, targets) = (name.clone(), targets.len());
-            counts.push(TargetCount { service, targets, home: CountHome::SamePart });
+            counts.push(TargetCount { service, targets, scope: CountScope::SamePart });
         }
         service.spec = Some(Arc::new(service.to_spec(&name, targets)));
     }
-    draft.counts = counts;
+    part.target_counts = counts;
 }
 
-fn findings_of(notes: SourceNotes) -> Vec<PartFinding> {
-    let findings = notes.into_findings();
+fn part_findings(findings: SourceFindings) -> Vec<PartFinding> {
+    let findings = findings.into_findings();
     let findings = findings.iter().cloned();
     findings.map(|Finding { line, key, text, .. }| PartFinding { line, key, text }).collect()
 }
 
 struct PartReader<'a> {
-    notes: &'a SourceNotes,
-    draft: PartDraft,
+    findings: &'a SourceFindings,
+    part: ParsedPart,
     services: NamePool<ServiceName>,
     centres: NamePool<CentreName>,
 }
 
 impl PartReader<'_> {
-    fn read(&mut self, root: &TableReader<'_>) {
+    fn read_root(&mut self, root: &TableReader<'_>) {
         for table in root.tables("rule") {
             let rule = self.read_rule(&table);
-            self.draft.rules.push(rule);
+            self.part.rules.push(rule);
         }
         for table in root.tables("service") {
             self.read_service(&table);
@@ -123,17 +124,17 @@
         }
         for table in root.tables("member") {
             let member = self.read_member(&table);
-            self.draft.members.extend(member);
+            self.part.members.extend(member);
         }
         for table in root.tables("key") {
             let key = self.read_key(&table);
-            self.draft.keys.extend(key);
+            self.part.keys.extend(key);
         }
     }
 
-    fn read_rule(&mut self, table: &TableReader<'_>) -> RuleDraft {
-        let findings_before = self.notes.count();
-        let row = RowPath::Rule(index_of(table.place()));
+    fn read_rule(&mut self, table: &TableReader<'_>) -> ParsedRule {
+        let findings_before = self.findings.len();
+        let row = RowPath::Rule(last_index(table.location()));
         let name = table.require("name", table.name("name"));
         let when = table.table("when");
         let addresses = when.names("address");
@@ -142,31 +143,31 @@
         let flow_match = FlowMatch {
             addresses: addresses.iter().map(|name| ServiceAddress::new(name.text)).collect(),
             members: members.iter().map(|name| MemberName::new(name.text)).collect(),
-            data_centres: centres.iter().map(|name| self.centres.share(name.text)).collect(),
+            data_centres: centres.iter().map(|name| self.centres.intern(name.text)).collect(),
             kinds: self.read_kinds(&when),
         };
         when.finish();
         let then = self.read_then(table, row);
         table.finish();
-        RuleDraft {
-            spot: spot_of(table, row),
-            name_spot: PartSpot::new(&table.place_of("name"), row, FieldPath::Name),
+        ParsedRule {
+            location: row_location(table, row),
+            name_location: PartLocation::new(&table.location_of("name"), row, FieldPath::Name),
             name: name.map(RuleName::new),
             when: flow_match,
-            address_spots: item_spots(&addresses, row, FieldPath::WhenAddress),
-            member_spots: item_spots(&members, row, FieldPath::WhenMember),
+            address_locations: item_locations(&addresses, row, FieldPath::WhenAddress),
+            member_locations: item_locations(&members, row, FieldPath::WhenMember),
             then,
-            is_sound: self.notes.count() == findings_before,
+            is_fully_read: self.findings.len() == findings_before,
         }
     }
 
     fn read_kinds(&self, when: &TableReader<'_>) -> Vec<TrafficKind> {
         let mut kinds = Vec::new();
-        for word in when.texts("kind") {
-            match TrafficKind::from_str(word.text) {
-                Err(error) => self.notes.add(&word.place, error.to_string()),
+        for kind_name in when.texts("kind") {
+            match TrafficKind::from_str(kind_name.text) {
+                Err(error) => self.findings.add(&kind_name.location, error.to_string()),
                 Ok(kind) if kinds.contains(&kind) => {
-                    self.notes.add(&word.place, format!("\"{kind}\" stands twice"));
+                    self.findings.add(&kind_name.location, format!("\"{kind}\" stands twice"));
                 }
                 Ok(kind) => kinds.push(kind),
             }
@@ -174,11 +175,11 @@
         kinds
     }
 
-    fn read_then(&mut self, table: &TableReader<'_>, row: RowPath) -> Option<ThenDraft> {
+    fn read_then(&mut self, table: &TableReader<'_>, row: RowPath) -> Option<ParsedTreatment> {
         let then = table.require("then", table.optional_table("then"))?;
-        if then.switch("deny") == Some(true) {
+        if then.boolean("deny") == Some(true) {
             self.check_deny(&then);
-            return Some(ThenDraft::Deny);
+            return Some(ParsedTreatment::Deny);
         }
         let service = then.require("service", then.name("service"));
         let priority = then.number_or("priority", 0..=PaidPriority::HIGHEST.0.into(), 0);
@@ -186,9 +187,13 @@
         let member_limit = then.number_or("member_limit", 0..=U32_MAX, 0);
         let when_full = self.read_when_full(&then);
         then.finish();
-        Some(ThenDraft::Serve(ServeDraft {
-            service: self.services.share(service?),
-            service_spot: PartSpot::new(&then.place_of("service"), row, FieldPath::ThenService),
+        Some(ParsedTreatment::Serve(ParsedServe {
+            service: self.services.intern(service?),
+            service_location: PartLocation::new(
+                &then.location_of("service"),
+                row,
+                FieldPath::ThenService,
+            ),
             priority: PaidPriority(priority as u8),
             weight: weight as u32,
             member_limit: member_limit as u32,
@@ -196,11 +201,11 @@
         }))
     }
 
-    /// Whoever writes more beside `deny` expects it to have an effect.
+    /// Reports the keys that have no effect beside `deny`, as their author expects one.
     fn check_deny(&self, then: &TableReader<'_>) {
         for key in ["service", "priority", "weight", "member_limit", "when_full"] {
-            if then.has(key) {
-                then.note(key, "has no meaning beside deny");
+            if then.has_key(key) {
+                then.add_finding(key, "has no effect beside deny");
             }
         }
         then.finish();
@@ -211,92 +216,97 @@
             None | Some("queue") => FullAction::Queue,
             Some("refuse") => FullAction::Refuse,
             Some(_) => {
-                then.note("when_full", "must be \"queue\" or \"refuse\"");
+                then.add_finding("when_full", "must be \"queue\" or \"refuse\"");
                 FullAction::Queue
             }
         }
     }
 
     fn read_service(&mut self, table: &TableReader<'_>) {
-        let index = index_of(table.place());
+        let index = last_index(table.location());
         let row = RowPath::Service(index);
         let name = table.require("name", table.name("name"));
-        let name = name.map(|name| self.services.share(name));
+        let name = name.map(|name| self.services.intern(name));
         let addresses = table.names("addresses");
-        table.require_items("addresses");
-        let queue_limit = table.number_or("queue_limit", 0..=MAX_QUEUE, 400) as u32;
+        table.require_non_empty("addresses");
+        let queue_limit = table.number_or("queue_limit", 0..=MAX_QUEUE_LIMIT, 400) as u32;
         let shards = table.number_or("shards", 1..=MAX_SHARDS, 1) as u32;
         for inner in table.tables("target") {
-            let row = RowPath::Inner(index, index_of(inner.place()));
-            let target = self.read_target_of(&inner, row, name.clone(), inner.place().line);
-            self.draft.targets.extend(target);
+            let row = RowPath::NestedTarget(index, last_index(inner.location()));
+            let target = self.read_target_fields(&inner, row, name.clone(), inner.location().line);
+            self.part.targets.extend(target);
         }
         table.finish();
-        let spots = item_spots(&addresses, row, FieldPath::Addresses);
+        let locations = item_locations(&addresses, row, FieldPath::Addresses);
         let addresses = addresses.iter().map(|name| ServiceAddress::new(name.text));
-        let service = ServiceDraft {
-            spot: spot_of(table, row),
-            name_spot: PartSpot::new(&table.place_of("name"), row, FieldPath::Name),
+        let service = ParsedService {
+            location: row_location(table, row),
+            name_location: PartLocation::new(&table.location_of("name"), row, FieldPath::Name),
             name,
-            addresses: addresses.zip(spots).collect(),
+            addresses: addresses.zip(locations).collect(),
             queue_limit,
             shards,
-            shards_spot: PartSpot::new(&table.place_of("shards"), row, FieldPath::Shards),
+            shards_location: PartLocation::new(
+                &table.location_of("shards"),
+                row,
+                FieldPath::Shards,
+            ),
             spec: None,
         };
-        self.draft.services.push(service);
+        self.part.services.push(service);
     }
 
     fn read_target(&mut self, table: &TableReader<'_>) {
-        let row = RowPath::Target(index_of(table.place()));
+        let row = RowPath::Target(last_index(table.location()));
         let service = table.require("service", table.name("service"));
-        let service = service.map(|name| self.services.share(name));
-        let target = self.read_target_of(table, row, service, table.place_of("service").line);
-        self.draft.targets.extend(target);
+        let service = service.map(|name| self.services.intern(name));
+        let target =
+            self.read_target_fields(table, row, service, table.location_of("service").line);
+        self.part.targets.extend(target);
     }
 
-    fn read_target_of(
+    fn read_target_fields(
         &mut self,
         table: &TableReader<'_>,
         row: RowPath,
         service: Option<ServiceName>,
         service_line: usize,
-    ) -> Option<TargetDraft> {
+    ) -> Option<ParsedTarget> {
         let name = table.require("name", table.name("name"));
         let address = table.require("address", table.address("address"));
         let incarnation = table.require("incarnation", table.number("incarnation", 1..=u64::MAX));
         let data_centre = table.require("data_centre", table.name("data_centre"));
         let slots = table.number_or("slots", 1..=MAX_SLOTS, 2) as u32;
         let connections = table.number_or("connections", 1..=MAX_CONNECTIONS, 2000) as u32;
-        let draining = table.switch("draining").unwrap_or(false);
+        let draining = table.boolean("draining").unwrap_or(false);
         table.finish();
         if address.is_some_and(|address| address.ip().is_unspecified()) {
-            table.note("address", "must name one IP number");
+            table.add_finding("address", "must name one IP number");
         }
         let target = TargetSpec {
             name: TargetName::new(name?),
             address: address?,
             incarnation: incarnation?,
-            data_centre: self.centres.share(data_centre?),
+            data_centre: self.centres.intern(data_centre?),
             slots,
             connections,
             draining,
         };
         let service = service?;
-        Some(TargetDraft {
+        Some(ParsedTarget {
             row,
-            name_line: table.place_of("name").line as u32,
-            address_line: table.place_of("address").line as u32,
+            name_line: table.location_of("name").line as u32,
+            address_line: table.location_of("address").line as u32,
             service_line: service_line as u32,
             name_digest: rendezvous_weight(&service, &target.name),
             address_digest: address_digest(target.address),
             service,
-            place: TargetPlace::Here(Box::new(target)),
+            storage: TargetStorage::Inline(Box::new(target)),
         })
     }
 
-    fn read_member(&self, table: &TableReader<'_>) -> Option<MemberDraft> {
-        let row = RowPath::Member(index_of(table.place()));
+    fn read_member(&self, table: &TableReader<'_>) -> Option<ParsedMember> {
+        let row = RowPath::Member(last_index(table.location()));
         let name = table.require("name", table.name("name"));
         let secret = match table.text("secret") {
             Some(text) => self.read_secret(table, text).unwrap_or_default(),
@@ -304,33 +314,33 @@
         };
         table.finish();
         let member = MemberSpec { name: MemberName::new(name?), secret };
-        let spot = PartSpot::new(&table.place_of("name"), row, FieldPath::Name);
-        Some(MemberDraft { spot, member })
+        let location = PartLocation::new(&table.location_of("name"), row, FieldPath::Name);
+        Some(ParsedMember { location, member })
     }
 
-    fn read_key(&self, table: &TableReader<'_>) -> Option<KeyDraft> {
-        let row = RowPath::Key(index_of(table.place()));
+    fn read_key(&self, table: &TableReader<'_>) -> Option<ParsedKey> {
+        let row = RowPath::Key(last_index(table.location()));
         let id = table.require("id", table.number("id", 1..=U32_MAX));
         let secret = table.require("secret", table.text("secret"));
         let secret = secret.and_then(|text| self.read_secret(table, text));
         table.finish();
         let key = KeySpec { id: id? as u32, secret: secret? };
-        let spot = PartSpot::new(&table.place_of("id"), row, FieldPath::Id);
-        Some(KeyDraft { spot, key })
+        let location = PartLocation::new(&table.location_of("id"), row, FieldPath::Id);
+        Some(ParsedKey { location, key })
     }
 
     fn read_secret(&self, table: &TableReader<'_>, text: &str) -> Option<Vec<u8>> {
         match parse_secret(text) {
             Ok(secret) => Some(secret),
-            Err(fault) => {
-                table.note("secret", fault);
+            Err(error) => {
+                table.add_finding("secret", error);
                 None
             }
         }
     }
 }
 
-/// `NamePool` lets equal names of a part share their text.
+/// Interns names, so that equal names in a part share their text.
 struct NamePool<N> {
     names: HashSet<N>,
 }
@@ -340,7 +350,7 @@
         NamePool { names: HashSet::new() }
     }
 
-    fn share(&mut self, text: &str) -> N {
+    fn intern(&mut self, text: &str) -> N {
         if let Some(name) = self.names.get(text) {
             return name.clone();
         }
@@ -350,26 +360,27 @@
     }
 }
 
-fn spot_of(table: &TableReader<'_>, row: RowPath) -> PartSpot {
-    PartSpot::new(table.place(), row, FieldPath::Row)
+fn row_location(table: &TableReader<'_>, row: RowPath) -> PartLocation {
+    PartLocation::new(table.location(), row, FieldPath::Row)
 }
 
-fn item_spots(
-    names: &[PlacedText<'_>],
+fn item_locations(
+    names: &[LocatedText<'_>],
     row: RowPath,
     field: impl Fn(u32) -> FieldPath,
-) -> Vec<PartSpot> {
-    let spots =
-        names.iter().map(|name| PartSpot::new(&name.place, row, field(index_of(&name.place))));
-    spots.collect()
+) -> Vec<PartLocation> {
+    let locations = names
+        .iter()
+        .map(|name| PartLocation::new(&name.location, row, field(last_index(&name.location))));
+    locations.collect()
 }
 
-/// The index of the array's item at a place.
-fn index_of(place: &Place) -> u32 {
-    place.path.index().unwrap_or_default() as u32
+/// Returns the index of the array item at a location.
+fn last_index(location: &KeyLocation) -> u32 {
+    location.path.last_index().unwrap_or_default() as u32
 }
 
-/// A number that is equal for equal addresses.
+/// Returns a digest that is equal for equal addresses.
 fn address_digest(address: SocketAddr) -> u64 {
     let ip = match address.ip() {
         IpAddr::V4(ip) => u64::from(u32::from(ip)),
