--- a/crates/foxledge-daemon/src/listener.rs
+++ b/crates/foxledge-daemon/src/listener.rs
@@ -2,7 +2,7 @@
 
 use std::{io, net::SocketAddr, rc::Rc};
 
-use foxledge_wire::MAX_DATAGRAM;
+use foxledge_wire::MAX_DATAGRAM_BYTES;
 use log::{debug, info};
 use stakker::{CX, call, fail, fwd_to, idle};
 use stakker_mio::{
@@ -17,7 +17,7 @@
 /// Priority of the sockets in the poll, the same as the waker's, so that neither starves.
 pub const POLL_PRIORITY: u32 = 10;
 /// One byte more than allowed, so that a longer datagram shows as oversized instead of as cut.
-const READ_SIZE: usize = MAX_DATAGRAM + 1;
+const READ_SIZE: usize = MAX_DATAGRAM_BYTES + 1;
 
 /// `SocketKind` is which socket a datagram belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/foxledge-engine/examples/engine_cost.rs
+++ b/crates/foxledge-engine/examples/engine_cost.rs
@@ -293,7 +293,7 @@
 fn ticket_request(caller: u64) -> Packet {
     Packet {
         kind: PacketKind::TicketRequest.into(),
-        payload: vec![0; foxledge_wire::TICKET_PADDING],
+        payload: vec![0; foxledge_wire::MIN_TICKET_PADDING_BYTES],
         ..bid_packet(caller, 1, 0, "auction")
     }
 }
--- a/crates/foxledge-engine/src/home.rs
+++ b/crates/foxledge-engine/src/home.rs
@@ -10,7 +10,7 @@
 };
 use foxledge_policy::WorkItem;
 use foxledge_wire::{
-    TICKET_PADDING,
+    MIN_TICKET_PADDING_BYTES,
     convert::{traffic_kind, work_kind},
     flow::{Packet, PacketKind, Refusal, RefusalReason},
 };
@@ -66,7 +66,7 @@
             // Non-idempotent work without a ticket isn't run anywhere, so that a copy at another
             // home can't run either. The caller gets a ticket instead, provided that its packet is
             // at least as large as the reply with the ticket.
-            PacketKind::Work if packet.payload.len() >= TICKET_PADDING => {
+            PacketKind::Work if packet.payload.len() >= MIN_TICKET_PADDING_BYTES => {
                 self.grant_ticket(now, caller, &packet);
             }
             PacketKind::Work => {
--- a/crates/foxledge-engine/src/responses.rs
+++ b/crates/foxledge-engine/src/responses.rs
@@ -6,7 +6,7 @@
 use foxledge_policy::TargetSignal;
 use foxledge_seal::seals::open_path;
 use foxledge_wire::{
-    MAX_DATAGRAM,
+    MAX_DATAGRAM_BYTES,
     flow::{Packet, PacketKind, Refusal, RefusalReason, RunOutcome},
 };
 use prost::Message;
@@ -143,7 +143,7 @@
             target_incarnation: 0,
             ..packet
         };
-        if packet.encoded_len() > MAX_DATAGRAM {
+        if packet.encoded_len() > MAX_DATAGRAM_BYTES {
             // The answer matters more than the next ticket, which the caller can request
             // separately.
             packet.ticket.clear();
--- a/crates/foxledge-engine/tests/bad_datagrams.rs
+++ b/crates/foxledge-engine/tests/bad_datagrams.rs
@@ -7,7 +7,7 @@
 use common::{TestNet, address, data_address, packets::bid_packet};
 use foxledge_engine::{EngineEffect, EngineOptions, FlowEngine};
 use foxledge_wire::{
-    MAX_DATAGRAM, encode_packet,
+    MAX_DATAGRAM_BYTES, encode_packet,
     flow::{Packet, PacketKind, RefusalReason},
 };
 use proptest::prelude::*;
@@ -28,8 +28,10 @@
 fn counts_and_drops_malformed_datagrams() {
     let mut net = TestNet::new(1, 1, EngineOptions::default());
     let whole = encode_packet(&bid_packet(1, 1, 1, "auction"));
-    let oversized =
-        encode_packet(&Packet { payload: vec![0; MAX_DATAGRAM], ..bid_packet(1, 1, 1, "auction") });
+    let oversized = encode_packet(&Packet {
+        payload: vec![0; MAX_DATAGRAM_BYTES],
+        ..bid_packet(1, 1, 1, "auction")
+    });
     let version = encode_packet(&Packet { version: 9, ..bid_packet(1, 1, 1, "auction") });
     let parts = encode_packet(&Packet { part: 3, parts: 2, ..bid_packet(1, 1, 1, "auction") });
     let unpadded = encode_packet(&Packet {
--- a/crates/foxledge-engine/tests/common/mod.rs
+++ b/crates/foxledge-engine/tests/common/mod.rs
@@ -21,7 +21,7 @@
 };
 use foxledge_engine::{EngineEffect, EngineOptions, EnginePhase, FlowEngine};
 use foxledge_wire::{
-    TICKET_PADDING, decode_packet, encode_packet,
+    MIN_TICKET_PADDING_BYTES, decode_packet, encode_packet,
     flow::{Packet, PacketKind},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -214,7 +214,7 @@
     ) -> Option<Vec<u8>> {
         let packet = Packet { idempotent: false, ..bid_packet(caller, 1, 0, service_address) };
         let kind = PacketKind::TicketRequest.into();
-        let packet = Packet { kind, payload: vec![0; TICKET_PADDING], ..packet };
+        let packet = Packet { kind, payload: vec![0; MIN_TICKET_PADDING_BYTES], ..packet };
         for _ in 0..5 {
             self.send(caller, instance, &packet);
             self.run_for(400);
--- a/crates/foxledge-engine/tests/longest_names.rs
+++ b/crates/foxledge-engine/tests/longest_names.rs
@@ -11,7 +11,7 @@
 };
 use foxledge_core::names::{InstanceName, ServiceAddress, ServiceName, TargetName};
 use foxledge_engine::{EngineOptions, EnginePhase, FlowEngine};
-use foxledge_wire::{MAX_PAYLOAD, flow::Packet};
+use foxledge_wire::{MAX_PAYLOAD_BYTES, flow::Packet};
 
 /// The maximum length of a name in a list.
 const MAX_NAME_LENGTH: usize = 32;
@@ -52,16 +52,16 @@
     let bid = Packet { member: long("m"), ..bid_packet(1, u64::MAX, 1, &address) };
     let asked =
         Packet { kind: foxledge_wire::flow::PacketKind::TicketRequest.into(), ..bid.clone() };
-    net.send(1, 0, &Packet { payload: vec![0; foxledge_wire::TICKET_PADDING], ..asked });
+    net.send(1, 0, &Packet { payload: vec![0; foxledge_wire::MIN_TICKET_PADDING_BYTES], ..asked });
     net.run_for(100);
     let ticket = net.drain_answers(1)[0].ticket.clone();
     assert!(!ticket.is_empty());
     // The fake backend server returns the request's payload at full size.
     net.targets[0].echoes_payload = true;
-    net.send(1, 0, &Packet { ticket, payload: vec![7; MAX_PAYLOAD], ..bid });
+    net.send(1, 0, &Packet { ticket, payload: vec![7; MAX_PAYLOAD_BYTES], ..bid });
     net.run_for(500);
     let answers = net.drain_answers(1);
     assert!(is_answered(&answers), "{answers:?}");
     let answer = answers.iter().find(|answer| !answer.payload.is_empty()).unwrap();
-    assert_eq!(answer.payload.len(), MAX_PAYLOAD);
+    assert_eq!(answer.payload.len(), MAX_PAYLOAD_BYTES);
 }
--- a/crates/foxledge-engine/tests/other_centres.rs
+++ b/crates/foxledge-engine/tests/other_centres.rs
@@ -108,7 +108,7 @@
     }
     let request = Packet {
         kind: PacketKind::TicketRequest.into(),
-        payload: vec![0; foxledge_wire::TICKET_PADDING],
+        payload: vec![0; foxledge_wire::MIN_TICKET_PADDING_BYTES],
         ..bid_packet(1, 1, 0, "auction")
     };
     net.send(1, 0, &request);
--- a/crates/foxledge-fakes/src/caller/flow.rs
+++ b/crates/foxledge-fakes/src/caller/flow.rs
@@ -4,7 +4,7 @@
 
 use foxledge_core::time::ClockTime;
 use foxledge_wire::{
-    TICKET_PADDING,
+    MIN_TICKET_PADDING_BYTES,
     flow::{Packet, PacketKind, Refusal, RefusalReason, RunOutcome},
 };
 
@@ -181,7 +181,7 @@
         };
         let mut packet = self.identity.packet(PacketKind::TicketRequest, 0);
         packet.time_left_ms = piece.deadline.remaining_millis(now);
-        packet.payload = vec![0; TICKET_PADDING];
+        packet.payload = vec![0; MIN_TICKET_PADDING_BYTES];
         self.effects.push(CallerEffect::send(&packet));
     }
 
--- a/crates/foxledge-fakes/tests/caller_requests.rs
+++ b/crates/foxledge-fakes/tests/caller_requests.rs
@@ -11,7 +11,7 @@
     report::RequestId,
 };
 use foxledge_wire::{
-    PROTOCOL_VERSION, TICKET_PADDING, decode_packet,
+    MIN_TICKET_PADDING_BYTES, PROTOCOL_VERSION, decode_packet,
     flow::{Packet, PacketKind, Refusal, RefusalReason, RunOutcome},
 };
 
@@ -139,7 +139,7 @@
         (kinds(&asked), notes),
         (vec![PacketKind::TicketRequest], vec![FlowNote::TicketAsked])
     );
-    assert!(asked[0].payload.len() >= TICKET_PADDING);
+    assert!(asked[0].payload.len() >= MIN_TICKET_PADDING_BYTES);
     let work = bench.take(grant()).0;
     assert_eq!((work[0].kind(), work[0].request), (PacketKind::Work, 1));
     assert_eq!((work[0].ticket.as_slice(), work[0].parts), (&b"ticket"[..], 1));
--- a/crates/foxledge-proofs/src/hand_caller.rs
+++ b/crates/foxledge-proofs/src/hand_caller.rs
@@ -16,7 +16,7 @@
     report::RequestId,
 };
 use foxledge_wire::{
-    TICKET_PADDING, decode_packet, encode_packet,
+    MIN_TICKET_PADDING_BYTES, decode_packet, encode_packet,
     flow::{Packet, PacketKind, RefusalReason, RunOutcome},
 };
 
@@ -110,7 +110,7 @@
     /// A request for a ticket.
     pub fn ticket_request(&self) -> Packet {
         let mut packet = self.identity.packet(PacketKind::TicketRequest, 0);
-        packet.payload = vec![0; TICKET_PADDING];
+        packet.payload = vec![0; MIN_TICKET_PADDING_BYTES];
         packet
     }
 
--- a/crates/foxledge-rules/tests/name_sizes.rs
+++ b/crates/foxledge-rules/tests/name_sizes.rs
@@ -12,7 +12,7 @@
     seals::{seal_datagram, seal_path, seal_ticket, seal_token},
 };
 use foxledge_wire::{
-    MAX_DATAGRAM, MAX_PAYLOAD, decode_packet, encode_packet,
+    MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES, decode_packet, encode_packet,
     flow::{
         FlowToken, Forward, LoadReport, Packet, PacketKind, PeerDatagram, ReturnPath, Ticket,
         WorkKind, peer_datagram::Body,
@@ -83,7 +83,7 @@
         time_left_ms: 600_000,
         part: 4094,
         parts: 4095,
-        payload: vec![1; MAX_PAYLOAD],
+        payload: vec![1; MAX_PAYLOAD_BYTES],
         ..Packet::default()
     }
 }
@@ -142,5 +142,5 @@
     };
     let datagram = PeerDatagram { body: Some(Body::Forward(forward)) };
     let size = seal_datagram(&ring(), &datagram).unwrap().len();
-    assert!(size <= MAX_DATAGRAM, "{size} bytes");
+    assert!(size <= MAX_DATAGRAM_BYTES, "{size} bytes");
 }
--- a/crates/foxledge-wire/src/convert.rs
+++ b/crates/foxledge-wire/src/convert.rs
@@ -11,14 +11,14 @@
 
 use crate::{
     control,
-    errors::{Result, bad_field},
+    errors::{Result, invalid_field},
     flow::WorkKind,
 };
 
 /// Reads an instance's record; every address must be an IP number with a port.
 pub fn peer_info(record: &control::PeerRecord) -> Result<PeerInfo> {
     if record.name.is_empty() {
-        return Err(bad_field("name", "empty"));
+        return Err(invalid_field("name", "empty"));
     }
     Ok(PeerInfo {
         name: InstanceName::new(&record.name),
@@ -77,12 +77,12 @@
 
 /// Reads an "ip:port" text.
 pub fn socket_address(field: &'static str, text: &str) -> Result<SocketAddr> {
-    text.parse().map_err(|_| bad_field(field, "not an IP number with a port"))
+    text.parse().map_err(|_| invalid_field(field, "not an IP number with a port"))
 }
 
 fn peer_state(state: control::PeerState) -> Result<PeerState> {
     match state {
-        control::PeerState::Unspecified => Err(bad_field("state", "missing")),
+        control::PeerState::Unspecified => Err(invalid_field("state", "missing")),
         control::PeerState::Joining => Ok(PeerState::Joining),
         control::PeerState::Alive => Ok(PeerState::Alive),
         control::PeerState::Suspect => Ok(PeerState::Suspect),
--- a/crates/foxledge-wire/src/errors.rs
+++ b/crates/foxledge-wire/src/errors.rs
@@ -15,18 +15,18 @@
     #[error("malformed message: {0}")]
     Malformed(String),
     /// A field has a value that the protocol doesn't allow.
-    #[error("field {field}: {why}")]
-    BadField {
+    #[error("field {field}: {reason}")]
+    InvalidField {
         /// The field's name.
         field: &'static str,
         /// What is wrong with it.
-        why: &'static str,
+        reason: &'static str,
     },
 }
 
-/// Makes an [`Error::BadField`].
-pub fn bad_field(field: &'static str, why: &'static str) -> Error {
-    Error::BadField { field, why }
+/// Creates an [`Error::InvalidField`].
+pub fn invalid_field(field: &'static str, reason: &'static str) -> Error {
+    Error::InvalidField { field, reason }
 }
 
 impl From<prost::DecodeError> for Error {
--- a/crates/foxledge-wire/src/lib.rs
+++ b/crates/foxledge-wire/src/lib.rs
@@ -22,6 +22,7 @@
 pub mod errors;
 
 pub use datagram::{
-    MAX_DATAGRAM, MAX_PAYLOAD, PROTOCOL_VERSION, TICKET_PADDING, decode_packet, encode_packet,
+    MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES, MIN_TICKET_PADDING_BYTES, PROTOCOL_VERSION,
+    decode_packet, encode_packet,
 };
 pub use errors::{Error, Result};
