--- a/crates/foxledge-ctl/src/check.rs
+++ b/crates/foxledge-ctl/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks of files, without a daemon.
+//! The `check` commands, which check files without a daemon.
 
 use std::{fs, path::PathBuf};
 
@@ -10,67 +10,67 @@
 use serde_json::{Value, json};
 
 use crate::{
-    Outcome,
+    CommandOutcome,
     command::{OutputFormat, output_format},
 };
 
-/// Carries out `check settings` or `check rules`.
-pub fn run(matches: &ArgMatches) -> Result<Outcome> {
-    let (name, matches) = matches.subcommand().context("nothing to check")?;
+/// Carries out `check settings`, `check packets` or `check rules`.
+pub fn run(matches: &ArgMatches) -> Result<CommandOutcome> {
+    let (name, matches) = matches.subcommand().context("the check subcommand is missing")?;
     let files: Vec<PathBuf> =
         matches.get_many::<PathBuf>("files").into_iter().flatten().cloned().collect();
-    let verdict = match name {
+    let check = match name {
         "settings" => check_settings(&files),
         "packets" => check_packets(&files),
         _ => check_rules(&files),
     };
-    Ok(report(&verdict, output_format(matches)))
+    Ok(print_report(&check, output_format(matches)))
 }
 
-/// `CheckVerdict` is what a check says.
-struct CheckVerdict {
+/// The result of a check.
+struct CheckReport {
     findings: FindingList,
-    /// What was checked, when it is good.
+    /// A description of the checked files, empty when they have findings.
     summary: String,
-    /// What is allowed, but not for serving anybody.
+    /// The settings that are valid but meant for tests and trials only.
     warnings: Vec<String>,
 }
 
-impl CheckVerdict {
-    fn bad(findings: FindingList) -> CheckVerdict {
-        CheckVerdict { findings, summary: String::new(), warnings: Vec::new() }
+impl CheckReport {
+    fn from_findings(findings: FindingList) -> CheckReport {
+        CheckReport { findings, summary: String::new(), warnings: Vec::new() }
     }
 }
 
-fn check_settings(files: &[PathBuf]) -> CheckVerdict {
-    let mut verdict = CheckVerdict::bad(FindingList::new());
+fn check_settings(files: &[PathBuf]) -> CheckReport {
+    let mut check = CheckReport::from_findings(FindingList::new());
     for file in files {
         match load_settings(file) {
             Ok(settings) => {
-                verdict.summary = settings_summary(&settings);
-                verdict.warnings = settings_warnings(&settings);
+                check.summary = settings_summary(&settings);
+                check.warnings = settings_warnings(&settings);
             }
-            Err(findings) => verdict.findings.append(findings),
+            Err(findings) => check.findings.append(findings),
         }
     }
-    verdict
+    check
 }
 
-fn check_packets(files: &[PathBuf]) -> CheckVerdict {
-    let mut verdict = CheckVerdict::bad(FindingList::new());
+fn check_packets(files: &[PathBuf]) -> CheckReport {
+    let mut check = CheckReport::from_findings(FindingList::new());
     for file in files {
         match load_packet_settings(file) {
             Ok(settings) => {
-                verdict.summary = format!("instance {} in {}", settings.name, settings.data_centre);
+                check.summary = format!("instance {} in {}", settings.name, settings.data_centre);
                 if settings.seeds.is_empty() {
                     let warning = "peers.seeds is empty: the instance learns only from the store";
-                    verdict.warnings.push(warning.to_owned());
+                    check.warnings.push(warning.to_owned());
                 }
             }
-            Err(findings) => verdict.findings.append(findings),
+            Err(findings) => check.findings.append(findings),
         }
     }
-    verdict
+    check
 }
 
 fn settings_summary(settings: &DaemonSettings) -> String {
@@ -80,32 +80,33 @@
 
 fn settings_warnings(settings: &DaemonSettings) -> Vec<String> {
     let trial = &settings.trial;
-    let off = trial.switched_off().into_iter();
-    let off = off.map(|key| format!("trial.{key} is off: only for proving that it matters"));
+    let disabled = trial.switched_off().into_iter();
+    let disabled =
+        disabled.map(|key| format!("trial.{key} is off: only for proving that it matters"));
     let routes = (!trial.routes.is_empty()).then(|| "trial.routes is set: only for tests".into());
-    off.chain(routes).collect()
+    disabled.chain(routes).collect()
 }
 
-fn check_rules(files: &[PathBuf]) -> CheckVerdict {
+fn check_rules(files: &[PathBuf]) -> CheckReport {
     let mut findings = FindingList::new();
     let mut parts = Vec::new();
     for file in files {
         let name = file.display().to_string();
         match read_text(file) {
             Ok(text) => parts.push(ListText { name, text }),
-            Err(fault) => findings.add(&name, 0, "", fault),
+            Err(error) => findings.add(&name, 0, "", error),
         }
     }
-    // A list of which a part is missing would only bring findings that mislead.
+    // An incomplete list would lead to misleading findings.
     if !findings.is_empty() {
-        return CheckVerdict::bad(findings);
+        return CheckReport::from_findings(findings);
     }
     match build_list(0, &parts) {
         Ok(list) => {
             let summary = list_summary(&list);
-            CheckVerdict { findings, summary, warnings: Vec::new() }
+            CheckReport { findings, summary, warnings: Vec::new() }
         }
-        Err(findings) => CheckVerdict::bad(findings),
+        Err(findings) => CheckReport::from_findings(findings),
     }
 }
 
@@ -130,26 +131,26 @@
     format!("{number} {noun}{}", if number == 1 { "" } else { "s" })
 }
 
-fn report(verdict: &CheckVerdict, format: OutputFormat) -> Outcome {
+fn print_report(check: &CheckReport, format: OutputFormat) -> CommandOutcome {
     match format {
-        OutputFormat::Json => println!("{:#}", verdict_json(verdict)),
-        OutputFormat::Text => print_verdict(verdict),
+        OutputFormat::Json => println!("{:#}", report_json(check)),
+        OutputFormat::Text => print_text(check),
     }
-    if verdict.findings.is_empty() { Outcome::Done } else { Outcome::Declined }
+    if check.findings.is_empty() { CommandOutcome::Done } else { CommandOutcome::Declined }
 }
 
-fn verdict_json(verdict: &CheckVerdict) -> Value {
-    let findings: Vec<_> = verdict.findings.iter().collect();
-    json!({ "findings": findings, "summary": verdict.summary, "warnings": verdict.warnings })
+fn report_json(check: &CheckReport) -> Value {
+    let findings: Vec<_> = check.findings.iter().collect();
+    json!({ "findings": findings, "summary": check.summary, "warnings": check.warnings })
 }
 
-fn print_verdict(verdict: &CheckVerdict) {
-    print!("{}", verdict.findings);
-    match verdict.findings.len() {
-        0 => println!("good: {}", verdict.summary),
+fn print_text(check: &CheckReport) {
+    print!("{}", check.findings);
+    match check.findings.len() {
+        0 => println!("good: {}", check.summary),
         number => println!("{}", count(number, "finding")),
     }
-    for warning in &verdict.warnings {
+    for warning in &check.warnings {
         println!("warning: {warning}");
     }
 }
--- a/crates/foxledge-ctl/src/command.rs
+++ b/crates/foxledge-ctl/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The definition of the command line.
 
 use std::{
     net::{SocketAddr, SocketAddrV4},
@@ -18,16 +18,16 @@
   2  the command line is wrong
   3  the command could not be carried out, for instance because the daemon doesn't answer";
 
-/// `OutputFormat` is how a report is written.
+/// The format of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutputFormat {
-    /// For people.
+    /// Text for operators.
     Text,
-    /// For programs.
+    /// JSON for programs.
     Json,
 }
 
-/// The command line.
+/// Returns the definition of the command line.
 pub fn command() -> Command {
     Command::new("foxledgectl")
         .version(clap::crate_version!())
@@ -37,16 +37,16 @@
         .arg_required_else_help(true)
         .arg(format_argument())
         .subcommand(check_command())
-        .subcommand(online(status_command()))
-        .subcommand(online(explain_command()))
-        .subcommand(online(audit_command()))
-        .subcommand(online(drain_command()))
+        .subcommand(with_daemon_arguments(status_command()))
+        .subcommand(with_daemon_arguments(explain_command()))
+        .subcommand(with_daemon_arguments(audit_command()))
+        .subcommand(with_daemon_arguments(drain_command()))
         .subcommand(packets_command())
         .subcommand(trace_command())
         .subcommand(losses_command())
 }
 
-/// The output format that was asked for.
+/// Returns the output format that the command line requests.
 pub fn output_format(matches: &ArgMatches) -> OutputFormat {
     match matches.get_one::<String>("format").map(String::as_str) {
         Some("json") => OutputFormat::Json,
@@ -100,9 +100,9 @@
     let kinds = PossibleValuesParser::new(TrafficKind::ALL.map(TrafficKind::as_str));
     Command::new("explain")
         .about("Show which rule matches a flow, where the flow goes, and why")
-        .arg(text_argument("address", "ADDRESS", "Service address that the caller wants"))
-        .arg(text_argument("member", "MEMBER", "Member that the flow belongs to"))
-        .arg(text_argument("kind", "KIND", "Kind of traffic").value_parser(kinds))
+        .arg(required_argument("address", "ADDRESS", "Service address that the caller wants"))
+        .arg(required_argument("member", "MEMBER", "Member that the flow belongs to"))
+        .arg(required_argument("kind", "KIND", "Kind of traffic").value_parser(kinds))
         .arg(
             Arg::new("flow")
                 .long("flow")
@@ -112,7 +112,7 @@
         )
 }
 
-fn text_argument(name: &'static str, value: &'static str, help: &'static str) -> Arg {
+fn required_argument(name: &'static str, value: &'static str, help: &'static str) -> Arg {
     Arg::new(name).long(name).value_name(value).help(help).required(true)
 }
 
@@ -155,8 +155,8 @@
 fn packets_command() -> Command {
     let explain = Command::new("explain")
         .about("Show where a flow would go now, why, and what its token names")
-        .arg(end_argument("caller", "The caller's address and port"))
-        .arg(end_argument("service", "The address and port that the caller wants"))
+        .arg(endpoint_argument("caller", "The caller's address and port"))
+        .arg(endpoint_argument("service", "The address and port that the caller wants"))
         .arg(
             Arg::new("token")
                 .long("token")
@@ -182,7 +182,7 @@
         .subcommand(explain)
 }
 
-fn end_argument(name: &'static str, help: &'static str) -> Arg {
+fn endpoint_argument(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .value_name("IP:PORT")
@@ -225,8 +225,8 @@
         .num_args(0..)
 }
 
-/// Adds what every command that calls a daemon takes.
-fn online(command: Command) -> Command {
+/// Adds the arguments of every command that calls a daemon.
+fn with_daemon_arguments(command: Command) -> Command {
     command
         .arg(
             Arg::new("daemon")
--- a/crates/foxledge-ctl/src/daemon.rs
+++ b/crates/foxledge-ctl/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Calls to a daemon's `Admin` service.
+//! The client of a daemon's `Admin` service.
 
 use std::{fs, future::Future, net::SocketAddr, path::PathBuf, time::Duration};
 
@@ -14,87 +14,93 @@
     transport::{Certificate, Channel, ClientTlsConfig, Endpoint, Identity},
 };
 
-/// Name that every instance's certificate carries; daemons are called by IP number.
+/// The domain name in the certificate of every instance, as daemons are addressed by IP address.
 const INSTANCE_DOMAIN: &str = "foxledge.internal";
 
-/// `DaemonClient` calls one daemon.
+/// A client that is connected to one daemon.
 pub struct DaemonClient {
     address: SocketAddr,
-    wait: Duration,
+    call_timeout: Duration,
     client: AdminClient<Channel>,
 }
 
 impl DaemonClient {
     /// Connects to the daemon that the command line names.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error when the TLS files can't be used, or the daemon doesn't accept the
+    /// connection before the timeout.
     pub async fn connect(matches: &ArgMatches) -> Result<DaemonClient> {
         let address = *matches.get_one::<SocketAddr>("daemon").context("--daemon is missing")?;
-        let wait = matches.get_one::<u64>("wait_ms").copied().unwrap_or(5000);
-        let wait = Duration::from_millis(wait);
+        let call_timeout = matches.get_one::<u64>("wait_ms").copied().unwrap_or(5000);
+        let call_timeout = Duration::from_millis(call_timeout);
         let tls = tls_config(matches)?;
         let scheme = if tls.is_some() { "https" } else { "http" };
         let mut endpoint = Endpoint::from_shared(format!("{scheme}://{address}"))?;
         if let Some(tls) = tls {
-            endpoint = endpoint.tls_config(tls).context("the TLS files can't be used")?;
+            endpoint = endpoint.tls_config(tls).context("can't use the TLS files")?;
         }
-        let connected = timeout(wait, endpoint.connect()).await;
-        let channel = connected
-            .map_err(|_| no_answer(address, wait))?
+        let connection = timeout(call_timeout, endpoint.connect()).await;
+        let channel = connection
+            .map_err(|_| timeout_error(address, call_timeout))?
             .with_context(|| format!("can't connect to {address}"))?;
-        Ok(DaemonClient { address, wait, client: AdminClient::new(channel) })
+        Ok(DaemonClient { address, call_timeout, client: AdminClient::new(channel) })
     }
 
-    /// The daemon's status report.
+    /// Requests the status report of the daemon.
     pub async fn status(&mut self) -> Result<Value> {
-        let (address, wait) = (self.address, self.wait);
-        let reply = answer(address, wait, self.client.status(StatusRequest {})).await?;
-        read_json(&reply.json)
+        let (address, call_timeout) = (self.address, self.call_timeout);
+        let reply =
+            await_reply(address, call_timeout, self.client.status(StatusRequest {})).await?;
+        parse_json(&reply.json)
     }
 
-    /// The daemon's explanation of a flow.
+    /// Requests the daemon's explanation of a flow.
     pub async fn explain(&mut self, request: ExplainRequest) -> Result<Value> {
-        let (address, wait) = (self.address, self.wait);
-        let reply = answer(address, wait, self.client.explain(request)).await?;
-        read_json(&reply.json)
+        let (address, call_timeout) = (self.address, self.call_timeout);
+        let reply = await_reply(address, call_timeout, self.client.explain(request)).await?;
+        parse_json(&reply.json)
     }
 
-    /// Audit entries numbered above `after`, the oldest first; as many as the
-    /// daemon gives at once.
+    /// Requests the audit entries with numbers above `after`, the oldest first. The daemon limits
+    /// the number of entries in one reply.
     pub async fn audit(&mut self, after: u64) -> Result<Vec<Value>> {
-        let (address, wait) = (self.address, self.wait);
+        let (address, call_timeout) = (self.address, self.call_timeout);
         let request = AuditRequest { after, limit: 0 };
-        let reply = answer(address, wait, self.client.audit(request)).await?;
-        match read_json(&reply.json)? {
+        let reply = await_reply(address, call_timeout, self.client.audit(request)).await?;
+        match parse_json(&reply.json)? {
             Value::Array(entries) => Ok(entries),
-            _ => Err(anyhow!("{address} answered with something else than audit entries")),
+            _ => Err(anyhow!("the reply of {address} is not a list of audit entries")),
         }
     }
 
-    /// Asks the daemon to leave; true when it will.
+    /// Requests that the daemon drains and stops, and returns whether it accepts.
     pub async fn drain(&mut self) -> Result<bool> {
-        let (address, wait) = (self.address, self.wait);
-        let reply = answer(address, wait, self.client.drain(DrainRequest {})).await?;
+        let (address, call_timeout) = (self.address, self.call_timeout);
+        let reply = await_reply(address, call_timeout, self.client.drain(DrainRequest {})).await?;
         Ok(reply.accepted)
     }
 }
 
-async fn answer<T>(
+async fn await_reply<T>(
     address: SocketAddr,
-    wait: Duration,
+    call_timeout: Duration,
     call: impl Future<Output = Result<Response<T>, Status>>,
 ) -> Result<T> {
-    match timeout(wait, call).await {
+    match timeout(call_timeout, call).await {
         Ok(Ok(response)) => Ok(response.into_inner()),
         Ok(Err(status)) => Err(anyhow!("{address} refused: {}", status.message())),
-        Err(_) => Err(no_answer(address, wait)),
+        Err(_) => Err(timeout_error(address, call_timeout)),
     }
 }
 
-fn no_answer(address: SocketAddr, wait: Duration) -> anyhow::Error {
-    anyhow!("no answer from {address} within {} ms", wait.as_millis())
+fn timeout_error(address: SocketAddr, call_timeout: Duration) -> anyhow::Error {
+    anyhow!("no answer from {address} within {} ms", call_timeout.as_millis())
 }
 
-fn read_json(text: &str) -> Result<Value> {
-    serde_json::from_str(text).context("the daemon's answer is no JSON")
+fn parse_json(text: &str) -> Result<Value> {
+    serde_json::from_str(text).context("the daemon's reply is not valid JSON")
 }
 
 fn tls_config(matches: &ArgMatches) -> Result<Option<ClientTlsConfig>> {
--- a/crates/foxledge-ctl/src/log_lines.rs
+++ b/crates/foxledge-ctl/src/log_lines.rs
@@ -1,4 +1,4 @@
-//! Log lines of instances that route packets, read from files or from standard input.
+//! Reading of log lines of instances that route packets, from files or standard input.
 
 use std::{
     fs::File,
@@ -10,21 +10,22 @@
 use clap::ArgMatches;
 use serde_json::{Map, Value};
 
-/// `LogLine` is one log line.
+/// One log line.
 pub struct LogLine {
-    /// When, in Unix milliseconds.
+    /// The time of the event, in Unix milliseconds.
     pub at_ms: u64,
-    /// What stood before the object: the instance, where the collector adds it.
+    /// The text before the JSON object, where a log collector puts the name of the instance, or
+    /// the name of the file without its extension.
     pub source: String,
-    /// Its fields.
+    /// The fields of the JSON object.
     pub fields: Map<String, Value>,
 }
 
-/// Reads the log files that the command line names, or standard input without any.
+/// Reads the log files that the command line names, or standard input when it names none.
 ///
 /// # Errors
 ///
-/// When a file can't be read.
+/// Returns an error when a file can't be opened or read.
 pub fn read_logs(matches: &ArgMatches) -> Result<Vec<LogLine>> {
     let files: Vec<&PathBuf> = matches.get_many("files").into_iter().flatten().collect();
     let mut lines = Vec::new();
@@ -33,34 +34,36 @@
     }
     for file in files {
         let name = file.file_stem().unwrap_or_default().to_string_lossy().into_owned();
-        let open = File::open(file).with_context(|| format!("can't read {}", file.display()))?;
-        read_lines(BufReader::new(open), &name, &mut lines)?;
+        let opened_file =
+            File::open(file).with_context(|| format!("can't read {}", file.display()))?;
+        read_lines(BufReader::new(opened_file), &name, &mut lines)?;
     }
     Ok(lines)
 }
 
-/// Reads every line that holds an object; others are no lines of foxledge.
+/// Reads the lines that hold a JSON object with a time. Other lines were not written by foxledge
+/// and are skipped.
 fn read_lines(input: impl BufRead, name: &str, lines: &mut Vec<LogLine>) -> Result<()> {
     for line in input.lines() {
-        let line = line.context("the input breaks off")?;
+        let line = line.context("can't read the log lines")?;
         let Some(start) = line.find('{') else { continue };
         let Ok(Value::Object(fields)) = serde_json::from_str(&line[start..]) else { continue };
         let Some(at_ms) = fields.get("at_ms").and_then(Value::as_u64) else { continue };
-        let before = line[..start].trim();
-        let source = if before.is_empty() { name.to_owned() } else { before.to_owned() };
+        let prefix = line[..start].trim();
+        let source = if prefix.is_empty() { name.to_owned() } else { prefix.to_owned() };
         lines.push(LogLine { at_ms, source, fields });
     }
     Ok(())
 }
 
 impl LogLine {
-    /// A field that holds a text.
-    pub fn text(&self, key: &str) -> Option<&str> {
+    /// Returns the value of a text field, or `None` when it is missing or has another type.
+    pub fn text_field(&self, key: &str) -> Option<&str> {
         self.fields.get(key).and_then(Value::as_str)
     }
 
-    /// A field that holds a number; 0 when it isn't there.
-    pub fn number(&self, key: &str) -> u64 {
+    /// Returns the value of a number field, or 0 when it is missing or has another type.
+    pub fn number_field(&self, key: &str) -> u64 {
         self.fields.get(key).and_then(Value::as_u64).unwrap_or_default()
     }
 }
--- a/crates/foxledge-ctl/src/losses.rs
+++ b/crates/foxledge-ctl/src/losses.rs
@@ -1,8 +1,8 @@
-//! What callers lost, summed up from log lines of all instances.
+//! The `losses` command, which counts failed requests from the log lines of all instances.
 //!
-//! Instances see what callers send and no answer. Lost here is what callers sent again to
-//! the end; that an answer came late, or that a caller gave up without sending again, shows
-//! in no log.
+//! Instances see the packets that callers send, but no responses. A request counts as lost when
+//! its caller retransmits it repeatedly and the flow isn't ended. A late response, or a caller that
+//! gives up without retransmitting, shows in no log.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,39 +11,39 @@
 use serde::Serialize;
 
 use crate::{
-    Outcome,
+    CommandOutcome,
     command::{OutputFormat, output_format},
     log_lines::{LogLine, read_logs},
-    online::write_out,
-    tables::write_table,
+    online::write_stdout,
+    tables::format_table,
 };
 
-/// Copies of a request's data from which it counts as lost: the second goes out after 600 ms,
-/// and of those that need it few are answered before their deadline.
-const LOST_COPIES: u64 = 2;
+/// The number of retransmissions of a request's data from which the request counts as lost. The
+/// second is sent after 600 ms, and few requests that need it are answered before their deadline.
+const MIN_LOST_RETRANSMISSIONS: u64 = 2;
 
-/// `FlowOutcome` orders what became of a flow, the worst last.
+/// What happened to a flow, in the order of severity; the last is the worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum FlowOutcome {
-    /// Its opening packet was sent again.
+    /// The opening packet was retransmitted.
     OpenedLate,
-    /// Data was sent again once.
+    /// Data was retransmitted once.
     Waited,
-    /// It was ended while nothing was under way.
+    /// The flow was ended while no request was in progress.
     EndedAtRest,
-    /// It was ended while a request was under way that may be repeated.
+    /// The flow was ended while a request was in progress that may be repeated.
     EndedWaiting,
-    /// A packet of it was dropped.
+    /// A packet of the flow was dropped.
     Dropped,
-    /// It was refused.
+    /// The flow was refused.
     Refused,
-    /// Data was sent again and again, and the flow was not ended.
+    /// Data was retransmitted repeatedly, and the flow was not ended.
     Lost,
 }
 
 impl FlowOutcome {
-    fn word(self) -> &'static str {
+    fn as_str(self) -> &'static str {
         match self {
             FlowOutcome::OpenedLate => "opened late",
             FlowOutcome::Waited => "waited",
@@ -56,19 +56,19 @@
     }
 }
 
-/// `FlowTrouble` is the worst that a flow's lines tell.
+/// The worst outcome that the log lines of a flow report.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct FlowTrouble {
+struct FlowIncident {
     outcome: FlowOutcome,
-    /// What was decided, or what was believed of the backend server.
+    /// The reason of the decision, or the health class of the backend server.
     cause: String,
     at_ms: u64,
 }
 
-/// `LossRow` is the flows with one outcome and cause in one second.
+/// The number of flows with the same outcome and cause in one second.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 struct LossRow {
-    /// Seconds since the first line.
+    /// The number of seconds since the first line.
     second: u64,
     outcome: FlowOutcome,
     cause: String,
@@ -76,60 +76,63 @@
 }
 
 /// Carries out `losses`.
-pub fn run(matches: &ArgMatches) -> Result<Outcome> {
+pub fn run(matches: &ArgMatches) -> Result<CommandOutcome> {
     let rows = loss_rows(&read_logs(matches)?);
     match output_format(matches) {
         OutputFormat::Json => {
             for row in &rows {
-                write_out(&format!("{}\n", serde_json::to_string(row)?))?;
+                write_stdout(&format!("{}\n", serde_json::to_string(row)?))?;
             }
         }
-        OutputFormat::Text => write_out(&loss_text(&rows))?,
+        OutputFormat::Text => write_stdout(&loss_text(&rows))?,
     }
-    Ok(Outcome::Done)
+    Ok(CommandOutcome::Done)
 }
 
 fn loss_rows(lines: &[LogLine]) -> Vec<LossRow> {
     let first = lines.iter().map(|line| line.at_ms).min().unwrap_or_default();
     let mut counts: BTreeMap<(u64, FlowOutcome, String), usize> = BTreeMap::new();
-    for trouble in worst_troubles(lines).into_values() {
-        let second = (trouble.at_ms - first) / 1_000;
-        *counts.entry((second, trouble.outcome, trouble.cause)).or_default() += 1;
+    for incident in worst_incidents(lines).into_values() {
+        let second = (incident.at_ms - first) / 1_000;
+        *counts.entry((second, incident.outcome, incident.cause)).or_default() += 1;
     }
     let row = |((second, outcome, cause), flows)| LossRow { second, outcome, cause, flows };
     counts.into_iter().map(row).collect()
 }
 
-/// The worst of each flow. A flow that was ended isn't lost: its caller was told.
-fn worst_troubles(lines: &[LogLine]) -> HashMap<&str, FlowTrouble> {
-    let mut worst: HashMap<&str, FlowTrouble> = HashMap::new();
-    let mut ended: HashMap<&str, FlowTrouble> = HashMap::new();
+/// Returns the worst incident of each flow. A flow that was ended doesn't count as lost, as its
+/// caller receives the end and can retry.
+fn worst_incidents(lines: &[LogLine]) -> HashMap<&str, FlowIncident> {
+    let mut incidents: HashMap<&str, FlowIncident> = HashMap::new();
+    let mut resets: HashMap<&str, FlowIncident> = HashMap::new();
     for line in lines {
-        let (Some(flow), Some(trouble)) = (line.text("flow"), trouble_of(line)) else { continue };
-        let is_end =
-            matches!(trouble.outcome, FlowOutcome::EndedAtRest | FlowOutcome::EndedWaiting);
-        let table = if is_end { &mut ended } else { &mut worst };
-        let known = table.entry(flow).or_insert_with(|| trouble.clone());
-        if trouble.outcome > known.outcome {
-            *known = trouble;
+        let (Some(flow), Some(incident)) = (line.text_field("flow"), classify_line(line)) else {
+            continue;
+        };
+        let is_reset =
+            matches!(incident.outcome, FlowOutcome::EndedAtRest | FlowOutcome::EndedWaiting);
+        let group = if is_reset { &mut resets } else { &mut incidents };
+        let recorded = group.entry(flow).or_insert_with(|| incident.clone());
+        if incident.outcome > recorded.outcome {
+            *recorded = incident;
         }
     }
-    worst.extend(ended);
-    worst
+    incidents.extend(resets);
+    incidents
 }
 
-fn trouble_of(line: &LogLine) -> Option<FlowTrouble> {
-    let reason = || line.text("reason").unwrap_or("?").to_owned();
-    let (outcome, cause) = match line.text("event")? {
-        "flow_opened" if line.number("copy") > 0 => {
+fn classify_line(line: &LogLine) -> Option<FlowIncident> {
+    let reason = || line.text_field("reason").unwrap_or("?").to_owned();
+    let (outcome, cause) = match line.text_field("event")? {
+        "flow_opened" if line.number_field("copy") > 0 => {
             (FlowOutcome::OpenedLate, "no answer to the opening before".to_owned())
         }
         "flow_stalled" => {
-            let is_lost = line.number("copies") >= LOST_COPIES;
+            let is_lost = line.number_field("copies") >= MIN_LOST_RETRANSMISSIONS;
             let outcome = if is_lost { FlowOutcome::Lost } else { FlowOutcome::Waited };
-            (outcome, format!("backend server {}", line.text("class").unwrap_or("?")))
+            (outcome, format!("backend server {}", line.text_field("class").unwrap_or("?")))
         }
-        "flow_ended" if line.text("reason") == Some("idle_at_dead") => {
+        "flow_ended" if line.text_field("reason") == Some("idle_at_dead") => {
             (FlowOutcome::EndedAtRest, reason())
         }
         "flow_ended" => (FlowOutcome::EndedWaiting, reason()),
@@ -137,23 +140,23 @@
         "packet_dropped" => (FlowOutcome::Dropped, reason()),
         _ => return None,
     };
-    Some(FlowTrouble { outcome, cause, at_ms: line.at_ms })
+    Some(FlowIncident { outcome, cause, at_ms: line.at_ms })
 }
 
 fn loss_text(rows: &[LossRow]) -> String {
     if rows.is_empty() {
         return "no flow was in trouble, as far as these lines tell\n".to_owned();
     }
-    let head = ["SECOND", "OUTCOME", "CAUSE", "FLOWS"].map(str::to_owned).to_vec();
+    let header = ["SECOND", "OUTCOME", "CAUSE", "FLOWS"].map(str::to_owned).to_vec();
     let cells = |row: &LossRow| {
         vec![
             row.second.to_string(),
-            row.outcome.word().to_owned(),
+            row.outcome.as_str().to_owned(),
             row.cause.clone(),
             row.flows.to_string(),
         ]
     };
-    let mut text = write_table("", head, rows.iter().map(cells).collect());
+    let mut text = format_table("", header, rows.iter().map(cells).collect());
     text.push_str("\nAnswers go past the instances: what came late, or not at all, shows only\n");
     text.push_str("where callers sent again. Lines that were sampled out are missing.\n");
     text
--- a/crates/foxledge-ctl/src/main.rs
+++ b/crates/foxledge-ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `foxledgectl`: checks files offline and asks daemons.
+//! The command-line tool `foxledgectl`, which checks files offline and queries running instances.
 
 mod check;
 mod command;
@@ -16,25 +16,25 @@
 use anyhow::Result;
 use clap::ArgMatches;
 
-/// Exit code of a check with findings, or of a request that the daemon declined.
+/// The exit code of a check with findings, or of a request that the daemon declined.
 const EXIT_DECLINED: u8 = 1;
-/// Exit code when the command could not be carried out.
+/// The exit code of a command that could not be carried out.
 const EXIT_FAILED: u8 = 3;
 
-/// `Outcome` is how a command that was carried out ended.
+/// The outcome of a command that was carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Outcome {
-    /// As asked.
+enum CommandOutcome {
+    /// The command succeeded.
     Done,
-    /// With findings, or declined.
+    /// A check has findings, nothing was found, or the daemon declined the request.
     Declined,
 }
 
 fn main() -> ExitCode {
     let matches = command::command().get_matches();
     match run(&matches) {
-        Ok(Outcome::Done) => ExitCode::SUCCESS,
-        Ok(Outcome::Declined) => ExitCode::from(EXIT_DECLINED),
+        Ok(CommandOutcome::Done) => ExitCode::SUCCESS,
+        Ok(CommandOutcome::Declined) => ExitCode::from(EXIT_DECLINED),
         Err(error) => {
             eprintln!("foxledgectl: {error:#}");
             ExitCode::from(EXIT_FAILED)
@@ -42,9 +42,9 @@
     }
 }
 
-fn run(matches: &ArgMatches) -> Result<Outcome> {
+fn run(matches: &ArgMatches) -> Result<CommandOutcome> {
     let Some((name, matches)) = matches.subcommand() else {
-        return Ok(Outcome::Declined);
+        return Ok(CommandOutcome::Declined);
     };
     match name {
         "check" => check::run(matches),
--- a/crates/foxledge-ctl/src/report/audit.rs
+++ b/crates/foxledge-ctl/src/report/audit.rs
@@ -1,26 +1,26 @@
-//! Audit entries as text.
+//! Formatting of audit entries as text.
 
 use serde_json::Value;
 
 use crate::{
     command::OutputFormat,
-    report::values::{clock_text, value_text},
+    report::values::{seconds_text, value_text},
 };
 
-/// `AuditLines` writes audit entries as they come.
+/// A formatter of audit entries that arrive in several replies.
 pub struct AuditLines {
     format: OutputFormat,
     last_number: Option<u64>,
 }
 
 impl AuditLines {
-    /// Makes a writer that has written nothing.
+    /// Creates a formatter that has not formatted an entry yet.
     pub fn new(format: OutputFormat) -> AuditLines {
         AuditLines { format, last_number: None }
     }
 
-    /// The next entries as lines: one each as text, or as JSON.
-    pub fn write(&mut self, entries: &[Value]) -> String {
+    /// Returns the next entries, each on a line of its own, as text or as JSON.
+    pub fn format_entries(&mut self, entries: &[Value]) -> String {
         let mut text = String::new();
         for entry in entries {
             match self.format {
@@ -35,10 +35,11 @@
         text
     }
 
-    /// Says how many entries are missing before this one.
+    /// Returns a line with the number of entries missing before this one, or an empty text when
+    /// there are none.
     ///
-    /// The trail is bounded: under many changes the oldest entries go before
-    /// they were read. A line says so, or one would take the rest for all.
+    /// The audit trail is bounded: under many changes the oldest entries are dropped before they
+    /// are read. Without this line, a reader would take the rest for the whole trail.
     fn gap_line(&self, entry: &Value) -> String {
         let (Some(last), Some(number)) = (self.last_number, entry["number"].as_u64()) else {
             return String::new();
@@ -54,7 +55,7 @@
     let mut line = format!(
         "{} at {} s, list {}: {} {}",
         value_text(&entry["number"]),
-        clock_text(&entry["at_us"]),
+        seconds_text(&entry["at_us"]),
         value_text(&entry["revision"]),
         value_text(&entry["kind"]).replace('_', " "),
         value_text(&entry["subject"]),
--- a/crates/foxledge-ctl/src/report/explain.rs
+++ b/crates/foxledge-ctl/src/report/explain.rs
@@ -1,13 +1,13 @@
-//! The explanation of a flow as text.
+//! Formatting of the explanation of a flow as text.
 
 use serde_json::Value;
 
 use crate::{
-    report::values::{clock_text, value_text},
-    tables::write_table,
+    report::values::{seconds_text, value_text},
+    tables::format_table,
 };
 
-/// The explanation of a flow as text.
+/// Returns the explanation of a flow as text.
 pub fn explain_text(report: &Value) -> String {
     let mut text = format!("rule list: revision {}\n", value_text(&report["revision"]));
     text += &format!("rule: {}\n", rule_text(&report["rule"]));
@@ -25,7 +25,7 @@
         }
     }
     text += &reasons_text(&report["reasons"]);
-    text += &desk_text(&report["desk"]);
+    text += &targets_text(&report["desk"]);
     text += &events_text(&report["flow_events"]);
     text
 }
@@ -58,15 +58,15 @@
     format!("why:\n{}", lines.collect::<String>())
 }
 
-/// What the choice of a backend server goes by at this home.
-fn desk_text(desk: &Value) -> String {
-    let Some(targets) = desk["targets"].as_array() else {
+/// Returns the policy and the state of the backend servers from which this home chooses.
+fn targets_text(queue: &Value) -> String {
+    let Some(targets) = queue["targets"].as_array() else {
         return String::new();
     };
-    let head = ["name", "state", "busy", "slots", "connections", "pace", "warmth"];
-    let rows = targets.iter().map(|target| head.map(|key| value_text(&target[key])).to_vec());
-    let table = write_table("  ", head.map(str::to_owned).to_vec(), rows.collect());
-    let (policy, queued) = (value_text(&desk["policy"]), value_text(&desk["queued"]));
+    let header = ["name", "state", "busy", "slots", "connections", "pace", "warmth"];
+    let rows = targets.iter().map(|target| header.map(|key| value_text(&target[key])).to_vec());
+    let table = format_table("  ", header.map(str::to_owned).to_vec(), rows.collect());
+    let (policy, queued) = (value_text(&queue["policy"]), value_text(&queue["queued"]));
     format!("chosen here by policy {policy}, {queued} waiting:\n{table}")
 }
 
@@ -74,14 +74,14 @@
     let Some(events) = events.as_array().filter(|events| !events.is_empty()) else {
         return String::new();
     };
-    let head = ["at (s)", "request", "decision"].map(str::to_owned).to_vec();
+    let header = ["at (s)", "request", "decision"].map(str::to_owned).to_vec();
     let rows = events.iter().map(|event| match event {
         Value::Object(_) => vec![
-            clock_text(&event["at_us"]),
+            seconds_text(&event["at_us"]),
             value_text(&event["request"]),
             value_text(&event["text"]),
         ],
         _ => vec!["-".to_owned(), "-".to_owned(), value_text(event)],
     });
-    format!("lately decided for the flow:\n{}", write_table("  ", head, rows.collect()))
+    format!("lately decided for the flow:\n{}", format_table("  ", header, rows.collect()))
 }
--- a/crates/foxledge-ctl/src/report/mod.rs
+++ b/crates/foxledge-ctl/src/report/mod.rs
@@ -1,7 +1,7 @@
-//! Daemons' reports as text.
+//! Formatting of daemons' reports as text.
 //!
-//! A daemon may be of another version than this tool, so that a report is read
-//! field by field: what is absent is left out, what is unknown is shown as it is.
+//! A daemon may be of another version than this tool, so a report is read field by field: missing
+//! fields are left out, and unknown fields are shown as they are.
 
 pub mod audit;
 pub mod explain;
--- a/crates/foxledge-ctl/src/report/status.rs
+++ b/crates/foxledge-ctl/src/report/status.rs
@@ -1,30 +1,30 @@
-//! The status report as text.
+//! Formatting of the status report as text.
 
 use serde_json::Value;
 
 use crate::{
     report::values::{hex_text, tree_text, value_text},
-    tables::write_table,
+    tables::format_table,
 };
 
-/// The status report as text.
+/// Returns the status report as text.
 pub fn status_text(report: &Value) -> String {
     let instance = report.get("instance").unwrap_or(report);
-    let mut text = head_text(report, instance);
+    let mut text = header_text(report, instance);
     text += &list_text(report.get("list").or(report.get("version")));
     let view = report.get("view").unwrap_or(report);
     text += &peers_text(view);
     text += &parts_text(&report["parts"]);
     if let Some(engine) = report.get("engine") {
         text += "engine:\n";
-        // These stand in the head already.
-        text += &tree_text(&without(engine, &["phase", "version"]), 1);
+        // The header shows these fields already.
+        text += &tree_text(&without_fields(engine, &["phase", "version"]), 1);
     }
-    text += &rest_text(report);
+    text += &unknown_fields_text(report);
     text
 }
 
-fn head_text(report: &Value, instance: &Value) -> String {
+fn header_text(report: &Value, instance: &Value) -> String {
     let mut text = format!(
         "{} in {}: {}\n",
         value_text(&instance["name"]),
@@ -33,7 +33,7 @@
     );
     text += &format!("incarnation: {}\n", hex_text(&instance["incarnation"]));
     if let Some(millis) = report["uptime_ms"].as_u64() {
-        text += &format!("up: {}\n", span_text(millis / 1000));
+        text += &format!("up: {}\n", duration_text(millis / 1000));
     }
     if let Some(reads) = report.get("reads_platform") {
         text += &format!("reads the platform: {}\n", value_text(reads));
@@ -41,7 +41,7 @@
     text
 }
 
-fn span_text(seconds: u64) -> String {
+fn duration_text(seconds: u64) -> String {
     let (hours, minutes, seconds) = (seconds / 3600, seconds / 60 % 60, seconds % 60);
     match (hours, minutes) {
         (0, 0) => format!("{seconds} s"),
@@ -65,7 +65,7 @@
     let Some(peers) = view["peers"].as_array() else {
         return String::new();
     };
-    let head = ["name", "state", "incarnation", "data", "peer", "control"];
+    let header = ["name", "state", "incarnation", "data", "peer", "control"];
     let rows = peers.iter().map(|peer| {
         vec![
             value_text(&peer["name"]),
@@ -77,7 +77,7 @@
         ]
     });
     let mut text = "instances of the data centre:\n".to_owned();
-    text += &write_table("  ", head.map(str::to_owned).to_vec(), rows.collect());
+    text += &format_table("  ", header.map(str::to_owned).to_vec(), rows.collect());
     text += &format!("reachable data centres: {}\n", value_text(&view["reachable_centres"]));
     text
 }
@@ -86,14 +86,14 @@
     let Some(parts) = parts.as_array() else {
         return String::new();
     };
-    let head = ["part", "running", "restarts"];
-    let rows = parts.iter().map(|part| head.map(|key| value_text(&part[key])).to_vec());
-    let table = write_table("  ", head.map(str::to_owned).to_vec(), rows.collect());
+    let header = ["part", "running", "restarts"];
+    let rows = parts.iter().map(|part| header.map(|key| value_text(&part[key])).to_vec());
+    let table = format_table("  ", header.map(str::to_owned).to_vec(), rows.collect());
     format!("parts:\n{table}")
 }
 
-/// What a newer daemon reports beyond what this tool knows.
-fn rest_text(report: &Value) -> String {
+/// Returns the fields that this tool doesn't know, such as those of a newer daemon.
+fn unknown_fields_text(report: &Value) -> String {
     let known = [
         "instance",
         "name",
@@ -110,11 +110,11 @@
         "parts",
         "engine",
     ];
-    tree_text(&without(report, &known), 0)
+    tree_text(&without_fields(report, &known), 0)
 }
 
-fn without(report: &Value, left_out: &[&str]) -> Value {
+fn without_fields(report: &Value, excluded: &[&str]) -> Value {
     let fields = report.as_object().into_iter().flatten();
-    let rest = fields.filter(|(key, _)| !left_out.contains(&key.as_str()));
-    Value::Object(rest.map(|(key, value)| (key.clone(), value.clone())).collect())
+    let remaining = fields.filter(|(key, _)| !excluded.contains(&key.as_str()));
+    Value::Object(remaining.map(|(key, value)| (key.clone(), value.clone())).collect())
 }
--- a/crates/foxledge-ctl/src/report/values.rs
+++ b/crates/foxledge-ctl/src/report/values.rs
@@ -1,20 +1,20 @@
-//! Values of a report as text.
+//! Formatting of the values of a report as text.
 
 use serde_json::{Map, Number, Value};
 
-use crate::tables::write_table;
+use crate::tables::format_table;
 
 const INDENT: &str = "  ";
-/// Fields that name the object that they stand in.
-const NAMING: [&str; 2] = ["key", "name"];
+/// The fields that identify the object that holds them.
+const IDENTIFYING_FIELDS: [&str; 2] = ["key", "name"];
 
-/// A value on one line.
+/// Returns a value as text on one line.
 pub fn value_text(value: &Value) -> String {
     match value {
         Value::Null => "-".to_owned(),
         Value::String(text) if text.is_empty() => "-".to_owned(),
         Value::String(text) => text.clone(),
-        Value::Bool(on) => if *on { "yes" } else { "no" }.to_owned(),
+        Value::Bool(is_true) => if *is_true { "yes" } else { "no" }.to_owned(),
         Value::Number(number) => number_text(number),
         Value::Array(values) if values.is_empty() => "-".to_owned(),
         Value::Array(values) => values.iter().map(value_text).collect::<Vec<_>>().join(" "),
@@ -27,7 +27,8 @@
     }
 }
 
-/// A number; a fraction with two digits, as more of them only hide the others.
+/// Returns a number as text. Fractions are rounded to two digits, as more would make the other
+/// columns harder to read.
 fn number_text(number: &Number) -> String {
     match number.as_f64().filter(|_| number.is_f64()) {
         Some(fraction) => format!("{fraction:.2}"),
@@ -35,43 +36,43 @@
     }
 }
 
-/// A number as 16 hex digits, as ids and digests are written.
+/// Returns a number as 16 hex digits, the notation of ids and digests.
 pub fn hex_text(value: &Value) -> String {
     value.as_u64().map_or_else(|| value_text(value), |number| format!("{number:016x}"))
 }
 
-/// Microseconds as seconds.
-pub fn clock_text(micros: &Value) -> String {
+/// Returns a time in microseconds as seconds with six digits.
+pub fn seconds_text(micros: &Value) -> String {
     let micros = micros.as_u64().unwrap_or_default();
     format!("{}.{:06}", micros / 1_000_000, micros % 1_000_000)
 }
 
-/// Any report: plain fields line by line, lists of objects as tables.
+/// Returns any report as text: one line for each plain field, and a table for a list of objects.
 pub fn tree_text(value: &Value, depth: usize) -> String {
     let Value::Object(fields) = value else {
         return format!("{}{}\n", INDENT.repeat(depth), value_text(value));
     };
     let mut text = String::new();
-    for (key, value) in in_reading_order(fields) {
-        let lead = INDENT.repeat(depth);
+    for (key, value) in ordered_fields(fields) {
+        let indent = INDENT.repeat(depth);
         let key = key.replace('_', " ");
         match value {
             Value::Object(fields) if fields.values().all(is_plain) => {
-                text += &format!("{lead}{key}: {}\n", value_text(value));
+                text += &format!("{indent}{key}: {}\n", value_text(value));
             }
             Value::Object(_) => {
-                text += &format!("{lead}{key}:\n{}", tree_text(value, depth + 1));
+                text += &format!("{indent}{key}:\n{}", tree_text(value, depth + 1));
             }
             Value::Array(values) if values.iter().any(Value::is_object) => {
-                text += &format!("{lead}{key}:\n{}", rows_text(values, depth + 1));
+                text += &format!("{indent}{key}:\n{}", rows_text(values, depth + 1));
             }
-            _ => text += &format!("{lead}{key}: {}\n", value_text(value)),
+            _ => text += &format!("{indent}{key}: {}\n", value_text(value)),
         }
     }
     text
 }
 
-/// Objects with plain fields as a table; others one after the other.
+/// Returns objects that have only plain fields as a table, and other objects one after the other.
 fn rows_text(values: &[Value], depth: usize) -> String {
     let are_plain = values.iter().all(|value| match value {
         Value::Object(fields) => fields.values().all(is_plain),
@@ -83,24 +84,27 @@
     }
     let mut columns: Vec<&String> = Vec::new();
     for fields in values.iter().filter_map(Value::as_object) {
-        for (key, _) in in_reading_order(fields) {
+        for (key, _) in ordered_fields(fields) {
             if !columns.contains(&key) {
                 columns.push(key);
             }
         }
     }
-    let head = columns.iter().map(|key| key.replace('_', " ")).collect();
+    let header = columns.iter().map(|key| key.replace('_', " ")).collect();
     let rows = values.iter().map(|value| {
         columns.iter().map(|key| value_text(value.get(key.as_str()).unwrap_or(&Value::Null)))
     });
     let rows: Vec<Vec<String>> = rows.map(Iterator::collect).collect();
-    write_table(&INDENT.repeat(depth), head, rows)
+    format_table(&INDENT.repeat(depth), header, rows)
 }
 
-/// What names the object first, then plain fields, then what needs lines of its own.
-fn in_reading_order(fields: &Map<String, Value>) -> Vec<(&String, &Value)> {
+/// Returns the fields in the order in which they are shown: identifying fields first, then plain
+/// fields, then fields that need lines of their own.
+fn ordered_fields(fields: &Map<String, Value>) -> Vec<(&String, &Value)> {
     let mut ordered: Vec<_> = fields.iter().collect();
-    ordered.sort_by_key(|(key, value)| (!NAMING.contains(&key.as_str()), !is_plain(value)));
+    ordered.sort_by_key(|(key, value)| {
+        (!IDENTIFYING_FIELDS.contains(&key.as_str()), !is_plain(value))
+    });
     ordered
 }
 
--- a/crates/foxledge-ctl/src/tables.rs
+++ b/crates/foxledge-ctl/src/tables.rs
@@ -1,10 +1,12 @@
-//! Tables in columns.
+//! Formatting of text tables.
 
-const GAP: usize = 2;
+/// The number of spaces between two columns.
+const COLUMN_GAP: usize = 2;
 
-/// Writes rows under a head, each column as wide as its widest cell.
-pub fn write_table(lead: &str, head: Vec<String>, rows: Vec<Vec<String>>) -> String {
-    let mut lines = vec![head];
+/// Returns a table of a header and rows, with each column as wide as its widest cell and each line
+/// prefixed by `indent`.
+pub fn format_table(indent: &str, header: Vec<String>, rows: Vec<Vec<String>>) -> String {
+    let mut lines = vec![header];
     lines.extend(rows);
     let mut widths = Vec::new();
     for line in &lines {
@@ -17,7 +19,7 @@
     for line in lines {
         let cells = line.iter().zip(&widths).map(|(cell, width)| format!("{cell:<width$}"));
         let cells: Vec<_> = cells.collect();
-        let line = format!("{lead}{}", cells.join(&" ".repeat(GAP)));
+        let line = format!("{indent}{}", cells.join(&" ".repeat(COLUMN_GAP)));
         text += line.trim_end();
         text += "\n";
     }
--- a/crates/foxledge-ctl/tests/canned/mod.rs
+++ b/crates/foxledge-ctl/tests/canned/mod.rs
@@ -1,4 +1,4 @@
-//! A daemon's `Admin` service with canned answers.
+//! A daemon's `Admin` service with canned replies.
 
 use std::{
     net::SocketAddr,
@@ -19,12 +19,12 @@
 use tokio_stream::wrappers::TcpListenerStream;
 use tonic::{Request, Response, Status, async_trait, transport::Server};
 
-/// Most entries that the canned daemon gives at once.
-const AUDIT_PAGE: usize = 2;
+/// The largest number of audit entries in one reply of the canned daemon.
+const MAX_PAGE_ENTRIES: usize = 2;
 
-/// `CannedDaemon` answers with the same reports always.
+/// A daemon that always replies with the same reports.
 struct CannedDaemon {
-    /// Number of the newest audit entry that it shows.
+    /// The number of the newest audit entry that replies include.
     newest: Arc<AtomicU64>,
 }
 
@@ -50,7 +50,7 @@
         let entries = audit_entries().into_iter();
         let shown = after + 1..=self.newest.load(Ordering::SeqCst);
         let entries = entries.filter(|entry| shown.contains(&entry["number"].as_u64().unwrap()));
-        let entries: Vec<_> = entries.take(AUDIT_PAGE).collect();
+        let entries: Vec<_> = entries.take(MAX_PAGE_ENTRIES).collect();
         Ok(Response::new(AuditReply { json: json!(entries).to_string() }))
     }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// The status report of every canned daemon.
+/// Returns the status report of every canned daemon.
 pub fn status_report() -> Value {
     let peer = |name: &str, port: u16, state: &str| {
         json!({
@@ -133,7 +133,8 @@
     ]
 }
 
-/// Starts the canned daemon on a thread that lives as long as the test process.
+/// Starts the canned daemon on a thread that runs until the test process exits, and returns its
+/// address.
 pub fn start_daemon(mut server: Server, newest: Arc<AtomicU64>) -> SocketAddr {
     let (sender, receiver) = mpsc::channel();
     thread::spawn(move || {
--- a/crates/foxledge-ctl/tests/check_files.rs
+++ b/crates/foxledge-ctl/tests/check_files.rs
@@ -1,4 +1,4 @@
-//! `foxledgectl check` on good and bad files.
+//! `foxledgectl check` on valid and invalid files.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use common::run_to_text;
 use expect_test::expect;
 
-/// `FileFolder` is a folder of its own for one test; dropping it removes it.
+/// A temporary folder of one test, which is removed when it is dropped.
 struct FileFolder(PathBuf);
 
 impl FileFolder {
@@ -23,7 +23,7 @@
         path.display().to_string()
     }
 
-    /// Runs the tool and leaves the folder's path out of what it wrote.
+    /// Runs the tool and returns its output without the path of the folder.
     fn run(&self, arguments: &[&str]) -> String {
         run_to_text(arguments).replace(&format!("{}/", self.0.display()), "")
     }
@@ -35,26 +35,28 @@
     }
 }
 
-fn example(name: &str) -> String {
+/// Returns the path of a file of the examples in the documentation.
+fn example_path(name: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/examples").join(name);
     path.display().to_string()
 }
 
+// Guards against examples in the documentation that a daemon would refuse.
 #[test]
-fn examples_are_good() {
-    let settings = example("foxledged.toml");
+fn accepts_the_documented_examples() {
+    let settings = example_path("foxledged.toml");
     expect![[r#"
         good: instance toledo-1 in toledo
         exit code 0
     "#]]
     .assert_eq(&run_to_text(&["check", "settings", &settings]));
-    let local = example("local.toml");
+    let local = example_path("local.toml");
     expect![[r#"
         good: instance local-1 in toledo
         exit code 0
     "#]]
     .assert_eq(&run_to_text(&["check", "settings", &local]));
-    let rules = example("lakeshore-rules.toml");
+    let rules = example_path("lakeshore-rules.toml");
     expect![[r#"
         good: 5 rules, 2 services, 3 targets, 2 members, 1 key
         exit code 0
@@ -71,8 +73,9 @@
     .assert_eq(&run_to_text(&["check", "rules", &rules, "--format", "json"]));
 }
 
+// Guards against a check that stops at the first finding, so that an operator mends one at a time.
 #[test]
-fn every_finding_is_reported() {
+fn reports_all_findings_with_file_and_line() {
     let folder = FileFolder::new("findings");
     let settings = folder.write("bad.toml", "[instance]\nname = \"\"\n[log]\nlevel = \"loud\"\n");
     expect![[r#"
@@ -129,10 +132,11 @@
     .assert_eq(&folder.run(&["--format", "json", "check", "rules", &second]));
 }
 
+// Guards against a daemon that serves callers with the settings of a trial.
 #[test]
-fn trial_switches_bring_warnings() {
+fn warns_about_trial_settings() {
     let folder = FileFolder::new("warnings");
-    let good = std::fs::read_to_string(example("foxledged.toml")).unwrap();
+    let good = std::fs::read_to_string(example_path("foxledged.toml")).unwrap();
     let trial = good
         .replace("run_once = true", "run_once = false")
         .replace("routes = {}", "routes = { \"10.0.1.12:7001\" = \"10.0.1.99:9001\" }");
@@ -146,8 +150,9 @@
     .assert_eq(&folder.run(&["check", "settings", &settings]));
 }
 
+// Guards against findings that follow only from a file that can't be read.
 #[test]
-fn missing_files() {
+fn reports_a_missing_file_as_the_only_finding() {
     let folder = FileFolder::new("missing");
     let missing = folder.0.join("missing.toml").display().to_string();
     expect![[r#"
@@ -156,7 +161,7 @@
         exit code 1
     "#]]
     .assert_eq(&folder.run(&["check", "settings", &missing]));
-    let rules = example("lakeshore-rules.toml");
+    let rules = example_path("lakeshore-rules.toml");
     expect![[r#"
         missing.toml: can't be read: No such file or directory (os error 2)
         1 finding
--- a/crates/foxledge-ctl/tests/help_text.rs
+++ b/crates/foxledge-ctl/tests/help_text.rs
@@ -1,4 +1,4 @@
-//! What `foxledgectl --help` and a wrong command line say.
+//! The help texts of `foxledgectl` and its errors on invalid command lines.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use expect_test::expect;
 
 #[test]
-fn help_of_the_tool() {
+fn prints_the_help_of_the_tool() {
     expect![[r#"
         Checks foxledge's files and asks its daemons
 
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn help_of_check() {
+fn prints_the_help_of_check() {
     expect![[r#"
         Check files offline and report every finding
 
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn help_of_online_commands() {
+fn prints_the_help_of_commands_that_call_a_daemon() {
     expect![[r#"
         Show which rule matches a flow, where the flow goes, and why
 
@@ -112,9 +112,9 @@
 }
 
 #[test]
-fn wrong_command_lines() {
+fn rejects_invalid_command_lines_with_exit_code_2() {
     let explain = ["explain", "--daemon", "127.0.0.1:1", "--address", "a", "--member", "m"];
-    let with = |more: &[&'static str]| run_to_text(&[&explain[..], more].concat());
+    let run_explain = |more: &[&'static str]| run_to_text(&[&explain[..], more].concat());
     expect![[r#"
         error: the following required arguments were not provided:
           --kind <KIND>
@@ -123,7 +123,7 @@
 
         For more information, try '--help'.
         exit code 2
-    "#]].assert_eq(&with(&[]));
+    "#]].assert_eq(&run_explain(&[]));
     expect![[r#"
         error: invalid value 'claim' for '--kind <KIND>'
           [possible values: feed, bid, upload]
@@ -131,14 +131,14 @@
         For more information, try '--help'.
         exit code 2
     "#]]
-    .assert_eq(&with(&["--kind", "claim"]));
+    .assert_eq(&run_explain(&["--kind", "claim"]));
     expect![[r#"
         error: invalid value 'xyz' for '--flow <HEX>': must be up to 16 hex digits
 
         For more information, try '--help'.
         exit code 2
     "#]]
-    .assert_eq(&with(&["--kind", "bid", "--flow", "xyz"]));
+    .assert_eq(&run_explain(&["--kind", "bid", "--flow", "xyz"]));
     expect![[r#"
         error: invalid value 'localhost:1' for '--daemon <IP:PORT>': invalid socket address syntax
 
--- a/crates/foxledge-ctl/tests/live_daemon.rs
+++ b/crates/foxledge-ctl/tests/live_daemon.rs
@@ -1,4 +1,4 @@
-//! The commands that ask a daemon, against real instances.
+//! The commands that call a daemon, against running instances.
 
 mod common;
 
@@ -16,8 +16,8 @@
 use foxledge_wire::flow::RefusalReason;
 use serde_json::Value;
 
-/// Wide limit for what takes seconds at most.
-const WIDE_LIMIT: Duration = Duration::from_secs(30);
+/// The timeout of every wait. What is waited for takes some seconds at most.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 const CENTRE: &str = "toledo";
 const SERVICE: &str = "auction-desk";
 const ADDRESS: &str = "auction.lakeshore";
@@ -31,8 +31,8 @@
         .settings("[platform]\nwait_ms = 500");
     let fleet = TestFleet::start(plan)?;
     for instance in &fleet.instances {
-        wait_until_ok("both instances are known", WIDE_LIMIT, || {
-            let homes = names(&ask_json(instance, &explain("bid", MEMBER))?["homes"]);
+        wait_until_ok("both instances are known", WAIT_TIMEOUT, || {
+            let homes = names(&command_json(instance, &explain_arguments("bid", MEMBER))?["homes"]);
             ensure!(homes.len() == 2, "{homes:?}");
             Ok(())
         })?;
@@ -42,38 +42,42 @@
 
 fn run_bids(fleet: &TestFleet) -> Result<LoadReport> {
     let plan = fleet.plan_caller(SERVICE, MEMBER, TrafficKind::Bid)?.rate(20.0).seconds(1.0);
-    let report = fleet.run_caller(CENTRE, &plan, WIDE_LIMIT)?;
+    let report = fleet.run_caller(CENTRE, &plan, WAIT_TIMEOUT)?;
     ensure!(!report.served_ids.is_empty(), "no bid was served");
     Ok(report)
 }
 
-/// What a command prints, errors included, and a last line with its exit code.
-fn ask(instance: &TestInstance, arguments: &[&str]) -> String {
+/// Runs a command against an instance and returns its output, its errors and a last line with its
+/// exit code.
+fn run_command(instance: &TestInstance, arguments: &[&str]) -> String {
     let daemon = instance.listen.control.to_string();
     run_to_text(&[arguments, &["--daemon", &daemon]].concat())
 }
 
-fn ask_text(instance: &TestInstance, arguments: &[&str]) -> Result<String> {
-    let text = ask(instance, arguments);
+/// Returns the output of a command that has to succeed.
+fn command_text(instance: &TestInstance, arguments: &[&str]) -> Result<String> {
+    let text = run_command(instance, arguments);
     let report = text.strip_suffix("exit code 0\n").context("not done");
     report.map(str::to_owned).with_context(|| text.clone())
 }
 
-fn ask_json(instance: &TestInstance, arguments: &[&str]) -> Result<Value> {
-    let text = ask_text(instance, &[arguments, &["--format", "json"]].concat())?;
+/// Returns the JSON output of a command that has to succeed.
+fn command_json(instance: &TestInstance, arguments: &[&str]) -> Result<Value> {
+    let text = command_text(instance, &[arguments, &["--format", "json"]].concat())?;
     serde_json::from_str(&text).with_context(|| text.clone())
 }
 
-/// Waits until a line of the audit trail has all of `wanted`, and returns it.
+/// Waits until a line of the audit trail contains all texts of `wanted`, and returns the line.
 fn wait_line(instance: &TestInstance, wanted: &[&str]) -> Result<String> {
-    wait_until_ok(&format!("{wanted:?}"), WIDE_LIMIT, || {
-        let text = ask_text(instance, &["audit", "--limit", "1000"])?;
+    wait_until_ok(&format!("{wanted:?}"), WAIT_TIMEOUT, || {
+        let text = command_text(instance, &["audit", "--limit", "1000"])?;
         let found = text.lines().find(|line| wanted.iter().all(|part| line.contains(part)));
         found.map(str::to_owned).with_context(|| text.clone())
     })
 }
 
-fn explain<'a>(kind: &'a str, member: &'a str) -> [&'a str; 7] {
+/// Returns the arguments of `explain` for a flow of `member`.
+fn explain_arguments<'a>(kind: &'a str, member: &'a str) -> [&'a str; 7] {
     ["explain", "--address", ADDRESS, "--member", member, "--kind", kind]
 }
 
@@ -83,11 +87,11 @@
 }
 
 #[test]
-fn state_of_an_instance() -> Result<()> {
+fn shows_the_status_of_an_instance() -> Result<()> {
     let fleet = start_fleet()?;
     let instance = &fleet.instances[0];
-    let text = wait_until_ok("both instances are alive", WIDE_LIMIT, || {
-        let text = ask_text(instance, &["status"])?;
+    let text = wait_until_ok("both instances are alive", WAIT_TIMEOUT, || {
+        let text = command_text(instance, &["status"])?;
         let alive = text.lines().filter(|line| line.contains("  alive  ")).count();
         ensure!(alive == 2, "{text}");
         Ok(text)
@@ -107,18 +111,18 @@
     let target = text.lines().find(|line| line.contains("  auction-desk-toledo-1  "));
     ensure!(target.is_some_and(|line| line.contains("  open ")), "{text}");
 
-    let report = ask_json(instance, &["status"])?;
+    let report = command_json(instance, &["status"])?;
     ensure!(report["phase"] == "serving" && report["list"]["revision"] == 1, "{report}");
     ensure!(report["view"]["peers"].as_array().map(Vec::len) == Some(2), "{report}");
     Ok(())
 }
 
 #[test]
-fn decision_for_a_flow() -> Result<()> {
+fn explains_the_decision_for_a_flow() -> Result<()> {
     let fleet = start_fleet()?;
     let report = run_bids(&fleet)?;
     let instance = &fleet.instances[0];
-    let text = ask_text(instance, &explain("bid", MEMBER))?;
+    let text = command_text(instance, &explain_arguments("bid", MEMBER))?;
     for wanted in [
         "rule list: revision 1\n",
         "rule: all-auction-desk\n",
@@ -130,16 +134,16 @@
     ] {
         ensure!(text.contains(wanted), "no {wanted:?} in\n{text}");
     }
-    let text = ask_text(instance, &explain("bid", "nobody"))?;
+    let text = command_text(instance, &explain_arguments("bid", "nobody"))?;
     ensure!(text.contains("member nobody is not listed, so the flow is refused"), "{text}");
 
-    // The home has the flow's decision; it is the first that `explain` names anywhere.
-    let homes = names(&ask_json(instance, &explain("bid", MEMBER))?["homes"]);
+    // Only the home of the flow records the decision. Every instance names it first.
+    let homes = names(&command_json(instance, &explain_arguments("bid", MEMBER))?["homes"]);
     let home = fleet.instances.iter().find(|instance| Some(&instance.name) == homes.first());
     let home = home.with_context(|| format!("{homes:?}"))?;
     let flow = format!("{:016x}", report.served_ids[0].flow);
-    let followed = [&explain("bid", MEMBER)[..], &["--flow", &flow]].concat();
-    let text = ask_text(home, &followed)?;
+    let flow_arguments = [&explain_arguments("bid", MEMBER)[..], &["--flow", &flow]].concat();
+    let text = command_text(home, &flow_arguments)?;
     for wanted in [
         "chosen here by policy freest, ",
         "  auction-desk-toledo-1  open ",
@@ -150,19 +154,19 @@
     ] {
         ensure!(text.contains(wanted), "no {wanted:?} in\n{text}");
     }
-    let report = ask_json(home, &followed)?;
+    let report = command_json(home, &flow_arguments)?;
     let events = report["flow_events"].as_array().context("no events")?;
     ensure!(!events.is_empty() && report["target"].is_string(), "{report}");
     Ok(())
 }
 
 #[test]
-fn published_changes() -> Result<()> {
+fn shows_published_changes_in_the_audit_trail() -> Result<()> {
     let mut fleet = start_fleet()?;
     run_bids(&fleet)?;
     wait_line(&fleet.instances[0], &["list accepted", "revision 1 (", "said by "])?;
 
-    // A list with a fault is refused by name of its finding; the former stays in force.
+    // An invalid list is refused with its finding, and the previous list stays active.
     let broken = "[[rule]]\nname = \"broken\"\nthen = { service = \"nowhere\" }\n".to_owned();
     fleet.list.more.push(PartText { name: "late".to_owned(), text: broken });
     let refused = fleet.publish()?;
@@ -170,7 +174,7 @@
     let finding = "late:3: rule[0].then.service: no service \"nowhere\"";
     let line = wait_line(&fleet.instances[0], &["list refused", &wanted, finding])?;
     ensure!(line.contains(", list 1: "), "{line}");
-    let report = ask_json(&fleet.instances[0], &["status"])?;
+    let report = command_json(&fleet.instances[0], &["status"])?;
     ensure!(report["list"]["revision"] == 1, "{report}");
     fleet.list.more.clear();
 
@@ -184,7 +188,7 @@
     wait_line(instance, &["target draining auction-desk", "toledo-1: ", "-> draining"])?;
     wait_line(instance, &["keys rotated token keys: [1] -> [1, 2]"])?;
 
-    let lines = ask_text(instance, &["audit", "--limit", "1000", "--format", "json"])?;
+    let lines = command_text(instance, &["audit", "--limit", "1000", "--format", "json"])?;
     let entries = lines.lines().map(serde_json::from_str).collect::<Result<Vec<Value>, _>>()?;
     let numbers: Vec<_> = entries.iter().map(|entry| entry["number"].as_u64()).collect();
     ensure!(numbers.is_sorted() && numbers.first() == Some(&Some(1)), "{numbers:?}");
@@ -194,12 +198,11 @@
     Ok(())
 }
 
-/// Symptom: an operator publishes a list, and nothing happens or is said anywhere.
-/// Sequence: the platform is restarted at an older state; the list gets a revision below the one
-/// in force.
-/// Cause: a watch that finds an older revision told the log only.
+// Guards against a published list that is ignored without an entry in the audit trail: the
+// platform is restarted from an older state, and the list gets a revision below the active one.
+// The watch that reads the older revision reported it only in the log.
 #[test]
-fn older_platform() -> Result<()> {
+fn audits_a_list_with_an_older_revision() -> Result<()> {
     let mut fleet = start_fleet()?;
     let target = fleet.list.target_mut("auction-desk-toledo-1").context("no target")?;
     target.slots = 3;
@@ -210,7 +213,7 @@
     let change = format!("list ignored rule list: revision {newest} -> revision 1; ");
     wait_line(instance, &[&change, "because the platform is at an older revision"])?;
 
-    // The way out: a revision above the one in force.
+    // The operator recovers by publishing until the revision is above the active one.
     let mut published = 1;
     while published <= newest {
         published = fleet.publish()?;
@@ -219,11 +222,10 @@
     Ok(())
 }
 
-/// Symptom: an operator looks up a metric, a refusal or an audit entry and finds nothing.
-/// Sequence: the code gets a new one.
-/// Cause: the page was not changed with it.
+// Guards against a metric, an event, a refusal reason or a kind of audit entry that is added to
+// the code and not to the page for operators.
 #[test]
-fn words_are_explained() -> Result<()> {
+fn documents_all_metrics_refusal_reasons_and_audit_kinds() -> Result<()> {
     let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/OPERATIONS.md");
     let page = std::fs::read_to_string(page)?;
     let fleet = start_fleet()?;
@@ -240,7 +242,7 @@
     let reasons = reasons.filter_map(|reason| {
         reason.as_str_name().strip_prefix("REFUSAL_REASON_").map(str::to_owned)
     });
-    let entries = ask_text(&fleet.instances[0], &["audit", "--format", "json"])?;
+    let entries = command_text(&fleet.instances[0], &["audit", "--format", "json"])?;
     let kinds = entries.lines().filter_map(|line| {
         let entry: Value = serde_json::from_str(line).ok()?;
         entry["kind"].as_str().map(str::to_owned)
@@ -252,18 +254,18 @@
 }
 
 #[test]
-fn leaving_instance() -> Result<()> {
+fn drains_an_instance_that_leaves() -> Result<()> {
     let mut fleet = start_fleet()?;
     let new = fleet.add_instance(CENTRE)?;
     wait_line(&fleet.instances[0], &["member changed toledo-3: ", "-> alive"])?;
 
-    let text = ask_text(&fleet.instances[new], &["drain"])?;
+    let text = command_text(&fleet.instances[new], &["drain"])?;
     ensure!(text == "The daemon leaves.\n", "{text}");
-    let text = ask(&fleet.instances[new], &["drain", "--format", "json"]);
-    // The stop may be over before the second call comes.
+    let text = run_command(&fleet.instances[new], &["drain", "--format", "json"]);
+    // The daemon may have stopped before the second call.
     let is_declined = text == "{\n  \"accepted\": false\n}\nexit code 1\n";
     ensure!(is_declined || text.ends_with("exit code 3\n"), "{text}");
-    let status = fleet.instances[new].process.wait_exit(WIDE_LIMIT)?;
+    let status = fleet.instances[new].process.wait_exit(WAIT_TIMEOUT)?;
     ensure!(status.success(), "{status}");
     wait_line(&fleet.instances[0], &["member changed toledo-3: alive -> leaving"])?;
     let log = fleet.instances[new].process.log_text();
@@ -271,7 +273,7 @@
         ensure!(log.contains(wanted), "no {wanted:?} in\n{log}");
     }
 
-    let text = ask(&fleet.instances[new], &["status"]);
+    let text = run_command(&fleet.instances[new], &["status"]);
     ensure!(text.starts_with("foxledgectl: can't connect to "), "{text}");
     ensure!(text.ends_with("exit code 3\n"), "{text}");
     Ok(())
--- a/crates/foxledge-ctl/tests/online_commands.rs
+++ b/crates/foxledge-ctl/tests/online_commands.rs
@@ -1,4 +1,4 @@
-//! The commands that ask a daemon, against canned answers.
+//! The commands that call a daemon, against a daemon with canned replies.
 
 mod canned;
 mod common;
@@ -19,24 +19,27 @@
 use serde_json::Value;
 use tonic::transport::Server;
 
-fn all_entries() -> Arc<AtomicU64> {
+/// Returns an entry number above those of all canned audit entries.
+fn no_entry_limit() -> Arc<AtomicU64> {
     Arc::new(AtomicU64::new(u64::MAX))
 }
 
-fn check(arguments: &[&str], text: Expect) {
-    let address = start_daemon(Server::builder(), all_entries()).to_string();
+/// Runs a command against a canned daemon and compares its output.
+fn check_output(arguments: &[&str], text: Expect) {
+    let address = start_daemon(Server::builder(), no_entry_limit()).to_string();
     let output = run_to_text(&[arguments, &["--daemon", &address]].concat());
     text.assert_eq(&output.replace(&address, "DAEMON"));
 }
 
-fn explain(address: &str, member: &str, more: &[&str], text: Expect) {
-    let asked = ["explain", "--kind", "bid", "--address", address, "--member", member];
-    check(&[&asked[..], more].concat(), text);
+/// Runs `explain` against a canned daemon and compares its output.
+fn check_explanation(address: &str, member: &str, more: &[&str], text: Expect) {
+    let arguments = ["explain", "--kind", "bid", "--address", address, "--member", member];
+    check_output(&[&arguments[..], more].concat(), text);
 }
 
 #[test]
-fn status_as_text() {
-    check(
+fn prints_status_as_text() {
+    check_output(
         &["status"],
         expect![[r#"
             toledo-1 in toledo: serving
@@ -71,16 +74,16 @@
 }
 
 #[test]
-fn status_as_json() {
-    let address = start_daemon(Server::builder(), all_entries()).to_string();
+fn prints_status_as_json() {
+    let address = start_daemon(Server::builder(), no_entry_limit()).to_string();
     let output = common::run(&["status", "--format", "json", "--daemon", &address]);
     let report: Value = serde_json::from_slice(&output.stdout).unwrap();
     assert_eq!(report, status_report());
 }
 
 #[test]
-fn explained_flows() {
-    explain(
+fn prints_explanations_of_flows() {
+    check_explanation(
         "auction",
         "bricks",
         &["--flow", "0x1f"],
@@ -102,7 +105,7 @@
             exit code 0
         "#]],
     );
-    explain(
+    check_explanation(
         "auction",
         "nobody",
         &[],
@@ -114,7 +117,7 @@
             exit code 0
         "#]],
     );
-    explain(
+    check_explanation(
         "nowhere",
         "bricks",
         &[],
@@ -126,8 +129,8 @@
 }
 
 #[test]
-fn audit_entries_in_pages() {
-    check(
+fn prints_audit_entries_of_several_pages() {
+    check_output(
         &["audit"],
         expect![[r#"
             3 at 3.001500 s, list 12: process changed toledo-1: serving
@@ -139,14 +142,14 @@
             exit code 0
         "#]],
     );
-    check(
+    check_output(
         &["audit", "--limit", "1", "--format", "json"],
         expect![[r#"
         {"at_us":9004500,"cause":"","kind":"keys_rotated","new":"","number":9,"old":"","revision":12,"source":"platform","subject":"keys"}
         exit code 0
     "#]],
     );
-    check(
+    check_output(
         &["audit", "--after", "9"],
         expect![[r#"
         exit code 0
@@ -155,7 +158,7 @@
 }
 
 #[test]
-fn followed_audit_trail() {
+fn follows_new_audit_entries() {
     let newest = Arc::new(AtomicU64::new(4));
     let address = start_daemon(Server::builder(), newest.clone()).to_string();
     let mut child = Command::new(env!("CARGO_BIN_EXE_foxledgectl"))
@@ -180,8 +183,8 @@
 }
 
 #[test]
-fn declined_drain() {
-    check(
+fn reports_a_declined_drain_with_exit_code_1() {
+    check_output(
         &["drain"],
         expect![[r#"
         The daemon declined.
@@ -190,11 +193,10 @@
     );
 }
 
-/// Symptom: the tool hangs, and the operator can't tell a dead daemon from a slow one.
-/// Sequence: the daemon's process is frozen; its port still takes connections.
-/// Cause: a call without a deadline.
+// Guards against a tool that hangs for ever on a call without a deadline: the process of the
+// daemon is frozen while its port still accepts connections.
 #[test]
-fn daemons_that_do_not_answer() {
+fn times_out_when_the_daemon_does_not_reply() {
     let frozen = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = frozen.local_addr().unwrap().to_string();
     let arguments = ["status", "--wait-ms", "300", "--daemon", &address];
--- a/crates/foxledge-ctl/tests/tls_options.rs
+++ b/crates/foxledge-ctl/tests/tls_options.rs
@@ -12,10 +12,11 @@
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 use tonic::transport::{Certificate, Identity, Server, ServerTlsConfig};
 
-/// Name in every instance's certificate.
+/// The domain name in the certificate of every instance.
 const INSTANCE_DOMAIN: &str = "foxledge.internal";
 
-/// `CertificateFolder` is an authority and one certificate of it, as PEM files.
+/// A temporary folder with a certificate authority and one certificate that it signed, as PEM
+/// files.
 struct CertificateFolder(PathBuf);
 
 impl CertificateFolder {
@@ -54,20 +55,22 @@
     }
 }
 
+// Guards against a tool or daemon that accepts a peer without a certificate of its own authority.
 #[test]
-fn only_known_certificates_are_served() {
+fn connects_only_with_certificates_of_the_same_authority() {
     let good = CertificateFolder::new("tls-good");
     let other = CertificateFolder::new("tls-other");
     let address = canned::start_daemon(good.server(), Arc::new(AtomicU64::new(0))).to_string();
     let status = |options: &[&str]| {
         run_to_text(&[&["status", "--daemon", &address, "--wait-ms", "3000"], options].concat())
     };
-    let own = |folder: &CertificateFolder| [folder.file("certificate.pem"), folder.file("key.pem")];
+    let certificate_files =
+        |folder: &CertificateFolder| [folder.file("certificate.pem"), folder.file("key.pem")];
     let ca = good.file("ca.pem");
-    let [certificate, key] = own(&good);
+    let [certificate, key] = certificate_files(&good);
     let known = status(&["--ca", &ca, "--certificate", &certificate, "--key", &key]);
     assert!(known.starts_with("toledo-1 in toledo: serving\n"), "{known}");
-    let [certificate, key] = own(&other);
+    let [certificate, key] = certificate_files(&other);
     let refused = [
         status(&[]),
         status(&["--ca", &ca]),
@@ -76,7 +79,7 @@
     for text in refused {
         assert!(text.ends_with("exit code 3\n"), "{text}");
     }
-    let [certificate, key] = own(&good);
+    let [certificate, key] = certificate_files(&good);
     let wrong_ca = other.file("ca.pem");
     let text = status(&["--ca", &wrong_ca, "--certificate", &certificate, "--key", &key]);
     assert!(text.ends_with("exit code 3\n"), "a daemon of another authority: {text}");
--- a/crates/foxledge-wire/src/convert.rs
+++ b/crates/foxledge-wire/src/convert.rs
@@ -1,4 +1,4 @@
-//! Conversions between messages and core types.
+//! Conversions between protocol messages and the types of `foxledge-core`.
 
 use std::net::SocketAddr;
 
@@ -15,10 +15,15 @@
     flow::WorkKind,
 };
 
-/// Reads an instance's record; every address must be an IP number with a port.
+/// Converts the record of an instance from its message.
+///
+/// # Errors
+///
+/// Returns an error when the name is empty, the state is missing, or an address is not an IP
+/// address with a port.
 pub fn peer_info(record: &control::PeerRecord) -> Result<PeerInfo> {
     if record.name.is_empty() {
-        return Err(invalid_field("name", "empty"));
+        return Err(invalid_field("name", "is empty"));
     }
     Ok(PeerInfo {
         name: InstanceName::new(&record.name),
@@ -32,7 +37,7 @@
     })
 }
 
-/// Writes an instance's record.
+/// Converts the record of an instance to its message.
 pub fn peer_record(info: &PeerInfo) -> control::PeerRecord {
     control::PeerRecord {
         name: info.name.to_string(),
@@ -46,17 +51,18 @@
     }
 }
 
-/// Reads a list version.
+/// Converts a list version from its message.
 pub fn list_version(version: &control::ListVersion) -> ListVersion {
     ListVersion { revision: version.revision, digest: version.digest }
 }
 
-/// Writes a list version.
+/// Converts a list version to its message.
 pub fn wire_version(version: ListVersion) -> control::ListVersion {
     control::ListVersion { revision: version.revision, digest: version.digest }
 }
 
-/// Reads a kind of traffic; none when the packet names no kind.
+/// Converts a kind of traffic from its value on the wire, or returns `None` when the packet has
+/// none.
 pub fn traffic_kind(kind: WorkKind) -> Option<TrafficKind> {
     match kind {
         WorkKind::Unspecified => None,
@@ -66,7 +72,7 @@
     }
 }
 
-/// Writes a kind of traffic.
+/// Converts a kind of traffic to its value on the wire.
 pub fn work_kind(kind: TrafficKind) -> WorkKind {
     match kind {
         TrafficKind::Feed => WorkKind::Feed,
@@ -75,14 +81,18 @@
     }
 }
 
-/// Reads an "ip:port" text.
+/// Parses a text of the form `ip:port`.
+///
+/// # Errors
+///
+/// Returns an error that names `field` when the text has another form.
 pub fn socket_address(field: &'static str, text: &str) -> Result<SocketAddr> {
-    text.parse().map_err(|_| invalid_field(field, "not an IP number with a port"))
+    text.parse().map_err(|_| invalid_field(field, "is not an IP address with a port"))
 }
 
 fn peer_state(state: control::PeerState) -> Result<PeerState> {
     match state {
-        control::PeerState::Unspecified => Err(invalid_field("state", "missing")),
+        control::PeerState::Unspecified => Err(invalid_field("state", "is missing")),
         control::PeerState::Joining => Ok(PeerState::Joining),
         control::PeerState::Alive => Ok(PeerState::Alive),
         control::PeerState::Suspect => Ok(PeerState::Suspect),
--- a/crates/foxledge-wire/src/datagram.rs
+++ b/crates/foxledge-wire/src/datagram.rs
@@ -1,4 +1,4 @@
-//! Bounded decoding of datagrams.
+//! Decoding of datagrams with bounds on every field.
 
 use prost::Message;
 
@@ -7,40 +7,44 @@
     flow::{Packet, PacketKind, WorkKind},
 };
 
-/// Version of the datagram protocol.
+/// The version of the datagram protocol.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// Longest datagram, in bytes; fits an Ethernet frame with room for headers.
+/// The largest size of a datagram, in bytes; with its headers it fits an Ethernet frame.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// Longest payload of one part, in bytes.
+/// The largest payload of one part, in bytes.
 ///
-/// The rest of a datagram holds the header and a return path with a flow token
-/// in it, whose names are up to 32 bytes each.
+/// The rest of a datagram holds the header and a return path, which contains a flow token with
+/// names of up to 32 bytes each.
 pub const MAX_PAYLOAD_BYTES: usize = 800;
-/// Least payload of a ticket request, in bytes of padding.
+/// The smallest payload of a ticket request, in bytes of padding.
 ///
-/// A ticket is larger than the request for it. Without padding, whoever forges
-/// the source address of small requests has instances send large grants to a
-/// victim; with it no answer is larger than what asked for it.
+/// A ticket is larger than the request for it. Without padding, an attacker who forges the source
+/// address of small requests makes instances send large grants to a victim. Padding makes every
+/// response at most as large as its request.
 pub const MIN_TICKET_PADDING_BYTES: usize = 400;
-/// Most parts of one request or answer.
+/// The largest number of parts of one request or response.
 pub const MAX_PARTS: u32 = 4096;
 
-const MAX_NAME: usize = 100;
-const MAX_SEALED: usize = 400;
-const MAX_MISSING: usize = 64;
+const MAX_NAME_BYTES: usize = 100;
+const MAX_SEALED_BYTES: usize = 400;
+const MAX_MISSING_PARTS: usize = 64;
 
-/// Decodes one datagram and checks every bound.
+/// Decodes one datagram and checks the bounds of all its fields.
 ///
-/// Without the bounds a hostile caller makes an instance hold or repeat more
-/// than it sent; one would notice memory or outgoing traffic that rises with
-/// junk. Whatever fails here is counted and dropped without an answer.
+/// Without the bounds, a hostile caller makes an instance store or send more than the caller sent:
+/// memory use or outgoing traffic rises with invalid datagrams. The instance counts a datagram
+/// that is rejected here, drops it and sends no response.
+///
+/// # Errors
+///
+/// Returns an error when the datagram is too large, is malformed, or has a field out of bounds.
 pub fn decode_packet(bytes: &[u8]) -> Result<Packet> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(Error::Oversized(bytes.len()));
     }
     let packet = Packet::decode(bytes)?;
-    check_head(&packet)?;
-    check_sizes(&packet)?;
+    check_header(&packet)?;
+    check_field_sizes(&packet)?;
     check_parts(&packet)?;
     check_padding(&packet)?;
     Ok(packet)
@@ -51,35 +55,35 @@
     packet.encode_to_vec()
 }
 
-fn check_head(packet: &Packet) -> Result<()> {
+fn check_header(packet: &Packet) -> Result<()> {
     if packet.version != PROTOCOL_VERSION {
-        return Err(invalid_field("version", "not spoken here"));
+        return Err(invalid_field("version", "is not supported"));
     }
     let kind = PacketKind::try_from(packet.kind).unwrap_or(PacketKind::Unspecified);
     if kind == PacketKind::Unspecified {
-        return Err(invalid_field("kind", "unknown"));
+        return Err(invalid_field("kind", "is unknown"));
     }
     if WorkKind::try_from(packet.work).is_err() {
-        return Err(invalid_field("work", "unknown"));
+        return Err(invalid_field("work", "is unknown"));
     }
     Ok(())
 }
 
-fn check_sizes(packet: &Packet) -> Result<()> {
-    let sized = [
-        ("address", packet.address.len(), MAX_NAME),
-        ("member", packet.member.len(), MAX_NAME),
-        ("service", packet.service.len(), MAX_NAME),
-        ("ticket", packet.ticket.len(), MAX_SEALED),
-        ("token", packet.token.len(), MAX_SEALED),
-        ("return_path", packet.return_path.len(), MAX_SEALED + MAX_NAME),
-        ("credential", packet.credential.len(), MAX_NAME),
+fn check_field_sizes(packet: &Packet) -> Result<()> {
+    let field_sizes = [
+        ("address", packet.address.len(), MAX_NAME_BYTES),
+        ("member", packet.member.len(), MAX_NAME_BYTES),
+        ("service", packet.service.len(), MAX_NAME_BYTES),
+        ("ticket", packet.ticket.len(), MAX_SEALED_BYTES),
+        ("token", packet.token.len(), MAX_SEALED_BYTES),
+        ("return_path", packet.return_path.len(), MAX_SEALED_BYTES + MAX_NAME_BYTES),
+        ("credential", packet.credential.len(), MAX_NAME_BYTES),
         ("payload", packet.payload.len(), MAX_PAYLOAD_BYTES),
-        ("missing", packet.missing.len(), MAX_MISSING),
+        ("missing", packet.missing.len(), MAX_MISSING_PARTS),
     ];
-    for (field, size, limit) in sized {
+    for (field, size, limit) in field_sizes {
         if size > limit {
-            return Err(invalid_field(field, "too long"));
+            return Err(invalid_field(field, "is too long"));
         }
     }
     Ok(())
@@ -87,11 +91,11 @@
 
 fn check_parts(packet: &Packet) -> Result<()> {
     if packet.parts > MAX_PARTS {
-        return Err(invalid_field("parts", "too many"));
+        return Err(invalid_field("parts", "exceeds the limit"));
     }
     let carries_part = packet.kind() == PacketKind::Work || packet.kind() == PacketKind::Answer;
     if carries_part && packet.part >= packet.parts {
-        return Err(invalid_field("part", "not below parts"));
+        return Err(invalid_field("part", "is not below the number of parts"));
     }
     Ok(())
 }
@@ -99,7 +103,7 @@
 fn check_padding(packet: &Packet) -> Result<()> {
     let is_request = packet.kind() == PacketKind::TicketRequest;
     if is_request && packet.payload.len() < MIN_TICKET_PADDING_BYTES {
-        return Err(invalid_field("payload", "ticket request without its padding"));
+        return Err(invalid_field("payload", "is too short for a ticket request"));
     }
     Ok(())
 }
--- a/crates/foxledge-wire/src/errors.rs
+++ b/crates/foxledge-wire/src/errors.rs
@@ -1,20 +1,20 @@
-//! The crate's error type.
+//! Errors of reading a message.
 
 use thiserror::Error;
 
-/// `Result` is the crate's result type.
+/// The result of reading a message.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is why a message can't be taken.
+/// The reason for which a message is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Error {
     /// The datagram is longer than the protocol allows.
     #[error("oversized datagram of {0} bytes")]
     Oversized(usize),
-    /// The bytes are no message of the protocol.
+    /// The bytes can't be decoded as a message of the protocol.
     #[error("malformed message: {0}")]
     Malformed(String),
-    /// A field has a value that the protocol doesn't allow.
+    /// A field holds a value that the protocol doesn't allow.
     #[error("field {field}: {reason}")]
     InvalidField {
         /// The field's name.
--- a/crates/foxledge-wire/src/lib.rs
+++ b/crates/foxledge-wire/src/lib.rs
@@ -1,16 +1,16 @@
-//! Messages and services that foxledge's processes speak.
+//! Messages and services of the protocols between foxledge's processes.
 //!
-//! The code under `generated` is made from `proto/` and committed; the test
-//! `generated_code` compares the two.
+//! The code under `generated` is generated from `proto/` and committed. The test `generated_code`
+//! checks that both agree.
 
-/// Datagrams between callers, instances and backend servers.
+/// The datagrams between callers, instances and backend servers.
 #[allow(missing_docs, clippy::all)]
 #[rustfmt::skip]
 pub mod flow {
     include!("generated/foxledge.flow.v1.rs");
 }
 
-/// Control between foxledge's processes, and the platform's interface.
+/// The control protocol between foxledge's processes, and the interface of the platform.
 #[allow(missing_docs, clippy::all)]
 #[rustfmt::skip]
 pub mod control {
--- a/crates/foxledge/src/lib.rs
+++ b/crates/foxledge/src/lib.rs
@@ -1,8 +1,9 @@
-//! The decisions of foxledge under one name, for other benches and tools.
+//! The decision logic of foxledge as one crate, for external benchmarks and tools.
 //!
-//! Everything here is pure: datagrams, lists, views, time and seeds come in,
-//! effects go out. [`engine`] drives a whole instance; [`policy`] is one home's
-//! admission; [`members`] is membership and the spreading of lists.
+//! The crates exported here do no input or output. Their inputs are datagrams, lists, views, the
+//! time and seeds; their outputs are effects that the caller carries out. [`engine`] runs all
+//! parts of one instance, [`policy`] is the admission of requests at one home, and [`members`] is
+//! membership and the dissemination of lists.
 
 pub use foxledge_core as core;
 pub use foxledge_engine as engine;
