--- a/crates/foxledge-ctl/src/log_lines.rs
+++ b/crates/foxledge-ctl/src/log_lines.rs
@@ -58,12 +58,12 @@
 
 impl LogLine {
     /// Returns the value of a text field, or `None` when it is missing or has another type.
-    pub fn text_field(&self, key: &str) -> Option<&str> {
+    pub fn text(&self, key: &str) -> Option<&str> {
         self.fields.get(key).and_then(Value::as_str)
     }
 
     /// Returns the value of a number field, or 0 when it is missing or has another type.
-    pub fn number_field(&self, key: &str) -> u64 {
+    pub fn number(&self, key: &str) -> u64 {
         self.fields.get(key).and_then(Value::as_u64).unwrap_or_default()
     }
 }
--- a/crates/foxledge-ctl/src/losses.rs
+++ b/crates/foxledge-ctl/src/losses.rs
@@ -106,9 +106,7 @@
     let mut incidents: HashMap<&str, FlowIncident> = HashMap::new();
     let mut resets: HashMap<&str, FlowIncident> = HashMap::new();
     for line in lines {
-        let (Some(flow), Some(incident)) = (line.text_field("flow"), classify_line(line)) else {
-            continue;
-        };
+        let (Some(flow), Some(incident)) = (line.text("flow"), classify(line)) else { continue };
         let is_reset =
             matches!(incident.outcome, FlowOutcome::EndedAtRest | FlowOutcome::EndedWaiting);
         let group = if is_reset { &mut resets } else { &mut incidents };
@@ -121,18 +119,18 @@
     incidents
 }
 
-fn classify_line(line: &LogLine) -> Option<FlowIncident> {
-    let reason = || line.text_field("reason").unwrap_or("?").to_owned();
-    let (outcome, cause) = match line.text_field("event")? {
-        "flow_opened" if line.number_field("copy") > 0 => {
+fn classify(line: &LogLine) -> Option<FlowIncident> {
+    let reason = || line.text("reason").unwrap_or("?").to_owned();
+    let (outcome, cause) = match line.text("event")? {
+        "flow_opened" if line.number("copy") > 0 => {
             (FlowOutcome::OpenedLate, "no answer to the opening before".to_owned())
         }
         "flow_stalled" => {
-            let is_lost = line.number_field("copies") >= MIN_LOST_RETRANSMISSIONS;
+            let is_lost = line.number("copies") >= MIN_LOST_RETRANSMISSIONS;
             let outcome = if is_lost { FlowOutcome::Lost } else { FlowOutcome::Waited };
-            (outcome, format!("backend server {}", line.text_field("class").unwrap_or("?")))
+            (outcome, format!("backend server {}", line.text("class").unwrap_or("?")))
         }
-        "flow_ended" if line.text_field("reason") == Some("idle_at_dead") => {
+        "flow_ended" if line.text("reason") == Some("idle_at_dead") => {
             (FlowOutcome::EndedAtRest, reason())
         }
         "flow_ended" => (FlowOutcome::EndedWaiting, reason()),
--- a/crates/foxledge-ctl/src/trace.rs
+++ b/crates/foxledge-ctl/src/trace.rs
@@ -57,7 +57,7 @@
     fn select_lines(&self, lines: Vec<LogLine>) -> Vec<LogLine> {
         let flow_lines = || lines.iter().filter(|line| self.is_flow_line(line));
         let backends: BTreeSet<String> =
-            flow_lines().filter_map(|line| line.text_field("backend")).map(str::to_owned).collect();
+            flow_lines().filter_map(|line| line.text("backend")).map(str::to_owned).collect();
         let times = flow_lines().map(|line| line.at_ms).chain(self.at_ms);
         let (Some(first), Some(last)) = (times.clone().min(), times.max()) else {
             return Vec::new();
@@ -78,13 +78,13 @@
     }
 
     fn is_flow_line(&self, line: &LogLine) -> bool {
-        let text = line.text_field("flow").unwrap_or_default();
+        let text = line.text("flow").unwrap_or_default();
         text == self.flow || text.split('>').next() == Some(self.flow)
     }
 
     fn is_nearby_lifecycle_line(&self, line: &LogLine) -> bool {
         let is_nearby = self.at_ms.is_some_and(|at| line.at_ms.abs_diff(at) <= CONTEXT_WINDOW_MS);
-        is_nearby && line.text_field("event").is_some_and(|event| LIFECYCLE_EVENTS.contains(&event))
+        is_nearby && line.text("event").is_some_and(|event| LIFECYCLE_EVENTS.contains(&event))
     }
 }
 
@@ -95,7 +95,7 @@
     for (index, line) in lines.iter().enumerate() {
         let Some((condition, change)) = line.load_condition_change() else { continue };
         if line.source == flow_line.source && line.at_ms <= flow_line.at_ms {
-            let key = (condition, line.text_field("service"));
+            let key = (condition, line.text("service"));
             let latest = latest_changes.entry(key).or_insert((line.at_ms, change, index));
             *latest = (*latest).max((line.at_ms, change, index));
         }
@@ -111,16 +111,16 @@
     /// Returns the load condition of a service that the line reports, shortage or overflow, and
     /// whether it began or ended.
     fn load_condition_change(&self) -> Option<(&str, &str)> {
-        let change = self.text_field("event")?.split_once('_')?;
+        let change = self.text("event")?.split_once('_')?;
         matches!(change, ("shortage" | "overflow", "begun" | "ended")).then_some(change)
     }
 
     /// Returns whether the line is an instance's own observation of one of `backends`. Lines about
     /// observations that peers have sent only repeat these.
     fn is_observation_of(&self, backends: &BTreeSet<String>) -> bool {
-        self.text_field("event") == Some("backend_observed")
-            && self.text_field("observer") == Some("self")
-            && self.text_field("backend").is_some_and(|name| backends.contains(name))
+        self.text("event") == Some("backend_observed")
+            && self.text("observer") == Some("self")
+            && self.text("backend").is_some_and(|name| backends.contains(name))
     }
 }
 
@@ -128,7 +128,7 @@
     if format == OutputFormat::Json {
         return format!("{}\n", Value::Object(line.fields.clone()));
     }
-    let event = line.text_field("event").unwrap_or("?");
+    let event = line.text("event").unwrap_or("?");
     let shown = line.fields.iter().filter(|(key, _)| !matches!(key.as_str(), "at_ms" | "event"));
     let shown: Vec<String> = shown.map(|(key, value)| format!("{key}={value}")).collect();
     format!("{} {} {event} {}\n", line.at_ms, line.source, shown.join(" "))
--- a/crates/foxledge-wire/src/convert.rs
+++ b/crates/foxledge-wire/src/convert.rs
@@ -23,7 +23,7 @@
 /// address with a port.
 pub fn peer_info(record: &control::PeerRecord) -> Result<PeerInfo> {
     if record.name.is_empty() {
-        return Err(invalid_field("name", "is empty"));
+        return Err(invalid_field("name", "empty"));
     }
     Ok(PeerInfo {
         name: InstanceName::new(&record.name),
@@ -87,12 +87,12 @@
 ///
 /// Returns an error that names `field` when the text has another form.
 pub fn socket_address(field: &'static str, text: &str) -> Result<SocketAddr> {
-    text.parse().map_err(|_| invalid_field(field, "is not an IP address with a port"))
+    text.parse().map_err(|_| invalid_field(field, "not an IP address with a port"))
 }
 
 fn peer_state(state: control::PeerState) -> Result<PeerState> {
     match state {
-        control::PeerState::Unspecified => Err(invalid_field("state", "is missing")),
+        control::PeerState::Unspecified => Err(invalid_field("state", "missing")),
         control::PeerState::Joining => Ok(PeerState::Joining),
         control::PeerState::Alive => Ok(PeerState::Alive),
         control::PeerState::Suspect => Ok(PeerState::Suspect),
--- a/crates/foxledge-wire/src/datagram.rs
+++ b/crates/foxledge-wire/src/datagram.rs
@@ -57,14 +57,14 @@
 
 fn check_header(packet: &Packet) -> Result<()> {
     if packet.version != PROTOCOL_VERSION {
-        return Err(invalid_field("version", "is not supported"));
+        return Err(invalid_field("version", "not supported"));
     }
     let kind = PacketKind::try_from(packet.kind).unwrap_or(PacketKind::Unspecified);
     if kind == PacketKind::Unspecified {
-        return Err(invalid_field("kind", "is unknown"));
+        return Err(invalid_field("kind", "unknown"));
     }
     if WorkKind::try_from(packet.work).is_err() {
-        return Err(invalid_field("work", "is unknown"));
+        return Err(invalid_field("work", "unknown"));
     }
     Ok(())
 }
@@ -83,7 +83,7 @@
     ];
     for (field, size, limit) in field_sizes {
         if size > limit {
-            return Err(invalid_field(field, "is too long"));
+            return Err(invalid_field(field, "too long"));
         }
     }
     Ok(())
@@ -91,11 +91,11 @@
 
 fn check_parts(packet: &Packet) -> Result<()> {
     if packet.parts > MAX_PARTS {
-        return Err(invalid_field("parts", "exceeds the limit"));
+        return Err(invalid_field("parts", "too many"));
     }
     let carries_part = packet.kind() == PacketKind::Work || packet.kind() == PacketKind::Answer;
     if carries_part && packet.part >= packet.parts {
-        return Err(invalid_field("part", "is not below the number of parts"));
+        return Err(invalid_field("part", "not below the number of parts"));
     }
     Ok(())
 }
@@ -103,7 +103,7 @@
 fn check_padding(packet: &Packet) -> Result<()> {
     let is_request = packet.kind() == PacketKind::TicketRequest;
     if is_request && packet.payload.len() < MIN_TICKET_PADDING_BYTES {
-        return Err(invalid_field("payload", "is too short for a ticket request"));
+        return Err(invalid_field("payload", "too short for a ticket request"));
     }
     Ok(())
 }
