--- a/crates/foxledge-ctl/src/losses.rs
+++ b/crates/foxledge-ctl/src/losses.rs
@@ -1,4 +1,5 @@
-//! The `losses` command, which counts failed requests from the log lines of all instances.
+//! The `losses` command, which counts the flows that were delayed, ended, refused or lost, from the
+//! log lines of all instances.
 //!
 //! Instances see the packets that callers send, but no responses. A request counts as lost when
 //! its caller retransmits it repeatedly and the flow isn't ended. A late response, or a caller that
@@ -101,7 +102,7 @@
 }
 
 /// Returns the worst incident of each flow. A flow that was ended doesn't count as lost, as its
-/// caller receives the end and can retry.
+/// caller receives a reset.
 fn worst_incidents(lines: &[LogLine]) -> HashMap<&str, FlowIncident> {
     let mut incidents: HashMap<&str, FlowIncident> = HashMap::new();
     let mut resets: HashMap<&str, FlowIncident> = HashMap::new();
--- a/crates/foxledge-ctl/tests/flow_losses.rs
+++ b/crates/foxledge-ctl/tests/flow_losses.rs
@@ -1,4 +1,4 @@
-//! `foxledgectl losses`, which counts failed requests from log lines of several instances.
+//! `foxledgectl losses`, which counts impaired flows from log lines of several instances.
 
 use std::{fs, process::Command};
 
--- a/crates/foxledge-ctl/tests/live_daemon.rs
+++ b/crates/foxledge-ctl/tests/live_daemon.rs
@@ -137,7 +137,8 @@
     let text = command_text(instance, &explain_arguments("bid", "nobody"))?;
     ensure!(text.contains("member nobody is not listed, so the flow is refused"), "{text}");
 
-    // Only the home of the flow records the decision. Every instance names it first.
+    // The home of the flow records the decision. It is the first home that `explain` lists at any
+    // instance.
     let homes = names(&command_json(instance, &explain_arguments("bid", MEMBER))?["homes"]);
     let home = fleet.instances.iter().find(|instance| Some(&instance.name) == homes.first());
     let home = home.with_context(|| format!("{homes:?}"))?;
