--- a/crates/foxledge-rules/tests/name_sizes.rs
+++ b/crates/foxledge-rules/tests/name_sizes.rs
@@ -11,7 +11,7 @@
     seals::{seal_datagram, seal_path, seal_ticket, seal_token},
 };
 use foxledge_wire::{
-    MAX_DATAGRAM, MAX_PAYLOAD, decode_packet, encode_packet,
+    MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES, decode_packet, encode_packet,
     flow::{
         FlowToken, Forward, LoadReport, Packet, PacketKind, PeerDatagram, ReturnPath, Ticket,
         WorkKind, peer_datagram::Body,
@@ -82,7 +82,7 @@
         time_left_ms: 600_000,
         part: 4094,
         parts: 4095,
-        payload: vec![1; MAX_PAYLOAD],
+        payload: vec![1; MAX_PAYLOAD_BYTES],
         ..Packet::default()
     }
 }
@@ -148,5 +148,5 @@
     };
     let datagram = PeerDatagram { body: Some(Body::Forward(forward)) };
     let size = seal_datagram(&key_ring(), &datagram).unwrap().len();
-    assert!(size <= MAX_DATAGRAM, "{size} bytes");
+    assert!(size <= MAX_DATAGRAM_BYTES, "{size} bytes");
 }
--- a/crates/foxledge-wire/src/errors.rs
+++ b/crates/foxledge-wire/src/errors.rs
@@ -1,32 +1,32 @@
-//! The crate's error type.
+//! Errors of reading a message.
 
 use thiserror::Error;
 
-/// `Result` is the crate's result type.
+/// The result of reading a message.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is why a message can't be taken.
+/// The reason for which a message is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Error {
     /// The datagram is longer than the protocol allows.
     #[error("oversized datagram of {0} bytes")]
     Oversized(usize),
-    /// The bytes are no message of the protocol.
+    /// The bytes can't be decoded as a message of the protocol.
     #[error("malformed message: {0}")]
     Malformed(String),
-    /// A field has a value that the protocol doesn't allow.
-    #[error("field {field}: {why}")]
-    BadField {
+    /// A field holds a value that the protocol doesn't allow.
+    #[error("field {field}: {reason}")]
+    InvalidField {
         /// The field's name.
         field: &'static str,
         /// What is wrong with it.
-        why: &'static str,
+        reason: &'static str,
     },
 }
 
-/// Makes an [`Error::BadField`].
-pub fn bad_field(field: &'static str, why: &'static str) -> Error {
-    Error::BadField { field, why }
+/// Creates an [`Error::InvalidField`].
+pub fn invalid_field(field: &'static str, reason: &'static str) -> Error {
+    Error::InvalidField { field, reason }
 }
 
 impl From<prost::DecodeError> for Error {
