--- a/crates/foxledge-ctl/src/check.rs
+++ b/crates/foxledge-ctl/src/check.rs
@@ -80,7 +80,7 @@
 
 fn settings_warnings(settings: &DaemonSettings) -> Vec<String> {
     let trial = &settings.trial;
-    let off = trial.switched_off().into_iter();
+    let off = trial.disabled_mechanisms().into_iter();
     let off = off.map(|key| format!("trial.{key} is off: only for proving that it matters"));
     let routes = (!trial.routes.is_empty()).then(|| "trial.routes is set: only for tests".into());
     off.chain(routes).collect()
--- a/crates/foxledge-daemon/src/choices.rs
+++ b/crates/foxledge-daemon/src/choices.rs
@@ -19,11 +19,11 @@
         .requests_per_ticket(flow.ticket_count)
         .forward_timeout(Duration::from_millis(flow.forward_wait_ms))
         .home_backoff(Duration::from_millis(flow.passed_over_ms))
-        .scheduler(desk_options(settings))
+        .scheduler(scheduler_options(settings))
         .trial(trial_switches(settings))
 }
 
-fn desk_options(settings: &DaemonSettings) -> SchedulerOptions {
+fn scheduler_options(settings: &DaemonSettings) -> SchedulerOptions {
     let desk = &settings.desk;
     SchedulerOptions::default()
         .ack_timeout(Duration::from_millis(desk.ack_ms))
--- a/crates/foxledge-daemon/src/context.rs
+++ b/crates/foxledge-daemon/src/context.rs
@@ -36,22 +36,22 @@
     /// The present actor of each part.
     pub directory: PartDirectory,
     /// This instance; the state in it is that of the start.
-    pub me: RefCell<PeerInfo>,
+    pub local_info: RefCell<PeerInfo>,
     /// The newest accepted list, kept for a list keeper that starts anew.
     ///
     /// Without it a list keeper that failed would begin with no list, take an
     /// older one from a peer that lags, and spread that; one would notice a
     /// revision that goes back.
-    pub kept_list: RefCell<Option<ListSnapshot>>,
+    pub accepted_list: RefCell<Option<ListSnapshot>>,
     /// The newest view of membership.
-    pub view: RefCell<Arc<PeerView>>,
+    pub peer_view: RefCell<Arc<PeerView>>,
     /// True while this instance reads the platform for its data centre.
     pub is_reader: Cell<bool>,
     /// Set by a signal; kept here so that it isn't lost while the life cycle is started anew.
-    pub stop_wanted: Cell<bool>,
+    pub is_stop_requested: Cell<bool>,
     /// Addresses that stand in for others.
     pub routes: RouteTable,
-    seeds: RefCell<StdRng>,
+    seed_rng: RefCell<StdRng>,
     audit: OnceCell<Fwd<AuditChange>>,
 }
 
@@ -72,19 +72,19 @@
             metrics: Arc::new(MetricSet::new()),
             phase: Arc::new(PhaseCell::default()),
             directory: PartDirectory::default(),
-            me: RefCell::new(me),
-            kept_list: RefCell::new(None),
-            view: RefCell::new(Arc::new(PeerView::default())),
+            local_info: RefCell::new(me),
+            accepted_list: RefCell::new(None),
+            peer_view: RefCell::new(Arc::new(PeerView::default())),
             is_reader: Cell::new(false),
-            stop_wanted: Cell::new(false),
-            seeds: RefCell::new(seeds),
+            is_stop_requested: Cell::new(false),
+            seed_rng: RefCell::new(seeds),
             audit: OnceCell::new(),
         })
     }
 
     /// A new seed for a part that starts.
     pub fn next_seed(&self) -> u64 {
-        self.seeds.borrow_mut().next_u64()
+        self.seed_rng.borrow_mut().next_u64()
     }
 
     /// Sets where changes are recorded.
@@ -102,6 +102,6 @@
 
     /// Version of the list in force; revision 0 without one.
     pub fn list_version(&self) -> ListVersion {
-        self.kept_list.borrow().as_ref().map(|kept| kept.list().version).unwrap_or_default()
+        self.accepted_list.borrow().as_ref().map(|kept| kept.list().version).unwrap_or_default()
     }
 }
--- a/crates/foxledge-daemon/src/control_link.rs
+++ b/crates/foxledge-daemon/src/control_link.rs
@@ -16,12 +16,12 @@
     context::DaemonContext,
     engine_part::EnginePart,
     life_cycle::LifeCycle,
-    list_keeper::ListKeeper,
-    member_keeper::MemberKeeper,
+    list_manager::ListManager,
+    member_manager::MemberManager,
     part_kind::DaemonSupervisor,
     side::{
         SideOptions,
-        messages::{FlowQuestion, LinkCommand, LinkEvent},
+        messages::{FlowQuery, LinkCommand, LinkEvent},
         start_side,
     },
     supervisor::PartReport,
@@ -40,12 +40,12 @@
 impl ControlLink {
     /// Starts the side thread.
     pub fn init(cx: CX![], context: Rc<DaemonContext>) -> Option<ControlLink> {
-        let events: Fwd<LinkEvent> = fwd_to!([cx], take_event() as (LinkEvent));
+        let events: Fwd<LinkEvent> = fwd_to!([cx], handle_event() as (LinkEvent));
         let (channel, guard) = Channel::new(cx, events);
         match side_options(&context).and_then(|options| start_side(options, channel)) {
             Ok(commands) => {
-                if let Some(lists) = context.directory.get::<ListKeeper>() {
-                    call!([lists], link_started());
+                if let Some(lists) = context.directory.get::<ListManager>() {
+                    call!([lists], on_link_started());
                 }
                 Some(ControlLink { context, commands, _guard: guard })
             }
@@ -57,28 +57,28 @@
     }
 
     /// Hands a command to the side thread.
-    pub fn command(&mut self, cx: CX![], command: LinkCommand) {
+    pub fn send_command(&mut self, cx: CX![], command: LinkCommand) {
         if self.commands.send(command).is_err() {
             fail!(cx, "the side thread is gone");
         }
     }
 
-    fn take_event(&mut self, cx: CX![], event: LinkEvent) {
+    fn handle_event(&mut self, cx: CX![], event: LinkEvent) {
         match event {
-            LinkEvent::BeatArrived(..)
-            | LinkEvent::BeatEnded(..)
-            | LinkEvent::ProbeEnded(..)
-            | LinkEvent::ListingRead(..) => self.tell_members(event),
-            LinkEvent::ManifestAsked(..)
-            | LinkEvent::PartsAsked(..)
+            LinkEvent::HeartbeatReceived(..)
+            | LinkEvent::HeartbeatCompleted(..)
+            | LinkEvent::ProbeCompleted(..)
+            | LinkEvent::ListingRead(..) => self.forward_to_members(event),
+            LinkEvent::ManifestRequested(..)
+            | LinkEvent::PartsRequested(..)
             | LinkEvent::ManifestFetched(..)
-            | LinkEvent::PartsFetched(..) => self.tell_lists(event),
-            LinkEvent::PlatformAsked => {
+            | LinkEvent::PartsFetched(..) => self.forward_to_lists(event),
+            LinkEvent::PlatformContacted => {
                 if let Some(life) = self.context.directory.get::<LifeCycle>() {
-                    call!([life], platform_done());
+                    call!([life], on_platform_contact());
                 }
             }
-            LinkEvent::PlatformOlder { shown, newest } => self.context.record(
+            LinkEvent::PlatformOutdated { shown, newest } => self.context.record(
                 AuditChange::new(AuditKind::ListIgnored, "rule list")
                     .with_values(format!("revision {newest}"), format!("revision {shown}"))
                     .with_cause("the platform is at an older revision", "platform"),
@@ -87,43 +87,55 @@
                 warn!("link: the side thread ended: {why}");
                 fail!(cx, "the side thread ended");
             }
-            LinkEvent::StatusAsked(answer) => self.report_status(answer),
-            LinkEvent::ExplainAsked(question, answer) => self.explain(question, answer),
-            LinkEvent::AuditAsked { after, limit, answer } => self.read_audit(after, limit, answer),
-            LinkEvent::DrainAsked(answer) => self.drain(answer),
-            LinkEvent::CountsAsked(answer) => {
+            LinkEvent::StatusRequested(answer) => self.report_status(answer),
+            LinkEvent::ExplainRequested(question, answer) => self.explain(question, answer),
+            LinkEvent::AuditRequested { after, limit, answer } => {
+                self.read_audit(after, limit, answer)
+            }
+            LinkEvent::DrainRequested(answer) => self.drain(answer),
+            LinkEvent::CountersRequested(answer) => {
                 if let Some(engine) = self.context.directory.get::<EnginePart>() {
-                    call!([engine], count_metrics(answer));
+                    call!([engine], update_metrics(answer));
                 }
             }
         }
     }
 
-    fn tell_members(&self, event: LinkEvent) {
-        let Some(members) = self.context.directory.get::<MemberKeeper>() else { return };
+    fn forward_to_members(&self, event: LinkEvent) {
+        let Some(members) = self.context.directory.get::<MemberManager>() else { return };
         match event {
-            LinkEvent::BeatArrived(beat, answer) => call!([members], beat_arrived(beat, answer)),
-            LinkEvent::BeatEnded(to, outcome) => call!([members], beat_ended(to, outcome)),
-            LinkEvent::ProbeEnded(name, result) => call!([members], probe_ended(name, result)),
+            LinkEvent::HeartbeatReceived(beat, answer) => {
+                call!([members], on_heartbeat(beat, answer))
+            }
+            LinkEvent::HeartbeatCompleted(to, outcome) => {
+                call!([members], on_heartbeat_outcome(to, outcome))
+            }
+            LinkEvent::ProbeCompleted(name, result) => {
+                call!([members], on_probe_result(name, result))
+            }
             LinkEvent::ListingRead(listing) => {
                 if let Some(life) = self.context.directory.get::<LifeCycle>() {
-                    call!([life], listing_read(control_addresses(&listing)));
+                    call!([life], on_platform_listing(control_addresses(&listing)));
                 }
-                call!([members], listing_read(listing));
+                call!([members], on_platform_listing(listing));
             }
             _ => {}
         }
     }
 
-    fn tell_lists(&self, event: LinkEvent) {
-        let Some(lists) = self.context.directory.get::<ListKeeper>() else { return };
+    fn forward_to_lists(&self, event: LinkEvent) {
+        let Some(lists) = self.context.directory.get::<ListManager>() else { return };
         match event {
-            LinkEvent::ManifestAsked(answer) => call!([lists], manifest_asked(answer)),
-            LinkEvent::PartsAsked(digests, answer) => call!([lists], parts_asked(digests, answer)),
+            LinkEvent::ManifestRequested(answer) => call!([lists], answer_manifest(answer)),
+            LinkEvent::PartsRequested(digests, answer) => {
+                call!([lists], answer_parts(digests, answer))
+            }
             LinkEvent::ManifestFetched(from, outcome) => {
-                call!([lists], manifest_fetched(from, outcome));
+                call!([lists], on_manifest_fetched(from, outcome));
+            }
+            LinkEvent::PartsFetched(from, outcome) => {
+                call!([lists], on_parts_fetched(from, outcome))
             }
-            LinkEvent::PartsFetched(from, outcome) => call!([lists], parts_fetched(from, outcome)),
             _ => {}
         }
     }
@@ -133,12 +145,12 @@
         let context = self.context.clone();
         let with_parts = move |parts: Vec<PartReport>| {
             let report = json!({
-                "instance": &*context.me.borrow(),
-                "phase": context.phase.word(),
+                "instance": &*context.local_info.borrow(),
+                "phase": context.phase.as_str(),
                 "uptime_ms": context.clock.now().as_micros() / 1000,
                 "list": context.list_version(),
                 "reads_platform": context.is_reader.get(),
-                "view": &**context.view.borrow(),
+                "view": &**context.peer_view.borrow(),
                 "parts": parts,
             });
             match context.directory.get::<EnginePart>() {
@@ -149,7 +161,7 @@
         call!([root], read_parts(Box::new(with_parts)));
     }
 
-    fn explain(&self, question: FlowQuestion, answer: oneshot::Sender<Result<String, String>>) {
+    fn explain(&self, question: FlowQuery, answer: oneshot::Sender<Result<String, String>>) {
         if let Some(engine) = self.context.directory.get::<EnginePart>() {
             call!([engine], explain(question, answer));
         }
@@ -178,9 +190,9 @@
 
 fn side_options(context: &DaemonContext) -> io::Result<SideOptions> {
     let settings = &context.settings;
-    let reader = context.me.borrow().name.to_string();
+    let reader = context.local_info.borrow().name.to_string();
     Ok(SideOptions::new(context.sockets.control()?, context.sockets.admin()?, context.next_seed())
-        .platforms(settings.platform.addresses.clone(), settings.platform.wait_ms)
+        .platform_addresses(settings.platform.addresses.clone(), settings.platform.wait_ms)
         .reader(reader)
         .tls(settings.tls.clone())
         .routes(context.routes.clone())
--- a/crates/foxledge-daemon/src/daemon.rs
+++ b/crates/foxledge-daemon/src/daemon.rs
@@ -30,15 +30,15 @@
     supervisor::SupervisorOptions,
 };
 
-const EVENT_LIMIT: usize = 1024;
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+const POLL_EVENT_CAPACITY: usize = 1024;
+const MAX_POLL_WAIT: Duration = Duration::from_secs(60);
 
 /// `Daemon` is the process: the main loop and what it holds.
 pub struct Daemon {
     stakker: Stakker,
     poll: MioPoll,
     context: Rc<DaemonContext>,
-    waiting: PendingWork,
+    pending: PendingWork,
     _signals: ChannelGuard,
     _root: ActorOwn<DaemonSupervisor>,
 }
@@ -55,29 +55,29 @@
     pub fn start(settings: DaemonSettings) -> Result<Daemon> {
         let clock = ProcessClock::start();
         let sockets = ListenSockets::bind(&listen_addresses(&settings))?;
-        let me = own_info(&settings, &sockets)?;
-        info!("daemon: {} in {}, incarnation {}", me.name, me.data_centre, me.incarnation);
-        for key in settings.trial.switched_off() {
+        let info = local_info(&settings, &sockets)?;
+        info!("daemon: {} in {}, incarnation {}", info.name, info.data_centre, info.incarnation);
+        for key in settings.trial.disabled_mechanisms() {
             warn!("daemon: trial.{key} is off, promises are not kept");
         }
         let seeds = StdRng::from_os_rng();
-        let context = DaemonContext::new(settings, clock, sockets, me, seeds);
+        let context = DaemonContext::new(settings, clock, sockets, info, seeds);
 
         let mut stakker = Stakker::new(Instant::now());
         let poll = Poll::new().context("can't poll")?;
-        let events = Events::with_capacity(EVENT_LIMIT);
+        let events = Events::with_capacity(POLL_EVENT_CAPACITY);
         let poll = MioPoll::new(&mut stakker, poll, events, POLL_PRIORITY)?;
         let signals = watch_signals(&mut stakker, context.clone())?;
         let root = start_root(&mut stakker, &context);
         let idle = stakker.run(Instant::now(), false);
-        let waiting = PendingWork { idle, io: false };
-        Ok(Daemon { stakker, poll, context, waiting, _signals: signals, _root: root })
+        let pending = PendingWork { idle, io: false };
+        Ok(Daemon { stakker, poll, context, pending, _signals: signals, _root: root })
     }
 
     /// Runs until the process is told to stop.
     pub fn run(&mut self) -> Result<()> {
         while self.stakker.not_shutdown() {
-            self.turn(LONGEST_WAIT)?;
+            self.run_once(MAX_POLL_WAIT)?;
         }
         match self.stakker.shutdown_reason() {
             None | Some(StopCause::Stopped) => {
@@ -89,12 +89,12 @@
     }
 
     /// Waits for events, `longest` at most, and works through them.
-    pub fn turn(&mut self, longest: Duration) -> Result<()> {
-        let is_pending = self.waiting.idle || self.waiting.io;
+    pub fn run_once(&mut self, longest: Duration) -> Result<()> {
+        let is_pending = self.pending.idle || self.pending.io;
         let wait = self.stakker.next_wait_max(Instant::now(), longest, is_pending);
         let (is_active, io) = self.poll.poll(wait)?;
         let idle = self.stakker.run(Instant::now(), !is_active);
-        self.waiting = PendingWork { idle, io };
+        self.pending = PendingWork { idle, io };
         Ok(())
     }
 
@@ -112,7 +112,7 @@
     context.directory.set(&root);
     context.set_audit(fwd_to!([root], record() as (AuditChange)));
     context.record(
-        AuditChange::new(AuditKind::ProcessChanged, context.me.borrow().name.as_str())
+        AuditChange::new(AuditKind::ProcessChanged, context.local_info.borrow().name.as_str())
             .with_values("", "joining")
             .with_cause("start", "daemon"),
     );
@@ -129,7 +129,7 @@
     }
 }
 
-fn own_info(settings: &DaemonSettings, sockets: &ListenSockets) -> Result<PeerInfo> {
+fn local_info(settings: &DaemonSettings, sockets: &ListenSockets) -> Result<PeerInfo> {
     let addresses = sockets.addresses()?;
     Ok(PeerInfo {
         name: settings.instance.name.clone(),
--- a/crates/foxledge-daemon/src/engine_part.rs
+++ b/crates/foxledge-daemon/src/engine_part.rs
@@ -18,51 +18,51 @@
     choices::engine_options,
     context::DaemonContext,
     listener::{DatagramBatch, DatagramListener, OutgoingDatagram, SocketKind},
-    side::messages::FlowQuestion,
+    side::messages::FlowQuery,
 };
 
 /// Time between two looks at deadlines while something waits.
-const BUSY_TICK: Duration = Duration::from_millis(10);
+const BUSY_TICK_INTERVAL: Duration = Duration::from_millis(10);
 /// The same while nothing waits but probes and open feeds.
-const QUIET_TICK: Duration = Duration::from_millis(50);
+const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// `EnginePart` is the part that holds the [`FlowEngine`].
 pub struct EnginePart {
     context: Rc<DaemonContext>,
     engine: FlowEngine,
     tick_key: FixedTimerKey,
-    pace: TickPace,
+    tick_rate: TickRate,
 }
 
-/// `TickPace` is how soon the next tick comes.
+/// `TickRate` is how soon the next tick comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum TickPace {
+enum TickRate {
     Busy,
-    Quiet,
+    Idle,
 }
 
 impl EnginePart {
     /// Makes the engine and gives it what is known of lists, members and phase.
     pub fn init(cx: CX![], context: Rc<DaemonContext>) -> Option<EnginePart> {
         let options: EngineOptions = engine_options(&context.settings);
-        let me = context.me.borrow().clone();
+        let me = context.local_info.borrow().clone();
         let mut engine = FlowEngine::new(options, me, context.next_seed());
         let now = context.clock.now();
         engine.set_phase(now, context.phase.get());
-        let tick_key = after!(BUSY_TICK, [cx], tick());
-        let part = EnginePart { context, engine, tick_key, pace: TickPace::Busy };
-        let kept = part.context.kept_list.borrow().as_ref().map(|kept| kept.list().clone());
+        let tick_key = after!(BUSY_TICK_INTERVAL, [cx], tick());
+        let part = EnginePart { context, engine, tick_key, tick_rate: TickRate::Busy };
+        let kept = part.context.accepted_list.borrow().as_ref().map(|kept| kept.list().clone());
         if let Some(list) = kept {
-            call!([cx], take_list(list));
+            call!([cx], apply_list(list));
         }
-        let view = part.context.view.borrow().clone();
-        call!([cx], take_view(view));
+        let view = part.context.peer_view.borrow().clone();
+        call!([cx], apply_peer_view(view));
         Some(part)
     }
 
     /// Decides on a batch of datagrams.
-    pub fn take_batch(&mut self, cx: CX![], batch: DatagramBatch) {
-        self.run(cx, |engine, context| {
+    pub fn handle_batch(&mut self, cx: CX![], batch: DatagramBatch) {
+        self.run_engine(cx, |engine, context| {
             let mut effects = Vec::new();
             for (from, bytes) in &batch.datagrams {
                 let now = context.clock.now();
@@ -73,21 +73,21 @@
             }
             effects
         });
-        self.hasten(cx);
+        self.shorten_tick(cx);
     }
 
     /// Puts a list in force.
-    pub fn take_list(&mut self, cx: CX![], list: Arc<RuleList>) {
-        self.run(cx, |engine, context| engine.apply_list(context.clock.now(), list));
+    pub fn apply_list(&mut self, cx: CX![], list: Arc<RuleList>) {
+        self.run_engine(cx, |engine, context| engine.apply_list(context.clock.now(), list));
     }
 
     /// Takes a new view of membership.
-    pub fn take_view(&mut self, cx: CX![], view: Arc<PeerView>) {
-        self.run(cx, |engine, context| engine.apply_peer_view(context.clock.now(), view));
+    pub fn apply_peer_view(&mut self, cx: CX![], view: Arc<PeerView>) {
+        self.run_engine(cx, |engine, context| engine.apply_peer_view(context.clock.now(), view));
     }
 
     /// Takes a new phase.
-    pub fn take_phase(&mut self, _cx: CX![], phase: EnginePhase) {
+    pub fn set_phase(&mut self, _cx: CX![], phase: EnginePhase) {
         self.engine.set_phase(self.context.clock.now(), phase);
     }
 
@@ -97,7 +97,7 @@
     }
 
     /// Brings the metrics up to date.
-    pub fn count_metrics(&mut self, _cx: CX![], answer: oneshot::Sender<()>) {
+    pub fn update_metrics(&mut self, _cx: CX![], answer: oneshot::Sender<()>) {
         let metrics = &self.context.metrics;
         metrics.set_engine_totals(&self.engine.counters().named_values());
         metrics.unfinished.set(self.engine.unfinished_count(self.context.clock.now()) as i64);
@@ -121,19 +121,19 @@
     pub fn explain(
         &mut self,
         _cx: CX![],
-        question: FlowQuestion,
+        question: FlowQuery,
         answer: oneshot::Sender<Result<String, String>>,
     ) {
         let explained = question.work.parse().map_err(|error| format!("{error}")).map(|kind| {
-            let FlowQuestion { address, member, flow, .. } = question;
+            let FlowQuery { address, member, flow, .. } = question;
             let query = ExplainQuery { address, member, kind, flow };
-            self.with_desk(json!(self.engine.explain(&query))).to_string()
+            self.with_scheduler_status(json!(self.engine.explain(&query))).to_string()
         });
         let _ = answer.send(explained);
     }
 
     /// Adds the state of the flow's desk, if it is here: what the choice of a backend server goes by.
-    fn with_desk(&self, mut explained: Value) -> Value {
+    fn with_scheduler_status(&self, mut explained: Value) -> Value {
         let status = json!(self.engine.status(self.context.clock.now()));
         let service = &explained["treatment"]["serve"]["service"];
         let is_asked = |entry: &&Value| {
@@ -145,11 +145,11 @@
     }
 
     fn tick(&mut self, cx: CX![]) {
-        self.run(cx, |engine, context| engine.on_tick(context.clock.now()));
-        self.pace = if self.engine.is_idle() { TickPace::Quiet } else { TickPace::Busy };
-        self.tick_key = match self.pace {
-            TickPace::Quiet => after!(QUIET_TICK, [cx], tick()),
-            TickPace::Busy => after!(BUSY_TICK, [cx], tick()),
+        self.run_engine(cx, |engine, context| engine.on_tick(context.clock.now()));
+        self.tick_rate = if self.engine.is_idle() { TickRate::Idle } else { TickRate::Busy };
+        self.tick_key = match self.tick_rate {
+            TickRate::Idle => after!(IDLE_TICK_INTERVAL, [cx], tick()),
+            TickRate::Busy => after!(BUSY_TICK_INTERVAL, [cx], tick()),
         };
     }
 
@@ -157,13 +157,13 @@
     ///
     /// A hundred ticks a second cost an idle daemon more than all its decisions,
     /// but a request that is given up has to be told so within 10 ms.
-    fn hasten(&mut self, cx: CX![]) {
-        if self.pace == TickPace::Busy || self.engine.is_idle() {
+    fn shorten_tick(&mut self, cx: CX![]) {
+        if self.tick_rate == TickRate::Busy || self.engine.is_idle() {
             return;
         }
         cx.timer_del(self.tick_key);
-        self.pace = TickPace::Busy;
-        self.tick_key = after!(BUSY_TICK, [cx], tick());
+        self.tick_rate = TickRate::Busy;
+        self.tick_key = after!(BUSY_TICK_INTERVAL, [cx], tick());
     }
 
     /// Runs a decision and carries its effects out.
@@ -172,7 +172,7 @@
     /// process with every flow in it. Caught here it ends this part alone; the
     /// supervisor starts it anew under a new incarnation. The engine isn't
     /// used again after a panic, so that its half-changed state does no harm.
-    fn run<F>(&mut self, cx: CX![], decide: F)
+    fn run_engine<F>(&mut self, cx: CX![], decide: F)
     where
         F: FnOnce(&mut FlowEngine, &DaemonContext) -> Vec<EngineEffect>,
     {
@@ -180,12 +180,12 @@
         let decided = catch_unwind(AssertUnwindSafe(|| decide(&mut self.engine, &self.context)));
         self.context.metrics.flow_engine.observe(started.elapsed().as_secs_f64());
         match decided {
-            Ok(effects) => self.carry_out(effects),
+            Ok(effects) => self.apply_effects(effects),
             Err(_) => fail!(cx, "a decision panicked"),
         }
     }
 
-    fn carry_out(&self, effects: Vec<EngineEffect>) {
+    fn apply_effects(&self, effects: Vec<EngineEffect>) {
         let mut outgoing = Vec::new();
         for effect in effects {
             match effect {
--- a/crates/foxledge-daemon/src/life_cycle.rs
+++ b/crates/foxledge-daemon/src/life_cycle.rs
@@ -14,31 +14,31 @@
 use crate::{
     context::DaemonContext,
     engine_part::EnginePart,
-    list_keeper::ListKeeper,
-    member_keeper::MemberKeeper,
-    start_gate::{PlatformAsked, StartGate},
+    list_manager::ListManager,
+    member_manager::MemberManager,
+    start_gate::{PlatformContact, StartGate},
 };
 
-const TICK: Duration = Duration::from_millis(25);
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 /// Time between two looks while there is nothing to wait for but a stop.
-const SERVING_TICK: Duration = Duration::from_millis(100);
+const SERVING_TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Heartbeats sent in state leaving before the process may end.
-const LEAVING_BEATS: u64 = 3;
+const MIN_LEAVING_HEARTBEATS: u64 = 3;
 
 /// `LifeCycle` is the part that sets the phase of the process.
 pub struct LifeCycle {
     context: Rc<DaemonContext>,
     gate: StartGate,
-    leaving: Option<LeaveDeadlines>,
+    deadlines: Option<LeaveDeadlines>,
 }
 
 /// `LeaveDeadlines` bounds a planned stop.
 #[derive(Clone, Copy, Debug)]
 struct LeaveDeadlines {
     /// Until then peers are told, even with nothing left to finish.
-    earliest: ClockTime,
+    earliest_stop_at: ClockTime,
     /// The process ends then, whatever is left.
-    latest: ClockTime,
+    latest_stop_at: ClockTime,
 }
 
 impl LifeCycle {
@@ -47,14 +47,14 @@
         let now = context.clock.now();
         let peers = &context.settings.peers;
         let platform = match context.settings.platform.addresses.is_empty() {
-            true => PlatformAsked::Done,
-            false => PlatformAsked::Pending,
+            true => PlatformContact::Done,
+            false => PlatformContact::Pending,
         };
         let mut gate = StartGate::new(platform, now.after_millis(peers.start_wait_ms));
-        let own = context.me.borrow().control_address;
-        gate.know(peers.seeds.iter().copied().filter(|seed| *seed != own));
+        let own = context.local_info.borrow().control_address;
+        gate.add_peers(peers.seeds.iter().copied().filter(|seed| *seed != own));
         call!([cx], on_tick());
-        let mut life = LifeCycle { context, gate, leaving: None };
+        let mut life = LifeCycle { context, gate, deadlines: None };
         if life.context.phase.get() == EnginePhase::Leaving {
             life.set_leave_deadlines();
         }
@@ -62,24 +62,24 @@
     }
 
     /// A peer told its list's version with a heartbeat or the answer to one.
-    pub fn peer_answered(&mut self, _cx: CX![], from: SocketAddr) {
-        self.gate.peer_answered(from);
+    pub fn on_peer_answer(&mut self, _cx: CX![], from: SocketAddr) {
+        self.gate.record_answer(from);
     }
 
     /// A peer gave no answer to a heartbeat.
-    pub fn peer_failed(&mut self, _cx: CX![], from: SocketAddr) {
-        self.gate.peer_failed(from);
+    pub fn on_peer_failure(&mut self, _cx: CX![], from: SocketAddr) {
+        self.gate.record_failure(from);
     }
 
     /// The platform named instances, which are asked for the newest list too.
-    pub fn listing_read(&mut self, _cx: CX![], addresses: Vec<SocketAddr>) {
-        let own = self.context.me.borrow().control_address;
-        self.gate.know(addresses.into_iter().filter(|address| *address != own));
+    pub fn on_platform_listing(&mut self, _cx: CX![], addresses: Vec<SocketAddr>) {
+        let own = self.context.local_info.borrow().control_address;
+        self.gate.add_peers(addresses.into_iter().filter(|address| *address != own));
     }
 
     /// The platform answered, or couldn't be reached.
-    pub fn platform_done(&mut self, _cx: CX![]) {
-        self.gate.platform_done();
+    pub fn on_platform_contact(&mut self, _cx: CX![]) {
+        self.gate.record_platform_contact();
     }
 
     /// Begins the planned stop; the answer is false when it has begun before.
@@ -99,26 +99,26 @@
 
     fn on_tick(&mut self, cx: CX![]) {
         match self.context.phase.get() {
-            EnginePhase::Serving => after!(SERVING_TICK, [cx], on_tick()),
-            EnginePhase::Joining | EnginePhase::Leaving => after!(TICK, [cx], on_tick()),
+            EnginePhase::Serving => after!(SERVING_TICK_INTERVAL, [cx], on_tick()),
+            EnginePhase::Joining | EnginePhase::Leaving => after!(TICK_INTERVAL, [cx], on_tick()),
         };
-        if self.context.stop_wanted.take() {
+        if self.context.is_stop_requested.take() {
             self.begin_leaving("signal");
         }
         match self.context.phase.get() {
-            EnginePhase::Joining => self.ask_versions(cx),
+            EnginePhase::Joining => self.query_versions(cx),
             EnginePhase::Serving => {}
-            EnginePhase::Leaving => self.ask_unfinished(cx),
+            EnginePhase::Leaving => self.query_unfinished(cx),
         }
     }
 
-    fn ask_versions(&mut self, cx: CX![]) {
-        let Some(lists) = self.context.directory.get::<ListKeeper>() else { return };
-        let answer = ret_some_to!([cx], versions_known() as (ListVersion, ListVersion));
-        call!([lists], newest_heard(answer));
+    fn query_versions(&mut self, cx: CX![]) {
+        let Some(lists) = self.context.directory.get::<ListManager>() else { return };
+        let answer = ret_some_to!([cx], on_versions() as (ListVersion, ListVersion));
+        call!([lists], read_versions(answer));
     }
 
-    fn versions_known(&mut self, _cx: CX![], current: ListVersion, newest: ListVersion) {
+    fn on_versions(&mut self, _cx: CX![], current: ListVersion, newest: ListVersion) {
         let now = self.context.clock.now();
         let is_joining = self.context.phase.get() == EnginePhase::Joining;
         if is_joining && self.gate.is_open(now, current.revision, newest.revision) {
@@ -126,58 +126,65 @@
         }
     }
 
-    fn ask_unfinished(&mut self, cx: CX![]) {
+    fn query_unfinished(&mut self, cx: CX![]) {
         let Some(engine) = self.context.directory.get::<EnginePart>() else {
-            return self.check_left(cx, 0);
+            return self.stop_when_finished(cx, 0);
         };
-        let answer = ret_some_to!([cx], check_left() as (usize));
+        let answer = ret_some_to!([cx], stop_when_finished() as (usize));
         call!([engine], count_unfinished(answer));
     }
 
-    fn check_left(&mut self, cx: CX![], left: usize) {
-        let Some(deadlines) = self.leaving else { return };
+    fn stop_when_finished(&mut self, cx: CX![], left: usize) {
+        let Some(deadlines) = self.deadlines else { return };
         let now = self.context.clock.now();
-        let finished = left == 0 && deadlines.earliest.is_past(now);
+        let finished = left == 0 && deadlines.earliest_stop_at.is_past(now);
         let waits = self.context.settings.trial.graceful_stop;
-        if waits && !finished && !deadlines.latest.is_past(now) {
+        if waits && !finished && !deadlines.latest_stop_at.is_past(now) {
             return;
         }
-        self.leaving = None;
+        self.deadlines = None;
         info!("life: stops with {left} unfinished");
         self.context.record(
-            AuditChange::new(AuditKind::ProcessChanged, self.context.me.borrow().name.as_str())
-                .with_values("leaving", format!("stopped with {left} unfinished"))
-                .with_cause(if left == 0 { "all finished" } else { "limit of the stop" }, "life"),
+            AuditChange::new(
+                AuditKind::ProcessChanged,
+                self.context.local_info.borrow().name.as_str(),
+            )
+            .with_values("leaving", format!("stopped with {left} unfinished"))
+            .with_cause(if left == 0 { "all finished" } else { "limit of the stop" }, "life"),
         );
         // A later turn of the loop, so that the entry is logged and the last datagrams are out.
-        after!(TICK, [cx], |_this, cx| cx.shutdown(StopCause::Stopped));
+        after!(TICK_INTERVAL, [cx], |_this, cx| cx.shutdown(StopCause::Stopped));
     }
 
     fn set_leave_deadlines(&mut self) {
         let now = self.context.clock.now();
         let settings = &self.context.settings;
-        self.leaving = Some(LeaveDeadlines {
-            earliest: now.after_millis(settings.peers.heartbeat_ms * LEAVING_BEATS),
-            latest: now.after_millis(settings.stop.limit_ms),
+        self.deadlines = Some(LeaveDeadlines {
+            earliest_stop_at: now
+                .after_millis(settings.peers.heartbeat_ms * MIN_LEAVING_HEARTBEATS),
+            latest_stop_at: now.after_millis(settings.stop.limit_ms),
         });
     }
 
     fn set_phase(&self, phase: EnginePhase, cause: &str, source: &str) {
-        let before = self.context.phase.word();
+        let before = self.context.phase.as_str();
         self.context.phase.set(phase);
-        let after = self.context.phase.word();
+        let after = self.context.phase.as_str();
         info!("life: {after}");
         let directory = &self.context.directory;
         if let Some(engine) = directory.get::<EnginePart>() {
-            call!([engine], take_phase(phase));
+            call!([engine], set_phase(phase));
         }
-        if let Some(members) = directory.get::<MemberKeeper>() {
+        if let Some(members) = directory.get::<MemberManager>() {
             call!([members], set_state(self.context.phase.peer_state()));
         }
         self.context.record(
-            AuditChange::new(AuditKind::ProcessChanged, self.context.me.borrow().name.as_str())
-                .with_values(before, after)
-                .with_cause(cause, source),
+            AuditChange::new(
+                AuditKind::ProcessChanged,
+                self.context.local_info.borrow().name.as_str(),
+            )
+            .with_values(before, after)
+            .with_cause(cause, source),
         );
     }
 }
--- a/crates/foxledge-daemon/src/list_keeper.rs
+++ b/crates/foxledge-daemon/src/list_manager.rs
@@ -15,45 +15,45 @@
     context::DaemonContext,
     control_link::ControlLink,
     engine_part::EnginePart,
-    member_keeper::MemberKeeper,
+    member_manager::MemberManager,
     part_kind::DaemonSupervisor,
-    side::messages::{CallError, LinkCommand, WatchOrder},
+    side::messages::{CallError, LinkCommand, WatchCommand},
 };
 
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// `ListKeeper` is the part that holds the [`ListStore`].
-pub struct ListKeeper {
+/// `ListManager` is the part that holds the [`ListStore`].
+pub struct ListManager {
     context: Rc<DaemonContext>,
     store: ListStore,
-    watch: WatchOrder,
+    watch: WatchCommand,
 }
 
-impl ListKeeper {
+impl ListManager {
     /// Makes the store, with the list that an earlier keeper had accepted.
-    pub fn init(cx: CX![], context: Rc<DaemonContext>) -> Option<ListKeeper> {
+    pub fn init(cx: CX![], context: Rc<DaemonContext>) -> Option<ListManager> {
         let options = list_options(&context.settings);
-        let kept = context.kept_list.borrow().clone();
+        let kept = context.accepted_list.borrow().clone();
         let store = match kept {
             Some(kept) => ListStore::restore(options, kept),
             None => ListStore::new(options),
         };
-        let mut keeper = ListKeeper { context, store, watch: WatchOrder::Pause };
+        let mut keeper = ListManager { context, store, watch: WatchCommand::Pause };
         if let Some(list) = keeper.store.current_list() {
-            keeper.accepted(list);
+            keeper.apply_accepted_list(list);
         }
         call!([cx], on_tick());
         Some(keeper)
     }
 
     /// Takes the version of the list that a peer holds.
-    pub fn peer_version(&mut self, _cx: CX![], from: SocketAddr, version: ListVersion) {
+    pub fn on_peer_version(&mut self, _cx: CX![], from: SocketAddr, version: ListVersion) {
         let effects = self.store.on_peer_version(self.context.clock.now(), from, version);
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
     /// Takes the end of a manifest's fetch.
-    pub fn manifest_fetched(
+    pub fn on_manifest_fetched(
         &mut self,
         _cx: CX![],
         from: ListSource,
@@ -67,11 +67,11 @@
                 self.store.on_fetch_failed(now, from)
             }
         };
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
     /// Takes the end of a fetch of parts.
-    pub fn parts_fetched(
+    pub fn on_parts_fetched(
         &mut self,
         _cx: CX![],
         from: ListSource,
@@ -85,16 +85,16 @@
                 self.store.on_fetch_failed(now, from)
             }
         };
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
     /// Answers a peer that wants the manifest in force.
-    pub fn manifest_asked(&mut self, _cx: CX![], answer: oneshot::Sender<Option<Manifest>>) {
+    pub fn answer_manifest(&mut self, _cx: CX![], answer: oneshot::Sender<Option<Manifest>>) {
         let _ = answer.send(self.store.manifest());
     }
 
     /// Answers a peer that wants parts.
-    pub fn parts_asked(
+    pub fn answer_parts(
         &mut self,
         _cx: CX![],
         digests: Vec<u64>,
@@ -104,77 +104,77 @@
     }
 
     /// Answers which list is in force and the newest heard of.
-    pub fn newest_heard(&mut self, _cx: CX![], answer: stakker::Ret<(ListVersion, ListVersion)>) {
+    pub fn read_versions(&mut self, _cx: CX![], answer: stakker::Ret<(ListVersion, ListVersion)>) {
         stakker::ret!([answer], self.store.version(), self.store.newest_known_version());
     }
 
     /// Tells a side thread that was started anew what to watch.
-    pub fn link_started(&mut self, _cx: CX![]) {
-        self.watch = WatchOrder::Pause;
-        self.order_watch();
+    pub fn on_link_started(&mut self, _cx: CX![]) {
+        self.watch = WatchCommand::Pause;
+        self.update_watch();
     }
 
     fn on_tick(&mut self, cx: CX![]) {
-        after!(TICK, [cx], on_tick());
-        self.order_watch();
+        after!(TICK_INTERVAL, [cx], on_tick());
+        self.update_watch();
         let effects = self.store.on_tick(self.context.clock.now());
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
     /// Watches while this instance is a reader, has no list at all, or hasn't served yet.
-    fn order_watch(&mut self) {
+    fn update_watch(&mut self) {
         let has_list = self.store.version().revision > 0;
         let is_joining = self.context.phase.get() == EnginePhase::Joining;
         let wanted = self.context.is_reader.get() || !has_list || is_joining;
         let order = match wanted {
-            true => WatchOrder::Run { after: self.store.version().revision },
-            false => WatchOrder::Pause,
+            true => WatchCommand::Run { after: self.store.version().revision },
+            false => WatchCommand::Pause,
         };
-        let was_running = self.watch != WatchOrder::Pause;
+        let was_running = self.watch != WatchCommand::Pause;
         if was_running == wanted {
             return;
         }
         self.watch = order;
         info!("lists: platform watch {}", if wanted { "starts" } else { "pauses" });
-        self.send(LinkCommand::Watch(order));
+        self.send_command(LinkCommand::Watch(order));
     }
 
-    fn carry_out(&mut self, effects: Vec<ListEffect>) {
+    fn apply_effects(&mut self, effects: Vec<ListEffect>) {
         for effect in effects {
             match effect {
                 ListEffect::FetchManifest { from } => {
-                    self.send(LinkCommand::FetchManifest { from });
+                    self.send_command(LinkCommand::FetchManifest { from });
                 }
                 ListEffect::FetchParts { from, digests } => {
-                    self.send(LinkCommand::FetchParts { from, digests });
+                    self.send_command(LinkCommand::FetchParts { from, digests });
                 }
-                ListEffect::Accepted(list) => self.accepted(list),
+                ListEffect::Accepted(list) => self.apply_accepted_list(list),
                 ListEffect::Audit(change) => self.context.record(change),
             }
         }
     }
 
-    fn accepted(&mut self, list: Arc<RuleList>) {
+    fn apply_accepted_list(&mut self, list: Arc<RuleList>) {
         let version = list.version;
         info!("lists: revision {} is in force", version.revision);
-        *self.context.kept_list.borrow_mut() = self.store.snapshot();
+        *self.context.accepted_list.borrow_mut() = self.store.snapshot();
         self.context.metrics.list_revision.set(version.revision as i64);
         let directory = &self.context.directory;
         if let Some(root) = directory.get::<DaemonSupervisor>() {
-            call!([root], set_revision(version.revision));
+            call!([root], set_list_revision(version.revision));
         }
         if let Some(engine) = directory.get::<EnginePart>() {
-            call!([engine], take_list(list));
+            call!([engine], apply_list(list));
         }
-        if let Some(members) = directory.get::<MemberKeeper>() {
-            call!([members], set_version(version));
+        if let Some(members) = directory.get::<MemberManager>() {
+            call!([members], set_list_version(version));
         }
-        self.order_watch();
+        self.update_watch();
     }
 
-    fn send(&self, command: LinkCommand) {
+    fn send_command(&self, command: LinkCommand) {
         if let Some(link) = self.context.directory.get::<ControlLink>() {
-            call!([link], command(command));
+            call!([link], send_command(command));
         }
     }
 }
--- a/crates/foxledge-daemon/src/listener.rs
+++ b/crates/foxledge-daemon/src/listener.rs
@@ -17,7 +17,7 @@
 /// Priority of the sockets in the poll, the same as the waker's, so that neither starves.
 pub const POLL_PRIORITY: u32 = 10;
 /// One byte more than allowed, so that a longer datagram shows as oversized instead of as cut.
-const READ_SIZE: usize = MAX_DATAGRAM + 1;
+const BUFFER_BYTES: usize = MAX_DATAGRAM + 1;
 
 /// `SocketKind` is which socket a datagram belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -70,8 +70,8 @@
     pub fn init(cx: CX![], context: Rc<DaemonContext>) -> Option<DatagramListener> {
         match DatagramListener::open(cx, context) {
             Ok(listener) => {
-                call!([cx], drain(SocketKind::Data));
-                call!([cx], drain(SocketKind::Peer));
+                call!([cx], read_batch(SocketKind::Data));
+                call!([cx], read_batch(SocketKind::Peer));
                 Some(listener)
             }
             Err(error) => {
@@ -100,8 +100,8 @@
     /// every other flow.
     pub fn send(&mut self, _cx: CX![], datagrams: Vec<OutgoingDatagram>) {
         for datagram in datagrams {
-            let to = self.context.routes.via(datagram.to);
-            let sent = self.source(datagram.socket).send_to(&datagram.bytes, to);
+            let to = self.context.routes.resolve(datagram.to);
+            let sent = self.socket(datagram.socket).send_to(&datagram.bytes, to);
             let word = datagram.socket.as_str();
             match sent {
                 Ok(_) => self.context.metrics.datagrams.with_label_values(&[word, "out"]).inc(),
@@ -115,7 +115,7 @@
     }
 
     fn socket_ready(&mut self, cx: CX![], socket: SocketKind, _ready: Ready) {
-        self.drain(cx, socket);
+        self.read_batch(cx, socket);
     }
 
     /// Reads a bounded batch and lets the main loop run before the next.
@@ -124,11 +124,11 @@
     /// would be late, heartbeats wouldn't go out and peers would hold the
     /// instance dead. The rest is read when the loop has nothing else to do,
     /// or when the next datagram makes the socket ready again.
-    fn drain(&mut self, cx: CX![], socket: SocketKind) {
+    fn read_batch(&mut self, cx: CX![], socket: SocketKind) {
         let mut datagrams = Vec::new();
-        let mut buffer = [0; READ_SIZE];
+        let mut buffer = [0; BUFFER_BYTES];
         while datagrams.len() < BATCH_LIMIT {
-            match self.source(socket).recv_from(&mut buffer) {
+            match self.socket(socket).recv_from(&mut buffer) {
                 Ok((size, from)) => datagrams.push((from, buffer[..size].to_vec())),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
@@ -138,7 +138,7 @@
             }
         }
         if datagrams.len() == BATCH_LIMIT {
-            idle!([cx], drain(socket));
+            idle!([cx], read_batch(socket));
         }
         if datagrams.is_empty() {
             return;
@@ -146,11 +146,11 @@
         let counter = self.context.metrics.datagrams.with_label_values(&[socket.as_str(), "in"]);
         counter.inc_by(datagrams.len() as u64);
         if let Some(engine) = self.context.directory.get::<EnginePart>() {
-            call!([engine], take_batch(DatagramBatch { socket, datagrams }));
+            call!([engine], handle_batch(DatagramBatch { socket, datagrams }));
         }
     }
 
-    fn source(&self, socket: SocketKind) -> &UdpSocket {
+    fn socket(&self, socket: SocketKind) -> &UdpSocket {
         match socket {
             SocketKind::Data => &self.data,
             SocketKind::Peer => &self.peer,
--- a/crates/foxledge-daemon/src/member_keeper.rs
+++ b/crates/foxledge-daemon/src/member_manager.rs
@@ -19,56 +19,56 @@
     control_link::ControlLink,
     engine_part::EnginePart,
     life_cycle::LifeCycle,
-    list_keeper::ListKeeper,
+    list_manager::ListManager,
     side::messages::{CallError, LinkCommand},
 };
 
 /// Ticks in one heartbeat's time.
-const TICKS_PER_BEAT: u32 = 5;
+const TICKS_PER_HEARTBEAT: u32 = 5;
 
-/// `MemberKeeper` is the part that holds the [`Membership`].
-pub struct MemberKeeper {
+/// `MemberManager` is the part that holds the [`Membership`].
+pub struct MemberManager {
     context: Rc<DaemonContext>,
     membership: Membership,
-    tick: Duration,
+    tick_interval: Duration,
 }
 
-impl MemberKeeper {
+impl MemberManager {
     /// Makes the membership from the settings and from what an earlier keeper knew.
-    pub fn init(cx: CX![], context: Rc<DaemonContext>) -> Option<MemberKeeper> {
+    pub fn init(cx: CX![], context: Rc<DaemonContext>) -> Option<MemberManager> {
         let state = context.phase.peer_state();
-        let me = PeerInfo { state, ..context.me.borrow().clone() };
+        let me = PeerInfo { state, ..context.local_info.borrow().clone() };
         let options = member_options(&context);
         let now = context.clock.now();
         let mut membership = Membership::new(options, me, context.next_seed(), now);
         membership.set_list_version(context.list_version());
         let heartbeat = Duration::from_millis(context.settings.peers.heartbeat_ms);
-        let tick = (heartbeat / TICKS_PER_BEAT).max(Duration::from_millis(1));
-        let keeper = MemberKeeper { context, membership, tick };
-        keeper.share_view();
+        let tick_interval = (heartbeat / TICKS_PER_HEARTBEAT).max(Duration::from_millis(1));
+        let keeper = MemberManager { context, membership, tick_interval };
+        keeper.publish_view();
         call!([cx], on_tick());
         Some(keeper)
     }
 
     /// Answers a heartbeat.
-    pub fn beat_arrived(
+    pub fn on_heartbeat(
         &mut self,
         _cx: CX![],
-        beat: Heartbeat,
+        heartbeat: Heartbeat,
         answer: oneshot::Sender<HeartbeatReply>,
     ) {
         let now = self.context.clock.now();
-        let from = beat.sender.as_ref().and_then(|sender| sender.control_address.parse().ok());
+        let from = heartbeat.sender.as_ref().and_then(|sender| sender.control_address.parse().ok());
         if let (Some(from), Some(life)) = (from, self.context.directory.get::<LifeCycle>()) {
-            call!([life], peer_answered(from));
+            call!([life], on_peer_answer(from));
         }
-        let (reply, effects) = self.membership.on_heartbeat(now, beat);
+        let (reply, effects) = self.membership.on_heartbeat(now, heartbeat);
         let _ = answer.send(reply);
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
     /// Takes the end of a heartbeat of ours.
-    pub fn beat_ended(
+    pub fn on_heartbeat_outcome(
         &mut self,
         _cx: CX![],
         to: SocketAddr,
@@ -81,65 +81,65 @@
                 let name = reply.sender.as_ref().map_or("", |sender| sender.name.as_str());
                 let name = InstanceName::new(name);
                 if let Some(life) = life {
-                    call!([life], peer_answered(to));
+                    call!([life], on_peer_answer(to));
                 }
                 self.membership.on_heartbeat_reply(now, &name, reply)
             }
             Err(error) => {
                 debug!("members: no heartbeat with {to}: {error}");
                 if let Some(life) = life {
-                    call!([life], peer_failed(to));
+                    call!([life], on_peer_failure(to));
                 }
                 self.membership.on_heartbeat_failure(now, to)
             }
         };
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
     /// Takes the end of a relayed probe.
-    pub fn probe_ended(&mut self, _cx: CX![], name: String, result: ProbeResult) {
+    pub fn on_probe_result(&mut self, _cx: CX![], name: String, result: ProbeResult) {
         let now = self.context.clock.now();
         let effects = self.membership.on_probe_result(now, &InstanceName::new(&name), result);
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
     /// Takes the platform's list of instances, a hint.
-    pub fn listing_read(&mut self, _cx: CX![], listing: MemberListing) {
+    pub fn on_platform_listing(&mut self, _cx: CX![], listing: MemberListing) {
         let effects = self.membership.on_platform_listing(self.context.clock.now(), &listing);
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
     /// Sets the state in which peers see this instance.
     pub fn set_state(&mut self, _cx: CX![], state: PeerState) {
         let effects = self.membership.set_state(self.context.clock.now(), state);
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
     /// Sets the version of the list in force.
-    pub fn set_version(&mut self, _cx: CX![], version: ListVersion) {
+    pub fn set_list_version(&mut self, _cx: CX![], version: ListVersion) {
         self.membership.set_list_version(version);
     }
 
     fn on_tick(&mut self, cx: CX![]) {
-        after!(self.tick, [cx], on_tick());
+        after!(self.tick_interval, [cx], on_tick());
         let effects = self.membership.on_tick(self.context.clock.now());
-        self.carry_out(effects);
+        self.apply_effects(effects);
         self.context.is_reader.set(self.membership.is_reader());
     }
 
-    fn carry_out(&self, effects: Vec<MemberEffect>) {
+    fn apply_effects(&self, effects: Vec<MemberEffect>) {
         for effect in effects {
             match effect {
-                MemberEffect::SendHeartbeat { to, heartbeat: beat } => {
-                    self.send(LinkCommand::Beat { to, beat })
+                MemberEffect::SendHeartbeat { to, heartbeat } => {
+                    self.send_command(LinkCommand::SendHeartbeat { to, heartbeat })
                 }
-                MemberEffect::SendRelayProbe { relay: through, probe } => {
-                    self.send(LinkCommand::ProbeFor { through, probe });
+                MemberEffect::SendRelayProbe { relay, probe } => {
+                    self.send_command(LinkCommand::SendRelayProbe { relay, probe });
                 }
-                MemberEffect::ViewChanged(_) => self.share_view(),
+                MemberEffect::ViewChanged(_) => self.publish_view(),
                 MemberEffect::PeerVersion { from, version } => {
-                    if let Some(lists) = self.context.directory.get::<ListKeeper>() {
-                        call!([lists], peer_version(from, version));
+                    if let Some(lists) = self.context.directory.get::<ListManager>() {
+                        call!([lists], on_peer_version(from, version));
                     }
                 }
                 MemberEffect::Audit(change) => self.context.record(change),
@@ -147,22 +147,22 @@
         }
     }
 
-    fn send(&self, command: LinkCommand) {
+    fn send_command(&self, command: LinkCommand) {
         if let Some(link) = self.context.directory.get::<ControlLink>() {
-            call!([link], command(command));
+            call!([link], send_command(command));
         }
     }
 
-    fn share_view(&self) {
+    fn publish_view(&self) {
         let view = self.membership.view();
-        *self.context.view.borrow_mut() = view.clone();
+        *self.context.peer_view.borrow_mut() = view.clone();
         self.context.metrics.peers.reset();
         for peer in &view.peers {
             let state = peer.state.as_str();
             self.context.metrics.peers.with_label_values(&[state]).inc();
         }
         if let Some(engine) = self.context.directory.get::<EnginePart>() {
-            call!([engine], take_view(view));
+            call!([engine], apply_peer_view(view));
         }
     }
 }
@@ -170,10 +170,10 @@
 fn member_options(context: &DaemonContext) -> MemberOptions {
     let peers = &context.settings.peers;
     // A keeper that starts anew tries whom the earlier one knew.
-    let known = context.view.borrow();
+    let known = context.peer_view.borrow();
     let mut seeds = peers.seeds.clone();
     seeds.extend(known.peers.iter().map(|peer| peer.control_address));
-    let own = context.me.borrow().control_address;
+    let own = context.local_info.borrow().control_address;
     seeds.sort();
     seeds.dedup();
     seeds.retain(|seed| *seed != own);
--- a/crates/foxledge-daemon/src/packets/clock.rs
+++ b/crates/foxledge-daemon/src/packets/clock.rs
@@ -7,10 +7,10 @@
 
 /// Where the clock starts, in microseconds. Ages that others tell reach back to
 /// before this process began, and points in time can't be negative.
-const START_US: u64 = 3_600_000_000;
+const CLOCK_ORIGIN_US: u64 = 3_600_000_000;
 
 /// Shortest wait before another look at a time that has not passed yet.
-pub const LOOK_AGAIN: Duration = Duration::from_millis(2);
+pub const MIN_RECHECK_DELAY: Duration = Duration::from_millis(2);
 
 /// `BootClock` is the source of every `ClockTime` of the packets' tree.
 ///
@@ -31,7 +31,7 @@
 
     /// The time now.
     pub fn now(&self) -> ClockTime {
-        ClockTime::from_micros(START_US + boot_us().saturating_sub(self.start_us))
+        ClockTime::from_micros(CLOCK_ORIGIN_US + boot_us().saturating_sub(self.start_us))
     }
 }
 
--- a/crates/foxledge-daemon/src/packets/context.rs
+++ b/crates/foxledge-daemon/src/packets/context.rs
@@ -19,21 +19,21 @@
 
 use crate::{directory::PartDirectory, phase::PhaseCell};
 
-use super::{clock::BootClock, event_log::EventLog, metrics::PacketMetrics, side::SideOrder};
+use super::{clock::BootClock, event_log::EventLog, metrics::PacketMetrics, side::SideCommand};
 
 /// Delay of a timer that shows that the process stood still, in milliseconds.
-const PAUSE_MS: u64 = 400;
+const PAUSE_THRESHOLD_MS: u64 = 400;
 
 /// `PacketAdapters` translate between foxledge and the platform it runs on.
 pub struct PacketAdapters {
     /// The form of packets.
     pub codec: Box<dyn PacketCodec>,
     /// Makes a reader of the published list.
-    pub source: SourceMaker,
+    pub source: SourceFactory,
 }
 
-/// `SourceMaker` makes a reader of the published list from the settings.
-pub type SourceMaker = Box<dyn Fn(&PacketSettings) -> Box<dyn ListSource>>;
+/// `SourceFactory` makes a reader of the published list from the settings.
+pub type SourceFactory = Box<dyn Fn(&PacketSettings) -> Box<dyn ListSource>>;
 
 /// `PacketContext` is what every part can reach, and what outlives a failed part.
 pub struct PacketContext {
@@ -60,13 +60,13 @@
     pub member: RefCell<FleetMember>,
     /// When the next timer of the fleet part is due: a turn much later shows that
     /// the process stood still.
-    pub due_at: Cell<ClockTime>,
+    pub next_timer_at: Cell<ClockTime>,
     /// The last pause that was noticed: its end and its length.
     pub last_pause: Cell<(ClockTime, Duration)>,
     /// When the last packet of a caller came.
-    pub packet_at: Cell<ClockTime>,
+    pub last_packet_at: Cell<ClockTime>,
     /// Orders for the side thread.
-    pub side: UnboundedSender<SideOrder>,
+    pub side_commands: UnboundedSender<SideCommand>,
     /// The present actor of each part.
     pub directory: PartDirectory,
     /// Where audit entries go.
@@ -75,8 +75,8 @@
 
 impl PacketContext {
     /// Logs a change of what the process is or believes.
-    pub fn note<T: Serialize>(&self, kind: &'static str, event: &T) {
-        self.log.borrow_mut().note(self.clock.now(), kind, event);
+    pub fn log_event<T: Serialize>(&self, kind: &'static str, event: &T) {
+        self.log.borrow_mut().log_event(self.clock.now(), kind, event);
     }
 
     /// Puts a change into the audit trail.
@@ -87,17 +87,17 @@
     }
 
     /// Time by which a timer is late, if so late that the process stood still.
-    pub fn pause(&self) -> Option<Duration> {
+    pub fn detect_pause(&self) -> Option<Duration> {
         let now = self.clock.now();
-        let is_late = self.due_at.get().after_millis(PAUSE_MS).is_past(now);
-        is_late.then(|| now.since(self.due_at.get()))
+        let is_late = self.next_timer_at.get().after_millis(PAUSE_THRESHOLD_MS).is_past(now);
+        is_late.then(|| now.since(self.next_timer_at.get()))
     }
 
     /// Time that the process has just stood still for; zero when it ran.
     pub fn recent_pause(&self) -> Duration {
         let (ended_at, length) = self.last_pause.get();
-        let is_recent = !ended_at.after_millis(PAUSE_MS).is_past(self.clock.now());
-        self.pause().unwrap_or(if is_recent { length } else { Duration::ZERO })
+        let is_recent = !ended_at.after_millis(PAUSE_THRESHOLD_MS).is_past(self.clock.now());
+        self.detect_pause().unwrap_or(if is_recent { length } else { Duration::ZERO })
     }
 
     /// Age of the store's last confirmation of the list, in milliseconds.
--- a/crates/foxledge-daemon/src/packets/daemon.rs
+++ b/crates/foxledge-daemon/src/packets/daemon.rs
@@ -47,18 +47,18 @@
     event_log::EventLog,
     fleet_part::FleetPart,
     flow_part::FlowPart,
-    life_part::LifePart,
+    lifecycle_part::LifecyclePart,
     metrics::PacketMetrics,
     part_kind::PacketSupervisor,
     parts::PacketParts,
     reports::{MemberReport, StatusReport},
-    side::{OperatorQuestion, SideEvent, SideThread},
+    side::{OperatorQuery, SideEvent, SideThread},
 };
 
-const EVENT_LIMIT: usize = 256;
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+const POLL_EVENT_CAPACITY: usize = 256;
+const MAX_POLL_WAIT: Duration = Duration::from_secs(60);
 /// Entries that the audit trail keeps.
-const AUDIT_ENTRIES: usize = 500;
+const MAX_AUDIT_ENTRIES: usize = 500;
 
 /// `StartLine` is the log line of a process that starts.
 #[derive(Serialize)]
@@ -99,11 +99,11 @@
         let signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
         let mut stakker = Stakker::new(Instant::now());
         let poll = Poll::new().context("can't poll")?;
-        let events = Events::with_capacity(EVENT_LIMIT);
+        let events = Events::with_capacity(POLL_EVENT_CAPACITY);
         let poll = MioPoll::new(&mut stakker, poll, events, POLL_PRIORITY)?;
-        let (side, orders) = mpsc::unbounded_channel();
-        let context = make_context(settings, path, adapters, side)?;
-        let side_guard = start_side(&mut stakker, &context, orders)?;
+        let (side_commands, commands) = mpsc::unbounded_channel();
+        let context = make_context(settings, path, adapters, side_commands)?;
+        let side_guard = start_side(&mut stakker, &context, commands)?;
         let signal_guard = watch_signals(&mut stakker, &context, signals)?;
         let root = start_root(&mut stakker, &context);
         let is_idle_pending = stakker.run(Instant::now(), false);
@@ -126,12 +126,12 @@
     pub fn run(&mut self) -> Result<()> {
         while self.stakker.not_shutdown() {
             let is_pending = self.is_idle_pending || self.is_io_pending;
-            let wait = self.stakker.next_wait_max(Instant::now(), LONGEST_WAIT, is_pending);
+            let wait = self.stakker.next_wait_max(Instant::now(), MAX_POLL_WAIT, is_pending);
             let (is_active, is_io_pending) = self.poll.poll(wait)?;
             self.is_io_pending = is_io_pending;
             self.is_idle_pending = self.stakker.run(Instant::now(), !is_active);
         }
-        self.context.log.borrow_mut().write();
+        self.context.log.borrow_mut().write_pending();
         match self.stakker.shutdown_reason() {
             None | Some(StopCause::Stopped) => Ok(()),
             Some(cause) => bail!("the root supervisor ended: {cause}"),
@@ -143,7 +143,7 @@
     settings: PacketSettings,
     path: PathBuf,
     adapters: PacketAdapters,
-    side: mpsc::UnboundedSender<super::side::SideOrder>,
+    side_commands: mpsc::UnboundedSender<super::side::SideCommand>,
 ) -> Result<SharedContext> {
     let clock = BootClock::start();
     let mut rng = StdRng::from_os_rng();
@@ -154,7 +154,7 @@
         .seeds(settings.seeds.clone())
         .report_load(settings.shares_load)
         .seed(rng.random());
-    let mut log = EventLog::on_stdout(settings.lines_per_s)?;
+    let mut log = EventLog::to_stdout(settings.log_lines_per_s)?;
     let line = StartLine {
         event: "started",
         instance: &settings.name,
@@ -165,8 +165,8 @@
         seeds: settings.seeds.len(),
         incarnation,
     };
-    log.note(clock.now(), "started", &line);
-    log.write();
+    log.log_event(clock.now(), "started", &line);
+    log.write_pending();
     Ok(Rc::new(PacketContext {
         data: bind_udp("listen.data", settings.data.into())?,
         peer: bind_udp("listen.peer", settings.peer.into())?,
@@ -178,10 +178,10 @@
         phase: Arc::new(PhaseCell::default()),
         log: RefCell::new(log),
         member: RefCell::new(FleetMember::new(options, clock.now())),
-        due_at: Cell::new(ClockTime::MAX),
+        next_timer_at: Cell::new(ClockTime::MAX),
         last_pause: Cell::new((ClockTime::ZERO, Duration::ZERO)),
-        packet_at: Cell::new(ClockTime::ZERO),
-        side,
+        last_packet_at: Cell::new(ClockTime::ZERO),
+        side_commands,
         directory: PartDirectory::default(),
         audit: OnceCell::new(),
     }))
@@ -189,7 +189,8 @@
 
 fn start_root(stakker: &mut Stakker, context: &SharedContext) -> ActorOwn<PacketSupervisor> {
     let seed = StdRng::from_os_rng().random();
-    let options = SupervisorOptions::new(ProcessClock::start(), seed).audit_limit(AUDIT_ENTRIES);
+    let options =
+        SupervisorOptions::new(ProcessClock::start(), seed).audit_limit(MAX_AUDIT_ENTRIES);
     let starter = Box::new(PacketParts::new(context.clone()));
     let root = actor!(stakker, PacketSupervisor::init(options, starter), ret_shutdown!(stakker));
     context.directory.set(&root);
@@ -201,15 +202,16 @@
 fn start_side(
     stakker: &mut Stakker,
     context: &SharedContext,
-    orders: mpsc::UnboundedReceiver<super::side::SideOrder>,
+    commands: mpsc::UnboundedReceiver<super::side::SideCommand>,
 ) -> Result<ChannelGuard> {
     let settings = context.settings.borrow();
     let admin = bind_tcp("listen.admin", settings.admin)?;
     let metrics_listener = settings.metrics.and_then(|address| bind_metrics(context, address));
     let shared = context.clone();
-    let (events, guard) = Channel::new(stakker, fwd_do!(move |event| take_event(&shared, event)));
+    let (events, guard) =
+        Channel::new(stakker, fwd_do!(move |event| handle_side_event(&shared, event)));
     let side = SideThread {
-        orders,
+        commands,
         source: (context.adapters.source)(&settings),
         admin,
         metrics_listener,
@@ -231,67 +233,70 @@
         Err(error) => {
             let event = "metrics_unavailable";
             let error = format!("{error:#}");
-            context.note(event, &serde_json::json!({ "event": event, "error": error }));
+            context.log_event(event, &serde_json::json!({ "event": event, "error": error }));
             None
         }
     }
 }
 
-fn take_event(context: &SharedContext, event: SideEvent) {
+fn handle_side_event(context: &SharedContext, event: SideEvent) {
     match event {
-        SideEvent::Reading(order, answer) => {
+        SideEvent::StoreResponse(order, answer) => {
             if let Some(fleet) = context.directory.get::<FleetPart>() {
-                call!([fleet], take_reading(order, answer));
+                call!([fleet], handle_store_response(order, answer));
             }
         }
-        SideEvent::Asked(question, sender) => answer_operator(context, question, sender),
+        SideEvent::QueryReceived(question, sender) => {
+            answer_operator_query(context, question, sender)
+        }
         // Without the thread nobody learns that this process is alive, and it
         // learns of no list. The platform starts it anew.
         SideEvent::Ended(why) => {
-            context.note("side_ended", &serde_json::json!({ "event": "side_ended", "why": why }));
-            context.log.borrow_mut().write();
+            context
+                .log_event("side_ended", &serde_json::json!({ "event": "side_ended", "why": why }));
+            context.log.borrow_mut().write_pending();
             if let Some(root) = context.directory.get::<PacketSupervisor>() {
-                call!([root], give_up(why));
+                call!([root], fail_process(why));
             }
         }
     }
 }
 
-fn answer_operator(
+fn answer_operator_query(
     context: &SharedContext,
-    question: OperatorQuestion,
+    question: OperatorQuery,
     sender: oneshot::Sender<Value>,
 ) {
     match question {
-        OperatorQuestion::Gauges => {
+        OperatorQuery::Gauges => {
             set_gauges(context);
             let Some(flows) = context.directory.get::<FlowPart>() else { return };
             // A question whose asker has gone needs no answer; so below.
             let answer = Box::new(move || drop(sender.send(Value::Null)));
             call!([flows], set_gauges(answer));
         }
-        OperatorQuestion::Status => {
+        OperatorQuery::Status => {
             let Some(flows) = context.directory.get::<FlowPart>() else { return };
             let shared = context.clone();
             let answer = Box::new(move |routing| {
                 let report = status_report(&shared, routing);
                 let _ = sender.send(serde_json::to_value(report).unwrap_or_default());
             });
-            call!([flows], report(answer));
+            call!([flows], report_routes(answer));
         }
-        OperatorQuestion::Explain(key, token) => {
+        OperatorQuery::Explain(key, token) => {
             let Some(flows) = context.directory.get::<FlowPart>() else { return };
             let answer = Box::new(move |report| {
                 let _ = sender.send(serde_json::to_value(report).unwrap_or_default());
             });
             call!([flows], explain(key, token, answer));
         }
-        OperatorQuestion::Audit => {
+        OperatorQuery::Audit => {
             let Some(root) = context.directory.get::<PacketSupervisor>() else { return };
             let answer = Box::new(move |entries| {
                 let _ = sender.send(serde_json::to_value(entries).unwrap_or_default());
             });
-            call!([root], read_audit(0, AUDIT_ENTRIES, answer));
+            call!([root], read_audit(0, MAX_AUDIT_ENTRIES, answer));
         }
     }
 }
@@ -301,7 +306,7 @@
     StatusReport {
         instance: settings.name.to_string(),
         data_centre: settings.data_centre.to_string(),
-        phase: context.phase.word(),
+        phase: context.phase.as_str(),
         list: MemberReport::new(&context.member.borrow(), context.clock.now()),
         routing,
     }
@@ -313,7 +318,7 @@
     metrics.peers.set(member.peer_count() as i64);
     metrics.is_reader.set(i64::from(member.is_reading_store()));
     metrics.list_age_ms.set(context.confirmed_age_ms().map_or(-1, |age| age as i64));
-    metrics.lines_suppressed.set(context.log.borrow().suppressed() as i64);
+    metrics.lines_suppressed.set(context.log.borrow().suppressed_lines() as i64);
 }
 
 /// Hands signals to the life part, in a thread of their own.
@@ -324,7 +329,7 @@
 ) -> Result<ChannelGuard> {
     let shared = context.clone();
     let hand_over = fwd_do!(move |signal: i32| {
-        if let Some(life) = shared.directory.get::<LifePart>() {
+        if let Some(life) = shared.directory.get::<LifecyclePart>() {
             call!([life], on_signal(signal));
         }
     });
--- a/crates/foxledge-daemon/src/packets/event_log.rs
+++ b/crates/foxledge-daemon/src/packets/event_log.rs
@@ -16,14 +16,14 @@
 use serde::Serialize;
 
 /// Bytes of lines kept while standard output takes none; more are lost.
-const MOST_WAITING: usize = 128 * 1024;
+const MAX_PENDING_BYTES: usize = 128 * 1024;
 /// Most bytes of one write. A pipe takes so many together or not at all: with more,
 /// a pipe that several processes share, or that is nearly full, splits lines.
-const WRITE_AT: usize = 4 * 1024;
+const MAX_WRITE_BYTES: usize = 4 * 1024;
 /// Longest time that a line waits to be written together with others, in milliseconds.
-const WAIT_MS: u64 = 200;
+const MAX_WRITE_DELAY_MS: u64 = 200;
 /// One flow in this many keeps all its lines, on every instance, when there are too many.
-const SAMPLE: u64 = 16;
+const SAMPLED_FLOW_DIVISOR: u64 = 16;
 
 /// `LogField` are the fields with which every line begins.
 #[derive(Serialize)]
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug)]
 struct LineBudget {
     window_end: ClockTime,
-    asked: u64,
+    requested: u64,
     written: u64,
     suppressed: u64,
     /// Set for a second when more lines were asked for in the one before.
@@ -68,9 +68,9 @@
 pub struct EventLog {
     lines_per_s: u64,
     budgets: HashMap<&'static str, LineBudget>,
-    waiting: Vec<u8>,
-    write_at: ClockTime,
-    suppressed: u64,
+    pending: Vec<u8>,
+    next_write_at: ClockTime,
+    suppressed_lines: u64,
     output: Box<dyn Write>,
 }
 
@@ -80,33 +80,33 @@
     /// # Errors
     ///
     /// When the process has no standard output.
-    pub fn on_stdout(lines_per_s: u32) -> io::Result<EventLog> {
+    pub fn to_stdout(lines_per_s: u32) -> io::Result<EventLog> {
         let flags = fcntl(io::stdout(), FcntlArg::F_GETFL).map(OFlag::from_bits_truncate)?;
         fcntl(io::stdout(), FcntlArg::F_SETFL(flags | OFlag::O_NONBLOCK))?;
-        Ok(EventLog::on(Box::new(RawStdout), lines_per_s))
+        Ok(EventLog::with_output(Box::new(RawStdout), lines_per_s))
     }
 
     /// A log on another output.
-    pub fn on(output: Box<dyn Write>, lines_per_s: u32) -> EventLog {
+    pub fn with_output(output: Box<dyn Write>, lines_per_s: u32) -> EventLog {
         EventLog {
             lines_per_s: u64::from(lines_per_s),
             budgets: HashMap::new(),
-            waiting: Vec::new(),
-            write_at: ClockTime::ZERO,
-            suppressed: 0,
+            pending: Vec::new(),
+            next_write_at: ClockTime::ZERO,
+            suppressed_lines: 0,
             output,
         }
     }
 
     /// Lines that weren't written since the start.
-    pub fn suppressed(&self) -> u64 {
-        self.suppressed
+    pub fn suppressed_lines(&self) -> u64 {
+        self.suppressed_lines
     }
 
     /// Logs a change of what the process is or believes.
-    pub fn note<T: Serialize>(&mut self, now: ClockTime, kind: &'static str, event: &T) {
+    pub fn log_event<T: Serialize>(&mut self, now: ClockTime, kind: &'static str, event: &T) {
         if let Some(suppressed) = self.admit(now, kind, 0) {
-            self.add(now, suppressed, event);
+            self.append_line(now, suppressed, event);
         }
     }
 
@@ -115,7 +115,7 @@
     /// In the second after one with too many, only one flow in sixteen is logged,
     /// chosen by its hash: such a flow has all its lines on every instance. The
     /// event of a line that isn't kept is never made.
-    pub fn decision<T: Serialize>(
+    pub fn log_decision<T: Serialize>(
         &mut self,
         now: ClockTime,
         kind: &'static str,
@@ -123,32 +123,32 @@
         make: impl FnOnce() -> T,
     ) {
         if let Some(suppressed) = self.admit(now, kind, flow_hash) {
-            self.add(now, suppressed, &make());
+            self.append_line(now, suppressed, &make());
         }
     }
 
     /// Writes what waits, if it has waited long enough or is much.
     pub fn flush(&mut self, now: ClockTime) {
-        let is_due = self.waiting.len() >= WRITE_AT || self.write_at.is_past(now);
-        if is_due && !self.waiting.is_empty() {
-            self.write();
+        let is_due = self.pending.len() >= MAX_WRITE_BYTES || self.next_write_at.is_past(now);
+        if is_due && !self.pending.is_empty() {
+            self.write_pending();
         }
     }
 
     /// Writes what waits.
-    pub fn write(&mut self) {
-        while !self.waiting.is_empty() {
-            let size = whole_lines(&self.waiting);
-            match self.output.write(&self.waiting[..size]) {
+    pub fn write_pending(&mut self) {
+        while !self.pending.is_empty() {
+            let size = whole_lines_length(&self.pending);
+            match self.output.write(&self.pending[..size]) {
                 Ok(0) => return,
-                Ok(count) => drop(self.waiting.drain(..count)),
+                Ok(count) => drop(self.pending.drain(..count)),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 // Nobody reads now: the lines wait, as far as there is room.
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(_) => {
                     // Nobody will ever read them.
-                    self.suppressed += count_lines(&self.waiting);
-                    self.waiting.clear();
+                    self.suppressed_lines += count_lines(&self.pending);
+                    self.pending.clear();
                 }
             }
         }
@@ -160,57 +160,57 @@
         let most = self.lines_per_s;
         let budget = self.budgets.entry(kind).or_insert(LineBudget {
             window_end: now.after_millis(1_000),
-            asked: 0,
+            requested: 0,
             written: 0,
             suppressed: 0,
             is_sampling: false,
         });
         if budget.window_end.is_past(now) {
-            budget.is_sampling = budget.asked > most;
+            budget.is_sampling = budget.requested > most;
             budget.window_end = now.after_millis(1_000);
-            (budget.asked, budget.written) = (0, 0);
+            (budget.requested, budget.written) = (0, 0);
         }
-        budget.asked += 1;
-        let is_left_out = budget.is_sampling && !flow_hash.is_multiple_of(SAMPLE);
+        budget.requested += 1;
+        let is_left_out = budget.is_sampling && !flow_hash.is_multiple_of(SAMPLED_FLOW_DIVISOR);
         if budget.written >= most || is_left_out {
             budget.suppressed += 1;
-            self.suppressed += 1;
+            self.suppressed_lines += 1;
             return None;
         }
         budget.written += 1;
         Some(std::mem::take(&mut budget.suppressed))
     }
 
-    fn add<T: Serialize>(&mut self, now: ClockTime, suppressed: u64, event: &T) {
-        if self.waiting.len() >= MOST_WAITING {
-            self.suppressed += 1;
+    fn append_line<T: Serialize>(&mut self, now: ClockTime, suppressed: u64, event: &T) {
+        if self.pending.len() >= MAX_PENDING_BYTES {
+            self.suppressed_lines += 1;
             return;
         }
-        if self.waiting.is_empty() {
-            self.write_at = now.after_millis(WAIT_MS);
+        if self.pending.is_empty() {
+            self.next_write_at = now.after_millis(MAX_WRITE_DELAY_MS);
         }
-        let line = LogLine { at_ms: wall_ms(), suppressed, event };
-        let size = self.waiting.len();
-        match serde_json::to_writer(&mut self.waiting, &line) {
-            Ok(()) => self.waiting.push(b'\n'),
+        let line = LogLine { at_ms: wall_clock_ms(), suppressed, event };
+        let size = self.pending.len();
+        match serde_json::to_writer(&mut self.pending, &line) {
+            Ok(()) => self.pending.push(b'\n'),
             Err(_) => {
-                self.waiting.truncate(size);
-                self.suppressed += 1;
+                self.pending.truncate(size);
+                self.suppressed_lines += 1;
             }
         }
     }
 }
 
 /// The time of day in milliseconds, for people; nothing is decided by it.
-fn wall_ms() -> u64 {
+fn wall_clock_ms() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since.map_or(0, |span| span.as_millis() as u64)
 }
 
 /// Length of the lines that one write takes; a longer line goes by itself.
-fn whole_lines(bytes: &[u8]) -> usize {
+fn whole_lines_length(bytes: &[u8]) -> usize {
     let is_end = |byte: &u8| *byte == b'\n';
-    let room = &bytes[..bytes.len().min(WRITE_AT)];
+    let room = &bytes[..bytes.len().min(MAX_WRITE_BYTES)];
     let last = room.iter().rposition(is_end).or_else(|| bytes.iter().position(is_end));
     last.map_or(bytes.len(), |end| end + 1)
 }
--- a/crates/foxledge-daemon/src/packets/fleet_part.rs
+++ b/crates/foxledge-daemon/src/packets/fleet_part.rs
@@ -17,13 +17,15 @@
 
 use crate::listener::{BATCH_LIMIT, POLL_PRIORITY};
 
-use super::{context::SharedContext, flow_part::FlowPart, life_part::LifePart, side::SideOrder};
+use super::{
+    context::SharedContext, flow_part::FlowPart, lifecycle_part::LifecyclePart, side::SideCommand,
+};
 
 /// Larger than any message, so that one that is too long shows as cut.
-const READ_SIZE: usize = 2 * MAX_MESSAGE_BYTES;
+const BUFFER_BYTES: usize = 2 * MAX_MESSAGE_BYTES;
 /// Shortest time between two turns for timers, in milliseconds: timers that
 /// fall due together are served together.
-const TICK_MS: u64 = 5;
+const MIN_TIMER_INTERVAL_MS: u64 = 5;
 
 /// `FleetPart` owns the socket for messages of instances.
 pub struct FleetPart {
@@ -45,8 +47,8 @@
     pub fn init(cx: CX![], context: SharedContext) -> Option<FleetPart> {
         match FleetPart::open(cx, context) {
             Ok(part) => {
-                call!([cx], drain());
-                call!([cx], on_time());
+                call!([cx], read_batch());
+                call!([cx], on_timer());
                 Some(part)
             }
             Err(error) => {
@@ -65,26 +67,26 @@
     }
 
     /// Tells other instances what packets told of backend servers.
-    pub fn share_notes(&mut self, cx: CX![], notes: Vec<HealthObservation>) {
+    pub fn share_observations(&mut self, cx: CX![], notes: Vec<HealthObservation>) {
         let now = self.context.clock.now();
         self.context.member.borrow_mut().share_observations(now, &notes);
-        self.carry_out(cx);
+        self.apply_effects(cx);
     }
 
     /// Sends the messages that callers' packets have made.
     pub fn send_messages(&mut self, cx: CX![]) {
-        self.carry_out(cx);
+        self.apply_effects(cx);
     }
 
     /// Asks other instances for backend servers that vanished before this one started.
-    pub fn ask_tokens(&mut self, cx: CX![], tokens: Vec<u32>) {
+    pub fn query_tokens(&mut self, cx: CX![], tokens: Vec<u32>) {
         let now = self.context.clock.now();
         self.context.member.borrow_mut().query_removed_backends(now, tokens);
-        self.carry_out(cx);
+        self.apply_effects(cx);
     }
 
     /// Takes the store's answer to an order.
-    pub fn take_reading(
+    pub fn handle_store_response(
         &mut self,
         cx: CX![],
         order: StoreQuery,
@@ -94,27 +96,27 @@
         self.context.metrics.store_calls.with_label_values(&[outcome]).inc();
         let now = self.context.clock.now();
         self.context.member.borrow_mut().handle_store_response(now, order, answer);
-        self.carry_out(cx);
+        self.apply_effects(cx);
     }
 
     /// Tells other instances that this one stops.
-    pub fn leave(&mut self, cx: CX![]) {
+    pub fn announce_leave(&mut self, cx: CX![]) {
         let now = self.context.clock.now();
         self.context.member.borrow_mut().announce_leave(now);
-        self.carry_out(cx);
+        self.apply_effects(cx);
     }
 
-    fn on_time(&mut self, cx: CX![]) {
+    fn on_timer(&mut self, cx: CX![]) {
         self.timer = None;
         self.discard_after_pause();
         let now = self.context.clock.now();
         self.context.member.borrow_mut().handle_timers(now);
         self.context.log.borrow_mut().flush(now);
-        self.carry_out(cx);
+        self.apply_effects(cx);
     }
 
     fn socket_ready(&mut self, cx: CX![], _ready: Ready) {
-        self.drain(cx);
+        self.read_batch(cx);
     }
 
     /// Drops messages that have waited while the process stood still.
@@ -123,38 +125,38 @@
     /// waited are short by as much: the list would count as confirmed a moment
     /// ago, and this would be told to others. Peers repeat what is still true.
     fn discard_after_pause(&mut self) {
-        let Some(pause) = self.context.pause() else { return };
-        let mut buffer = [0; READ_SIZE];
+        let Some(pause) = self.context.detect_pause() else { return };
+        let mut buffer = [0; BUFFER_BYTES];
         let mut discarded_messages = 0;
         while self.socket.recv_from(&mut buffer).is_ok() {
             discarded_messages += 1;
         }
         let late_ms = pause.as_millis() as u64;
         let line = PauseLine { event: "paused", late_ms, discarded_messages };
-        self.context.note("paused", &line);
+        self.context.log_event("paused", &line);
         if let Some(flows) = self.context.directory.get::<FlowPart>() {
-            call!([flows], note_pause());
+            call!([flows], record_pause());
         }
         self.context.last_pause.set((self.context.clock.now(), pause));
-        self.context.due_at.set(ClockTime::MAX);
+        self.context.next_timer_at.set(ClockTime::MAX);
     }
 
-    fn drain(&mut self, cx: CX![]) {
+    fn read_batch(&mut self, cx: CX![]) {
         self.discard_after_pause();
-        let mut buffer = [0; READ_SIZE];
+        let mut buffer = [0; BUFFER_BYTES];
         for _ in 0..BATCH_LIMIT {
             match self.socket.recv_from(&mut buffer) {
-                Ok((size, from)) => self.take_message(&buffer[..size], from),
+                Ok((size, from)) => self.handle_message(&buffer[..size], from),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
                 Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => continue,
                 Err(error) => return fail!(cx, "can't read the socket: {}", error),
             }
         }
-        self.carry_out(cx);
+        self.apply_effects(cx);
     }
 
-    fn take_message(&mut self, bytes: &[u8], from: SocketAddr) {
+    fn handle_message(&mut self, bytes: &[u8], from: SocketAddr) {
         let SocketAddr::V4(from) = from else { return };
         let metrics = &self.context.metrics;
         metrics.messages.with_label_values(&["in"]).inc();
@@ -165,10 +167,10 @@
         }
     }
 
-    fn carry_out(&mut self, cx: CX![]) {
+    fn apply_effects(&mut self, cx: CX![]) {
         let effects = self.context.member.borrow_mut().drain_effects();
         for effect in effects {
-            self.carry_out_one(effect);
+            self.apply_effect(effect);
         }
         self.context.log.borrow_mut().flush(self.context.clock.now());
         self.set_timer(cx);
@@ -178,55 +180,57 @@
         let metrics = &self.context.metrics;
         let labels = [call.query.as_str(), call.reason.as_str()];
         metrics.store_readings.with_label_values(&labels).inc();
-        if self.context.side.send(SideOrder::Read(call.query)).is_err() {
+        if self.context.side_commands.send(SideCommand::CallStore(call.query)).is_err() {
             // The side thread is gone, and its end is being reported.
             metrics.store_calls.with_label_values(&["unsent"]).inc();
         }
     }
 
-    fn carry_out_one(&mut self, effect: FleetEffect) {
+    fn apply_effect(&mut self, effect: FleetEffect) {
         let directory = &self.context.directory;
         match effect {
-            FleetEffect::SendDatagram { to, bytes } => self.send(SocketAddr::V4(to), &bytes),
+            FleetEffect::SendDatagram { to, bytes } => {
+                self.send_datagram(SocketAddr::V4(to), &bytes)
+            }
             FleetEffect::CallStore(call) => self.call_store(call),
             FleetEffect::ApplyRows(rows) => {
                 self.set_list_metrics();
                 if let Some(flows) = directory.get::<FlowPart>() {
-                    call!([flows], take_rows(rows));
+                    call!([flows], apply_rows(rows));
                 }
-                if let Some(life) = directory.get::<LifePart>() {
-                    call!([life], consider_serving());
+                if let Some(life) = directory.get::<LifecyclePart>() {
+                    call!([life], serve_when_ready());
                 }
             }
             FleetEffect::ApplyRestoredRows(rows) => {
                 self.set_list_metrics();
                 if let Some(flows) = directory.get::<FlowPart>() {
-                    call!([flows], take_restored(rows));
+                    call!([flows], apply_restored_rows(rows));
                 }
             }
             FleetEffect::RecordConfirmation(at) => {
                 if let Some(flows) = directory.get::<FlowPart>() {
-                    call!([flows], take_confirmation(at));
+                    call!([flows], record_confirmation(at));
                 }
-                if let Some(life) = directory.get::<LifePart>() {
-                    call!([life], consider_serving());
+                if let Some(life) = directory.get::<LifecyclePart>() {
+                    call!([life], serve_when_ready());
                 }
             }
             FleetEffect::RecordObservation(note) => {
                 if let Some(flows) = directory.get::<FlowPart>() {
-                    call!([flows], take_note(note));
+                    call!([flows], apply_observation(note));
                 }
             }
             FleetEffect::HandlePacket(bytes) => {
                 if let Some(flows) = directory.get::<FlowPart>() {
-                    call!([flows], take_relayed(bytes));
+                    call!([flows], handle_relayed_packet(bytes));
                 }
             }
             FleetEffect::LogEvent(event) => self.log_event(&event),
         }
     }
 
-    fn send(&self, to: SocketAddr, bytes: &[u8]) {
+    fn send_datagram(&self, to: SocketAddr, bytes: &[u8]) {
         let metrics = &self.context.metrics;
         metrics.messages.with_label_values(&["out"]).inc();
         metrics.message_bytes.with_label_values(&["out"]).inc_by(bytes.len() as u64);
@@ -237,7 +241,7 @@
     }
 
     fn log_event(&self, event: &FleetEvent) {
-        self.context.note(event.kind(), event);
+        self.context.log_event(event.kind(), event);
         let metrics = &self.context.metrics;
         match event {
             FleetEvent::ItemRefused(item) => {
@@ -245,7 +249,7 @@
                 metrics.refused_items.with_label_values(&[what]).inc();
             }
             FleetEvent::StoreEpochChanged { epoch, .. } => metrics.store_epoch.set(*epoch as i64),
-            FleetEvent::ReadingPassedOver { .. } => metrics.readings_passed_over.inc(),
+            FleetEvent::ReadingPassedOver { .. } => metrics.outdated_readings.inc(),
             // The rows in force may be the same before and after.
             FleetEvent::ConfigHeld { .. } | FleetEvent::ConfigReleased { .. } => {
                 self.set_list_metrics();
@@ -270,17 +274,17 @@
         let member = self.context.member.borrow();
         self.context.metrics.list_revision.set(number_of(member.list().head()) as i64);
         self.context.metrics.list_version.set(member.effective_version() as i64);
-        self.context.metrics.config_held.set(i64::from(member.is_retaining_config()));
+        self.context.metrics.config_retained.set(i64::from(member.is_retaining_config()));
     }
 
     fn set_timer(&mut self, cx: CX![]) {
         let now = self.context.clock.now();
         let next = self.context.member.borrow().next_timer_at(now);
-        let wait = next.remaining(now).max(Duration::from_millis(TICK_MS));
-        self.context.due_at.set(now.after(wait));
+        let wait = next.remaining(now).max(Duration::from_millis(MIN_TIMER_INTERVAL_MS));
+        self.context.next_timer_at.set(now.after(wait));
         if let Some(key) = self.timer.take() {
             cx.timer_del(key);
         }
-        self.timer = Some(after!(wait, [cx], on_time()));
+        self.timer = Some(after!(wait, [cx], on_timer()));
     }
 }
--- a/crates/foxledge-daemon/src/packets/flow_lines.rs
+++ b/crates/foxledge-daemon/src/packets/flow_lines.rs
@@ -17,16 +17,16 @@
     pub(super) flow: String,
     pub(super) sequence: u32,
     #[serde(flatten)]
-    pub(super) detail: FlowDetail<'a>,
+    pub(super) detail: DecisionDetail<'a>,
     #[serde(serialize_with = "serialize_number")]
     pub(super) list_revision: u64,
     pub(super) list_age_ms: Option<u64>,
 }
 
-/// `FlowDetail` is what was decided, and by what.
+/// `DecisionDetail` is what was decided, and by what.
 #[derive(Serialize)]
 #[serde(untagged)]
-pub(super) enum FlowDetail<'a> {
+pub(super) enum DecisionDetail<'a> {
     /// An opening packet was sent on.
     Opened {
         backend: &'a str,
@@ -64,10 +64,10 @@
     pub(super) fault: &'static str,
 }
 
-/// `NewsLine` is the log line of a backend server whose entry changed what is believed.
+/// `BackendLine` is the log line of a backend server whose entry changed what is believed.
 #[derive(Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-pub(super) enum NewsLine<'a> {
+pub(super) enum BackendLine<'a> {
     /// It started again under its id.
     BackendRestarted {
         backend: &'a str,
@@ -136,7 +136,7 @@
     }
 
     /// The word of the line's event.
-    pub(super) fn kind(&self) -> &'static str {
+    pub(super) fn event_name(&self) -> &'static str {
         match self {
             EvacuationLine::EvacuationBegun { .. } => "evacuation_begun",
             EvacuationLine::EvacuationEnded { .. } => "evacuation_ended",
@@ -159,11 +159,11 @@
     backend_revision: u64,
 }
 
-impl<'a> NewsLine<'a> {
+impl<'a> BackendLine<'a> {
     /// The line of a change of a backend server's entry.
-    pub(super) fn new(news: &BackendEvent, backend: &'a Backend) -> NewsLine<'a> {
+    pub(super) fn new(news: &BackendEvent, backend: &'a Backend) -> BackendLine<'a> {
         match *news {
-            BackendEvent::Restarted { former, .. } => NewsLine::BackendRestarted {
+            BackendEvent::Restarted { former, .. } => BackendLine::BackendRestarted {
                 backend: &backend.key,
                 service: &backend.service,
                 address: backend.address,
@@ -171,7 +171,7 @@
                 former_incarnation: former,
                 backend_revision: backend.revision,
             },
-            BackendEvent::EntryConflict { address, .. } => NewsLine::EntryContradicted {
+            BackendEvent::EntryConflict { address, .. } => BackendLine::EntryContradicted {
                 backend: &backend.key,
                 service: &backend.service,
                 address: backend.address,
@@ -183,10 +183,10 @@
     }
 
     /// The word of the line's event.
-    pub(super) fn kind(&self) -> &'static str {
+    pub(super) fn event_name(&self) -> &'static str {
         match self {
-            NewsLine::BackendRestarted { .. } => "backend_restarted",
-            NewsLine::EntryContradicted { .. } => "entry_contradicted",
+            BackendLine::BackendRestarted { .. } => "backend_restarted",
+            BackendLine::EntryContradicted { .. } => "entry_contradicted",
         }
     }
 }
--- a/crates/foxledge-daemon/src/packets/flow_load.rs
+++ b/crates/foxledge-daemon/src/packets/flow_load.rs
@@ -10,9 +10,9 @@
 use super::flow_part::FlowPart;
 
 /// Time between two looks at the load while no packets come.
-const LOOK: Duration = Duration::from_millis(250);
+const LOAD_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Most services in metrics and reports, so that their size stays bounded.
-pub(super) const MOST_SERVICES: usize = 200;
+pub(super) const MAX_REPORTED_SERVICES: usize = 200;
 
 /// `LoadLine` is the log line of a shortage or an overflow that begins or ends.
 #[derive(Serialize)]
@@ -35,10 +35,10 @@
         LoadLine {
             event: news.change.as_str(),
             service: &report.service,
-            load: rounded(report.load_ratio),
-            demand: rounded(report.demand),
-            slots: rounded(report.slots),
-            shares: shares_of(news.change, report),
+            load: round_to_thousandths(report.load_ratio),
+            demand: round_to_thousandths(report.demand),
+            slots: round_to_thousandths(report.slots),
+            shares: shares_after_change(news.change, report),
             parts: report.reporting_instances,
             view_age_ms: report.view_age_ms,
         }
@@ -47,7 +47,7 @@
 
 impl FlowPart {
     /// Hands the own load to the fleet and takes the load of all, when that is due.
-    pub(super) fn share_load(&mut self, now: ClockTime) {
+    pub(super) fn exchange_load(&mut self, now: ClockTime) {
         if !self.shares_load || !self.router.is_load_report_due(now) {
             return;
         }
@@ -60,7 +60,7 @@
             self.router.apply_load_view(now, view);
         }
         for news in self.router.drain_load_events() {
-            self.context.note(news.change.as_str(), &LoadLine::new(&news));
+            self.context.log_event(news.change.as_str(), &LoadLine::new(&news));
         }
         // The member may have told the load at once, or have it to tell before the fleet part's
         // timer ends.
@@ -68,9 +68,9 @@
     }
 
     /// Shares the load while no packets come: what ran before ends, and views expire.
-    pub(super) fn look_at_load(&mut self, cx: CX![]) {
-        self.share_load(self.context.clock.now());
-        after!(LOOK, [cx], look_at_load());
+    pub(super) fn check_load(&mut self, cx: CX![]) {
+        self.exchange_load(self.context.clock.now());
+        after!(LOAD_CHECK_INTERVAL, [cx], check_load());
     }
 
     /// Brings the metrics of load up to date.
@@ -82,7 +82,7 @@
         let sent = self.context.member.borrow().load_messages_sent();
         metrics.load_messages.inc_by(sent.saturating_sub(metrics.load_messages.get()));
         let mut reports = self.router.load_reports(now);
-        reports.truncate(MOST_SERVICES);
+        reports.truncate(MAX_REPORTED_SERVICES);
         let age = reports.iter().filter_map(|report| report.view_age_ms).min();
         metrics.load_view_age_ms.set(age.map_or(-1, |age| age as i64));
         metrics.load_requests.set_all(by_centre(&reports, |centre| centre.running));
@@ -109,7 +109,7 @@
         for report in reports {
             for (priority, count) in &report.refused_flows {
                 let key = (report.service.clone(), *priority);
-                let known = self.refused.insert(key, *count).unwrap_or_default();
+                let known = self.exported_refusals.insert(key, *count).unwrap_or_default();
                 let priority = priority.to_string();
                 counter.with_label_values(&[&priority]).inc_by(count.saturating_sub(known));
             }
@@ -131,19 +131,23 @@
     })
 }
 
-fn shares_of(change: LoadChange, report: &LoadReport) -> BTreeMap<String, f64> {
+fn shares_after_change(change: LoadChange, report: &LoadReport) -> BTreeMap<String, f64> {
     match change {
         LoadChange::ShortageBegun | LoadChange::ShortageEnded => {
             let shares = report.admitted_shares.iter();
-            shares.map(|(priority, share)| (priority.to_string(), rounded(*share))).collect()
+            shares
+                .map(|(priority, share)| (priority.to_string(), round_to_thousandths(*share)))
+                .collect()
         }
         LoadChange::OverflowBegun | LoadChange::OverflowEnded => {
             let centres = report.centres.iter().filter(|centre| centre.overflow_share > 0.0);
-            centres.map(|one| (one.data_centre.to_string(), rounded(one.overflow_share))).collect()
+            centres
+                .map(|one| (one.data_centre.to_string(), round_to_thousandths(one.overflow_share)))
+                .collect()
         }
     }
 }
 
-fn rounded(number: f64) -> f64 {
+fn round_to_thousandths(number: f64) -> f64 {
     (number * 1_000.0).round() / 1_000.0
 }
--- a/crates/foxledge-daemon/src/packets/flow_log.rs
+++ b/crates/foxledge-daemon/src/packets/flow_log.rs
@@ -6,7 +6,7 @@
 };
 
 use super::{
-    flow_lines::{EvacuationLine, FlowDetail, FlowLine, HealthLine, NewsLine},
+    flow_lines::{BackendLine, DecisionDetail, EvacuationLine, FlowLine, HealthLine},
     flow_part::FlowPart,
 };
 
@@ -19,7 +19,7 @@
         reason: &OpenReason,
     ) {
         let Some(backend) = self.router.backend(index) else { return };
-        self.log_decision(now, "flow_opened", packet, || FlowDetail::Opened {
+        self.log_decision(now, "flow_opened", packet, || DecisionDetail::Opened {
             backend: &backend.key,
             address: backend.address,
             data_centre: &backend.data_centre,
@@ -35,7 +35,7 @@
         stall: FlowStall,
     ) {
         let Some(backend) = self.router.backend(index) else { return };
-        let detail = || FlowDetail::Stalled { backend: &backend.key, stall };
+        let detail = || DecisionDetail::Stalled { backend: &backend.key, stall };
         self.log_decision(now, "flow_stalled", packet, detail);
     }
 
@@ -45,44 +45,50 @@
         now: ClockTime,
         event: &'static str,
         packet: &FlowPacket,
-        detail: impl FnOnce() -> FlowDetail<'a>,
+        detail: impl FnOnce() -> DecisionDetail<'a>,
     ) {
-        self.context.log.borrow_mut().decision(now, event, flow_hash(&packet.key), || FlowLine {
-            event,
-            flow: packet.key.to_string(),
-            sequence: packet.sequence,
-            detail: detail(),
-            list_revision: self.context.member.borrow().list().head(),
-            list_age_ms: self.context.confirmed_age_ms(),
+        self.context.log.borrow_mut().log_decision(now, event, flow_hash(&packet.key), || {
+            FlowLine {
+                event,
+                flow: packet.key.to_string(),
+                sequence: packet.sequence,
+                detail: detail(),
+                list_revision: self.context.member.borrow().list().head(),
+                list_age_ms: self.context.confirmed_age_ms(),
+            }
         });
     }
 
-    pub(super) fn log_news(&self, news: &BackendEvent) {
+    pub(super) fn log_backend_event(&self, news: &BackendEvent) {
         let (BackendEvent::Restarted { index, .. } | BackendEvent::EntryConflict { index, .. }) =
             news;
         let Some(backend) = self.router.backend(*index) else { return };
-        let line = NewsLine::new(news, backend);
-        let kind = line.kind();
-        self.context.metrics.backend_news.with_label_values(&[kind]).inc();
-        self.context.note(kind, &line);
+        let line = BackendLine::new(news, backend);
+        let kind = line.event_name();
+        self.context.metrics.backend_events.with_label_values(&[kind]).inc();
+        self.context.log_event(kind, &line);
     }
 
     pub(super) fn log_evacuation(&self, news: &EvacuationEvent) {
         let now = self.context.clock.now();
         let own = self.router.backends().filter(|one| one.data_centre == news.data_centre);
         let line = EvacuationLine::new(news, own.count(), self.context.confirmed_age_ms());
-        let kind = line.kind();
-        self.context.metrics.evacuation_news.with_label_values(&[kind]).inc();
+        let kind = line.event_name();
+        self.context.metrics.evacuation_events.with_label_values(&[kind]).inc();
         self.context.metrics.evacuated.set(self.router.evacuations().count() as i64);
-        self.context.note(kind, &line);
+        self.context.log_event(kind, &line);
         self.context.log.borrow_mut().flush(now);
     }
 
-    pub(super) fn log_note(&self, note: &HealthObservation, observer: &'static str) {
+    pub(super) fn log_observation(&self, note: &HealthObservation, observer: &'static str) {
         let now = self.context.clock.now();
         let Some(backend) = self.router.backend_by_number(note.number) else { return };
-        self.context.metrics.health_notes.with_label_values(&[note.kind.as_str(), observer]).inc();
+        self.context
+            .metrics
+            .health_observations
+            .with_label_values(&[note.kind.as_str(), observer])
+            .inc();
         let line = HealthLine::new(now, note, backend, observer);
-        self.context.log.borrow_mut().note(now, "backend_observed", &line);
+        self.context.log.borrow_mut().log_event(now, "backend_observed", &line);
     }
 }
--- a/crates/foxledge-daemon/src/packets/flow_part.rs
+++ b/crates/foxledge-daemon/src/packets/flow_part.rs
@@ -30,35 +30,35 @@
 use crate::listener::{BATCH_LIMIT, POLL_PRIORITY};
 
 use super::{
-    clock::LOOK_AGAIN,
+    clock::MIN_RECHECK_DELAY,
     context::SharedContext,
     fleet_part::FleetPart,
-    flow_lines::{FlowDetail, MalformedLine},
+    flow_lines::{DecisionDetail, MalformedLine},
     reports::{ExplainReport, RouteReport},
 };
 
 /// One byte more than a packet may have, so that a longer one shows as oversized.
-const READ_SIZE: usize = HEADROOM_BYTES + MAX_PACKET_BYTES + 1;
+const FRAME_BYTES: usize = HEADROOM_BYTES + MAX_PACKET_BYTES + 1;
 
 /// Longest time that packets wait for a list after the start, in milliseconds:
 /// later ones of the same callers have come by then.
-const HOLD_MS: u64 = 350;
+const MAX_LIST_WAIT_MS: u64 = 350;
 
 /// `FlowPart` owns the socket for callers' packets.
 pub struct FlowPart {
     pub(super) context: SharedContext,
     socket: MioSource<UdpSocket>,
     pub(super) router: FlowRouter,
-    counts: RouterCounters,
+    exported_counters: RouterCounters,
     /// While no list is known, packets wait in the socket until then.
-    held_until: Option<ClockTime>,
-    frame: Box<[u8; READ_SIZE]>,
+    list_wait_until: Option<ClockTime>,
+    frame: Box<[u8; FRAME_BYTES]>,
     /// The member has messages to send.
     has_messages: bool,
     /// Load is reported, and new flows are placed and refused by the load of all.
     pub(super) shares_load: bool,
     /// Openings refused for want of room that the metrics hold, by service and priority.
-    pub(super) refused: HashMap<(ServiceName, u32), u64>,
+    pub(super) exported_refusals: HashMap<(ServiceName, u32), u64>,
 }
 
 /// `PacketOrigin` is how a caller's packet came here.
@@ -84,10 +84,10 @@
     pub fn init(cx: CX![], context: SharedContext) -> Option<FlowPart> {
         match FlowPart::open(cx, context) {
             Ok(part) => {
-                call!([cx], end_hold());
-                call!([cx], drain());
+                call!([cx], end_list_wait());
+                call!([cx], read_batch());
                 if part.shares_load {
-                    call!([cx], look_at_load());
+                    call!([cx], check_load());
                 }
                 Some(part)
             }
@@ -127,41 +127,41 @@
         drop(member);
         let now = context.clock.now();
         let can_serve = context.member.borrow().can_serve();
-        let held_until = (!can_serve).then(|| now.after_millis(HOLD_MS));
-        let counts = RouterCounters::default();
-        let frame = Box::new([0; READ_SIZE]);
+        let list_wait_until = (!can_serve).then(|| now.after_millis(MAX_LIST_WAIT_MS));
+        let exported_counters = RouterCounters::default();
+        let frame = Box::new([0; FRAME_BYTES]);
         Ok(FlowPart {
             context,
             socket,
             router,
-            counts,
-            held_until,
+            exported_counters,
+            list_wait_until,
             frame,
             has_messages: false,
             shares_load,
-            refused: HashMap::new(),
+            exported_refusals: HashMap::new(),
         })
     }
 
     /// Takes rows of the list that changed.
-    pub fn take_rows(&mut self, cx: CX![], rows: Vec<ListRow>) {
+    pub fn apply_rows(&mut self, cx: CX![], rows: Vec<ListRow>) {
         self.router.apply_rows(self.context.clock.now(), &rows);
-        self.log_list_news();
-        if self.held_until.is_some() && self.context.member.borrow().can_serve() {
-            self.held_until = None;
-            self.drain(cx);
+        self.log_list_events();
+        if self.list_wait_until.is_some() && self.context.member.borrow().can_serve() {
+            self.list_wait_until = None;
+            self.read_batch(cx);
         }
     }
 
     /// Takes rows of a list of a store that came back from an older copy.
-    pub fn take_restored(&mut self, _cx: CX![], rows: Vec<ListRow>) {
+    pub fn apply_restored_rows(&mut self, _cx: CX![], rows: Vec<ListRow>) {
         self.router.apply_restored_rows(self.context.clock.now(), &rows);
-        self.log_list_news();
+        self.log_list_events();
     }
 
-    fn log_list_news(&mut self) {
+    fn log_list_events(&mut self) {
         for news in self.router.drain_backend_events() {
-            self.log_news(&news);
+            self.log_backend_event(&news);
         }
         for news in self.router.drain_evacuation_events() {
             self.log_evacuation(&news);
@@ -169,36 +169,36 @@
     }
 
     /// Takes the time of a confirmation of the list.
-    pub fn take_confirmation(&mut self, _cx: CX![], at: ClockTime) {
+    pub fn record_confirmation(&mut self, _cx: CX![], at: ClockTime) {
         let now = self.context.clock.now();
         self.router.set_confirmed_at(at);
-        self.log_list_news();
+        self.log_list_events();
         let mut member = self.context.member.borrow_mut();
         self.router.set_peer_count(member.peer_count());
         self.router.set_neighbours(now, member.recent_neighbours(now));
     }
 
     /// Takes the region of each data centre, as the settings changed.
-    pub fn take_regions(&mut self, _cx: CX![], regions: HashMap<CentreName, RegionName>) {
+    pub fn set_regions(&mut self, _cx: CX![], regions: HashMap<CentreName, RegionName>) {
         self.router.set_regions(regions);
     }
 
     /// Takes note that the process stood still, and reads what has waited meanwhile.
-    pub fn note_pause(&mut self, cx: CX![]) {
+    pub fn record_pause(&mut self, cx: CX![]) {
         self.router.record_pause();
-        self.drain(cx);
+        self.read_batch(cx);
     }
 
     /// Takes what another instance observed of a backend server.
-    pub fn take_note(&mut self, _cx: CX![], note: HealthObservation) {
+    pub fn apply_observation(&mut self, _cx: CX![], note: HealthObservation) {
         let now = self.context.clock.now();
         self.router.apply_observation(now, &note);
-        self.log_note(&note, "peer");
-        self.end_idle_flows(now);
+        self.log_observation(&note, "peer");
+        self.reset_idle_flows(now);
     }
 
     /// Takes a caller's packet that another instance couldn't place.
-    pub fn take_relayed(&mut self, _cx: CX![], bytes: Vec<u8>) {
+    pub fn handle_relayed_packet(&mut self, _cx: CX![], bytes: Vec<u8>) {
         let now = self.context.clock.now();
         let room = &mut self.frame[HEADROOM_BYTES..];
         let Some(room) = room.get_mut(..bytes.len()) else {
@@ -206,12 +206,12 @@
             return self.context.metrics.malformed.with_label_values(&[fault]).inc();
         };
         room.copy_from_slice(&bytes);
-        self.take_datagram(now, bytes.len(), PacketOrigin::Instance);
+        self.handle_datagram(now, bytes.len(), PacketOrigin::Instance);
         self.share_observations();
     }
 
     /// Answers with what the router knows.
-    pub fn report(&mut self, _cx: CX![], answer: Box<dyn FnOnce(RouteReport)>) {
+    pub fn report_routes(&mut self, _cx: CX![], answer: Box<dyn FnOnce(RouteReport)>) {
         answer(RouteReport::new(&self.router, self.context.clock.now()));
     }
 
@@ -239,7 +239,7 @@
     }
 
     fn socket_ready(&mut self, cx: CX![], _ready: Ready) {
-        self.drain(cx);
+        self.read_batch(cx);
     }
 
     /// True while packets are left in the socket for want of a list.
@@ -247,8 +247,8 @@
     /// An instance that is started anew gets packets at once and the list some
     /// tens of milliseconds later. Packets dropped in between come again after
     /// 200 ms, which is late for most requests.
-    fn is_holding(&self, now: ClockTime) -> bool {
-        self.held_until.is_some_and(|until| !until.is_past(now))
+    fn is_waiting_for_list(&self, now: ClockTime) -> bool {
+        self.list_wait_until.is_some_and(|until| !until.is_past(now))
     }
 
     /// Reads what has waited for a list once the wait is over.
@@ -256,13 +256,13 @@
     /// The main loop's clock may be behind this one. A timer that fires before the end of
     /// the wait leaves packets in the socket until another comes, as only new ones wake the
     /// loop; their callers would get no answer.
-    fn end_hold(&mut self, cx: CX![]) {
+    fn end_list_wait(&mut self, cx: CX![]) {
         let now = self.context.clock.now();
-        match self.held_until.filter(|until| !until.is_past(now)) {
+        match self.list_wait_until.filter(|until| !until.is_past(now)) {
             Some(until) => {
-                after!(until.remaining(now).max(LOOK_AGAIN), [cx], end_hold());
+                after!(until.remaining(now).max(MIN_RECHECK_DELAY), [cx], end_list_wait());
             }
-            None => self.drain(cx),
+            None => self.read_batch(cx),
         }
     }
 
@@ -270,18 +270,18 @@
     ///
     /// Without the bound, a flood would keep the main loop in here, and messages
     /// of instances would wait for longer than a new list may take.
-    fn drain(&mut self, cx: CX![]) {
+    fn read_batch(&mut self, cx: CX![]) {
         let now = self.context.clock.now();
-        if self.is_holding(now) {
+        if self.is_waiting_for_list(now) {
             return;
         }
-        if self.context.pause().is_some() {
+        if self.context.detect_pause().is_some() {
             self.router.record_pause();
         }
         let mut count = 0;
         while count < BATCH_LIMIT {
             match self.socket.recv_from(&mut self.frame[HEADROOM_BYTES..]) {
-                Ok((size, from)) => self.take_datagram(now, size, PacketOrigin::Network(from)),
+                Ok((size, from)) => self.handle_datagram(now, size, PacketOrigin::Network(from)),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
                 // An ICMP error of an earlier send; the socket itself is fine.
@@ -291,20 +291,20 @@
             count += 1;
         }
         if count == BATCH_LIMIT {
-            idle!([cx], drain());
+            idle!([cx], read_batch());
         } else {
             self.router.report_overdue_openings(now);
         }
         if count > 0 {
-            self.context.packet_at.set(now);
+            self.context.last_packet_at.set(now);
             self.share_observations();
         }
-        self.end_idle_flows(now);
-        self.share_load(now);
+        self.reset_idle_flows(now);
+        self.exchange_load(now);
     }
 
     /// Ends flows at rest whose backend server is dead, before their callers ask on them.
-    fn end_idle_flows(&mut self, now: ClockTime) {
+    fn reset_idle_flows(&mut self, now: ClockTime) {
         for FlowReset { key, received, backend, reason } in self.router.drain_flow_resets(now) {
             let packet = FlowPacket {
                 key,
@@ -314,11 +314,11 @@
                 acknowledged: received,
                 length: 0,
             };
-            self.end_flow(now, &packet, backend, reason);
+            self.reset_flow(now, &packet, backend, reason);
         }
     }
 
-    fn take_datagram(&mut self, now: ClockTime, size: usize, origin: PacketOrigin) {
+    fn handle_datagram(&mut self, now: ClockTime, size: usize, origin: PacketOrigin) {
         let read = self
             .context
             .adapters
@@ -330,7 +330,7 @@
                 self.context.metrics.malformed.with_label_values(&[fault.as_str()]).inc();
                 let event = "packet_malformed";
                 let line = MalformedLine { event, from: origin.address(), fault: fault.as_str() };
-                return self.context.note(event, &line);
+                return self.context.log_event(event, &line);
             }
         };
         match self.router.on_packet(now, &packet) {
@@ -338,21 +338,29 @@
                 if let Some(stall) = stall {
                     self.log_stall(now, &packet, backend, stall);
                 }
-                self.forward(size, backend);
+                self.forward_packet(size, backend);
             }
             FlowDecision::Open { backend, reason } => {
                 self.log_opening(now, &packet, backend, &reason);
                 self.open_flow(size, backend);
             }
-            FlowDecision::Refuse(reason) => self.refuse(now, &packet, reason),
-            FlowDecision::Reset { backend, reason } => self.end_flow(now, &packet, backend, reason),
-            FlowDecision::Relay => self.relay(now, size, &packet, origin),
+            FlowDecision::Refuse(reason) => self.refuse_flow(now, &packet, reason),
+            FlowDecision::Reset { backend, reason } => {
+                self.reset_flow(now, &packet, backend, reason)
+            }
+            FlowDecision::Relay => self.relay_packet(now, size, &packet, origin),
             FlowDecision::Drop(reason) => self.drop_packet(now, &packet, reason),
         }
     }
 
     /// Hands a packet to an instance that knows the whole list, unless it came that way.
-    fn relay(&mut self, now: ClockTime, size: usize, packet: &FlowPacket, origin: PacketOrigin) {
+    fn relay_packet(
+        &mut self,
+        now: ClockTime,
+        size: usize,
+        packet: &FlowPacket,
+        origin: PacketOrigin,
+    ) {
         let bytes = &self.frame[HEADROOM_BYTES..HEADROOM_BYTES + size];
         let is_first = matches!(origin, PacketOrigin::Network(_));
         if !is_first || !self.context.member.borrow_mut().relay_packet(now, bytes) {
@@ -360,11 +368,11 @@
         }
         self.context.metrics.packets.with_label_values(&["relay"]).inc();
         let token = packet.token;
-        self.log_decision(now, "packet_relayed", packet, || FlowDetail::Relayed { token });
+        self.log_decision(now, "packet_relayed", packet, || DecisionDetail::Relayed { token });
         self.has_messages = true;
     }
 
-    fn forward(&mut self, size: usize, index: usize) {
+    fn forward_packet(&mut self, size: usize, index: usize) {
         self.context.metrics.packets.with_label_values(&["forward"]).inc();
         self.send_frame(size, index);
     }
@@ -386,22 +394,28 @@
         }
     }
 
-    fn refuse(&mut self, now: ClockTime, packet: &FlowPacket, reason: RefuseReason) {
+    fn refuse_flow(&mut self, now: ClockTime, packet: &FlowPacket, reason: RefuseReason) {
         self.context.metrics.packets.with_label_values(&["refuse"]).inc();
         self.context.metrics.refusals.with_label_values(&[reason.as_str()]).inc();
-        self.log_decision(now, "flow_refused", packet, || FlowDetail::Refused { reason });
-        self.send_refusal(packet);
+        self.log_decision(now, "flow_refused", packet, || DecisionDetail::Refused { reason });
+        self.send_reset(packet);
     }
 
-    fn end_flow(&mut self, now: ClockTime, packet: &FlowPacket, index: usize, reason: ResetReason) {
+    fn reset_flow(
+        &mut self,
+        now: ClockTime,
+        packet: &FlowPacket,
+        index: usize,
+        reason: ResetReason,
+    ) {
         let Some(backend) = self.router.backend(index) else { return };
         self.context.metrics.packets.with_label_values(&["end"]).inc();
-        let detail = || FlowDetail::Ended { backend: &backend.key, reason };
+        let detail = || DecisionDetail::Ended { backend: &backend.key, reason };
         self.log_decision(now, "flow_ended", packet, detail);
-        self.send_refusal(packet);
+        self.send_reset(packet);
     }
 
-    fn send_refusal(&mut self, packet: &FlowPacket) {
+    fn send_reset(&mut self, packet: &FlowPacket) {
         let refusal = self.context.adapters.codec.reset_packet(packet);
         // Callers listen at the port at which packets arrive here.
         let port = self.context.settings.borrow().data.port();
@@ -415,7 +429,10 @@
         self.context.metrics.packets.with_label_values(&["drop"]).inc();
         self.context.metrics.drops.with_label_values(&[reason.as_str()]).inc();
         let token = packet.token;
-        self.log_decision(now, "packet_dropped", packet, || FlowDetail::Dropped { token, reason });
+        self.log_decision(now, "packet_dropped", packet, || DecisionDetail::Dropped {
+            token,
+            reason,
+        });
     }
 
     /// Lets the fleet part send what the member has to send.
@@ -433,11 +450,15 @@
         let counts = self.router.counters();
         let metrics = &self.context.metrics;
         metrics
-            .open_copies
-            .inc_by(counts.retransmitted_openings - self.counts.retransmitted_openings);
-        metrics.open_overdue.inc_by(counts.overdue_openings - self.counts.overdue_openings);
-        metrics.data_resent.inc_by(counts.retransmitted_data - self.counts.retransmitted_data);
-        self.counts = counts;
+            .retransmitted_openings
+            .inc_by(counts.retransmitted_openings - self.exported_counters.retransmitted_openings);
+        metrics
+            .overdue_openings
+            .inc_by(counts.overdue_openings - self.exported_counters.overdue_openings);
+        metrics
+            .retransmitted_data
+            .inc_by(counts.retransmitted_data - self.exported_counters.retransmitted_data);
+        self.exported_counters = counts;
         if std::mem::take(&mut self.has_messages) {
             self.send_messages();
         }
@@ -445,17 +466,17 @@
         if let Some(fleet) = self.context.directory.get::<FleetPart>()
             && !tokens.is_empty()
         {
-            call!([fleet], ask_tokens(tokens));
+            call!([fleet], query_tokens(tokens));
         }
         let notes = self.router.drain_observations();
         if notes.is_empty() {
             return;
         }
         for note in &notes {
-            self.log_note(note, "self");
+            self.log_observation(note, "self");
         }
         if let Some(fleet) = self.context.directory.get::<FleetPart>() {
-            call!([fleet], share_notes(notes));
+            call!([fleet], share_observations(notes));
         }
     }
 }
@@ -468,6 +489,6 @@
 
 impl Drop for FlowPart {
     fn drop(&mut self) {
-        self.context.log.borrow_mut().write();
+        self.context.log.borrow_mut().write_pending();
     }
 }
--- a/crates/foxledge-daemon/src/packets/life_part.rs
+++ b/crates/foxledge-daemon/src/packets/lifecycle_part.rs
@@ -14,7 +14,7 @@
 use stakker::{CX, StopCause, after, call};
 
 use super::{
-    clock::LOOK_AGAIN, context::SharedContext, fleet_part::FleetPart, flow_part::FlowPart,
+    clock::MIN_RECHECK_DELAY, context::SharedContext, fleet_part::FleetPart, flow_part::FlowPart,
 };
 
 /// Longest wait for somebody's word that the list is the newest, in
@@ -22,43 +22,43 @@
 ///
 /// The first list may be some seconds old. That serves callers better than no
 /// answer, and a newer list is in force a moment after.
-const UNSURE_MS: u64 = 30;
+const MAX_CONFIRMATION_WAIT_MS: u64 = 30;
 /// Shortest time from the begin of a planned stop to its end, in milliseconds.
 ///
 /// Routers ask twice a second whether an instance is ready and take it out after
 /// two misses, a second at most. Packets that they send until then must still be
 /// sent on. Longer stops overlap with those of neighbours, and with fewer than half
 /// of a data centre's instances ready, routers use them all again, stopped ones too.
-const NOTICED_MS: u64 = 1_250;
+const MIN_STOP_MS: u64 = 1_250;
 /// Silence after which no more packets are expected, in milliseconds.
-const EBB_MS: u64 = 400;
+const QUIET_PERIOD_MS: u64 = 400;
 /// Time before the limit of a planned stop at which the process ends all the
 /// same, in milliseconds, so that it isn't killed.
-const MARGIN_MS: u64 = 800;
+const STOP_MARGIN_MS: u64 = 800;
 /// Shortest planned stop, in milliseconds: what waits in the sockets is sent on.
-const LEAST_MS: u64 = 200;
+const MIN_STOP_LIMIT_MS: u64 = 200;
 /// Time between two looks during a planned stop.
-const LOOK: Duration = Duration::from_millis(100);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// `LifePart` sets the phase of the process.
-pub struct LifePart {
+/// `LifecyclePart` sets the phase of the process.
+pub struct LifecyclePart {
     context: SharedContext,
-    unsure_until: Option<ClockTime>,
-    leaving: Option<LeaveTimes>,
+    confirmation_deadline: Option<ClockTime>,
+    deadlines: Option<StopDeadlines>,
 }
 
-/// `LeaveTimes` bounds a planned stop.
+/// `StopDeadlines` bounds a planned stop.
 #[derive(Clone, Copy, Debug)]
-struct LeaveTimes {
+struct StopDeadlines {
     begun_at: ClockTime,
-    earliest: ClockTime,
-    latest: ClockTime,
+    earliest_stop_at: ClockTime,
+    latest_stop_at: ClockTime,
 }
 
-/// `LifeLine` is the log line of a change of the process.
+/// `LifecycleLine` is the log line of a change of the process.
 #[derive(Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-enum LifeLine<'a> {
+enum LifecycleLine<'a> {
     /// Flows are taken from now on.
     Serving { version: u64, epoch: u64, revision: u64, list_age_ms: Option<u64> },
     /// A planned stop began.
@@ -73,19 +73,19 @@
     ReloadRefused { findings: &'a str },
 }
 
-impl LifePart {
+impl LifecyclePart {
     /// Begins where the process stands.
-    pub fn init(cx: CX![], context: SharedContext) -> Option<LifePart> {
-        let mut life = LifePart { context, unsure_until: None, leaving: None };
+    pub fn init(cx: CX![], context: SharedContext) -> Option<LifecyclePart> {
+        let mut life = LifecyclePart { context, confirmation_deadline: None, deadlines: None };
         match life.context.phase.get() {
             EnginePhase::Leaving => life.begin_leaving(cx),
-            _ => call!([cx], consider_serving()),
+            _ => call!([cx], serve_when_ready()),
         }
         Some(life)
     }
 
     /// Begins to serve when the list is known.
-    pub fn consider_serving(&mut self, cx: CX![]) {
+    pub fn serve_when_ready(&mut self, cx: CX![]) {
         if self.context.phase.get() != EnginePhase::Joining {
             return;
         }
@@ -96,12 +96,14 @@
         }
         let is_sure = member.confirmed_at().is_some();
         drop(member);
-        let until = *self.unsure_until.get_or_insert_with(|| now.after_millis(UNSURE_MS));
+        let until = *self
+            .confirmation_deadline
+            .get_or_insert_with(|| now.after_millis(MAX_CONFIRMATION_WAIT_MS));
         if is_sure || until.is_past(now) {
             return self.begin_serving();
         }
         // The loop's clock may be behind this one, so the time is looked at again.
-        after!(until.remaining(now).max(LOOK_AGAIN), [cx], consider_serving());
+        after!(until.remaining(now).max(MIN_RECHECK_DELAY), [cx], serve_when_ready());
     }
 
     /// Acts on a signal.
@@ -109,62 +111,64 @@
         match signal {
             SIGHUP => self.reload(cx),
             SIGTERM | SIGINT if self.context.phase.get() != EnginePhase::Leaving => {
-                let limit_ms = self.context.settings.borrow().stop_ms;
-                self.context.note("stop_begun", &LifeLine::StopBegun { signal, limit_ms });
+                let limit_ms = self.context.settings.borrow().stop_limit_ms;
+                self.context
+                    .log_event("stop_begun", &LifecycleLine::StopBegun { signal, limit_ms });
                 self.set_phase(EnginePhase::Leaving, "planned stop");
                 if let Some(fleet) = self.context.directory.get::<FleetPart>() {
-                    call!([fleet], leave());
+                    call!([fleet], announce_leave());
                 }
                 self.begin_leaving(cx);
             }
-            _ => self.context.note("signal_ignored", &LifeLine::SignalIgnored { signal }),
+            _ => self.context.log_event("signal_ignored", &LifecycleLine::SignalIgnored { signal }),
         }
     }
 
     fn begin_serving(&mut self) {
         self.set_phase(EnginePhase::Serving, "the list is known");
         let member = self.context.member.borrow();
-        let line = LifeLine::Serving {
+        let line = LifecycleLine::Serving {
             version: member.effective_version(),
             epoch: epoch_of(member.list().head()),
             revision: number_of(member.list().head()),
             list_age_ms: self.context.confirmed_age_ms(),
         };
-        self.context.note("serving", &line);
-        self.context.log.borrow_mut().write();
+        self.context.log_event("serving", &line);
+        self.context.log.borrow_mut().write_pending();
     }
 
     fn begin_leaving(&mut self, cx: CX![]) {
         let now = self.context.clock.now();
-        let limit_ms = self.context.settings.borrow().stop_ms;
+        let limit_ms = self.context.settings.borrow().stop_limit_ms;
         // A signal that came while the process stood still may be as old as the
         // pause; routers have noticed the pause as well.
         let pause_ms = self.context.recent_pause().as_millis() as u64;
-        let noticed_ms = NOTICED_MS.saturating_sub(pause_ms);
-        let left_ms = limit_ms.saturating_sub(MARGIN_MS + pause_ms).max(LEAST_MS);
-        self.leaving = Some(LeaveTimes {
+        let noticed_ms = MIN_STOP_MS.saturating_sub(pause_ms);
+        let left_ms = limit_ms.saturating_sub(STOP_MARGIN_MS + pause_ms).max(MIN_STOP_LIMIT_MS);
+        self.deadlines = Some(StopDeadlines {
             begun_at: now,
-            earliest: now.after_millis(noticed_ms),
-            latest: now.after_millis(left_ms),
+            earliest_stop_at: now.after_millis(noticed_ms),
+            latest_stop_at: now.after_millis(left_ms),
         });
-        after!(LOOK, [cx], check_left());
+        after!(STOP_CHECK_INTERVAL, [cx], stop_when_drained());
     }
 
-    fn check_left(&mut self, cx: CX![]) {
-        let Some(times) = self.leaving else { return };
+    fn stop_when_drained(&mut self, cx: CX![]) {
+        let Some(times) = self.deadlines else { return };
         let now = self.context.clock.now();
-        let silent = now.since(self.context.packet_at.get());
-        let has_ebbed = silent >= Duration::from_millis(EBB_MS) && times.earliest.is_past(now);
-        if !has_ebbed && !times.latest.is_past(now) {
-            after!(LOOK, [cx], check_left());
+        let silent = now.since(self.context.last_packet_at.get());
+        let has_ebbed =
+            silent >= Duration::from_millis(QUIET_PERIOD_MS) && times.earliest_stop_at.is_past(now);
+        if !has_ebbed && !times.latest_stop_at.is_past(now) {
+            after!(STOP_CHECK_INTERVAL, [cx], stop_when_drained());
             return;
         }
-        let line = LifeLine::Stopped {
+        let line = LifecycleLine::Stopped {
             after_ms: now.since(times.begun_at).as_millis() as u64,
             silent_ms: silent.as_millis() as u64,
         };
-        self.context.note("stopped", &line);
-        self.context.log.borrow_mut().write();
+        self.context.log_event("stopped", &line);
+        self.context.log.borrow_mut().write_pending();
         cx.shutdown(StopCause::Stopped);
     }
 
@@ -174,31 +178,32 @@
             Ok(newer) => newer,
             Err(findings) => {
                 let findings = findings.to_string();
-                return self
-                    .context
-                    .note("reload_refused", &LifeLine::ReloadRefused { findings: &findings });
+                return self.context.log_event(
+                    "reload_refused",
+                    &LifecycleLine::ReloadRefused { findings: &findings },
+                );
             }
         };
         let changes = self.context.settings.borrow().changes(&newer);
         let changes =
             changes.iter().map(|(key, before, after)| format!("{key}: {before} to {after}"));
-        self.context.note("reloaded", &LifeLine::Reloaded { changes: changes.collect() });
+        self.context.log_event("reloaded", &LifecycleLine::Reloaded { changes: changes.collect() });
         self.context.member.borrow_mut().set_seeds(newer.seeds.clone());
         if let Some(flows) = self.context.directory.get::<FlowPart>() {
-            call!([flows], take_regions(newer.regions.clone()));
+            call!([flows], set_regions(newer.regions.clone()));
         }
         let mut settings = self.context.settings.borrow_mut();
         settings.regions = newer.regions;
         settings.seeds = newer.seeds;
-        settings.stop_ms = newer.stop_ms;
+        settings.stop_limit_ms = newer.stop_limit_ms;
     }
 
     fn set_phase(&self, phase: EnginePhase, cause: &str) {
-        let before = self.context.phase.word();
+        let before = self.context.phase.as_str();
         self.context.phase.set(phase);
         let name = self.context.settings.borrow().name.to_string();
         let change = AuditChange::new(AuditKind::ProcessChanged, name)
-            .with_values(before, self.context.phase.word())
+            .with_values(before, self.context.phase.as_str())
             .with_cause(cause, "life");
         self.context.record(change);
     }
--- a/crates/foxledge-daemon/src/packets/metrics.rs
+++ b/crates/foxledge-daemon/src/packets/metrics.rs
@@ -31,15 +31,15 @@
     /// Time from a request to the first sign of its answer.
     pub latency: Histogram,
     /// Opening packets that callers sent again.
-    pub open_copies: IntCounter,
+    pub retransmitted_openings: IntCounter,
     /// Opening packets that weren't answered as fast as others are.
-    pub open_overdue: IntCounter,
+    pub overdue_openings: IntCounter,
     /// Data that callers sent again.
-    pub data_resent: IntCounter,
+    pub retransmitted_data: IntCounter,
     /// Flows that are tracked.
     pub flows: IntGauge,
     /// Observations of backend servers by kind and by who observed.
-    pub health_notes: IntCounterVec,
+    pub health_observations: IntCounterVec,
     /// Backend servers that get no new flows for want of health.
     pub ejected: IntGauge,
     /// Revision of the list.
@@ -47,7 +47,7 @@
     /// Operators' version of the list.
     pub list_version: IntGauge,
     /// 1 while the store has an older version of the operators' list than is in force.
-    pub config_held: IntGauge,
+    pub config_retained: IntGauge,
     /// Age of the store's last confirmation; -1 before the first.
     pub list_age_ms: IntGauge,
     /// Other instances that are known.
@@ -57,9 +57,9 @@
     /// Items of the store that can't be understood, by what they should be.
     pub refused_items: IntCounterVec,
     /// Changes of what is believed of backend servers' entries, by kind.
-    pub backend_news: IntCounterVec,
+    pub backend_events: IntCounterVec,
     /// Changes of what operators want of data centres.
-    pub evacuation_news: IntCounterVec,
+    pub evacuation_events: IntCounterVec,
     /// Data centres that are evacuated.
     pub evacuated: IntGauge,
     /// Calls of the store by outcome.
@@ -69,21 +69,21 @@
     /// Epoch of the store's history in its last answer to this instance.
     pub store_epoch: IntGauge,
     /// Answers of the store that were older than the list.
-    pub readings_passed_over: IntCounter,
+    pub outdated_readings: IntCounter,
     /// Messages between instances by direction.
     pub messages: IntCounterVec,
     /// Bytes of them by direction.
     pub message_bytes: IntCounterVec,
     /// Requests that run or wait, by service and data centre that serves them.
-    pub load_requests: GaugeRows,
+    pub load_requests: GaugeFamily,
     /// Usable slots by service and data centre.
-    pub load_slots: GaugeRows,
+    pub load_slots: GaugeFamily,
     /// Hundredths of the new flows here that go to another data centre.
-    pub overflow_percent: GaugeRows,
+    pub overflow_percent: GaugeFamily,
     /// 1 while a service is short of slots.
-    pub shortage: GaugeRows,
+    pub shortage: GaugeFamily,
     /// Hundredths of the openings of a priority that are admitted, while its service is short.
-    pub admitted_percent: GaugeRows,
+    pub admitted_percent: GaugeFamily,
     /// Openings refused for want of room, by priority.
     pub shortage_refusals: IntCounterVec,
     /// Reports of load sent to other instances.
@@ -96,20 +96,20 @@
     pub part_restarts: IntCounterVec,
 }
 
-/// `GaugeRows` is a gauge by labels whose values come and go.
-pub struct GaugeRows {
+/// `GaugeFamily` is a gauge by labels whose values come and go.
+pub struct GaugeFamily {
     gauge: GaugeVec,
     /// Labels that have a value.
-    known: Mutex<HashSet<Vec<String>>>,
+    present_labels: Mutex<HashSet<Vec<String>>>,
 }
 
-impl GaugeRows {
+impl GaugeFamily {
     /// Sets all values; labels that aren't among them have none any more.
     ///
     /// Each row is set in its place: the text is rendered by another thread, which would find a
     /// gauge that is emptied first without its rows.
     pub fn set_all(&self, rows: impl Iterator<Item = (Vec<String>, f64)>) {
-        let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut known = self.present_labels.lock().unwrap_or_else(PoisonError::into_inner);
         let mut present = HashSet::new();
         for (labels, value) in rows {
             self.gauge.with_label_values(&labels).set(value);
@@ -142,11 +142,11 @@
             drops: counters(r, "drops_total", "Dropped packets", &["reason"]),
             send_errors: counters(r, "send_errors_total", "Datagrams not sent", &["socket"]),
             latency: latency(r),
-            open_copies: counter(r, "open_copies_total", "Copies of opening packets"),
-            open_overdue: counter(r, "open_overdue_total", "Openings unanswered in time"),
-            data_resent: counter(r, "data_resent_total", "Data that callers sent again"),
+            retransmitted_openings: counter(r, "open_copies_total", "Copies of opening packets"),
+            overdue_openings: counter(r, "open_overdue_total", "Openings unanswered in time"),
+            retransmitted_data: counter(r, "data_resent_total", "Data that callers sent again"),
             flows: gauge(r, "flows", "Flows that are tracked"),
-            health_notes: counters(
+            health_observations: counters(
                 r,
                 "health_notes_total",
                 "Observations of backend servers",
@@ -155,7 +155,7 @@
             ejected: gauge(r, "backends_ejected", "Backend servers without new flows"),
             list_revision: gauge(r, "list_revision", "Revision of the list"),
             list_version: gauge(r, "list_version", "Operators' version of the list"),
-            config_held: gauge(r, "config_held", "1 while the store has an older version"),
+            config_retained: gauge(r, "config_held", "1 while the store has an older version"),
             list_age_ms: gauge(r, "list_age_milliseconds", "Age of the last confirmation"),
             peers: gauge(r, "peers", "Other instances that are known"),
             is_reader: gauge(r, "is_reader", "1 while this instance reads the store"),
@@ -165,8 +165,13 @@
                 "Items of the store not understood",
                 &["what"],
             ),
-            backend_news: counters(r, "backend_news_total", "Changes of entries", &["kind"]),
-            evacuation_news: counters(r, "evacuations_total", "Data centres by change", &["kind"]),
+            backend_events: counters(r, "backend_news_total", "Changes of entries", &["kind"]),
+            evacuation_events: counters(
+                r,
+                "evacuations_total",
+                "Data centres by change",
+                &["kind"],
+            ),
             evacuated: gauge(r, "evacuated_centres", "Data centres that are evacuated"),
             store_calls: counters(r, "store_calls_total", "Calls of the store", &["outcome"]),
             store_readings: counters(
@@ -176,7 +181,7 @@
                 &["order", "reason"],
             ),
             store_epoch: gauge(r, "store_epoch", "Epoch of the store's history"),
-            readings_passed_over: counter(
+            outdated_readings: counter(
                 r,
                 "readings_passed_over_total",
                 "Answers of the store that were older than the list",
@@ -230,10 +235,10 @@
     register(registry, IntCounterVec::new(options, labels).expect("the name is good"))
 }
 
-fn gauges(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> GaugeRows {
+fn gauges(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> GaugeFamily {
     let options = Opts::new(format!("foxledge_{name}"), help);
     let gauge = register(registry, GaugeVec::new(options, labels).expect("the name is good"));
-    GaugeRows { gauge, known: Mutex::default() }
+    GaugeFamily { gauge, present_labels: Mutex::default() }
 }
 
 fn counter(registry: &Registry, name: &str, help: &str) -> IntCounter {
--- a/crates/foxledge-daemon/src/packets/mod.rs
+++ b/crates/foxledge-daemon/src/packets/mod.rs
@@ -14,7 +14,7 @@
 mod flow_load;
 mod flow_log;
 pub mod flow_part;
-pub mod life_part;
+pub mod lifecycle_part;
 pub mod metrics;
 pub mod part_kind;
 pub mod parts;
--- a/crates/foxledge-daemon/src/packets/parts.rs
+++ b/crates/foxledge-daemon/src/packets/parts.rs
@@ -9,7 +9,7 @@
     context::SharedContext,
     fleet_part::FleetPart,
     flow_part::FlowPart,
-    life_part::LifePart,
+    lifecycle_part::LifecyclePart,
     part_kind::{PacketPart, PacketSupervisor},
 };
 
@@ -57,20 +57,20 @@
                 owner.anon()
             }
             PacketPart::Life => {
-                let owner = actor!(cx, LifePart::init(context), notify);
+                let owner = actor!(cx, LifecyclePart::init(context), notify);
                 directory.set(&owner);
                 owner.anon()
             }
         }
     }
 
-    fn companions(&self, _part: PacketPart) -> &'static [PacketPart] {
+    fn dependents(&self, _part: PacketPart) -> &'static [PacketPart] {
         &[]
     }
 
-    fn note_restart(&mut self, part: PacketPart) {
+    fn on_restart(&mut self, part: PacketPart) {
         let part = part.as_str();
         self.context.metrics.part_restarts.with_label_values(&[part]).inc();
-        self.context.note("part_restarted", &RestartLine { event: "part_restarted", part });
+        self.context.log_event("part_restarted", &RestartLine { event: "part_restarted", part });
     }
 }
--- a/crates/foxledge-daemon/src/packets/reports.rs
+++ b/crates/foxledge-daemon/src/packets/reports.rs
@@ -14,10 +14,10 @@
 use foxledge_gossip::{FleetMember, RefusedItem};
 use serde::Serialize;
 
-use super::flow_load::MOST_SERVICES;
+use super::flow_load::MAX_REPORTED_SERVICES;
 
 /// Most backend servers in a report, so that its size stays bounded.
-const MOST_BACKENDS: usize = 2_000;
+const MAX_REPORTED_BACKENDS: usize = 2_000;
 
 /// `BackendReport` is one backend server as this instance sees it.
 #[derive(Clone, Debug, Serialize)]
@@ -86,7 +86,7 @@
 impl RouteReport {
     /// Describes a router at `now`.
     pub fn new(router: &FlowRouter, now: ClockTime) -> RouteReport {
-        let backends = router.backends().take(MOST_BACKENDS).map(|backend| BackendReport {
+        let backends = router.backends().take(MAX_REPORTED_BACKENDS).map(|backend| BackendReport {
             backend: backend.key.to_string(),
             service: backend.service.to_string(),
             data_centre: backend.data_centre.to_string(),
@@ -106,7 +106,7 @@
         RouteReport {
             flows: router.tracked_flow_count(),
             evacuations: evacuations.collect(),
-            loads: router.load_reports(now).into_iter().take(MOST_SERVICES).collect(),
+            loads: router.load_reports(now).into_iter().take(MAX_REPORTED_SERVICES).collect(),
             backends: backends.collect(),
         }
     }
--- a/crates/foxledge-daemon/src/packets/side.rs
+++ b/crates/foxledge-daemon/src/packets/side.rs
@@ -34,29 +34,29 @@
 use super::metrics::PacketMetrics;
 
 /// Longest wait for the main thread's answer to an operator's question.
-const ANSWER_WAIT: Duration = Duration::from_millis(500);
-const METRICS_TYPE: &str = "text/plain; version=0.0.4";
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
+const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 
-/// `SideOrder` is what the main thread wants done.
+/// `SideCommand` is what the main thread wants done.
 #[derive(Clone, Copy, Debug)]
-pub enum SideOrder {
+pub enum SideCommand {
     /// Call the store.
-    Read(StoreQuery),
+    CallStore(StoreQuery),
 }
 
 /// `SideEvent` is what the side thread tells the main thread.
 pub enum SideEvent {
     /// The store's answer to an order.
-    Reading(StoreQuery, Result<ListReading, SourceError>),
+    StoreResponse(StoreQuery, Result<ListReading, SourceError>),
     /// An operator asks something.
-    Asked(OperatorQuestion, oneshot::Sender<Value>),
+    QueryReceived(OperatorQuery, oneshot::Sender<Value>),
     /// The thread has ended.
     Ended(String),
 }
 
-/// `OperatorQuestion` is what operators can ask.
+/// `OperatorQuery` is what operators can ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OperatorQuestion {
+pub enum OperatorQuery {
     /// The whole instance.
     Status,
     /// Where a flow would go, and what a token names.
@@ -70,7 +70,7 @@
 /// `SideThread` is what the thread starts with.
 pub struct SideThread {
     /// Orders of the main thread.
-    pub orders: mpsc::UnboundedReceiver<SideOrder>,
+    pub commands: mpsc::UnboundedReceiver<SideCommand>,
     /// Reads the store.
     pub source: Box<dyn ListSource>,
     /// HTTP for routers.
@@ -120,7 +120,7 @@
         }
         tokio::select! {
             result = serve(self.admin, router) => result,
-            () = read_store(self.source, self.orders, self.events) => Ok(()),
+            () = read_store(self.source, self.commands, self.events) => Ok(()),
         }
     }
 }
@@ -142,37 +142,37 @@
 
 async fn read_store(
     mut source: Box<dyn ListSource>,
-    mut orders: mpsc::UnboundedReceiver<SideOrder>,
+    mut orders: mpsc::UnboundedReceiver<SideCommand>,
     events: Channel<SideEvent>,
 ) {
-    while let Some(SideOrder::Read(order)) = orders.recv().await {
+    while let Some(SideCommand::CallStore(order)) = orders.recv().await {
         let answer = match order {
             StoreQuery::FirstPage => source.read_first_page().await,
             StoreQuery::All(mode) => source.read_all(mode).await,
             StoreQuery::Watch { after, wait_ms } => source.watch(after, wait_ms).await,
         };
-        events.send(SideEvent::Reading(order, answer));
+        events.send(SideEvent::StoreResponse(order, answer));
     }
 }
 
 async fn healthz(State(state): State<AdminState>) -> impl IntoResponse {
     let is_serving = state.phase.get() == EnginePhase::Serving;
     let code = if is_serving { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-    (code, Json(json!({ "phase": state.phase.word() })))
+    (code, Json(json!({ "phase": state.phase.as_str() })))
 }
 
 async fn metrics_text(State(state): State<AdminState>) -> impl IntoResponse {
     // Old gauges are better than no answer when the main thread is busy.
-    let _ = ask(&state, OperatorQuestion::Gauges).await;
-    ([("content-type", METRICS_TYPE)], state.metrics.render())
+    let _ = query_main_thread(&state, OperatorQuery::Gauges).await;
+    ([("content-type", METRICS_CONTENT_TYPE)], state.metrics.render())
 }
 
 async fn status(State(state): State<AdminState>) -> impl IntoResponse {
-    answer_or_busy(ask(&state, OperatorQuestion::Status).await)
+    response_or_busy(query_main_thread(&state, OperatorQuery::Status).await)
 }
 
 async fn audit(State(state): State<AdminState>) -> impl IntoResponse {
-    answer_or_busy(ask(&state, OperatorQuestion::Audit).await)
+    response_or_busy(query_main_thread(&state, OperatorQuery::Audit).await)
 }
 
 /// `ExplainQuery` names a flow: its two ends, and the token of its packets if it is open.
@@ -189,18 +189,18 @@
     Query(query): Query<ExplainQuery>,
 ) -> impl IntoResponse {
     let key = FlowKey { caller: query.caller, service: query.service };
-    answer_or_busy(ask(&state, OperatorQuestion::Explain(key, query.token)).await)
+    response_or_busy(query_main_thread(&state, OperatorQuery::Explain(key, query.token)).await)
 }
 
-async fn ask(state: &AdminState, question: OperatorQuestion) -> Option<Value> {
+async fn query_main_thread(state: &AdminState, question: OperatorQuery) -> Option<Value> {
     let (sender, answer) = oneshot::channel();
-    if !state.events.send(SideEvent::Asked(question, sender)) {
+    if !state.events.send(SideEvent::QueryReceived(question, sender)) {
         return None;
     }
-    timeout(ANSWER_WAIT, answer).await.ok()?.ok()
+    timeout(ANSWER_TIMEOUT, answer).await.ok()?.ok()
 }
 
-fn answer_or_busy(answer: Option<Value>) -> (StatusCode, Json<Value>) {
+fn response_or_busy(answer: Option<Value>) -> (StatusCode, Json<Value>) {
     match answer {
         Some(value) => (StatusCode::OK, Json(value)),
         None => (StatusCode::SERVICE_UNAVAILABLE, Json(json!({ "error": "busy" }))),
--- a/crates/foxledge-daemon/src/parts.rs
+++ b/crates/foxledge-daemon/src/parts.rs
@@ -11,9 +11,9 @@
     control_link::ControlLink,
     engine_part::EnginePart,
     life_cycle::LifeCycle,
-    list_keeper::ListKeeper,
+    list_manager::ListManager,
     listener::DatagramListener,
-    member_keeper::MemberKeeper,
+    member_manager::MemberManager,
     part_kind::{DaemonSupervisor, PartKind},
     supervisor::{PartName, PartStarter},
 };
@@ -62,12 +62,12 @@
                 owner.anon()
             }
             PartKind::Lists => {
-                let owner = actor!(cx, ListKeeper::init(context), notify);
+                let owner = actor!(cx, ListManager::init(context), notify);
                 directory.set(&owner);
                 owner.anon()
             }
             PartKind::Members => {
-                let owner = actor!(cx, MemberKeeper::init(context), notify);
+                let owner = actor!(cx, MemberManager::init(context), notify);
                 directory.set(&owner);
                 owner.anon()
             }
@@ -84,7 +84,7 @@
         }
     }
 
-    fn companions(&self, part: PartKind) -> &'static [PartKind] {
+    fn dependents(&self, part: PartKind) -> &'static [PartKind] {
         match part {
             PartKind::Engine => &[PartKind::Members],
             _ => &[],
@@ -98,12 +98,12 @@
     /// those tickets good and run a resent request a second time. With a new
     /// one it refuses them as unknown; the member keeper starts anew too, so
     /// that peers learn the incarnation.
-    fn note_restart(&mut self, part: PartKind) {
+    fn on_restart(&mut self, part: PartKind) {
         self.context.metrics.part_restarts.with_label_values(&[part.as_str()]).inc();
         if part != PartKind::Engine {
             return;
         }
-        let mut me = self.context.me.borrow_mut();
+        let mut me = self.context.local_info.borrow_mut();
         let incarnation = new_incarnation().max(me.incarnation + 1);
         *me = PeerInfo { incarnation, refutation: 0, ..me.clone() };
     }
--- a/crates/foxledge-daemon/src/phase.rs
+++ b/crates/foxledge-daemon/src/phase.rs
@@ -36,7 +36,7 @@
     }
 
     /// The present phase as a word.
-    pub fn word(&self) -> &'static str {
+    pub fn as_str(&self) -> &'static str {
         match self.get() {
             EnginePhase::Joining => "joining",
             EnginePhase::Serving => "serving",
--- a/crates/foxledge-daemon/src/restarts.rs
+++ b/crates/foxledge-daemon/src/restarts.rs
@@ -8,53 +8,53 @@
 /// `RestartLimits` bounds the back-off between restarts.
 #[derive(Clone, Copy, Debug)]
 pub struct RestartLimits {
-    first: Duration,
-    longest: Duration,
-    stable: Duration,
+    initial_delay: Duration,
+    max_delay: Duration,
+    stable_after: Duration,
 }
 
 impl Default for RestartLimits {
     fn default() -> RestartLimits {
         RestartLimits {
-            first: Duration::from_millis(50),
-            longest: Duration::from_secs(5),
-            stable: Duration::from_secs(30),
+            initial_delay: Duration::from_millis(50),
+            max_delay: Duration::from_secs(5),
+            stable_after: Duration::from_secs(30),
         }
     }
 }
 
 impl RestartLimits {
     /// Sets the delay after a first failure.
-    pub fn first(mut self, first: Duration) -> RestartLimits {
-        self.first = first;
+    pub fn initial_delay(mut self, initial_delay: Duration) -> RestartLimits {
+        self.initial_delay = initial_delay;
         self
     }
 
     /// Sets the longest delay.
-    pub fn longest(mut self, longest: Duration) -> RestartLimits {
-        self.longest = longest;
+    pub fn max_delay(mut self, max_delay: Duration) -> RestartLimits {
+        self.max_delay = max_delay;
         self
     }
 
     /// Sets how long a part must have run for its earlier failures to be forgotten.
-    pub fn stable(mut self, stable: Duration) -> RestartLimits {
-        self.stable = stable;
+    pub fn stable_after(mut self, stable_after: Duration) -> RestartLimits {
+        self.stable_after = stable_after;
         self
     }
 }
 
-/// `RestartPlan` is the back-off of one part: exponential, capped, with jitter.
+/// `RestartBackoff` is the back-off of one part: exponential, capped, with jitter.
 #[derive(Debug)]
-pub struct RestartPlan {
+pub struct RestartBackoff {
     limits: RestartLimits,
-    failures: u32,
-    forget_at: ClockTime,
+    failure_count: u32,
+    reset_at: ClockTime,
 }
 
-impl RestartPlan {
+impl RestartBackoff {
     /// Makes the plan of a part that starts at `now`.
-    pub fn new(limits: RestartLimits, now: ClockTime) -> RestartPlan {
-        RestartPlan { limits, failures: 0, forget_at: now.after(limits.stable) }
+    pub fn new(limits: RestartLimits, now: ClockTime) -> RestartBackoff {
+        RestartBackoff { limits, failure_count: 0, reset_at: now.after(limits.stable_after) }
     }
 
     /// Notes a failure and returns when to start the part again.
@@ -63,19 +63,19 @@
     /// started in a tight loop and starve the others; without the jitter, the
     /// instances of a fleet that failed together would start together again.
     pub fn on_failure(&mut self, now: ClockTime, rng: &mut StdRng) -> ClockTime {
-        if self.forget_at.is_past(now) {
-            self.failures = 0;
+        if self.reset_at.is_past(now) {
+            self.failure_count = 0;
         }
-        let doubled = self.limits.first.saturating_mul(1 << self.failures.min(16));
-        let delay = doubled.min(self.limits.longest);
-        self.failures += 1;
+        let doubled = self.limits.initial_delay.saturating_mul(1 << self.failure_count.min(16));
+        let delay = doubled.min(self.limits.max_delay);
+        self.failure_count += 1;
         let restart_at = now.after(delay.mul_f64(rng.random_range(0.5..=1.0)));
-        self.forget_at = restart_at.after(self.limits.stable);
+        self.reset_at = restart_at.after(self.limits.stable_after);
         restart_at
     }
 
     /// Failures since the part last ran for long.
-    pub fn failures(&self) -> u32 {
-        self.failures
+    pub fn failure_count(&self) -> u32 {
+        self.failure_count
     }
 }
--- a/crates/foxledge-daemon/src/routes.rs
+++ b/crates/foxledge-daemon/src/routes.rs
@@ -17,7 +17,7 @@
     }
 
     /// Where to send what is meant for `address`.
-    pub fn via(&self, address: SocketAddr) -> SocketAddr {
+    pub fn resolve(&self, address: SocketAddr) -> SocketAddr {
         self.routes.get(&address).copied().unwrap_or(address)
     }
 }
--- a/crates/foxledge-daemon/src/side/calls.rs
+++ b/crates/foxledge-daemon/src/side/calls.rs
@@ -19,40 +19,44 @@
 };
 
 /// Longest wait for the answer to a heartbeat.
-const BEAT_WAIT: Duration = Duration::from_millis(1000);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Longest wait for the relayed probe; the relay waits for less.
-const RELAY_WAIT: Duration = Duration::from_millis(1500);
+const RELAY_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Longest wait of the relay for the instance that is probed.
-const PROBE_WAIT: Duration = Duration::from_millis(700);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Longest wait for a manifest or for parts.
-const FETCH_WAIT: Duration = Duration::from_secs(5);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(5);
 /// Most calls under way; a frozen fleet would otherwise pile them up.
-const CALL_LIMIT: usize = 256;
+const MAX_PENDING_CALLS: usize = 256;
 /// Longest message taken from a peer; parts travel several at a time.
-const MESSAGE_LIMIT: usize = 8 << 20;
+const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
-/// `CallDesk` starts calls to peers and hands their ends to the main loop.
+/// `CallRunner` starts calls to peers and hands their ends to the main loop.
 #[derive(Clone)]
-pub struct CallDesk {
+pub struct CallRunner {
     peers: ClientPool,
     events: Channel<LinkEvent>,
     metrics: Arc<MetricSet>,
     permits: Arc<Semaphore>,
 }
 
-impl CallDesk {
+impl CallRunner {
     /// Makes the desk.
-    pub fn new(peers: ClientPool, events: Channel<LinkEvent>, metrics: Arc<MetricSet>) -> CallDesk {
-        CallDesk { peers, events, metrics, permits: Arc::new(Semaphore::new(CALL_LIMIT)) }
+    pub fn new(
+        peers: ClientPool,
+        events: Channel<LinkEvent>,
+        metrics: Arc<MetricSet>,
+    ) -> CallRunner {
+        CallRunner { peers, events, metrics, permits: Arc::new(Semaphore::new(MAX_PENDING_CALLS)) }
     }
 
     /// Starts the call that a command asks for.
     pub fn start(&self, command: LinkCommand, platform: &PlatformWatch) {
         let permit = self.permits.clone().try_acquire_owned();
-        let Ok(permit) = permit else { return self.refuse(command) };
+        let Ok(permit) = permit else { return self.reject(command) };
         let (desk, platform) = (self.clone(), platform.clone());
         tokio::spawn(async move {
-            let event = desk.carry_out(command, &platform).await;
+            let event = desk.run(command, &platform).await;
             if let Some(event) = event {
                 desk.events.send(event);
             }
@@ -64,19 +68,23 @@
     pub async fn probe(&self, to: SocketAddr) -> bool {
         let request = PartsRequest { digests: Vec::new() };
         let call = |channel| async { PeerClient::new(channel).fetch_parts(request).await };
-        self.peers.call(to, PROBE_WAIT, call).await.is_ok()
+        self.peers.call(to, PROBE_TIMEOUT, call).await.is_ok()
     }
 
-    async fn carry_out(&self, command: LinkCommand, platform: &PlatformWatch) -> Option<LinkEvent> {
+    async fn run(&self, command: LinkCommand, platform: &PlatformWatch) -> Option<LinkEvent> {
         match command {
-            LinkCommand::Beat { to, beat } => Some(self.beat(to, beat).await),
-            LinkCommand::ProbeFor { through, probe } => Some(self.probe_for(through, probe).await),
+            LinkCommand::SendHeartbeat { to, heartbeat } => {
+                Some(self.send_heartbeat(to, heartbeat).await)
+            }
+            LinkCommand::SendRelayProbe { relay, probe } => {
+                Some(self.send_relay_probe(relay, probe).await)
+            }
             LinkCommand::FetchManifest { from } => {
                 let outcome = match from {
                     ListSource::Platform => platform.fetch_manifest().await,
                     ListSource::Peer(peer) => self.fetch_manifest(peer).await,
                 };
-                self.count("fetch_manifest", &outcome);
+                self.count_failure("fetch_manifest", &outcome);
                 Some(LinkEvent::ManifestFetched(from, outcome))
             }
             LinkCommand::FetchParts { from, digests } => {
@@ -84,38 +92,38 @@
                     ListSource::Platform => platform.fetch_parts(&digests).await,
                     ListSource::Peer(peer) => self.fetch_parts(peer, digests).await,
                 };
-                self.count("fetch_parts", &outcome);
+                self.count_failure("fetch_parts", &outcome);
                 Some(LinkEvent::PartsFetched(from, outcome))
             }
             LinkCommand::Watch(_) => None,
         }
     }
 
-    async fn beat(&self, to: SocketAddr, beat: Heartbeat) -> LinkEvent {
-        let call = |channel| async { PeerClient::new(channel).beat(beat).await };
-        let outcome = self.peers.call(to, BEAT_WAIT, call).await;
-        self.count("beat", &outcome);
-        LinkEvent::BeatEnded(to, outcome)
+    async fn send_heartbeat(&self, to: SocketAddr, heartbeat: Heartbeat) -> LinkEvent {
+        let call = |channel| async { PeerClient::new(channel).beat(heartbeat).await };
+        let outcome = self.peers.call(to, HEARTBEAT_TIMEOUT, call).await;
+        self.count_failure("beat", &outcome);
+        LinkEvent::HeartbeatCompleted(to, outcome)
     }
 
-    async fn probe_for(&self, through: SocketAddr, probe: RelayProbe) -> LinkEvent {
+    async fn send_relay_probe(&self, relay: SocketAddr, probe: RelayProbe) -> LinkEvent {
         let name = probe.name.clone();
         let call = |channel| async { PeerClient::new(channel).probe_for(probe).await };
-        let outcome = self.peers.call(through, RELAY_WAIT, call).await;
-        self.count("probe_for", &outcome);
+        let outcome = self.peers.call(relay, RELAY_TIMEOUT, call).await;
+        self.count_failure("probe_for", &outcome);
         let result = match outcome {
             Ok(reply) if reply.answered => ProbeResult::Answered,
             _ => ProbeResult::Unanswered,
         };
-        LinkEvent::ProbeEnded(name, result)
+        LinkEvent::ProbeCompleted(name, result)
     }
 
     async fn fetch_manifest(&self, from: SocketAddr) -> Result<Manifest, CallError> {
         let call = |channel| async {
-            let mut client = PeerClient::new(channel).max_decoding_message_size(MESSAGE_LIMIT);
+            let mut client = PeerClient::new(channel).max_decoding_message_size(MAX_MESSAGE_BYTES);
             client.fetch_manifest(ManifestRequest {}).await
         };
-        self.peers.call(from, FETCH_WAIT, call).await
+        self.peers.call(from, FETCH_TIMEOUT, call).await
     }
 
     async fn fetch_parts(
@@ -124,17 +132,19 @@
         digests: Vec<u64>,
     ) -> Result<Vec<ListPart>, CallError> {
         let call = |channel| async {
-            let mut client = PeerClient::new(channel).max_decoding_message_size(MESSAGE_LIMIT);
+            let mut client = PeerClient::new(channel).max_decoding_message_size(MAX_MESSAGE_BYTES);
             client.fetch_parts(PartsRequest { digests }).await
         };
-        self.peers.call(from, FETCH_WAIT, call).await.map(|reply| reply.parts)
+        self.peers.call(from, FETCH_TIMEOUT, call).await.map(|reply| reply.parts)
     }
 
-    fn refuse(&self, command: LinkCommand) {
+    fn reject(&self, command: LinkCommand) {
         let event = match command {
-            LinkCommand::Beat { to, .. } => LinkEvent::BeatEnded(to, Err(CallError::Busy)),
-            LinkCommand::ProbeFor { probe, .. } => {
-                LinkEvent::ProbeEnded(probe.name, ProbeResult::Unanswered)
+            LinkCommand::SendHeartbeat { to, .. } => {
+                LinkEvent::HeartbeatCompleted(to, Err(CallError::Busy))
+            }
+            LinkCommand::SendRelayProbe { probe, .. } => {
+                LinkEvent::ProbeCompleted(probe.name, ProbeResult::Unanswered)
             }
             LinkCommand::FetchManifest { from } => {
                 LinkEvent::ManifestFetched(from, Err(CallError::Busy))
@@ -148,7 +158,7 @@
     }
 
     /// Counts a call that failed.
-    fn count<T>(&self, method: &str, outcome: &Result<T, CallError>) {
+    fn count_failure<T>(&self, method: &str, outcome: &Result<T, CallError>) {
         if outcome.is_err() {
             self.metrics.call_failures.with_label_values(&[method]).inc();
         }
--- a/crates/foxledge-daemon/src/side/clients.rs
+++ b/crates/foxledge-daemon/src/side/clients.rs
@@ -21,10 +21,10 @@
 use super::{counted::CountedStream, messages::CallError, tls::TlsBundle};
 
 /// Most connections kept; the one unused for longest makes room.
-const CHANNEL_LIMIT: usize = 64;
-const CONNECT_WAIT: Duration = Duration::from_millis(500);
-const KEEP_ALIVE_EVERY: Duration = Duration::from_secs(10);
-const KEEP_ALIVE_WAIT: Duration = Duration::from_secs(3);
+const MAX_CHANNELS: usize = 64;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(10);
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// `ClientPool` is the connections that calls go out on.
 #[derive(Clone)]
@@ -39,22 +39,22 @@
 struct ChannelTable {
     entries: HashMap<SocketAddr, ChannelEntry>,
     /// Counts uses and openings; orders entries by last use.
-    clock: u64,
+    last_seq: u64,
 }
 
 struct ChannelEntry {
     channel: Channel,
-    opened: u64,
-    last_use: u64,
-    last_answer: u64,
-    tls_number: u64,
+    opened_seq: u64,
+    last_use_seq: u64,
+    last_answer_seq: u64,
+    tls_generation: u64,
 }
 
-/// `LentChannel` is a channel with what is needed to tell later whether it was silent.
-struct LentChannel {
+/// `PooledChannel` is a channel with what is needed to tell later whether it was silent.
+struct PooledChannel {
     channel: Channel,
-    opened: u64,
-    lent: u64,
+    opened_seq: u64,
+    acquired_seq: u64,
 }
 
 impl ClientPool {
@@ -84,69 +84,70 @@
         F: FnOnce(Channel) -> R,
         R: Future<Output = Result<Response<T>, Status>>,
     {
-        let lent = self.lend(to)?;
+        let lent = self.acquire(to)?;
         match time::timeout(limit, call(lent.channel.clone())).await {
             Ok(Ok(response)) => {
-                self.note_answer(to, &lent);
+                self.record_answer(to, &lent);
                 Ok(response.into_inner())
             }
             Ok(Err(status)) => {
                 if status.code() == Code::Unavailable {
-                    self.abandon(to, &lent);
+                    self.discard_unresponsive(to, &lent);
                 } else {
-                    self.note_answer(to, &lent);
+                    self.record_answer(to, &lent);
                 }
                 Err(CallError::Refused(status.message().to_owned()))
             }
             Err(_) => {
-                self.abandon(to, &lent);
+                self.discard_unresponsive(to, &lent);
                 Err(CallError::TimedOut)
             }
         }
     }
 
-    fn lend(&self, to: SocketAddr) -> Result<LentChannel, CallError> {
+    fn acquire(&self, to: SocketAddr) -> Result<PooledChannel, CallError> {
         let bundle = self.bundles.borrow().clone();
         let mut table = self.lock();
-        table.clock += 1;
-        let now = table.clock;
+        table.last_seq += 1;
+        let now = table.last_seq;
         // Certificates that have changed since count for new connections only.
-        let known = table.entries.get_mut(&to).filter(|entry| entry.tls_number == bundle.number);
+        let known =
+            table.entries.get_mut(&to).filter(|entry| entry.tls_generation == bundle.generation);
         if let Some(entry) = known {
-            entry.last_use = now;
-            return Ok(LentChannel {
+            entry.last_use_seq = now;
+            return Ok(PooledChannel {
                 channel: entry.channel.clone(),
-                opened: entry.opened,
-                lent: now,
+                opened_seq: entry.opened_seq,
+                acquired_seq: now,
             });
         }
-        table.make_room();
+        table.evict_when_full();
         let channel = self.open(to, &bundle)?;
         let entry = ChannelEntry {
             channel: channel.clone(),
-            opened: now,
-            last_use: now,
-            last_answer: 0,
-            tls_number: bundle.number,
+            opened_seq: now,
+            last_use_seq: now,
+            last_answer_seq: 0,
+            tls_generation: bundle.generation,
         };
         table.entries.insert(to, entry);
-        Ok(LentChannel { channel, opened: now, lent: now })
+        Ok(PooledChannel { channel, opened_seq: now, acquired_seq: now })
     }
 
     fn open(&self, to: SocketAddr, bundle: &TlsBundle) -> Result<Channel, CallError> {
         let scheme = if bundle.client.is_some() { "https" } else { "http" };
         let mut endpoint = Endpoint::from_shared(format!("{scheme}://{to}"))
             .map_err(|error| CallError::Refused(error.to_string()))?
-            .connect_timeout(CONNECT_WAIT)
-            .http2_keep_alive_interval(KEEP_ALIVE_EVERY)
-            .keep_alive_timeout(KEEP_ALIVE_WAIT)
+            .connect_timeout(CONNECT_TIMEOUT)
+            .http2_keep_alive_interval(KEEP_ALIVE_INTERVAL)
+            .keep_alive_timeout(KEEP_ALIVE_TIMEOUT)
             .keep_alive_while_idle(true);
         if let Some(client) = &bundle.client {
             endpoint = endpoint
                 .tls_config(client.clone())
                 .map_err(|error| CallError::Refused(error.to_string()))?;
         }
-        let (metrics, via) = (self.metrics.clone(), self.routes.via(to));
+        let (metrics, via) = (self.metrics.clone(), self.routes.resolve(to));
         let connector = service_fn(move |_: Uri| {
             let metrics = metrics.clone();
             async move {
@@ -158,22 +159,22 @@
         Ok(endpoint.connect_with_connector_lazy(connector))
     }
 
-    fn note_answer(&self, to: SocketAddr, lent: &LentChannel) {
+    fn record_answer(&self, to: SocketAddr, lent: &PooledChannel) {
         let mut table = self.lock();
-        table.clock += 1;
-        let now = table.clock;
-        if let Some(entry) = table.entries.get_mut(&to).filter(|entry| entry.opened == lent.opened)
+        table.last_seq += 1;
+        let now = table.last_seq;
+        if let Some(entry) =
+            table.entries.get_mut(&to).filter(|entry| entry.opened_seq == lent.opened_seq)
         {
-            entry.last_answer = now;
+            entry.last_answer_seq = now;
         }
     }
 
-    fn abandon(&self, to: SocketAddr, lent: &LentChannel) {
+    fn discard_unresponsive(&self, to: SocketAddr, lent: &PooledChannel) {
         let mut table = self.lock();
-        let is_silent = table
-            .entries
-            .get(&to)
-            .is_some_and(|entry| entry.opened == lent.opened && entry.last_answer < lent.lent);
+        let is_silent = table.entries.get(&to).is_some_and(|entry| {
+            entry.opened_seq == lent.opened_seq && entry.last_answer_seq < lent.acquired_seq
+        });
         if is_silent {
             table.entries.remove(&to);
         }
@@ -187,11 +188,11 @@
 
 impl ChannelTable {
     /// Closes the channel unused for longest when the table is full.
-    fn make_room(&mut self) {
-        if self.entries.len() < CHANNEL_LIMIT {
+    fn evict_when_full(&mut self) {
+        if self.entries.len() < MAX_CHANNELS {
             return;
         }
-        let oldest = self.entries.iter().min_by_key(|(_, entry)| entry.last_use);
+        let oldest = self.entries.iter().min_by_key(|(_, entry)| entry.last_use_seq);
         if let Some(address) = oldest.map(|(address, _)| *address) {
             self.entries.remove(&address);
         }
--- a/crates/foxledge-daemon/src/side/http.rs
+++ b/crates/foxledge-daemon/src/side/http.rs
@@ -15,8 +15,8 @@
 use super::messages::LinkEvent;
 
 /// Longest wait for the engine's counts; without them the last known ones are shown.
-const COUNTS_WAIT: Duration = Duration::from_millis(500);
-const METRICS_TYPE: &str = "text/plain; version=0.0.4";
+const COUNTERS_TIMEOUT: Duration = Duration::from_millis(500);
+const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 
 #[derive(Clone)]
 struct AdminState {
@@ -46,14 +46,14 @@
     let is_serving = state.phase.get() == EnginePhase::Serving;
     let code = if is_serving { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
     let revision = state.metrics.list_revision.get();
-    (code, Json(json!({ "phase": state.phase.word(), "list_revision": revision })))
+    (code, Json(json!({ "phase": state.phase.as_str(), "list_revision": revision })))
 }
 
 async fn metrics_text(State(state): State<AdminState>) -> impl IntoResponse {
     let (sender, counted) = oneshot::channel();
-    if state.events.send(LinkEvent::CountsAsked(sender)) {
+    if state.events.send(LinkEvent::CountersRequested(sender)) {
         // Old counts are better than no answer when the main loop is busy.
-        let _ = timeout(COUNTS_WAIT, counted).await;
+        let _ = timeout(COUNTERS_TIMEOUT, counted).await;
     }
-    ([("content-type", METRICS_TYPE)], state.metrics.render())
+    ([("content-type", METRICS_CONTENT_TYPE)], state.metrics.render())
 }
--- a/crates/foxledge-daemon/src/side/messages.rs
+++ b/crates/foxledge-daemon/src/side/messages.rs
@@ -13,16 +13,16 @@
 #[derive(Debug)]
 pub enum LinkCommand {
     /// Send a heartbeat.
-    Beat {
+    SendHeartbeat {
         /// Control address.
         to: SocketAddr,
         /// The heartbeat.
-        beat: Heartbeat,
+        heartbeat: Heartbeat,
     },
     /// Ask a peer whether a third instance answers it.
-    ProbeFor {
+    SendRelayProbe {
         /// Control address of the peer.
-        through: SocketAddr,
+        relay: SocketAddr,
         /// Who shall answer.
         probe: RelayProbe,
     },
@@ -39,12 +39,12 @@
         digests: Vec<u64>,
     },
     /// Read and watch the platform, or stop doing so.
-    Watch(WatchOrder),
+    Watch(WatchCommand),
 }
 
-/// `WatchOrder` is whether the platform is to be watched.
+/// `WatchCommand` is whether the platform is to be watched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WatchOrder {
+pub enum WatchCommand {
     /// Watch for manifests newer than this revision.
     Run {
         /// The newest revision that is known.
@@ -75,23 +75,23 @@
 #[derive(Debug)]
 pub enum LinkEvent {
     /// A heartbeat of another instance.
-    BeatArrived(Heartbeat, oneshot::Sender<HeartbeatReply>),
+    HeartbeatReceived(Heartbeat, oneshot::Sender<HeartbeatReply>),
     /// The end of a heartbeat of ours.
-    BeatEnded(SocketAddr, Result<HeartbeatReply, CallError>),
+    HeartbeatCompleted(SocketAddr, Result<HeartbeatReply, CallError>),
     /// The end of a relayed probe.
-    ProbeEnded(String, ProbeResult),
+    ProbeCompleted(String, ProbeResult),
     /// A peer wants the manifest in force.
-    ManifestAsked(oneshot::Sender<Option<Manifest>>),
+    ManifestRequested(oneshot::Sender<Option<Manifest>>),
     /// A peer wants parts.
-    PartsAsked(Vec<u64>, oneshot::Sender<Vec<ListPart>>),
+    PartsRequested(Vec<u64>, oneshot::Sender<Vec<ListPart>>),
     /// The end of a manifest's fetch, or a newer one on the platform.
     ManifestFetched(ListSource, Result<Manifest, CallError>),
     /// The end of a fetch of parts.
     PartsFetched(ListSource, Result<Vec<ListPart>, CallError>),
     /// The platform answered a watch, or could not be reached at any address.
-    PlatformAsked,
+    PlatformContacted,
     /// The platform shows an older revision than it, or a peer, did before.
-    PlatformOlder {
+    PlatformOutdated {
         /// The one that it shows.
         shown: u64,
         /// The newest known.
@@ -100,11 +100,11 @@
     /// The platform's list of instances.
     ListingRead(MemberListing),
     /// An operator wants the status.
-    StatusAsked(oneshot::Sender<String>),
+    StatusRequested(oneshot::Sender<String>),
     /// An operator wants a flow explained.
-    ExplainAsked(FlowQuestion, oneshot::Sender<Result<String, String>>),
+    ExplainRequested(FlowQuery, oneshot::Sender<Result<String, String>>),
     /// An operator wants entries of the audit trail.
-    AuditAsked {
+    AuditRequested {
         /// Entries numbered above this.
         after: u64,
         /// At most so many.
@@ -113,16 +113,16 @@
         answer: oneshot::Sender<String>,
     },
     /// An operator wants the process to leave.
-    DrainAsked(oneshot::Sender<bool>),
+    DrainRequested(oneshot::Sender<bool>),
     /// Metrics are wanted: the counts are to be brought up to date.
-    CountsAsked(oneshot::Sender<()>),
+    CountersRequested(oneshot::Sender<()>),
     /// The side thread has ended.
     Ended(String),
 }
 
-/// `FlowQuestion` is the flow that an operator wants explained.
+/// `FlowQuery` is the flow that an operator wants explained.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FlowQuestion {
+pub struct FlowQuery {
     /// Service address.
     pub address: String,
     /// Member.
--- a/crates/foxledge-daemon/src/side/mod.rs
+++ b/crates/foxledge-daemon/src/side/mod.rs
@@ -29,9 +29,9 @@
 use crate::{metrics::MetricSet, phase::PhaseCell, routes::RouteTable};
 
 use self::{
-    calls::CallDesk,
+    calls::CallRunner,
     clients::ClientPool,
-    messages::{LinkCommand, LinkEvent, WatchOrder},
+    messages::{LinkCommand, LinkEvent, WatchCommand},
     tls::TlsFiles,
     watch::PlatformWatch,
 };
@@ -41,8 +41,8 @@
     control: TcpListener,
     admin: TcpListener,
     seed: u64,
-    platforms: Vec<SocketAddr>,
-    watch_wait: Duration,
+    platform_addresses: Vec<SocketAddr>,
+    watch_timeout: Duration,
     reader: String,
     tls: Option<TlsSettings>,
     metrics: Arc<MetricSet>,
@@ -57,8 +57,8 @@
             control,
             admin,
             seed,
-            platforms: Vec::new(),
-            watch_wait: Duration::from_secs(10),
+            platform_addresses: Vec::new(),
+            watch_timeout: Duration::from_secs(10),
             reader: String::new(),
             tls: None,
             metrics: Arc::default(),
@@ -68,9 +68,9 @@
     }
 
     /// Sets the platform's addresses and how long one watch waits.
-    pub fn platforms(mut self, platforms: Vec<SocketAddr>, wait_ms: u64) -> SideOptions {
-        self.platforms = platforms;
-        self.watch_wait = Duration::from_millis(wait_ms);
+    pub fn platform_addresses(mut self, platforms: Vec<SocketAddr>, wait_ms: u64) -> SideOptions {
+        self.platform_addresses = platforms;
+        self.watch_timeout = Duration::from_millis(wait_ms);
         self
     }
 
@@ -140,16 +140,16 @@
     let metrics = options.metrics.clone();
     let (bundle_sender, bundles) = tokio::sync::watch::channel(tls.bundle());
     let peers = ClientPool::new(metrics.clone(), bundles.clone(), options.routes.clone());
-    let desk = CallDesk::new(peers.clone(), events.clone(), metrics.clone());
+    let desk = CallRunner::new(peers.clone(), events.clone(), metrics.clone());
     let platform = PlatformWatch::new(
-        &options.platforms,
-        options.watch_wait,
+        &options.platform_addresses,
+        options.watch_timeout,
         options.reader.clone(),
         metrics.clone(),
         events.clone(),
         options.seed,
     );
-    let (watch_orders, orders) = tokio::sync::watch::channel(WatchOrder::Pause);
+    let (watch_orders, orders) = tokio::sync::watch::channel(WatchCommand::Pause);
     let mut servers = JoinSet::new();
     let control = options.control.try_clone()?;
     servers.spawn(server::serve(control, bundles, desk.clone(), events.clone(), metrics.clone()));
--- a/crates/foxledge-daemon/src/side/server.rs
+++ b/crates/foxledge-daemon/src/side/server.rs
@@ -22,22 +22,22 @@
 use crate::metrics::MetricSet;
 
 use super::{
-    calls::CallDesk,
+    calls::CallRunner,
     counted::CountedStream,
-    messages::{FlowQuestion, LinkEvent},
+    messages::{FlowQuery, LinkEvent},
     tls::TlsBundle,
 };
 
 /// Longest wait for the main loop's answer.
-const ANSWER_WAIT: Duration = Duration::from_secs(2);
-const KEEP_ALIVE_EVERY: Duration = Duration::from_secs(20);
-const KEEP_ALIVE_WAIT: Duration = Duration::from_secs(5);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(20);
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Most calls of one connection that are served at once.
-const STREAM_LIMIT: u32 = 64;
+const MAX_STREAMS: u32 = 64;
 /// Most parts that one call may ask for.
-const PARTS_LIMIT: usize = 4096;
+const MAX_PARTS_PER_CALL: usize = 4096;
 /// Most entries of the audit trail in one answer.
-const AUDIT_LIMIT: usize = 1000;
+const MAX_AUDIT_ENTRIES: usize = 1000;
 
 /// Serves the control interface, with a new server whenever the certificates change.
 ///
@@ -46,7 +46,7 @@
 pub async fn serve(
     listener: TcpListener,
     mut bundles: watch::Receiver<TlsBundle>,
-    desk: CallDesk,
+    desk: CallRunner,
     events: Channel<LinkEvent>,
     metrics: Arc<MetricSet>,
 ) -> Result<()> {
@@ -56,12 +56,12 @@
         let listener = tokio::net::TcpListener::from_std(listener.try_clone()?)?;
         let metrics = metrics.clone();
         let incoming = TcpListenerStream::new(listener)
-            .map(move |accepted| accepted.map(no_delay))
+            .map(move |accepted| accepted.map(with_nodelay))
             .map(move |accepted| accepted.map(|stream| CountedStream::new(stream, &metrics)));
         let mut builder = Server::builder()
-            .http2_keepalive_interval(Some(KEEP_ALIVE_EVERY))
-            .http2_keepalive_timeout(Some(KEEP_ALIVE_WAIT))
-            .max_concurrent_streams(STREAM_LIMIT);
+            .http2_keepalive_interval(Some(KEEP_ALIVE_INTERVAL))
+            .http2_keepalive_timeout(Some(KEEP_ALIVE_TIMEOUT))
+            .max_concurrent_streams(MAX_STREAMS);
         if let Some(tls) = bundle.server {
             builder = builder.tls_config(tls)?;
         }
@@ -90,7 +90,7 @@
 /// Otherwise the end of each answer longer than a segment, such as a part of a
 /// list, waits for the caller's delayed acknowledgement; one would notice some
 /// 40 ms for each part. A connection for which it fails is about to fail itself.
-fn no_delay(stream: tokio::net::TcpStream) -> tokio::net::TcpStream {
+fn with_nodelay(stream: tokio::net::TcpStream) -> tokio::net::TcpStream {
     let _ = stream.set_nodelay(true);
     stream
 }
@@ -98,13 +98,13 @@
 /// `ControlService` hands calls to the main loop.
 #[derive(Clone)]
 struct ControlService {
-    desk: CallDesk,
+    desk: CallRunner,
     events: Channel<LinkEvent>,
 }
 
 impl ControlService {
     /// Asks the main loop and waits for its answer, for a bounded time.
-    async fn ask<T>(
+    async fn query_main_loop<T>(
         &self,
         question: impl FnOnce(oneshot::Sender<T>) -> LinkEvent,
     ) -> Result<T, Status> {
@@ -112,7 +112,7 @@
         if !self.events.send(question(sender)) {
             return Err(Status::unavailable("the instance stops"));
         }
-        match timeout(ANSWER_WAIT, answer).await {
+        match timeout(ANSWER_TIMEOUT, answer).await {
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(_)) => Err(Status::unavailable("the part that should answer isn't running")),
             Err(_) => Err(Status::deadline_exceeded("the main loop didn't answer")),
@@ -124,14 +124,16 @@
 impl Peer for ControlService {
     async fn beat(&self, request: Request<Heartbeat>) -> Result<Response<HeartbeatReply>, Status> {
         let beat = request.into_inner();
-        self.ask(|answer| LinkEvent::BeatArrived(beat, answer)).await.map(Response::new)
+        self.query_main_loop(|answer| LinkEvent::HeartbeatReceived(beat, answer))
+            .await
+            .map(Response::new)
     }
 
     async fn fetch_manifest(
         &self,
         _request: Request<ManifestRequest>,
     ) -> Result<Response<Manifest>, Status> {
-        let manifest = self.ask(LinkEvent::ManifestAsked).await?;
+        let manifest = self.query_main_loop(LinkEvent::ManifestRequested).await?;
         manifest.map(Response::new).ok_or_else(|| Status::not_found("no list yet"))
     }
 
@@ -140,10 +142,11 @@
         request: Request<PartsRequest>,
     ) -> Result<Response<PartsReply>, Status> {
         let digests = request.into_inner().digests;
-        if digests.len() > PARTS_LIMIT {
+        if digests.len() > MAX_PARTS_PER_CALL {
             return Err(Status::invalid_argument("too many parts asked for"));
         }
-        let parts = self.ask(|answer| LinkEvent::PartsAsked(digests, answer)).await?;
+        let parts =
+            self.query_main_loop(|answer| LinkEvent::PartsRequested(digests, answer)).await?;
         Ok(Response::new(PartsReply { parts }))
     }
 
@@ -166,7 +169,7 @@
         &self,
         _request: Request<StatusRequest>,
     ) -> Result<Response<StatusReply>, Status> {
-        let json = self.ask(LinkEvent::StatusAsked).await?;
+        let json = self.query_main_loop(LinkEvent::StatusRequested).await?;
         Ok(Response::new(StatusReply { json }))
     }
 
@@ -175,8 +178,9 @@
         request: Request<ExplainRequest>,
     ) -> Result<Response<ExplainReply>, Status> {
         let ExplainRequest { address, member, work, flow } = request.into_inner();
-        let question = FlowQuestion { address, member, work, flow };
-        let explained = self.ask(|answer| LinkEvent::ExplainAsked(question, answer)).await?;
+        let question = FlowQuery { address, member, work, flow };
+        let explained =
+            self.query_main_loop(|answer| LinkEvent::ExplainRequested(question, answer)).await?;
         let json = explained.map_err(Status::invalid_argument)?;
         Ok(Response::new(ExplainReply { json }))
     }
@@ -184,15 +188,17 @@
     async fn audit(&self, request: Request<AuditRequest>) -> Result<Response<AuditReply>, Status> {
         let AuditRequest { after, limit } = request.into_inner();
         let limit = match limit {
-            0 => AUDIT_LIMIT,
-            limit => (limit as usize).min(AUDIT_LIMIT),
+            0 => MAX_AUDIT_ENTRIES,
+            limit => (limit as usize).min(MAX_AUDIT_ENTRIES),
         };
-        let json = self.ask(|answer| LinkEvent::AuditAsked { after, limit, answer }).await?;
+        let json = self
+            .query_main_loop(|answer| LinkEvent::AuditRequested { after, limit, answer })
+            .await?;
         Ok(Response::new(AuditReply { json }))
     }
 
     async fn drain(&self, _request: Request<DrainRequest>) -> Result<Response<DrainReply>, Status> {
-        let accepted = self.ask(LinkEvent::DrainAsked).await?;
+        let accepted = self.query_main_loop(LinkEvent::DrainRequested).await?;
         if accepted {
             warn!("link: an operator asked this instance to leave");
         }
--- a/crates/foxledge-daemon/src/side/tls.rs
+++ b/crates/foxledge-daemon/src/side/tls.rs
@@ -14,13 +14,13 @@
 
 /// Name that every instance's certificate carries; instances are called by IP number.
 pub const INSTANCE_DOMAIN: &str = "foxledge.internal";
-const CHECK_EVERY: Duration = Duration::from_secs(3);
+const CHECK_INTERVAL: Duration = Duration::from_secs(3);
 
 /// `TlsBundle` is the certificates in use; none without TLS.
 #[derive(Clone, Debug, Default)]
 pub struct TlsBundle {
     /// Counts the readings of the files.
-    pub number: u64,
+    pub generation: u64,
     /// For calls to other instances.
     pub client: Option<ClientTlsConfig>,
     /// For calls from other instances and operators.
@@ -30,16 +30,17 @@
 /// `TlsFiles` is the files that the certificates are read from.
 pub struct TlsFiles {
     settings: Option<TlsSettings>,
-    changed: Vec<Option<SystemTime>>,
+    modified_times: Vec<Option<SystemTime>>,
     bundle: TlsBundle,
 }
 
 impl TlsFiles {
     /// Reads the files; without settings the calls go without TLS.
     pub fn load(settings: Option<TlsSettings>) -> Result<TlsFiles> {
-        let mut files = TlsFiles { settings, changed: Vec::new(), bundle: TlsBundle::default() };
+        let mut files =
+            TlsFiles { settings, modified_times: Vec::new(), bundle: TlsBundle::default() };
         if let Some(settings) = &files.settings {
-            files.changed = change_times(settings);
+            files.modified_times = modified_times(settings);
             files.bundle = read_bundle(settings, 1)?;
         }
         Ok(files)
@@ -60,16 +61,16 @@
             return Ok(());
         };
         loop {
-            sleep(CHECK_EVERY).await;
-            let changed = change_times(&settings);
-            if changed == self.changed {
+            sleep(CHECK_INTERVAL).await;
+            let changed = modified_times(&settings);
+            if changed == self.modified_times {
                 continue;
             }
             // The files may change one after the other; a reading in between fails and is repeated.
-            match read_bundle(&settings, self.bundle.number + 1) {
+            match read_bundle(&settings, self.bundle.generation + 1) {
                 Ok(bundle) => {
                     info!("link: certificates read anew");
-                    self.changed = changed;
+                    self.modified_times = changed;
                     self.bundle = bundle.clone();
                     bundles.send(bundle)?;
                 }
@@ -79,12 +80,12 @@
     }
 }
 
-fn change_times(settings: &TlsSettings) -> Vec<Option<SystemTime>> {
+fn modified_times(settings: &TlsSettings) -> Vec<Option<SystemTime>> {
     let paths = [&settings.ca, &settings.certificate, &settings.key];
     paths.map(|path| fs::metadata(path).and_then(|data| data.modified()).ok()).to_vec()
 }
 
-fn read_bundle(settings: &TlsSettings, number: u64) -> Result<TlsBundle> {
+fn read_bundle(settings: &TlsSettings, generation: u64) -> Result<TlsBundle> {
     let ca = Certificate::from_pem(read_file(&settings.ca)?);
     let certificate = read_file(&settings.certificate)?;
     let identity = Identity::from_pem(certificate, read_file(&settings.key)?);
@@ -95,7 +96,7 @@
     let server = ServerTlsConfig::new().identity(identity).client_ca_root(ca);
     // Building a server is the check that the files go together.
     tonic::transport::Server::builder().tls_config(server.clone()).context("certificates")?;
-    Ok(TlsBundle { number, client: Some(client), server: Some(server) })
+    Ok(TlsBundle { generation, client: Some(client), server: Some(server) })
 }
 
 fn read_file(path: &PathBuf) -> Result<Vec<u8>> {
