--- a/crates/foxledge-daemon/src/side/watch.rs
+++ b/crates/foxledge-daemon/src/side/watch.rs
@@ -23,33 +23,33 @@
 
 use super::{
     clients::ClientPool,
-    messages::{CallError, LinkEvent, WatchOrder},
+    messages::{CallError, LinkEvent, WatchCommand},
     tls::TlsBundle,
 };
 
 const MANIFEST_KEY: &str = "manifest";
 const MEMBERS_KEY: &str = "members";
 /// Longest wait for the answer to a plain read.
-const READ_WAIT: Duration = Duration::from_secs(3);
+const READ_TIMEOUT: Duration = Duration::from_secs(3);
 /// How much longer than its wait a watch may take to be answered.
-const WATCH_MARGIN: Duration = Duration::from_secs(2);
+const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 /// Time between two reads of the list of instances.
-const MEMBERS_EVERY: Duration = Duration::from_secs(5);
-const FIRST_BACKOFF: Duration = Duration::from_millis(100);
+const MEMBERS_INTERVAL: Duration = Duration::from_secs(5);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 /// Pause when the platform has no list at all.
-const EMPTY_PAUSE: Duration = Duration::from_millis(300);
-const LONGEST_BACKOFF: Duration = Duration::from_secs(5);
+const EMPTY_LIST_DELAY: Duration = Duration::from_millis(300);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 /// Bytes after which a fetch of parts ends; the list keeper asks for the others.
 ///
 /// The main loop reads what a fetch brings at once, and carries no datagram
 /// meanwhile: some 10 ms for this much, some 250 ms for a list of 38,000 targets.
-const FETCH_BYTES: usize = 256 * 1024;
+const MAX_FETCH_BYTES: usize = 256 * 1024;
 /// Longest value that the platform holds, with room for the message around it.
-const MESSAGE_LIMIT: usize = 2 << 20;
+const MAX_MESSAGE_BYTES: usize = 2 << 20;
 
-/// `OlderState` is a revision that the platform showed, and the newer one known then.
+/// `OutdatedState` is a revision that the platform showed, and the newer one known then.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct OlderState {
+struct OutdatedState {
     shown: u64,
     newest: u64,
 }
@@ -58,9 +58,9 @@
 #[derive(Clone)]
 pub struct PlatformWatch {
     addresses: Vec<SocketAddr>,
-    turn: Arc<AtomicUsize>,
+    address_index: Arc<AtomicUsize>,
     pool: ClientPool,
-    wait: Duration,
+    watch_timeout: Duration,
     reader: String,
     metrics: Arc<MetricSet>,
     events: Channel<LinkEvent>,
@@ -71,7 +71,7 @@
     /// Makes the watch; it makes no call before it is told to.
     pub fn new(
         addresses: &[SocketAddr],
-        wait: Duration,
+        watch_timeout: Duration,
         reader: String,
         metrics: Arc<MetricSet>,
         events: Channel<LinkEvent>,
@@ -84,9 +84,9 @@
         let (_, plain) = watch::channel(TlsBundle::default());
         PlatformWatch {
             addresses: addresses.to_vec(),
-            turn: Arc::new(AtomicUsize::new(first)),
+            address_index: Arc::new(AtomicUsize::new(first)),
             pool: ClientPool::new(metrics.clone(), plain, RouteTable::default()),
-            wait,
+            watch_timeout,
             reader,
             metrics,
             events,
@@ -95,7 +95,7 @@
     }
 
     /// Watches while the orders say so.
-    pub async fn run(self, mut orders: watch::Receiver<WatchOrder>) -> anyhow::Result<()> {
+    pub async fn run(self, mut orders: watch::Receiver<WatchCommand>) -> anyhow::Result<()> {
         if self.addresses.is_empty() {
             std::future::pending::<()>().await;
         }
@@ -103,8 +103,8 @@
         loop {
             let order = *orders.borrow_and_update();
             match order {
-                WatchOrder::Pause => orders.changed().await?,
-                WatchOrder::Run { after } => {
+                WatchCommand::Pause => orders.changed().await?,
+                WatchCommand::Run { after } => {
                     newest = newest.max(after);
                     tokio::select! {
                         changed = orders.changed() => changed?,
@@ -132,7 +132,7 @@
         let mut parts = Vec::new();
         let mut bytes = 0;
         for digest in digests {
-            if bytes >= FETCH_BYTES {
+            if bytes >= MAX_FETCH_BYTES {
                 break;
             }
             match self.read(&format!("part/{digest:016x}"), 0, Duration::ZERO).await {
@@ -150,29 +150,29 @@
 
     /// Watches for manifests, for ever.
     async fn watch_manifest(&self, newest: &mut u64) {
-        let mut backoff = FIRST_BACKOFF;
+        let mut backoff = INITIAL_BACKOFF;
         let mut failures = 0;
-        let mut older = OlderState::default();
+        let mut older = OutdatedState::default();
         // What is there is read at once, not waited for.
         let mut wait = Duration::ZERO;
         loop {
             match self.read(MANIFEST_KEY, *newest, wait).await {
                 Ok(reply) => {
                     failures = 0;
-                    backoff = FIRST_BACKOFF;
-                    wait = self.wait;
-                    self.tell_older(&reply, *newest, &mut older);
-                    self.take_reply(&reply, newest).await;
+                    backoff = INITIAL_BACKOFF;
+                    wait = self.watch_timeout;
+                    self.report_outdated(&reply, *newest, &mut older);
+                    self.handle_reply(&reply, newest).await;
                 }
                 Err(error) => {
                     failures += 1;
                     debug!("link: platform read failed: {error}");
                     if failures == self.addresses.len() {
                         warn!("link: the platform can't be reached");
-                        self.events.send(LinkEvent::PlatformAsked);
+                        self.events.send(LinkEvent::PlatformContacted);
                     }
                     sleep(backoff.mul_f64(self.jitter())).await;
-                    backoff = (backoff * 2).min(LONGEST_BACKOFF);
+                    backoff = (backoff * 2).min(MAX_BACKOFF);
                 }
             }
         }
@@ -183,30 +183,30 @@
     /// What operators publish then is ignored until its revision is above the
     /// newest known. Without a word they would wait for it in vain; told at each
     /// watch, it would push every other entry out of the audit trail.
-    fn tell_older(&self, reply: &ReadReply, newest: u64, told: &mut OlderState) {
-        let state = OlderState { shown: reply.revision, newest };
+    fn report_outdated(&self, reply: &ReadReply, newest: u64, told: &mut OutdatedState) {
+        let state = OutdatedState { shown: reply.revision, newest };
         if !reply.unchanged || state.shown >= newest || *told == state {
             return;
         }
         *told = state;
         warn!("link: the platform is at revision {}, older than {newest}", state.shown);
-        self.events.send(LinkEvent::PlatformOlder { shown: state.shown, newest });
+        self.events.send(LinkEvent::PlatformOutdated { shown: state.shown, newest });
     }
 
-    async fn take_reply(&self, reply: &ReadReply, newest: &mut u64) {
+    async fn handle_reply(&self, reply: &ReadReply, newest: &mut u64) {
         if reply.found && !reply.unchanged {
             *newest = (*newest).max(reply.revision);
             let outcome = decode_manifest(reply);
             self.events.send(LinkEvent::ManifestFetched(ListSource::Platform, outcome));
         }
         // After the manifest, so that nobody takes the platform for asked while its list is on the way.
-        self.events.send(LinkEvent::PlatformAsked);
+        self.events.send(LinkEvent::PlatformContacted);
         if !reply.found {
-            sleep(EMPTY_PAUSE.mul_f64(self.jitter())).await;
+            sleep(EMPTY_LIST_DELAY.mul_f64(self.jitter())).await;
         }
         if !reply.found || reply.unchanged {
             // An address that is stale would otherwise be believed for ever.
-            self.next_address();
+            self.rotate_address();
         }
     }
 
@@ -214,7 +214,7 @@
     async fn watch_members(&self) {
         loop {
             self.read_members().await;
-            sleep(MEMBERS_EVERY.mul_f64(self.jitter())).await;
+            sleep(MEMBERS_INTERVAL.mul_f64(self.jitter())).await;
         }
     }
 
@@ -234,7 +234,7 @@
         after_revision: u64,
         wait: Duration,
     ) -> Result<ReadReply, CallError> {
-        let turn = self.turn.load(Ordering::Relaxed) % self.addresses.len().max(1);
+        let turn = self.address_index.load(Ordering::Relaxed) % self.addresses.len().max(1);
         let Some(address) = self.addresses.get(turn).copied() else {
             return Err(CallError::Refused("no platform in the settings".to_owned()));
         };
@@ -245,21 +245,22 @@
             reader: self.reader.clone(),
         };
         self.metrics.platform_reads.inc();
-        let limit = if wait.is_zero() { READ_WAIT } else { wait + WATCH_MARGIN };
+        let limit = if wait.is_zero() { READ_TIMEOUT } else { wait + WATCH_TIMEOUT_MARGIN };
         let call = |channel| async {
-            let mut client = PlatformClient::new(channel).max_decoding_message_size(MESSAGE_LIMIT);
+            let mut client =
+                PlatformClient::new(channel).max_decoding_message_size(MAX_MESSAGE_BYTES);
             client.read(request).await
         };
         let outcome = self.pool.call(address, limit, call).await;
         if outcome.is_err() {
             self.metrics.call_failures.with_label_values(&["platform_read"]).inc();
-            self.next_address();
+            self.rotate_address();
         }
         outcome
     }
 
-    fn next_address(&self) {
-        self.turn.fetch_add(1, Ordering::Relaxed);
+    fn rotate_address(&self) {
+        self.address_index.fetch_add(1, Ordering::Relaxed);
     }
 
     /// A factor that spreads the readers' calls in time.
--- a/crates/foxledge-daemon/src/signals.rs
+++ b/crates/foxledge-daemon/src/signals.rs
@@ -25,7 +25,7 @@
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
     let begin_stop = fwd_do!(move |signal: i32| {
         info!("life: signal {signal}");
-        context.stop_wanted.set(true);
+        context.is_stop_requested.set(true);
     });
     let (channel, guard) = Channel::new(stakker, begin_stop);
     thread::Builder::new().name("signals".to_owned()).spawn(move || {
--- a/crates/foxledge-daemon/src/sockets.rs
+++ b/crates/foxledge-daemon/src/sockets.rs
@@ -9,7 +9,7 @@
 use socket2::SockRef;
 
 /// Room asked of the system for datagrams that wait to be read.
-const RECEIVE_BUFFER: usize = 4 << 20;
+const RECEIVE_BUFFER_BYTES: usize = 4 << 20;
 
 /// `ListenAddresses` is where to listen, from the settings.
 #[derive(Clone, Copy, Debug)]
@@ -83,7 +83,7 @@
     let socket = UdpSocket::bind(address).with_context(|| bind_failed(key, address))?;
     // A burst that comes while the main loop is busy waits in the kernel; a
     // smaller limit of the system's is taken as it is.
-    let _ = SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER);
+    let _ = SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER_BYTES);
     socket.set_nonblocking(true)?;
     Ok(socket)
 }
--- a/crates/foxledge-daemon/src/start_gate.rs
+++ b/crates/foxledge-daemon/src/start_gate.rs
@@ -5,13 +5,13 @@
 use foxledge_core::time::ClockTime;
 
 /// Peers whose answer is waited for; a newer list has reached one of two when it spreads at all.
-const ANSWERS_WANTED: usize = 2;
+const REQUIRED_PEER_ANSWERS: usize = 2;
 /// Most peers that are kept in mind.
-const PEER_LIMIT: usize = 64;
+const MAX_PEERS: usize = 64;
 
 /// `PlatformAsked` is whether the platform still has to be waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PlatformAsked {
+pub enum PlatformContact {
     /// It hasn't answered yet.
     Pending,
     /// It answered, couldn't be reached, or there is none.
@@ -26,8 +26,8 @@
 /// each restart. So it asks the platform and its peers first, for a bounded time.
 #[derive(Debug)]
 pub struct StartGate {
-    platform: PlatformAsked,
-    known: HashSet<SocketAddr>,
+    platform: PlatformContact,
+    peers: HashSet<SocketAddr>,
     answered: HashSet<SocketAddr>,
     failed: HashSet<SocketAddr>,
     deadline: ClockTime,
@@ -35,10 +35,10 @@
 
 impl StartGate {
     /// Makes the gate of a process that waits until `deadline` at most.
-    pub fn new(platform: PlatformAsked, deadline: ClockTime) -> StartGate {
+    pub fn new(platform: PlatformContact, deadline: ClockTime) -> StartGate {
         StartGate {
             platform,
-            known: HashSet::new(),
+            peers: HashSet::new(),
             answered: HashSet::new(),
             failed: HashSet::new(),
             deadline,
@@ -46,26 +46,26 @@
     }
 
     /// Adds peers that were learnt of, by control address.
-    pub fn know(&mut self, peers: impl IntoIterator<Item = SocketAddr>) {
-        let room = PEER_LIMIT.saturating_sub(self.known.len());
-        self.known.extend(peers.into_iter().take(room));
+    pub fn add_peers(&mut self, peers: impl IntoIterator<Item = SocketAddr>) {
+        let room = MAX_PEERS.saturating_sub(self.peers.len());
+        self.peers.extend(peers.into_iter().take(room));
     }
 
     /// Notes that the platform answered, or couldn't be reached.
-    pub fn platform_done(&mut self) {
-        self.platform = PlatformAsked::Done;
+    pub fn record_platform_contact(&mut self) {
+        self.platform = PlatformContact::Done;
     }
 
     /// Notes that a peer told its list's version.
-    pub fn peer_answered(&mut self, peer: SocketAddr) {
-        self.know([peer]);
+    pub fn record_answer(&mut self, peer: SocketAddr) {
+        self.add_peers([peer]);
         self.failed.remove(&peer);
         self.answered.insert(peer);
     }
 
     /// Notes that a peer gave no answer.
-    pub fn peer_failed(&mut self, peer: SocketAddr) {
-        if self.known.contains(&peer) && !self.answered.contains(&peer) {
+    pub fn record_failure(&mut self, peer: SocketAddr) {
+        if self.peers.contains(&peer) && !self.answered.contains(&peer) {
             self.failed.insert(peer);
         }
     }
@@ -76,9 +76,9 @@
         if current == 0 {
             return false;
         }
-        let left = self.known.len().saturating_sub(self.failed.len());
-        let has_asked =
-            self.platform == PlatformAsked::Done && self.answered.len() >= ANSWERS_WANTED.min(left);
+        let left = self.peers.len().saturating_sub(self.failed.len());
+        let has_asked = self.platform == PlatformContact::Done
+            && self.answered.len() >= REQUIRED_PEER_ANSWERS.min(left);
         let has_newest = has_asked && current >= newest;
         has_newest || self.deadline.is_past(now)
     }
--- a/crates/foxledge-daemon/src/supervisor.rs
+++ b/crates/foxledge-daemon/src/supervisor.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     clock::ProcessClock,
-    restarts::{RestartLimits, RestartPlan},
+    restarts::{RestartBackoff, RestartLimits},
 };
 
 /// `PartName` is one part of a tree.
@@ -30,10 +30,10 @@
     fn start(&mut self, cx: CX![Supervisor<P>], part: P, notify: Ret<StopCause>) -> ActorOwnAnon;
 
     /// Parts that can't go on with what they know when `part` was started anew.
-    fn companions(&self, part: P) -> &'static [P];
+    fn dependents(&self, part: P) -> &'static [P];
 
     /// Takes note of a restart, before the part is started again.
-    fn note_restart(&mut self, part: P);
+    fn on_restart(&mut self, part: P);
 }
 
 /// `SupervisorOptions` is what a supervisor starts with.
@@ -41,14 +41,14 @@
     clock: ProcessClock,
     seed: u64,
     audit_limit: usize,
-    limits: RestartLimits,
+    restart_limits: RestartLimits,
 }
 
 impl SupervisorOptions {
     /// Options with default limits.
     pub fn new(clock: ProcessClock, seed: u64) -> SupervisorOptions {
-        let limits = RestartLimits::default();
-        SupervisorOptions { clock, seed, audit_limit: 2000, limits }
+        let restart_limits = RestartLimits::default();
+        SupervisorOptions { clock, seed, audit_limit: 2000, restart_limits }
     }
 
     /// Sets how many entries the audit trail keeps.
@@ -58,8 +58,8 @@
     }
 
     /// Sets the back-off of restarts.
-    pub fn limits(mut self, limits: RestartLimits) -> SupervisorOptions {
-        self.limits = limits;
+    pub fn restart_limits(mut self, restart_limits: RestartLimits) -> SupervisorOptions {
+        self.restart_limits = restart_limits;
         self
     }
 }
@@ -78,9 +78,9 @@
 struct PartSlot<P> {
     part: P,
     owner: Option<ActorOwnAnon>,
-    plan: RestartPlan,
+    backoff: RestartBackoff,
     /// Counts starts, so that the end of an earlier start isn't taken for the present one's.
-    starts: u64,
+    start_count: u64,
 }
 
 /// `Supervisor` is the actor at the root of the tree.
@@ -90,7 +90,7 @@
     clock: ProcessClock,
     rng: StdRng,
     trail: AuditTrail,
-    revision: u64,
+    list_revision: u64,
 }
 
 impl<P: PartName> Supervisor<P> {
@@ -107,8 +107,8 @@
             .map(|part| PartSlot {
                 part,
                 owner: None,
-                plan: RestartPlan::new(options.limits, now),
-                starts: 0,
+                backoff: RestartBackoff::new(options.restart_limits, now),
+                start_count: 0,
             })
             .collect();
         let mut supervisor = Supervisor {
@@ -117,7 +117,7 @@
             clock: options.clock,
             rng: StdRng::seed_from_u64(options.seed),
             trail: AuditTrail::new(options.audit_limit),
-            revision: 0,
+            list_revision: 0,
         };
         for index in 0..supervisor.slots.len() {
             supervisor.start_slot(cx, index);
@@ -131,8 +131,8 @@
     }
 
     /// Notes the revision of the list in force, which later entries carry.
-    pub fn set_revision(&mut self, _cx: CX![], revision: u64) {
-        self.revision = revision;
+    pub fn set_list_revision(&mut self, _cx: CX![], revision: u64) {
+        self.list_revision = revision;
     }
 
     /// Answers with entries of the audit trail above `after`.
@@ -160,26 +160,26 @@
     }
 
     /// Ends the process, as something outside of the parts failed for good.
-    pub fn give_up(&mut self, cx: CX![], why: String) {
+    pub fn fail_process(&mut self, cx: CX![], why: String) {
         fail!(cx, "{}", why);
     }
 
     fn start_slot(&mut self, cx: CX![], index: usize) {
         let slot = &mut self.slots[index];
-        slot.starts += 1;
-        let notify = ret_some_to!([cx], part_ended(index, slot.starts) as (StopCause));
+        slot.start_count += 1;
+        let notify = ret_some_to!([cx], part_ended(index, slot.start_count) as (StopCause));
         slot.owner = Some(self.starter.start(cx, slot.part, notify));
         info!("supervisor: {} started", slot.part.as_str());
     }
 
     fn part_ended(&mut self, cx: CX![], index: usize, start: u64, cause: StopCause) {
         let slot = &mut self.slots[index];
-        if slot.starts != start {
+        if slot.start_count != start {
             return;
         }
         slot.owner = None;
         let now = self.clock.now();
-        let restart_at = slot.plan.on_failure(now, &mut self.rng);
+        let restart_at = slot.backoff.on_failure(now, &mut self.rng);
         let name = slot.part.as_str();
         warn!("supervisor: {name} ended: {cause}");
         self.add_entry(
@@ -199,13 +199,13 @@
 
     fn restart_part(&mut self, cx: CX![], index: usize, start: u64) {
         // A companion's restart may have come first.
-        if self.slots[index].starts != start {
+        if self.slots[index].start_count != start {
             return;
         }
         let part = self.slots[index].part;
-        self.starter.note_restart(part);
+        self.starter.on_restart(part);
         self.start_slot(cx, index);
-        for companion in self.starter.companions(part) {
+        for companion in self.starter.dependents(part) {
             let found = self.slots.iter().position(|slot| slot.part == *companion);
             if let Some(index) = found {
                 self.slots[index].owner = None;
@@ -216,7 +216,7 @@
 
     fn add_entry(&mut self, change: AuditChange) {
         let now: ClockTime = self.clock.now();
-        let entry = self.trail.record(now, self.revision, change);
+        let entry = self.trail.record(now, self.list_revision, change);
         info!(
             "audit: {:?} {}: \"{}\" to \"{}\", {} ({})",
             entry.kind, entry.subject, entry.old, entry.new, entry.cause, entry.source
@@ -229,7 +229,7 @@
         PartReport {
             part: self.part.as_str(),
             running: self.owner.is_some(),
-            restarts: self.starts.saturating_sub(1),
+            restarts: self.start_count.saturating_sub(1),
         }
     }
 }
--- a/crates/foxledge-daemon/tests/common/mod.rs
+++ b/crates/foxledge-daemon/tests/common/mod.rs
@@ -82,6 +82,6 @@
     let context = daemon.context().clone();
     while !condition(&context) {
         assert!(Instant::now() < deadline, "{what}");
-        daemon.turn(Duration::from_millis(5)).unwrap();
+        daemon.run_once(Duration::from_millis(5)).unwrap();
     }
 }
--- a/crates/foxledge-daemon/tests/event_log.rs
+++ b/crates/foxledge-daemon/tests/event_log.rs
@@ -60,12 +60,12 @@
     // Ten times the budget for ten seconds: 1,000 flows a second against 100 lines.
     let output = SlowOutput::default();
     output.allow(usize::MAX);
-    let mut log = EventLog::on(Box::new(output.clone()), 100);
+    let mut log = EventLog::with_output(Box::new(output.clone()), 100);
     for flow in 0..10_000_u64 {
-        log.decision(at(flow), "flow_opened", flow, || Line { event: "flow_opened", flow });
+        log.log_decision(at(flow), "flow_opened", flow, || Line { event: "flow_opened", flow });
         log.flush(at(flow));
     }
-    log.write();
+    log.write_pending();
     let lines = output.lines();
     assert!(lines.len() <= 1_100, "{} lines", lines.len());
     assert!(lines.len() >= 500, "{} lines", lines.len());
@@ -73,8 +73,8 @@
     let late: Vec<_> = lines.iter().filter(|line| line["flow"].as_u64() > Some(1_000)).collect();
     assert!(late.iter().all(|line| line["flow"].as_u64().is_some_and(|flow| flow % 16 == 0)));
     let told: u64 = lines.iter().filter_map(|line| line["suppressed"].as_u64()).sum();
-    assert_eq!(lines.len() as u64 + log.suppressed(), 10_000);
-    assert!(told <= log.suppressed());
+    assert_eq!(lines.len() as u64 + log.suppressed_lines(), 10_000);
+    assert!(told <= log.suppressed_lines());
 }
 
 #[test]
@@ -82,12 +82,12 @@
     // A flood of one kind takes no line from another.
     let output = SlowOutput::default();
     output.allow(usize::MAX);
-    let mut log = EventLog::on(Box::new(output.clone()), 10);
+    let mut log = EventLog::with_output(Box::new(output.clone()), 10);
     for flow in 0..1_000 {
-        log.decision(at(0), "flow_opened", flow, || Line { event: "flow_opened", flow });
+        log.log_decision(at(0), "flow_opened", flow, || Line { event: "flow_opened", flow });
     }
-    log.note(at(0), "stop_begun", &Line { event: "stop_begun", flow: 0 });
-    log.write();
+    log.log_event(at(0), "stop_begun", &Line { event: "stop_begun", flow: 0 });
+    log.write_pending();
     assert!(output.lines().iter().any(|line| line["event"] == "stop_begun"));
 }
 
@@ -95,18 +95,18 @@
 fn slow_reader() {
     // Nobody reads for a while: nothing waits, lines beyond the room are lost and counted.
     let output = SlowOutput::default();
-    let mut log = EventLog::on(Box::new(output.clone()), 100_000);
+    let mut log = EventLog::with_output(Box::new(output.clone()), 100_000);
     for flow in 0..20_000 {
-        log.note(at(flow / 10), "flow_opened", &Line { event: "flow_opened", flow });
+        log.log_event(at(flow / 10), "flow_opened", &Line { event: "flow_opened", flow });
         log.flush(at(flow / 10));
     }
-    let lost = log.suppressed();
+    let lost = log.suppressed_lines();
     assert!(lost > 0);
     // The reader comes back, first for half a line.
     output.allow(20);
-    log.write();
+    log.write_pending();
     output.allow(usize::MAX);
-    log.write();
+    log.write_pending();
     assert_eq!(output.lines().len() as u64 + lost, 20_000);
 }
 
@@ -133,11 +133,11 @@
 #[test]
 fn lines_stay_whole() {
     let output = WriteKeeper::default();
-    let mut log = EventLog::on(Box::new(output.clone()), 100_000);
+    let mut log = EventLog::with_output(Box::new(output.clone()), 100_000);
     for flow in 0..2_000 {
-        log.note(at(0), "flow_opened", &Line { event: "flow_opened", flow });
+        log.log_event(at(0), "flow_opened", &Line { event: "flow_opened", flow });
     }
-    log.write();
+    log.write_pending();
     let writes = output.writes.lock().expect("no panic");
     assert!(writes.len() > 10);
     for write in writes.iter() {
--- a/crates/foxledge-daemon/tests/part_restart.rs
+++ b/crates/foxledge-daemon/tests/part_restart.rs
@@ -6,7 +6,7 @@
 
 use common::run_until;
 use foxledge_daemon::{
-    context::DaemonContext, daemon::Daemon, life_cycle::LifeCycle, member_keeper::MemberKeeper,
+    context::DaemonContext, daemon::Daemon, life_cycle::LifeCycle, member_manager::MemberManager,
     part_kind::DaemonSupervisor,
 };
 use foxledge_fakes::harness::{InstanceAddresses, free_address, http};
@@ -41,7 +41,7 @@
     let settings = parse_settings("restarts.toml", &text).unwrap();
     let mut daemon = Daemon::start(settings).unwrap();
     let context = daemon.context().clone();
-    let first_incarnation = context.me.borrow().incarnation;
+    let first_incarnation = context.local_info.borrow().incarnation;
     assert_eq!(ask_admin(&mut daemon, listen), 503);
 
     for part in ["listener", "engine", "lists", "members", "life", "link", "link"] {
@@ -52,12 +52,12 @@
     }
 
     // The new engine has forgotten what ran under its predecessor's tickets.
-    assert!(context.me.borrow().incarnation > first_incarnation);
-    assert!(context.directory.get::<MemberKeeper>().is_some());
+    assert!(context.local_info.borrow().incarnation > first_incarnation);
+    assert!(context.directory.get::<MemberManager>().is_some());
 
     // A stop that was asked for while the life cycle is down isn't lost.
     fail_part(&context, "life");
     run_until(&mut daemon, "life ends", |context| context.directory.get::<LifeCycle>().is_none());
-    context.stop_wanted.set(true);
+    context.is_stop_requested.set(true);
     daemon.run().unwrap();
 }
--- a/crates/foxledge-daemon/tests/restart_plan.rs
+++ b/crates/foxledge-daemon/tests/restart_plan.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use foxledge_core::time::ClockTime;
-use foxledge_daemon::restarts::{RestartLimits, RestartPlan};
+use foxledge_daemon::restarts::{RestartBackoff, RestartLimits};
 use rand::{SeedableRng, rngs::StdRng};
 
 fn limits() -> RestartLimits {
     RestartLimits::default()
-        .first(Duration::from_millis(100))
-        .longest(Duration::from_millis(1000))
-        .stable(Duration::from_secs(10))
+        .initial_delay(Duration::from_millis(100))
+        .max_delay(Duration::from_millis(1000))
+        .stable_after(Duration::from_secs(10))
 }
 
 /// Symptom: a part that can't start keeps the processor busy.
@@ -21,7 +21,7 @@
     for seed in 0..50 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut now = ClockTime::ZERO;
-        let mut plan = RestartPlan::new(limits(), now);
+        let mut plan = RestartBackoff::new(limits(), now);
         for failure in 0..40_u32 {
             let restart_at = plan.on_failure(now, &mut rng);
             let full = Duration::from_millis(100 << failure.min(10)).min(Duration::from_secs(1));
@@ -35,14 +35,14 @@
 #[test]
 fn long_run_forgets_failures() {
     let mut rng = StdRng::seed_from_u64(1);
-    let mut plan = RestartPlan::new(limits(), ClockTime::ZERO);
+    let mut plan = RestartBackoff::new(limits(), ClockTime::ZERO);
     let mut now = ClockTime::ZERO;
     for _ in 0..5 {
         now = plan.on_failure(now, &mut rng);
     }
-    assert_eq!(plan.failures(), 5);
+    assert_eq!(plan.failure_count(), 5);
     now = now.after(Duration::from_secs(10));
     let delay = plan.on_failure(now, &mut rng).remaining(now);
-    assert_eq!(plan.failures(), 1);
+    assert_eq!(plan.failure_count(), 1);
     assert!(delay <= Duration::from_millis(100), "{delay:?}");
 }
--- a/crates/foxledge-daemon/tests/start_gate.rs
+++ b/crates/foxledge-daemon/tests/start_gate.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use foxledge_core::time::ClockTime;
-use foxledge_daemon::start_gate::{PlatformAsked, StartGate};
+use foxledge_daemon::start_gate::{PlatformContact, StartGate};
 
 const NOW: ClockTime = ClockTime::ZERO;
 
@@ -17,8 +17,8 @@
 
 /// The gate of an instance that has `peers` seeds and a platform.
 fn gate(peers: u16) -> StartGate {
-    let mut gate = StartGate::new(PlatformAsked::Pending, deadline());
-    gate.know((1..=peers).map(peer));
+    let mut gate = StartGate::new(PlatformContact::Pending, deadline());
+    gate.add_peers((1..=peers).map(peer));
     gate
 }
 
@@ -28,12 +28,12 @@
 #[test]
 fn waits_for_platform_and_two_peers() {
     let mut gate = gate(5);
-    gate.platform_done();
+    gate.record_platform_contact();
     assert!(!gate.is_open(NOW, 4, 4));
-    gate.peer_answered(peer(1));
-    gate.peer_answered(peer(1));
+    gate.record_answer(peer(1));
+    gate.record_answer(peer(1));
     assert!(!gate.is_open(NOW, 4, 4), "one peer may lag");
-    gate.peer_answered(peer(9));
+    gate.record_answer(peer(9));
     assert!(!gate.is_open(NOW, 4, 7), "a peer has told of revision 7");
     assert!(gate.is_open(NOW, 7, 7));
 }
@@ -44,10 +44,10 @@
 #[test]
 fn peers_alone_are_not_enough() {
     let mut gate = gate(2);
-    gate.peer_answered(peer(1));
-    gate.peer_answered(peer(2));
+    gate.record_answer(peer(1));
+    gate.record_answer(peer(2));
     assert!(!gate.is_open(NOW, 4, 4));
-    gate.platform_done();
+    gate.record_platform_contact();
     assert!(gate.is_open(NOW, 4, 4));
 }
 
@@ -55,7 +55,7 @@
 fn first_instance_needs_no_peers() {
     let mut gate = gate(0);
     assert!(!gate.is_open(NOW, 4, 4));
-    gate.platform_done();
+    gate.record_platform_contact();
     assert!(gate.is_open(NOW, 4, 4));
 }
 
@@ -65,11 +65,11 @@
 #[test]
 fn failed_peers_are_not_waited_for() {
     let mut gate = gate(3);
-    gate.platform_done();
-    gate.peer_failed(peer(1));
-    gate.peer_failed(peer(2));
+    gate.record_platform_contact();
+    gate.record_failure(peer(1));
+    gate.record_failure(peer(2));
     assert!(!gate.is_open(NOW, 4, 4));
-    gate.peer_answered(peer(3));
+    gate.record_answer(peer(3));
     assert!(gate.is_open(NOW, 4, 4));
 }
 
--- a/crates/foxledge-settings/src/checks.rs
+++ b/crates/foxledge-settings/src/checks.rs
@@ -17,20 +17,21 @@
             table.note(key, "must name one IP number, because peers are told it");
         }
         let mut earlier = named[..at].iter();
-        let shared = earlier.find(|(_, other)| other.is_some_and(|other| clash(other, *address)));
+        let shared =
+            earlier.find(|(_, other)| other.is_some_and(|other| addresses_clash(other, *address)));
         if let Some((other, _)) = shared {
             table.note(key, format!("has the same port as {}", table.place_of(other).path));
         }
     }
 }
 
-fn clash(a: SocketAddr, b: SocketAddr) -> bool {
+fn addresses_clash(a: SocketAddr, b: SocketAddr) -> bool {
     let same_ip = a.ip() == b.ip() || a.ip().is_unspecified() || b.ip().is_unspecified();
     same_ip && a.port() == b.port()
 }
 
 /// A peer that is suspected before its next heartbeat is due flaps for ever.
-pub(crate) fn check_silences(table: &TableReader<'_>, peers: &PeerSettings) {
+pub(crate) fn check_peer_timeouts(table: &TableReader<'_>, peers: &PeerSettings) {
     if peers.suspect_after_ms <= peers.heartbeat_ms {
         table.note("suspect_after_ms", "must be more than peers.heartbeat_ms");
     }
--- a/crates/foxledge-settings/src/packet_settings.rs
+++ b/crates/foxledge-settings/src/packet_settings.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashMap, fs, net::SocketAddr, net::SocketAddrV4, path::Path, sync::Arc};
 
-use crate::parse::whole_finding;
+use crate::parse::file_finding;
 use foxledge_core::{
     findings::FindingList,
     names::{CentreName, InstanceName, RegionName},
@@ -10,15 +10,15 @@
 use foxledge_document::{SourceNotes, TableReader, read_document};
 
 /// Largest settings file, in bytes.
-const LARGEST_FILE: usize = 1_000_000;
+const MAX_FILE_BYTES: usize = 1_000_000;
 
 /// Longest planned stop when the settings name none, in seconds, as on the users'
 /// platform.
-const STOP_LIMIT_S: f64 = 6.0;
+const DEFAULT_STOP_LIMIT_S: f64 = 6.0;
 /// Hundredths of the room for less urgent priorities when the settings name none.
-const FLOOR_PERCENT: u64 = 10;
+const DEFAULT_FLOOR_PERCENT: u64 = 10;
 /// Multiple of the fair rate for one client account when the settings name none.
-const ACCOUNT_SHARE: f64 = 1.0;
+const DEFAULT_ACCOUNT_SHARE: f64 = 1.0;
 
 /// `PacketSettings` is everything that an instance reads at its start.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -51,9 +51,9 @@
     /// Instances to ask first.
     pub seeds: Vec<SocketAddrV4>,
     /// Longest time of a planned stop, in milliseconds.
-    pub stop_ms: u64,
+    pub stop_limit_ms: u64,
     /// Lines of each kind logged in a second at most.
-    pub lines_per_s: u32,
+    pub log_lines_per_s: u32,
     /// True when load is reported to other instances, and new flows leave full data centres.
     pub shares_load: bool,
     /// Refusal of new flows under shortage; none leaves it out.
@@ -78,7 +78,7 @@
     let source = path.display().to_string();
     match fs::read_to_string(path) {
         Ok(text) => parse_packet_settings(&source, &text),
-        Err(error) => Err(whole_finding(&source, format!("can't be read: {error}"))),
+        Err(error) => Err(file_finding(&source, format!("can't be read: {error}"))),
     }
 }
 
@@ -88,8 +88,8 @@
 ///
 /// Every finding, with its line and key.
 pub fn parse_packet_settings(source: &str, text: &str) -> Result<PacketSettings, FindingList> {
-    if text.len() > LARGEST_FILE {
-        return Err(whole_finding(source, "is larger than 1 MB"));
+    if text.len() > MAX_FILE_BYTES {
+        return Err(file_finding(source, "is larger than 1 MB"));
     }
     let notes = SourceNotes::new(source, text);
     match read_document(&notes, text, read_settings).flatten() {
@@ -101,8 +101,8 @@
 /// Reads every table before it gives up on one, so that all findings are noted.
 fn read_settings(root: &TableReader<'_>) -> Option<PacketSettings> {
     let instance = root.table("instance");
-    let name = instance.require("name", filled_text(&instance, "name"));
-    let data_centre = instance.require("data_centre", filled_text(&instance, "data_centre"));
+    let name = instance.require("name", non_empty_text(&instance, "name"));
+    let data_centre = instance.require("data_centre", non_empty_text(&instance, "data_centre"));
     let link_mbps = instance.decimal("link_mbps", 0.0..=1e6).unwrap_or(0.0) as u32;
     instance.finish();
 
@@ -113,9 +113,9 @@
     cold.finish();
 
     let listen = root.table("listen");
-    let data = listen.require("data", address_v4(&listen, "data"));
-    let peer = listen.require("peer", address_v4(&listen, "peer"));
-    let peer_public = address_v4(&listen, "peer_public").or(peer);
+    let data = listen.require("data", ipv4_address(&listen, "data"));
+    let peer = listen.require("peer", ipv4_address(&listen, "peer"));
+    let peer_public = ipv4_address(&listen, "peer_public").or(peer);
     let admin = listen.require("admin", listen.address("admin"));
     let metrics = listen.has("metrics").then(|| listen.address("metrics"));
     if data.is_some() && data == peer {
@@ -124,7 +124,7 @@
     listen.finish();
 
     let store = root.table("store");
-    let address = store.require("address", address_v4(&store, "address"));
+    let address = store.require("address", ipv4_address(&store, "address"));
     store.finish();
 
     let peers = root.table("peers");
@@ -132,12 +132,12 @@
     peers.finish();
 
     let stop = root.table("stop");
-    let limit_s = stop.decimal("limit_s", 1.0..=3_600.0).unwrap_or(STOP_LIMIT_S);
-    let stop_ms = (limit_s * 1_000.0) as u64;
+    let limit_s = stop.decimal("limit_s", 1.0..=3_600.0).unwrap_or(DEFAULT_STOP_LIMIT_S);
+    let stop_limit_ms = (limit_s * 1_000.0) as u64;
     stop.finish();
 
     let log = root.table("log");
-    let lines_per_s = log.number_or("lines_per_s", 1..=100_000, 100) as u32;
+    let log_lines_per_s = log.number_or("lines_per_s", 1..=100_000, 100) as u32;
     log.finish();
 
     let load = root.table("load");
@@ -159,8 +159,8 @@
         metrics: metrics.flatten(),
         store: address?,
         seeds,
-        stop_ms,
-        lines_per_s,
+        stop_limit_ms,
+        log_lines_per_s,
         shares_load,
         admission,
     })
@@ -169,8 +169,8 @@
 /// Admission decides by the load of all instances, so it needs their reports.
 fn read_admission(table: &TableReader<'_>, shares_load: bool) -> Option<AdmissionSettings> {
     let is_enabled = table.switch("enabled").unwrap_or(false);
-    let floor_percent = table.number_or("floor_percent", 0..=50, FLOOR_PERCENT) as u32;
-    let share = table.decimal("account_share", 0.0..=100.0).unwrap_or(ACCOUNT_SHARE);
+    let floor_percent = table.number_or("floor_percent", 0..=50, DEFAULT_FLOOR_PERCENT) as u32;
+    let share = table.decimal("account_share", 0.0..=100.0).unwrap_or(DEFAULT_ACCOUNT_SHARE);
     if share > 0.0 && share < 1.0 {
         table.note("account_share", "must be 0 or from 1 to 100");
     }
@@ -188,7 +188,7 @@
         let pairs = [
             ("instance.name", self.name.to_string(), newer.name.to_string()),
             ("instance.data_centre", self.data_centre.to_string(), newer.data_centre.to_string()),
-            ("data_centres", sorted(&self.regions), sorted(&newer.regions)),
+            ("data_centres", sorted_regions(&self.regions), sorted_regions(&newer.regions)),
             (
                 "cold.overrun",
                 self.cold_overrun_percent.to_string(),
@@ -203,8 +203,12 @@
             ("listen.metrics", format!("{:?}", self.metrics), format!("{:?}", newer.metrics)),
             ("store.address", self.store.to_string(), newer.store.to_string()),
             ("peers.seeds", format!("{:?}", self.seeds), format!("{:?}", newer.seeds)),
-            ("stop.limit_s", self.stop_ms.to_string(), newer.stop_ms.to_string()),
-            ("log.lines_per_s", self.lines_per_s.to_string(), newer.lines_per_s.to_string()),
+            ("stop.limit_s", self.stop_limit_ms.to_string(), newer.stop_limit_ms.to_string()),
+            (
+                "log.lines_per_s",
+                self.log_lines_per_s.to_string(),
+                newer.log_lines_per_s.to_string(),
+            ),
             ("load.enabled", self.shares_load.to_string(), newer.shares_load.to_string()),
             ("admission", admission_text(self.admission), admission_text(newer.admission)),
         ];
@@ -217,8 +221,8 @@
 fn read_regions(root: &TableReader<'_>) -> HashMap<CentreName, RegionName> {
     let mut regions = HashMap::new();
     for table in root.tables("data_centres") {
-        let name = table.require("name", filled_text(&table, "name"));
-        let region = table.require("region", filled_text(&table, "region"));
+        let name = table.require("name", non_empty_text(&table, "name"));
+        let region = table.require("region", non_empty_text(&table, "region"));
         if let (Some(name), Some(region)) = (name, region) {
             let former = regions.insert(CentreName::new(name), RegionName::new(region));
             if former.is_some() {
@@ -239,7 +243,7 @@
     }
 }
 
-fn sorted(regions: &HashMap<CentreName, RegionName>) -> String {
+fn sorted_regions(regions: &HashMap<CentreName, RegionName>) -> String {
     let mut regions: Vec<_> = regions.iter().collect();
     regions.sort_unstable();
     format!("{regions:?}")
@@ -261,7 +265,7 @@
     seeds
 }
 
-fn filled_text<'d>(table: &TableReader<'d>, key: &'static str) -> Option<&'d str> {
+fn non_empty_text<'d>(table: &TableReader<'d>, key: &'static str) -> Option<&'d str> {
     let text = table.text(key)?;
     if text.is_empty() {
         table.note(key, "must not be empty");
@@ -271,16 +275,16 @@
 }
 
 /// Packets name their ends by IPv4 addresses.
-fn address_v4(table: &TableReader<'_>, key: &'static str) -> Option<SocketAddrV4> {
+fn ipv4_address(table: &TableReader<'_>, key: &'static str) -> Option<SocketAddrV4> {
     let address = table.address(key)?;
-    let found = v4_of(address);
+    let found = as_ipv4(address);
     if found.is_none() {
         table.note(key, "must be an IPv4 address");
     }
     found
 }
 
-fn v4_of(address: SocketAddr) -> Option<SocketAddrV4> {
+fn as_ipv4(address: SocketAddr) -> Option<SocketAddrV4> {
     match address {
         SocketAddr::V4(address) => Some(address),
         SocketAddr::V6(_) => None,
--- a/crates/foxledge-settings/src/parse.rs
+++ b/crates/foxledge-settings/src/parse.rs
@@ -10,7 +10,7 @@
 use log::LevelFilter;
 
 use crate::{
-    checks::{check_listen, check_silences, check_stop},
+    checks::{check_listen, check_peer_timeouts, check_stop},
     choices::{PlacementChoice, PolicyChoice},
     settings::{
         AuditSettings, DaemonSettings, DeskSettings, FlowSettings, InstanceSettings,
@@ -20,9 +20,9 @@
 };
 
 /// Longest span that a setting may have, in milliseconds: an hour.
-const LONGEST_MS: u64 = 3_600_000;
+const MAX_DURATION_MS: u64 = 3_600_000;
 /// Largest settings file, in bytes.
-const LARGEST_FILE: usize = 1_000_000;
+const MAX_FILE_BYTES: usize = 1_000_000;
 
 /// Reads and checks a settings file.
 pub fn load_settings(path: &Path) -> Result<DaemonSettings, FindingList> {
@@ -30,16 +30,16 @@
     match fs::read(path) {
         Ok(bytes) => match String::from_utf8(bytes) {
             Ok(text) => parse_settings(&source, &text),
-            Err(_) => Err(whole_finding(&source, "is not UTF-8 text")),
+            Err(_) => Err(file_finding(&source, "is not UTF-8 text")),
         },
-        Err(error) => Err(whole_finding(&source, format!("can't be read: {error}"))),
+        Err(error) => Err(file_finding(&source, format!("can't be read: {error}"))),
     }
 }
 
 /// Checks the text of a settings file; `source_name` stands in the findings.
 pub fn parse_settings(source_name: &str, text: &str) -> Result<DaemonSettings, FindingList> {
-    if text.len() > LARGEST_FILE {
-        return Err(whole_finding(source_name, "is larger than 1 MB"));
+    if text.len() > MAX_FILE_BYTES {
+        return Err(file_finding(source_name, "is larger than 1 MB"));
     }
     let notes = SourceNotes::new(source_name, text);
     match read_document(&notes, text, read_settings).flatten() {
@@ -48,7 +48,7 @@
     }
 }
 
-pub(crate) fn whole_finding(source: &str, text: impl Into<String>) -> FindingList {
+pub(crate) fn file_finding(source: &str, text: impl Into<String>) -> FindingList {
     let mut findings = FindingList::new();
     findings.add(source, 0, "", text);
     findings
@@ -124,7 +124,7 @@
         dead_after_ms: millis(table, "dead_after_ms", 3000),
         start_wait_ms: millis(table, "start_wait_ms", 3000),
     };
-    check_silences(table, &peers);
+    check_peer_timeouts(table, &peers);
     table.finish();
     peers
 }
@@ -133,8 +133,8 @@
     let placements = PlacementChoice::ALL.map(|choice| (choice.as_str(), choice));
     let policies = PolicyChoice::ALL.map(|choice| (choice.as_str(), choice));
     let flow = FlowSettings {
-        placement: word(table, "placement", &placements).unwrap_or_default(),
-        policy: word(table, "policy", &policies).unwrap_or_default(),
+        placement: read_choice(table, "placement", &placements).unwrap_or_default(),
+        policy: read_choice(table, "policy", &policies).unwrap_or_default(),
         ticket_ms: table.number_or("ticket_ms", 100..=60_000, 4000),
         ticket_count: table.number_or("ticket_count", 1..=10_000, 64) as u32,
         forward_wait_ms: table.number_or("forward_wait_ms", 1..=60_000, 150),
@@ -174,7 +174,7 @@
         ("debug", LevelFilter::Debug),
         ("trace", LevelFilter::Trace),
     ];
-    let level = word(table, "level", &levels).unwrap_or(LevelFilter::Info);
+    let level = read_choice(table, "level", &levels).unwrap_or(LevelFilter::Info);
     table.finish();
     LogSettings { level }
 }
@@ -186,9 +186,9 @@
 }
 
 fn read_tls(table: &TableReader<'_>) -> Option<TlsSettings> {
-    let ca = file(table, "ca");
-    let certificate = file(table, "certificate");
-    let key = file(table, "key");
+    let ca = read_path(table, "ca");
+    let certificate = read_path(table, "certificate");
+    let key = read_path(table, "key");
     table.finish();
     Some(TlsSettings { ca: ca?.into(), certificate: certificate?.into(), key: key?.into() })
 }
@@ -209,14 +209,14 @@
 }
 
 fn millis(table: &TableReader<'_>, key: &'static str, default: u64) -> u64 {
-    table.number_or(key, 1..=LONGEST_MS, default)
+    table.number_or(key, 1..=MAX_DURATION_MS, default)
 }
 
 fn percent(table: &TableReader<'_>, key: &'static str, default: u64) -> u32 {
     table.number_or(key, 0..=100, default) as u32
 }
 
-fn file<'d>(table: &TableReader<'d>, key: &'static str) -> Option<&'d str> {
+fn read_path<'d>(table: &TableReader<'d>, key: &'static str) -> Option<&'d str> {
     let path = table.require(key, table.text(key))?;
     if path.is_empty() {
         table.note(key, "must not be empty");
@@ -225,7 +225,11 @@
     Some(path)
 }
 
-fn word<T: Copy>(table: &TableReader<'_>, key: &'static str, words: &[(&str, T)]) -> Option<T> {
+fn read_choice<T: Copy>(
+    table: &TableReader<'_>,
+    key: &'static str,
+    words: &[(&str, T)],
+) -> Option<T> {
     let text = table.text(key)?;
     let found = words.iter().find(|(word, _)| *word == text);
     if found.is_none() {
--- a/crates/foxledge-settings/src/settings.rs
+++ b/crates/foxledge-settings/src/settings.rs
@@ -191,7 +191,7 @@
 
 impl TrialSettings {
     /// The keys of the mechanisms that are off; the daemon logs a warning for each.
-    pub fn switched_off(&self) -> Vec<&'static str> {
+    pub fn disabled_mechanisms(&self) -> Vec<&'static str> {
         let switches = [
             ("run_once", self.run_once),
             ("refuse_stale_lists", self.refuse_stale_lists),
--- a/crates/foxledge-settings/tests/good_settings.rs
+++ b/crates/foxledge-settings/tests/good_settings.rs
@@ -65,10 +65,10 @@
     assert_eq!(settings.log.level, LevelFilter::Debug);
     assert_eq!(settings.flow.policy.as_str(), "two-choices");
     assert_eq!(settings.flow.placement.as_str(), "target-home");
-    assert_eq!(settings.trial.switched_off(), ["run_once", "fair_order"]);
+    assert_eq!(settings.trial.disabled_mechanisms(), ["run_once", "fair_order"]);
     let route = settings.trial.routes.iter().next().unwrap();
     assert_eq!((route.0.port(), route.1.port()), (7001, 9001));
     let longest = REQUIRED.replace("toledo-1", &"a".repeat(32));
     assert_eq!(parse_settings("longest.toml", &longest).unwrap().instance.name.len(), 32);
-    assert!(TrialSettings::default().switched_off().is_empty());
+    assert!(TrialSettings::default().disabled_mechanisms().is_empty());
 }
--- a/crates/foxledge-settings/tests/packet_settings.rs
+++ b/crates/foxledge-settings/tests/packet_settings.rs
@@ -12,7 +12,7 @@
 fn example_good() {
     let settings = parse_packet_settings("packets.toml", EXAMPLE).expect("is good");
     assert_eq!(settings.link_mbps, 1_000);
-    assert_eq!(settings.stop_ms, 6_000);
+    assert_eq!(settings.stop_limit_ms, 6_000);
     assert_eq!(settings.seeds.len(), 1);
     assert_eq!(settings.regions.len(), 2);
     assert_eq!((settings.cold_overrun_percent, settings.cold_slack), (150, 5));
@@ -41,7 +41,7 @@
     let settings = parse_packet_settings("s", LEAST).expect("is good");
     assert_eq!(settings.peer_public, settings.peer);
     assert_eq!((settings.metrics, settings.seeds.len()), (None, 0));
-    assert_eq!((settings.stop_ms, settings.lines_per_s), (6_000, 100));
+    assert_eq!((settings.stop_limit_ms, settings.log_lines_per_s), (6_000, 100));
     assert_eq!((settings.shares_load, settings.admission), (false, None));
 }
 
@@ -75,7 +75,7 @@
 #[test]
 fn decimals_taken() {
     let text = format!("{LEAST}[stop]\nlimit_s = 2.5\n");
-    assert_eq!(parse_packet_settings("s", &text).expect("is good").stop_ms, 2_500);
+    assert_eq!(parse_packet_settings("s", &text).expect("is good").stop_limit_ms, 2_500);
 }
 
 #[test]
