--- a/crates/foxledge-daemon/src/packets/daemon.rs
+++ b/crates/foxledge-daemon/src/packets/daemon.rs
@@ -1,4 +1,4 @@
-//! The process that routes packets, from its settings to its end.
+//! The process of the packet path: setup, main loop and queries of operators.
 
 use std::{
     cell::{Cell, OnceCell, RefCell},
@@ -57,10 +57,10 @@
 
 const POLL_EVENT_CAPACITY: usize = 256;
 const MAX_POLL_WAIT: Duration = Duration::from_secs(60);
-/// Entries that the audit trail keeps.
+/// Capacity of the audit trail, in entries.
 const MAX_AUDIT_ENTRIES: usize = 500;
 
-/// `StartLine` is the log line of a process that starts.
+/// The log line written when the process starts.
 #[derive(Serialize)]
 struct StartLine<'a> {
     event: &'static str,
@@ -73,7 +73,7 @@
     incarnation: u64,
 }
 
-/// `PacketDaemon` is the process: the main loop and what it holds.
+/// A running instance of the packet path: the main loop and everything that it owns.
 pub struct PacketDaemon {
     stakker: Stakker,
     poll: MioPoll,
@@ -89,16 +89,16 @@
     ///
     /// # Errors
     ///
-    /// When a socket can't be bound or the system gives no thread.
+    /// Fails when a socket can't be bound or a thread can't be started.
     pub fn start(
         settings: PacketSettings,
         path: PathBuf,
         adapters: PacketAdapters,
     ) -> Result<PacketDaemon> {
-        // First of all: a signal that comes before would end the process unasked.
+        // Registered first: an earlier signal would end the process without a planned stop.
         let signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
         let mut stakker = Stakker::new(Instant::now());
-        let poll = Poll::new().context("can't poll")?;
+        let poll = Poll::new().context("can't create the poll")?;
         let events = Events::with_capacity(POLL_EVENT_CAPACITY);
         let poll = MioPoll::new(&mut stakker, poll, events, POLL_PRIORITY)?;
         let (side_commands, commands) = mpsc::unbounded_channel();
@@ -118,11 +118,11 @@
         })
     }
 
-    /// Runs until the process is told to stop.
+    /// Runs the main loop until a planned stop has finished.
     ///
     /// # Errors
     ///
-    /// When the root supervisor ends for another reason.
+    /// Fails when polling fails or the root supervisor ends for another reason.
     pub fn run(&mut self) -> Result<()> {
         while self.stakker.not_shutdown() {
             let is_pending = self.is_idle_pending || self.is_io_pending;
@@ -194,7 +194,7 @@
     let starter = Box::new(PacketParts::new(context.clone()));
     let root = actor!(stakker, PacketSupervisor::init(options, starter), ret_shutdown!(stakker));
     context.directory.set(&root);
-    // The root supervisor is made once, so the cell is empty.
+    // The root supervisor is created once, so the cell is empty.
     let _ = context.audit.set(fwd_to!([root], record() as (AuditChange)));
     root
 }
@@ -223,10 +223,10 @@
     Ok(guard)
 }
 
-/// Opens the metrics' own port, if it is free.
+/// Binds the separate port for metrics; returns none when the address is taken.
 ///
-/// Callers can be served without it, and operators find the metrics at the admin
-/// address too.
+/// A failure isn't fatal: callers can be served without this port, and the admin
+/// address serves the metrics as well.
 fn bind_metrics(context: &SharedContext, address: SocketAddr) -> Option<TcpListener> {
     match bind_tcp("listen.metrics", address) {
         Ok(listener) => Some(listener),
@@ -241,16 +241,14 @@
 
 fn handle_side_event(context: &SharedContext, event: SideEvent) {
     match event {
-        SideEvent::StoreResponse(order, answer) => {
+        SideEvent::StoreResponse(query, response) => {
             if let Some(fleet) = context.directory.get::<FleetPart>() {
-                call!([fleet], handle_store_response(order, answer));
+                call!([fleet], handle_store_response(query, response));
             }
         }
-        SideEvent::QueryReceived(question, sender) => {
-            answer_operator_query(context, question, sender)
-        }
-        // Without the thread nobody learns that this process is alive, and it
-        // learns of no list. The platform starts it anew.
+        SideEvent::QueryReceived(query, sender) => answer_operator_query(context, query, sender),
+        // Without the side thread, health checks get no response and the store isn't read,
+        // so the process ends and the platform restarts it.
         SideEvent::Ended(why) => {
             context
                 .log_event("side_ended", &serde_json::json!({ "event": "side_ended", "why": why }));
@@ -264,14 +262,14 @@
 
 fn answer_operator_query(
     context: &SharedContext,
-    question: OperatorQuery,
+    query: OperatorQuery,
     sender: oneshot::Sender<Value>,
 ) {
-    match question {
+    match query {
         OperatorQuery::Gauges => {
             set_gauges(context);
             let Some(flows) = context.directory.get::<FlowPart>() else { return };
-            // A question whose asker has gone needs no answer; so below.
+            // The send fails when the client has disconnected, which is harmless; so below.
             let answer = Box::new(move || drop(sender.send(Value::Null)));
             call!([flows], set_gauges(answer));
         }
@@ -321,22 +319,22 @@
     metrics.lines_suppressed.set(context.log.borrow().suppressed_lines() as i64);
 }
 
-/// Hands signals to the life part, in a thread of their own.
+/// Starts a thread that forwards signals to the lifecycle part.
 fn watch_signals(
     stakker: &mut Stakker,
     context: &SharedContext,
     mut signals: Signals,
 ) -> Result<ChannelGuard> {
     let shared = context.clone();
-    let hand_over = fwd_do!(move |signal: i32| {
+    let forward = fwd_do!(move |signal: i32| {
         if let Some(life) = shared.directory.get::<LifecyclePart>() {
             call!([life], on_signal(signal));
         }
     });
-    let (channel, guard) = Channel::new(stakker, hand_over);
+    let (channel, guard) = Channel::new(stakker, forward);
     thread::Builder::new().name("signals".to_owned()).spawn(move || {
         for signal in signals.forever() {
-            info!("life: signal {signal}");
+            info!("life: received signal {signal}");
             channel.send(signal);
         }
     })?;
--- a/crates/foxledge-daemon/src/packets/event_log.rs
+++ b/crates/foxledge-daemon/src/packets/event_log.rs
@@ -1,7 +1,7 @@
 //! Structured log lines on standard output.
 //!
-//! Each line is one JSON object. Lines are collected and written without ever
-//! waiting: a reader that is slow costs lines, which are counted, and no packet.
+//! Each line is one JSON object. Lines are buffered and written without blocking: a
+//! slow reader causes lost lines, which are counted, but no delayed packets.
 
 use std::{
     collections::HashMap,
@@ -15,17 +15,17 @@
 };
 use serde::Serialize;
 
-/// Bytes of lines kept while standard output takes none; more are lost.
+/// Maximum size of the buffer, in bytes; further lines are lost while the output blocks.
 const MAX_PENDING_BYTES: usize = 128 * 1024;
-/// Most bytes of one write. A pipe takes so many together or not at all: with more,
-/// a pipe that several processes share, or that is nearly full, splits lines.
+/// Maximum size of one write, in bytes. A pipe accepts that much atomically; larger writes
+/// would split lines in a pipe that several processes share or that is nearly full.
 const MAX_WRITE_BYTES: usize = 4 * 1024;
-/// Longest time that a line waits to be written together with others, in milliseconds.
+/// Maximum time for which a line is buffered to be written with others, in milliseconds.
 const MAX_WRITE_DELAY_MS: u64 = 200;
-/// One flow in this many keeps all its lines, on every instance, when there are too many.
+/// While sampling, one flow in this many has all its lines logged, on every instance.
 const SAMPLED_FLOW_DIVISOR: u64 = 16;
 
-/// `LogField` are the fields with which every line begins.
+/// A line: the fields that all lines begin with, followed by those of the event.
 #[derive(Serialize)]
 struct LogLine<'a, T: Serialize> {
     at_ms: u64,
@@ -39,19 +39,19 @@
     *count == 0
 }
 
-/// `LineBudget` bounds the lines of one kind in a second.
+/// The rate limit of one kind of lines, counted in windows of a second.
 #[derive(Clone, Copy, Debug)]
 struct LineBudget {
     window_end: ClockTime,
     requested: u64,
     written: u64,
     suppressed: u64,
-    /// Set for a second when more lines were asked for in the one before.
+    /// True for a window when more lines than allowed were requested in the previous one.
     is_sampling: bool,
 }
 
-/// `RawStdout` writes to standard output without the buffer of the standard
-/// library, which would hide how much was taken.
+/// Unbuffered standard output. The buffer of the standard library would hide how many bytes
+/// were written.
 struct RawStdout;
 
 impl Write for RawStdout {
@@ -64,7 +64,7 @@
     }
 }
 
-/// `EventLog` is the log of one process.
+/// The event log of a process, with a rate limit for each kind of event.
 pub struct EventLog {
     lines_per_s: u64,
     budgets: HashMap<&'static str, LineBudget>,
@@ -75,18 +75,18 @@
 }
 
 impl EventLog {
-    /// A log on standard output, which is set never to wait.
+    /// Creates a log on standard output, which it sets to non-blocking mode.
     ///
     /// # Errors
     ///
-    /// When the process has no standard output.
+    /// Fails when the process has no standard output.
     pub fn to_stdout(lines_per_s: u32) -> io::Result<EventLog> {
         let flags = fcntl(io::stdout(), FcntlArg::F_GETFL).map(OFlag::from_bits_truncate)?;
         fcntl(io::stdout(), FcntlArg::F_SETFL(flags | OFlag::O_NONBLOCK))?;
         Ok(EventLog::with_output(Box::new(RawStdout), lines_per_s))
     }
 
-    /// A log on another output.
+    /// Creates a log that writes to `output`.
     pub fn with_output(output: Box<dyn Write>, lines_per_s: u32) -> EventLog {
         EventLog {
             lines_per_s: u64::from(lines_per_s),
@@ -98,12 +98,12 @@
         }
     }
 
-    /// Lines that weren't written since the start.
+    /// Returns the number of lines that were suppressed or lost since the start.
     pub fn suppressed_lines(&self) -> u64 {
         self.suppressed_lines
     }
 
-    /// Logs a change of what the process is or believes.
+    /// Logs an event that isn't a decision on a flow.
     pub fn log_event<T: Serialize>(&mut self, now: ClockTime, kind: &'static str, event: &T) {
         if let Some(suppressed) = self.admit(now, kind, 0) {
             self.append_line(now, suppressed, event);
@@ -112,9 +112,9 @@
 
     /// Logs a decision on a flow.
     ///
-    /// In the second after one with too many, only one flow in sixteen is logged,
-    /// chosen by its hash: such a flow has all its lines on every instance. The
-    /// event of a line that isn't kept is never made.
+    /// In the second after one with too many lines, only one flow in sixteen is logged,
+    /// selected by its hash, so that such a flow has all its lines on every instance.
+    /// `make` isn't called for a suppressed line.
     pub fn log_decision<T: Serialize>(
         &mut self,
         now: ClockTime,
@@ -127,15 +127,15 @@
         }
     }
 
-    /// Writes what waits, if it has waited long enough or is much.
+    /// Writes the buffer when it is old or large enough.
     pub fn flush(&mut self, now: ClockTime) {
-        let is_due = self.pending.len() >= MAX_WRITE_BYTES || self.next_write_at.is_past(now);
-        if is_due && !self.pending.is_empty() {
+        let is_write_due = self.pending.len() >= MAX_WRITE_BYTES || self.next_write_at.is_past(now);
+        if is_write_due && !self.pending.is_empty() {
             self.write_pending();
         }
     }
 
-    /// Writes what waits.
+    /// Writes the buffer, as far as the output accepts it.
     pub fn write_pending(&mut self) {
         while !self.pending.is_empty() {
             let size = whole_lines_length(&self.pending);
@@ -143,10 +143,10 @@
                 Ok(0) => return,
                 Ok(count) => drop(self.pending.drain(..count)),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                // Nobody reads now: the lines wait, as far as there is room.
+                // The reader is slow: the lines stay in the buffer.
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(_) => {
-                    // Nobody will ever read them.
+                    // The output is closed for good.
                     self.suppressed_lines += count_lines(&self.pending);
                     self.pending.clear();
                 }
@@ -154,10 +154,10 @@
         }
     }
 
-    /// Counts a line; returns how many of the kind were suppressed since the last,
-    /// or none when this one is.
+    /// Applies the rate limit to a line. Returns the number of lines of its kind that were
+    /// suppressed since the last one logged, or none when this line is suppressed.
     fn admit(&mut self, now: ClockTime, kind: &'static str, flow_hash: u64) -> Option<u64> {
-        let most = self.lines_per_s;
+        let max_lines = self.lines_per_s;
         let budget = self.budgets.entry(kind).or_insert(LineBudget {
             window_end: now.after_millis(1_000),
             requested: 0,
@@ -166,13 +166,13 @@
             is_sampling: false,
         });
         if budget.window_end.is_past(now) {
-            budget.is_sampling = budget.requested > most;
+            budget.is_sampling = budget.requested > max_lines;
             budget.window_end = now.after_millis(1_000);
             (budget.requested, budget.written) = (0, 0);
         }
         budget.requested += 1;
-        let is_left_out = budget.is_sampling && !flow_hash.is_multiple_of(SAMPLED_FLOW_DIVISOR);
-        if budget.written >= most || is_left_out {
+        let is_sampled_out = budget.is_sampling && !flow_hash.is_multiple_of(SAMPLED_FLOW_DIVISOR);
+        if budget.written >= max_lines || is_sampled_out {
             budget.suppressed += 1;
             self.suppressed_lines += 1;
             return None;
@@ -201,18 +201,19 @@
     }
 }
 
-/// The time of day in milliseconds, for people; nothing is decided by it.
+/// Returns the wall-clock time in milliseconds; it is for readers of the log only.
 fn wall_clock_ms() -> u64 {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    since.map_or(0, |span| span.as_millis() as u64)
+    let elapsed = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+    elapsed.map_or(0, |span| span.as_millis() as u64)
 }
 
-/// Length of the lines that one write takes; a longer line goes by itself.
+/// Returns the length of the whole lines that fit into one write; a longer line is written
+/// by itself.
 fn whole_lines_length(bytes: &[u8]) -> usize {
     let is_end = |byte: &u8| *byte == b'\n';
-    let room = &bytes[..bytes.len().min(MAX_WRITE_BYTES)];
-    let last = room.iter().rposition(is_end).or_else(|| bytes.iter().position(is_end));
-    last.map_or(bytes.len(), |end| end + 1)
+    let window = &bytes[..bytes.len().min(MAX_WRITE_BYTES)];
+    let last_end = window.iter().rposition(is_end).or_else(|| bytes.iter().position(is_end));
+    last_end.map_or(bytes.len(), |end| end + 1)
 }
 
 fn count_lines(bytes: &[u8]) -> u64 {
--- a/crates/foxledge-daemon/src/packets/fleet_part.rs
+++ b/crates/foxledge-daemon/src/packets/fleet_part.rs
@@ -1,4 +1,4 @@
-//! The part that keeps the list and talks with other instances and the store.
+//! The part that maintains the list and communicates with other instances and the store.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -21,20 +21,21 @@
     context::SharedContext, flow_part::FlowPart, lifecycle_part::LifecyclePart, side::SideCommand,
 };
 
-/// Larger than any message, so that one that is too long shows as cut.
+/// Size of the receive buffer: larger than any message, so that an oversized one is detected
+/// instead of truncated to a valid length.
 const BUFFER_BYTES: usize = 2 * MAX_MESSAGE_BYTES;
-/// Shortest time between two turns for timers, in milliseconds: timers that
-/// fall due together are served together.
+/// Minimum time between two expiries of the timer, in milliseconds, so that deadlines close
+/// to each other are handled together.
 const MIN_TIMER_INTERVAL_MS: u64 = 5;
 
-/// `FleetPart` owns the socket for messages of instances.
+/// Owns the socket for messages between instances and applies the effects of the fleet member.
 pub struct FleetPart {
     context: SharedContext,
     socket: MioSource<UdpSocket>,
     timer: Option<FixedTimerKey>,
 }
 
-/// `PauseLine` is the log line of a process that stood still.
+/// The log line of a detected pause of the process.
 #[derive(Serialize)]
 struct PauseLine {
     event: &'static str,
@@ -43,7 +44,7 @@
 }
 
 impl FleetPart {
-    /// Opens a duplicate of the bound socket and goes on with what is known.
+    /// Starts the part on a duplicate of the bound socket, with the shared state of the member.
     pub fn init(cx: CX![], context: SharedContext) -> Option<FleetPart> {
         match FleetPart::open(cx, context) {
             Ok(part) => {
@@ -52,7 +53,7 @@
                 Some(part)
             }
             Err(error) => {
-                fail!(cx, "can't open the socket: {}", error);
+                fail!(cx, "can't open the peer socket: {}", error);
                 None
             }
         }
@@ -61,45 +62,45 @@
     fn open(cx: CX![], context: SharedContext) -> io::Result<FleetPart> {
         let poll = cx.anymap_get::<MioPoll>();
         let socket = UdpSocket::from_std(context.peer.try_clone()?);
-        let ready = fwd_to!([cx], socket_ready() as (Ready));
-        let socket = poll.add(socket, Interest::READABLE, POLL_PRIORITY, ready)?;
+        let on_ready = fwd_to!([cx], socket_ready() as (Ready));
+        let socket = poll.add(socket, Interest::READABLE, POLL_PRIORITY, on_ready)?;
         Ok(FleetPart { context, socket, timer: None })
     }
 
-    /// Tells other instances what packets told of backend servers.
-    pub fn share_observations(&mut self, cx: CX![], notes: Vec<HealthObservation>) {
+    /// Sends observations of backend servers to other instances.
+    pub fn share_observations(&mut self, cx: CX![], observations: Vec<HealthObservation>) {
         let now = self.context.clock.now();
-        self.context.member.borrow_mut().share_observations(now, &notes);
+        self.context.member.borrow_mut().share_observations(now, &observations);
         self.apply_effects(cx);
     }
 
-    /// Sends the messages that callers' packets have made.
+    /// Sends the messages that the fleet member has queued.
     pub fn send_messages(&mut self, cx: CX![]) {
         self.apply_effects(cx);
     }
 
-    /// Asks other instances for backend servers that vanished before this one started.
+    /// Queries other instances for backend servers that were removed before this one started.
     pub fn query_tokens(&mut self, cx: CX![], tokens: Vec<u32>) {
         let now = self.context.clock.now();
         self.context.member.borrow_mut().query_removed_backends(now, tokens);
         self.apply_effects(cx);
     }
 
-    /// Takes the store's answer to an order.
+    /// Handles the response of the store to a query.
     pub fn handle_store_response(
         &mut self,
         cx: CX![],
-        order: StoreQuery,
-        answer: Result<ListReading, SourceError>,
+        query: StoreQuery,
+        response: Result<ListReading, SourceError>,
     ) {
-        let outcome = answer.as_ref().map_or_else(SourceError::as_str, |_| "answered");
+        let outcome = response.as_ref().map_or_else(SourceError::as_str, |_| "answered");
         self.context.metrics.store_calls.with_label_values(&[outcome]).inc();
         let now = self.context.clock.now();
-        self.context.member.borrow_mut().handle_store_response(now, order, answer);
+        self.context.member.borrow_mut().handle_store_response(now, query, response);
         self.apply_effects(cx);
     }
 
-    /// Tells other instances that this one stops.
+    /// Announces the planned stop of this instance to the others.
     pub fn announce_leave(&mut self, cx: CX![]) {
         let now = self.context.clock.now();
         self.context.member.borrow_mut().announce_leave(now);
@@ -119,11 +120,12 @@
         self.read_batch(cx);
     }
 
-    /// Drops messages that have waited while the process stood still.
+    /// Discards messages that were queued in the socket while the process was paused.
     ///
-    /// Messages tell times as ages. After a freeze of four seconds, ages in what
-    /// waited are short by as much: the list would count as confirmed a moment
-    /// ago, and this would be told to others. Peers repeat what is still true.
+    /// Messages carry times as ages. After a pause of four seconds, the ages in
+    /// queued messages are too low by as much: the list would count as just
+    /// confirmed, and this would spread to other instances. Peers repeat their state
+    /// anyway.
     fn discard_after_pause(&mut self) {
         let Some(pause) = self.context.detect_pause() else { return };
         let mut buffer = [0; BUFFER_BYTES];
@@ -150,7 +152,7 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
                 Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => continue,
-                Err(error) => return fail!(cx, "can't read the socket: {}", error),
+                Err(error) => return fail!(cx, "can't read from the peer socket: {}", error),
             }
         }
         self.apply_effects(cx);
@@ -181,7 +183,7 @@
         let labels = [call.query.as_str(), call.reason.as_str()];
         metrics.store_readings.with_label_values(&labels).inc();
         if self.context.side_commands.send(SideCommand::CallStore(call.query)).is_err() {
-            // The side thread is gone, and its end is being reported.
+            // The side thread has ended; its end is reported separately.
             metrics.store_calls.with_label_values(&["unsent"]).inc();
         }
     }
@@ -208,17 +210,17 @@
                     call!([flows], apply_restored_rows(rows));
                 }
             }
-            FleetEffect::RecordConfirmation(at) => {
+            FleetEffect::RecordConfirmation(confirmed_at) => {
                 if let Some(flows) = directory.get::<FlowPart>() {
-                    call!([flows], record_confirmation(at));
+                    call!([flows], record_confirmation(confirmed_at));
                 }
                 if let Some(life) = directory.get::<LifecyclePart>() {
                     call!([life], serve_when_ready());
                 }
             }
-            FleetEffect::RecordObservation(note) => {
+            FleetEffect::RecordObservation(observation) => {
                 if let Some(flows) = directory.get::<FlowPart>() {
-                    call!([flows], apply_observation(note));
+                    call!([flows], apply_observation(observation));
                 }
             }
             FleetEffect::HandlePacket(bytes) => {
@@ -235,7 +237,7 @@
         metrics.messages.with_label_values(&["out"]).inc();
         metrics.message_bytes.with_label_values(&["out"]).inc_by(bytes.len() as u64);
         if self.socket.send_to(bytes, to).is_err() {
-            // Messages are repeated; the peer's silence is logged when it counts as lost.
+            // Messages are repeated; an unreachable peer is logged when it is declared lost.
             metrics.send_errors.with_label_values(&["peer"]).inc();
         }
     }
@@ -245,12 +247,12 @@
         let metrics = &self.context.metrics;
         match event {
             FleetEvent::ItemRefused(item) => {
-                let what = if item.key.starts_with("backend/") { "backend" } else { "list" };
-                metrics.refused_items.with_label_values(&[what]).inc();
+                let kind = if item.key.starts_with("backend/") { "backend" } else { "list" };
+                metrics.refused_items.with_label_values(&[kind]).inc();
             }
             FleetEvent::StoreEpochChanged { epoch, .. } => metrics.store_epoch.set(*epoch as i64),
             FleetEvent::ReadingPassedOver { .. } => metrics.outdated_readings.inc(),
-            // The rows in force may be the same before and after.
+            // No rows may have changed, in which case nothing else updates the metrics.
             FleetEvent::ConfigHeld { .. } | FleetEvent::ConfigReleased { .. } => {
                 self.set_list_metrics();
             }
@@ -259,14 +261,15 @@
         if let FleetEvent::ListTaken { version, epoch, revision, former_revision, source, .. } =
             event
         {
-            let newer = match epoch {
+            let revision_text = match epoch {
                 0 => revision.to_string(),
                 _ => format!("{revision} of epoch {epoch}"),
             };
-            let change = AuditChange::new(AuditKind::ListAccepted, format!("version {version}"))
-                .with_values(former_revision.to_string(), newer)
-                .with_cause("newer", source.as_str());
-            self.context.record(change);
+            let audit_change =
+                AuditChange::new(AuditKind::ListAccepted, format!("version {version}"))
+                    .with_values(former_revision.to_string(), revision_text)
+                    .with_cause("newer", source.as_str());
+            self.context.record(audit_change);
         }
     }
 
@@ -279,8 +282,8 @@
 
     fn set_timer(&mut self, cx: CX![]) {
         let now = self.context.clock.now();
-        let next = self.context.member.borrow().next_timer_at(now);
-        let wait = next.remaining(now).max(Duration::from_millis(MIN_TIMER_INTERVAL_MS));
+        let next_timer_at = self.context.member.borrow().next_timer_at(now);
+        let wait = next_timer_at.remaining(now).max(Duration::from_millis(MIN_TIMER_INTERVAL_MS));
         self.context.next_timer_at.set(now.after(wait));
         if let Some(key) = self.timer.take() {
             cx.timer_del(key);
--- a/crates/foxledge-daemon/src/packets/flow_lines.rs
+++ b/crates/foxledge-daemon/src/packets/flow_lines.rs
@@ -1,4 +1,4 @@
-//! Log lines of decisions on flows and of what is believed of backend servers.
+//! Log lines of decisions on flows and of the state of backend servers and data centres.
 
 use std::net::{SocketAddr, SocketAddrV4};
 
@@ -10,7 +10,7 @@
 };
 use serde::Serialize;
 
-/// `FlowLine` is the log line of a decision on one flow.
+/// The log line of a decision on a flow.
 #[derive(Serialize)]
 pub(super) struct FlowLine<'a> {
     pub(super) event: &'static str,
@@ -23,11 +23,11 @@
     pub(super) list_age_ms: Option<u64>,
 }
 
-/// `DecisionDetail` is what was decided, and by what.
+/// The decision on a packet, with its reason and the backend server or token concerned.
 #[derive(Serialize)]
 #[serde(untagged)]
 pub(super) enum DecisionDetail<'a> {
-    /// An opening packet was sent on.
+    /// An opening packet was forwarded to a newly selected backend server.
     Opened {
         backend: &'a str,
         address: SocketAddrV4,
@@ -35,7 +35,7 @@
         #[serde(flatten)]
         reason: &'a OpenReason,
     },
-    /// A caller sent data of an open flow again, and it was sent on again.
+    /// A caller retransmitted data of an open flow, which was forwarded again.
     Stalled {
         backend: &'a str,
         #[serde(flatten)]
@@ -43,32 +43,32 @@
     },
     /// An opening packet was refused.
     Refused { reason: RefuseReason },
-    /// An open flow was reset, as its backend server is dead.
+    /// An open flow was reset because its backend server is dead.
     Ended {
         backend: &'a str,
         #[serde(flatten)]
         reason: ResetReason,
     },
-    /// A packet was handed to another instance.
+    /// A packet was relayed to another instance.
     Relayed { token: u32 },
     /// A packet was dropped.
     Dropped { token: u32, reason: DropReason },
 }
 
-/// `MalformedLine` is the log line of a datagram that is no packet.
+/// The log line of a datagram that isn't a valid packet.
 #[derive(Serialize)]
 pub(super) struct MalformedLine {
     pub(super) event: &'static str,
-    /// None when another instance handed it on.
+    /// The sender; none when another instance relayed the datagram.
     pub(super) from: Option<SocketAddr>,
     pub(super) fault: &'static str,
 }
 
-/// `BackendLine` is the log line of a backend server whose entry changed what is believed.
+/// The log line of a change of a backend server's entry in the list.
 #[derive(Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub(super) enum BackendLine<'a> {
-    /// It started again under its id.
+    /// The backend server restarted under the same id.
     BackendRestarted {
         backend: &'a str,
         service: &'a str,
@@ -78,7 +78,8 @@
         #[serde(serialize_with = "serialize_number")]
         backend_revision: u64,
     },
-    /// Its entry tells of the same start at another place: it gets no new flows.
+    /// A new entry has the same incarnation but another address: the backend server gets no
+    /// new flows.
     EntryContradicted {
         backend: &'a str,
         service: &'a str,
@@ -90,11 +91,12 @@
     },
 }
 
-/// `EvacuationLine` is the log line of a change of what operators want of a data centre.
+/// The log line of a data centre whose evacuation begins or ends.
 #[derive(Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub(super) enum EvacuationLine<'a> {
-    /// Its backend servers get no new flows. A data centre without any may be misspelled.
+    /// The backend servers there get no new flows. If there are none, the name may be
+    /// misspelled.
     EvacuationBegun {
         data_centre: &'a CentreName,
         #[serde(serialize_with = "serialize_number")]
@@ -102,7 +104,7 @@
         backends: usize,
         list_age_ms: Option<u64>,
     },
-    /// It is taken back.
+    /// The evacuation was withdrawn.
     EvacuationEnded {
         data_centre: &'a CentreName,
         #[serde(serialize_with = "serialize_number")]
@@ -114,14 +116,14 @@
 }
 
 impl<'a> EvacuationLine<'a> {
-    /// The line of a change, with the number of backend servers that are known there.
+    /// Creates the line; `backends` is the number of backend servers known in the data centre.
     pub(super) fn new(
-        news: &'a EvacuationEvent,
+        event: &'a EvacuationEvent,
         backends: usize,
         list_age_ms: Option<u64>,
     ) -> EvacuationLine<'a> {
-        let (data_centre, revision) = (&news.data_centre, news.revision);
-        match news.change {
+        let (data_centre, revision) = (&event.data_centre, event.revision);
+        match event.change {
             EvacuationChange::Begun => {
                 EvacuationLine::EvacuationBegun { data_centre, revision, backends, list_age_ms }
             }
@@ -135,7 +137,7 @@
         }
     }
 
-    /// The word of the line's event.
+    /// Returns the name of the event.
     pub(super) fn event_name(&self) -> &'static str {
         match self {
             EvacuationLine::EvacuationBegun { .. } => "evacuation_begun",
@@ -144,7 +146,7 @@
     }
 }
 
-/// `HealthLine` is the log line of an observation of a backend server.
+/// The log line of an observation of a backend server.
 #[derive(Serialize)]
 pub(super) struct HealthLine<'a> {
     event: &'static str,
@@ -160,9 +162,9 @@
 }
 
 impl<'a> BackendLine<'a> {
-    /// The line of a change of a backend server's entry.
-    pub(super) fn new(news: &BackendEvent, backend: &'a Backend) -> BackendLine<'a> {
-        match *news {
+    /// Creates the line of a change of the entry of `backend`.
+    pub(super) fn new(event: &BackendEvent, backend: &'a Backend) -> BackendLine<'a> {
+        match *event {
             BackendEvent::Restarted { former, .. } => BackendLine::BackendRestarted {
                 backend: &backend.key,
                 service: &backend.service,
@@ -182,7 +184,7 @@
         }
     }
 
-    /// The word of the line's event.
+    /// Returns the name of the event.
     pub(super) fn event_name(&self) -> &'static str {
         match self {
             BackendLine::BackendRestarted { .. } => "backend_restarted",
@@ -192,10 +194,10 @@
 }
 
 impl<'a> HealthLine<'a> {
-    /// The line of an observation.
+    /// Creates the line of an observation.
     pub(super) fn new(
         now: ClockTime,
-        note: &HealthObservation,
+        observation: &HealthObservation,
         backend: &'a Backend,
         observer: &'static str,
     ) -> HealthLine<'a> {
@@ -203,9 +205,9 @@
             event: "backend_observed",
             backend: &backend.key,
             service: &backend.service,
-            kind: note.kind,
+            kind: observation.kind,
             observer,
-            age_ms: now.since(note.observed_at).as_millis() as u64,
+            age_ms: now.since(observation.observed_at).as_millis() as u64,
             running: backend.running_requests,
             flows: backend.open_flows,
             backend_revision: backend.revision,
--- a/crates/foxledge-daemon/src/packets/flow_load.rs
+++ b/crates/foxledge-daemon/src/packets/flow_load.rs
@@ -1,4 +1,4 @@
-//! Load as the part that routes packets measures it, takes it and tells of it.
+//! Exchange of load with other instances, and metrics of load, for the flow part.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,12 +9,12 @@
 
 use super::flow_part::FlowPart;
 
-/// Time between two looks at the load while no packets come.
+/// Interval between checks of the load while no packets arrive.
 const LOAD_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Most services in metrics and reports, so that their size stays bounded.
+/// Maximum number of services in metrics and reports, which bounds their size.
 pub(super) const MAX_REPORTED_SERVICES: usize = 200;
 
-/// `LoadLine` is the log line of a shortage or an overflow that begins or ends.
+/// The log line of the begin or end of a shortage or an overflow.
 #[derive(Serialize)]
 struct LoadLine<'a> {
     event: &'static str,
@@ -22,23 +22,23 @@
     load: f64,
     demand: f64,
     slots: f64,
-    /// Admitted shares by priority, or shares of new flows by data centre.
+    /// Admitted shares by priority, or overflow shares by data centre.
     shares: BTreeMap<String, f64>,
-    /// Instances whose load the view rests on.
+    /// Number of instances whose load reports the view contains.
     parts: u32,
     view_age_ms: Option<u64>,
 }
 
 impl<'a> LoadLine<'a> {
-    fn new(news: &'a LoadEvent) -> LoadLine<'a> {
-        let report = &news.report;
+    fn new(event: &'a LoadEvent) -> LoadLine<'a> {
+        let report = &event.report;
         LoadLine {
-            event: news.change.as_str(),
+            event: event.change.as_str(),
             service: &report.service,
             load: round_to_thousandths(report.load_ratio),
             demand: round_to_thousandths(report.demand),
             slots: round_to_thousandths(report.slots),
-            shares: shares_after_change(news.change, report),
+            shares: shares_after_change(event.change, report),
             parts: report.reporting_instances,
             view_age_ms: report.view_age_ms,
         }
@@ -46,34 +46,34 @@
 }
 
 impl FlowPart {
-    /// Hands the own load to the fleet and takes the load of all, when that is due.
+    /// Reports the local load to the fleet and applies the load of all instances, when due.
     pub(super) fn exchange_load(&mut self, now: ClockTime) {
         if !self.shares_load || !self.router.is_load_report_due(now) {
             return;
         }
-        let (load, pressure) = (self.router.collect_local_load(now), self.router.load_ratio());
+        let (load, load_ratio) = (self.router.collect_local_load(now), self.router.load_ratio());
         let mut member = self.context.member.borrow_mut();
-        member.set_local_load(now, load, pressure);
+        member.set_local_load(now, load, load_ratio);
         let view = member.load_view(now);
         drop(member);
         if let Some(view) = view {
             self.router.apply_load_view(now, view);
         }
-        for news in self.router.drain_load_events() {
-            self.context.log_event(news.change.as_str(), &LoadLine::new(&news));
+        for event in self.router.drain_load_events() {
+            self.context.log_event(event.change.as_str(), &LoadLine::new(&event));
         }
-        // The member may have told the load at once, or have it to tell before the fleet part's
-        // timer ends.
+        // The member may have queued a load report, or moved its next one before the expiry of
+        // the fleet part's timer.
         self.send_messages();
     }
 
-    /// Shares the load while no packets come: what ran before ends, and views expire.
+    /// Exchanges the load while no packets arrive, as running requests end and views expire.
     pub(super) fn check_load(&mut self, cx: CX![]) {
         self.exchange_load(self.context.clock.now());
         after!(LOAD_CHECK_INTERVAL, [cx], check_load());
     }
 
-    /// Brings the metrics of load up to date.
+    /// Updates the metrics of load.
     pub(super) fn set_load_gauges(&mut self, now: ClockTime) {
         let metrics = &self.context.metrics;
         if !self.shares_load {
@@ -103,28 +103,28 @@
         self.count_refusals(&reports);
     }
 
-    /// Counts the refusals since the last call.
+    /// Adds the refusals since the last call to the metrics.
     fn count_refusals(&mut self, reports: &[LoadReport]) {
         let counter = &self.context.metrics.shortage_refusals;
         for report in reports {
             for (priority, count) in &report.refused_flows {
                 let key = (report.service.clone(), *priority);
-                let known = self.exported_refusals.insert(key, *count).unwrap_or_default();
+                let exported = self.exported_refusals.insert(key, *count).unwrap_or_default();
                 let priority = priority.to_string();
-                counter.with_label_values(&[&priority]).inc_by(count.saturating_sub(known));
+                counter.with_label_values(&[&priority]).inc_by(count.saturating_sub(exported));
             }
         }
     }
 }
 
-/// A value of each service in each of its data centres.
+/// Returns the labels and a value for each service in each of its data centres.
 fn by_centre(
     reports: &[LoadReport],
     value: impl Fn(&CentreLoad) -> f64 + Copy,
 ) -> impl Iterator<Item = (Vec<String>, f64)> {
     reports.iter().flat_map(move |report| {
         report.centres.iter().map(move |centre| {
-            // A sum of nothing is the negative zero.
+            // An empty sum is the negative zero.
             let labels = vec![report.service.to_string(), centre.data_centre.to_string()];
             (labels, value(centre) + 0.0)
         })
--- a/crates/foxledge-daemon/src/packets/flow_log.rs
+++ b/crates/foxledge-daemon/src/packets/flow_log.rs
@@ -1,4 +1,4 @@
-//! Log lines of the part that routes packets.
+//! Logging of the flow part.
 
 use foxledge_core::time::ClockTime;
 use foxledge_flows::{
@@ -39,7 +39,7 @@
         self.log_decision(now, "flow_stalled", packet, detail);
     }
 
-    /// Logs a decision; its line is only made when it is kept.
+    /// Logs a decision on a flow; `detail` is called only when the line isn't suppressed.
     pub(super) fn log_decision<'a>(
         &self,
         now: ClockTime,
@@ -59,20 +59,22 @@
         });
     }
 
-    pub(super) fn log_backend_event(&self, news: &BackendEvent) {
+    pub(super) fn log_backend_event(&self, event: &BackendEvent) {
         let (BackendEvent::Restarted { index, .. } | BackendEvent::EntryConflict { index, .. }) =
-            news;
+            event;
         let Some(backend) = self.router.backend(*index) else { return };
-        let line = BackendLine::new(news, backend);
+        let line = BackendLine::new(event, backend);
         let kind = line.event_name();
         self.context.metrics.backend_events.with_label_values(&[kind]).inc();
         self.context.log_event(kind, &line);
     }
 
-    pub(super) fn log_evacuation(&self, news: &EvacuationEvent) {
+    pub(super) fn log_evacuation(&self, event: &EvacuationEvent) {
         let now = self.context.clock.now();
-        let own = self.router.backends().filter(|one| one.data_centre == news.data_centre);
-        let line = EvacuationLine::new(news, own.count(), self.context.confirmed_age_ms());
+        let centre_backends =
+            self.router.backends().filter(|one| one.data_centre == event.data_centre);
+        let line =
+            EvacuationLine::new(event, centre_backends.count(), self.context.confirmed_age_ms());
         let kind = line.event_name();
         self.context.metrics.evacuation_events.with_label_values(&[kind]).inc();
         self.context.metrics.evacuated.set(self.router.evacuations().count() as i64);
@@ -80,15 +82,15 @@
         self.context.log.borrow_mut().flush(now);
     }
 
-    pub(super) fn log_observation(&self, note: &HealthObservation, observer: &'static str) {
+    pub(super) fn log_observation(&self, observation: &HealthObservation, observer: &'static str) {
         let now = self.context.clock.now();
-        let Some(backend) = self.router.backend_by_number(note.number) else { return };
+        let Some(backend) = self.router.backend_by_number(observation.number) else { return };
         self.context
             .metrics
             .health_observations
-            .with_label_values(&[note.kind.as_str(), observer])
+            .with_label_values(&[observation.kind.as_str(), observer])
             .inc();
-        let line = HealthLine::new(now, note, backend, observer);
+        let line = HealthLine::new(now, observation, backend, observer);
         self.context.log.borrow_mut().log_event(now, "backend_observed", &line);
     }
 }
--- a/crates/foxledge-daemon/src/packets/flow_part.rs
+++ b/crates/foxledge-daemon/src/packets/flow_part.rs
@@ -1,4 +1,4 @@
-//! The part that reads packets of callers, decides and sends them on.
+//! The part that receives packets of callers, routes and forwards them.
 
 use std::{
     collections::HashMap,
@@ -37,36 +37,40 @@
     reports::{ExplainReport, RouteReport},
 };
 
-/// One byte more than a packet may have, so that a longer one shows as oversized.
+/// Size of the receive buffer: one byte more than the longest packet, so that an oversized
+/// datagram is detected instead of truncated.
 const FRAME_BYTES: usize = HEADROOM_BYTES + MAX_PACKET_BYTES + 1;
 
-/// Longest time that packets wait for a list after the start, in milliseconds:
-/// later ones of the same callers have come by then.
+/// Maximum time for which packets wait for a list after the start, in milliseconds. By then
+/// callers have retransmitted them.
 const MAX_LIST_WAIT_MS: u64 = 350;
 
-/// `FlowPart` owns the socket for callers' packets.
+/// Owns the socket for packets of callers and the router that decides on them.
 pub struct FlowPart {
     pub(super) context: SharedContext,
     socket: MioSource<UdpSocket>,
     pub(super) router: FlowRouter,
+    /// The counters as they were last added to the metrics.
     exported_counters: RouterCounters,
-    /// While no list is known, packets wait in the socket until then.
+    /// Deadline until which packets stay in the socket while no list is known.
     list_wait_until: Option<ClockTime>,
     frame: Box<[u8; FRAME_BYTES]>,
-    /// The member has messages to send.
+    /// True when the fleet member has queued messages since the last send.
     has_messages: bool,
-    /// Load is reported, and new flows are placed and refused by the load of all.
+    /// True when load is reported and new flows are placed and refused by the load of all
+    /// instances.
     pub(super) shares_load: bool,
-    /// Openings refused for want of room that the metrics hold, by service and priority.
+    /// Openings refused for lack of capacity, by service and priority, as they were last added
+    /// to the metrics.
     pub(super) exported_refusals: HashMap<(ServiceName, u32), u64>,
 }
 
-/// `PacketOrigin` is how a caller's packet came here.
+/// How a packet of a caller reached this instance.
 #[derive(Clone, Copy, Debug)]
 enum PacketOrigin {
-    /// By the network, from this address.
+    /// Received from the network, from this address.
     Network(SocketAddr),
-    /// From another instance, which couldn't place it.
+    /// Relayed by another instance that doesn't know the token.
     Instance,
 }
 
@@ -80,7 +84,7 @@
 }
 
 impl FlowPart {
-    /// Opens a duplicate of the bound socket, with the list as it is known.
+    /// Starts the part on a duplicate of the bound socket, with the list known so far.
     pub fn init(cx: CX![], context: SharedContext) -> Option<FlowPart> {
         match FlowPart::open(cx, context) {
             Ok(part) => {
@@ -92,7 +96,7 @@
                 Some(part)
             }
             Err(error) => {
-                fail!(cx, "can't open the socket: {}", error);
+                fail!(cx, "can't open the data socket: {}", error);
                 None
             }
         }
@@ -101,8 +105,8 @@
     fn open(cx: CX![], context: SharedContext) -> io::Result<FlowPart> {
         let poll = cx.anymap_get::<MioPoll>();
         let socket = UdpSocket::from_std(context.data.try_clone()?);
-        let ready = fwd_to!([cx], socket_ready() as (Ready));
-        let socket = poll.add(socket, Interest::READABLE, POLL_PRIORITY, ready)?;
+        let on_ready = fwd_to!([cx], socket_ready() as (Ready));
+        let socket = poll.add(socket, Interest::READABLE, POLL_PRIORITY, on_ready)?;
         let data_centre = context.settings.borrow().data_centre.clone();
         let seed = StdRng::from_os_rng().random();
         let settings = context.settings.borrow();
@@ -121,8 +125,8 @@
         let mut router = FlowRouter::new(options);
         let member = context.member.borrow();
         router.apply_rows(context.clock.now(), &member.effective_rows());
-        if let Some(at) = member.confirmed_at() {
-            router.set_confirmed_at(at);
+        if let Some(confirmed_at) = member.confirmed_at() {
+            router.set_confirmed_at(confirmed_at);
         }
         drop(member);
         let now = context.clock.now();
@@ -143,7 +147,7 @@
         })
     }
 
-    /// Takes rows of the list that changed.
+    /// Applies changed rows of the list, and reads waiting packets once a list is known.
     pub fn apply_rows(&mut self, cx: CX![], rows: Vec<ListRow>) {
         self.router.apply_rows(self.context.clock.now(), &rows);
         self.log_list_events();
@@ -153,69 +157,69 @@
         }
     }
 
-    /// Takes rows of a list of a store that came back from an older copy.
+    /// Applies rows of the list of a store that was restored from an older copy.
     pub fn apply_restored_rows(&mut self, _cx: CX![], rows: Vec<ListRow>) {
         self.router.apply_restored_rows(self.context.clock.now(), &rows);
         self.log_list_events();
     }
 
     fn log_list_events(&mut self) {
-        for news in self.router.drain_backend_events() {
-            self.log_backend_event(&news);
+        for event in self.router.drain_backend_events() {
+            self.log_backend_event(&event);
         }
-        for news in self.router.drain_evacuation_events() {
-            self.log_evacuation(&news);
+        for event in self.router.drain_evacuation_events() {
+            self.log_evacuation(&event);
         }
     }
 
-    /// Takes the time of a confirmation of the list.
-    pub fn record_confirmation(&mut self, _cx: CX![], at: ClockTime) {
+    /// Records when the store confirmed the list, and updates the view of the fleet.
+    pub fn record_confirmation(&mut self, _cx: CX![], confirmed_at: ClockTime) {
         let now = self.context.clock.now();
-        self.router.set_confirmed_at(at);
+        self.router.set_confirmed_at(confirmed_at);
         self.log_list_events();
         let mut member = self.context.member.borrow_mut();
         self.router.set_peer_count(member.peer_count());
         self.router.set_neighbours(now, member.recent_neighbours(now));
     }
 
-    /// Takes the region of each data centre, as the settings changed.
+    /// Sets the region of each data centre after a reload of the settings.
     pub fn set_regions(&mut self, _cx: CX![], regions: HashMap<CentreName, RegionName>) {
         self.router.set_regions(regions);
     }
 
-    /// Takes note that the process stood still, and reads what has waited meanwhile.
+    /// Records that the process was paused, and reads packets that arrived meanwhile.
     pub fn record_pause(&mut self, cx: CX![]) {
         self.router.record_pause();
         self.read_batch(cx);
     }
 
-    /// Takes what another instance observed of a backend server.
-    pub fn apply_observation(&mut self, _cx: CX![], note: HealthObservation) {
+    /// Applies an observation of a backend server by another instance.
+    pub fn apply_observation(&mut self, _cx: CX![], observation: HealthObservation) {
         let now = self.context.clock.now();
-        self.router.apply_observation(now, &note);
-        self.log_observation(&note, "peer");
+        self.router.apply_observation(now, &observation);
+        self.log_observation(&observation, "peer");
         self.reset_idle_flows(now);
     }
 
-    /// Takes a caller's packet that another instance couldn't place.
+    /// Handles a packet of a caller that another instance relayed.
     pub fn handle_relayed_packet(&mut self, _cx: CX![], bytes: Vec<u8>) {
         let now = self.context.clock.now();
-        let room = &mut self.frame[HEADROOM_BYTES..];
-        let Some(room) = room.get_mut(..bytes.len()) else {
+        let buffer = &mut self.frame[HEADROOM_BYTES..];
+        let Some(buffer) = buffer.get_mut(..bytes.len()) else {
             let fault = PacketFault::Long.as_str();
             return self.context.metrics.malformed.with_label_values(&[fault]).inc();
         };
-        room.copy_from_slice(&bytes);
+        buffer.copy_from_slice(&bytes);
         self.handle_datagram(now, bytes.len(), PacketOrigin::Instance);
         self.share_observations();
     }
 
-    /// Answers with what the router knows.
+    /// Passes a report of the router's state to `answer`.
     pub fn report_routes(&mut self, _cx: CX![], answer: Box<dyn FnOnce(RouteReport)>) {
         answer(RouteReport::new(&self.router, self.context.clock.now()));
     }
 
-    /// Answers where a flow would go now.
+    /// Passes an explanation of the decision on a flow to `answer`.
     pub fn explain(
         &mut self,
         _cx: CX![],
@@ -227,7 +231,7 @@
         answer(ExplainReport::new(&mut self.router, now, &key, token));
     }
 
-    /// Brings the gauges of flows up to date, then answers.
+    /// Updates the gauges of flows and load, then calls `answer`.
     pub fn set_gauges(&mut self, _cx: CX![], answer: Box<dyn FnOnce()>) {
         let now = self.context.clock.now();
         let is_ejected = |backend: &&Backend| backend.health.class(now) == HealthClass::Ejected;
@@ -242,20 +246,20 @@
         self.read_batch(cx);
     }
 
-    /// True while packets are left in the socket for want of a list.
+    /// Returns true while packets are left in the socket because no list is known.
     ///
-    /// An instance that is started anew gets packets at once and the list some
-    /// tens of milliseconds later. Packets dropped in between come again after
-    /// 200 ms, which is late for most requests.
+    /// A restarted instance receives packets at once and the list some tens of
+    /// milliseconds later. Callers retransmit packets dropped in between after
+    /// 200 ms, which is too late for most requests.
     fn is_waiting_for_list(&self, now: ClockTime) -> bool {
         self.list_wait_until.is_some_and(|until| !until.is_past(now))
     }
 
-    /// Reads what has waited for a list once the wait is over.
+    /// Reads the waiting packets once the deadline has passed, or checks again later.
     ///
-    /// The main loop's clock may be behind this one. A timer that fires before the end of
-    /// the wait leaves packets in the socket until another comes, as only new ones wake the
-    /// loop; their callers would get no answer.
+    /// The main loop's clock may be behind this one, so the timer may fire before the
+    /// deadline. Without another check, the packets would stay in the socket until a new
+    /// one arrives, as only new ones wake the loop, and their callers would get no response.
     fn end_list_wait(&mut self, cx: CX![]) {
         let now = self.context.clock.now();
         match self.list_wait_until.filter(|until| !until.is_past(now)) {
@@ -268,8 +272,8 @@
 
     /// Reads a bounded batch and lets the main loop run before the next.
     ///
-    /// Without the bound, a flood would keep the main loop in here, and messages
-    /// of instances would wait for longer than a new list may take.
+    /// Without the bound, a flood would block the main loop, and messages of other
+    /// instances would be delayed beyond the time allowed for the spread of a new list.
     fn read_batch(&mut self, cx: CX![]) {
         let now = self.context.clock.now();
         if self.is_waiting_for_list(now) {
@@ -284,9 +288,9 @@
                 Ok((size, from)) => self.handle_datagram(now, size, PacketOrigin::Network(from)),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
-                // An ICMP error of an earlier send; the socket itself is fine.
+                // An ICMP error caused by an earlier send; the socket remains usable.
                 Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {}
-                Err(error) => return fail!(cx, "can't read the socket: {}", error),
+                Err(error) => return fail!(cx, "can't read from the data socket: {}", error),
             }
             count += 1;
         }
@@ -303,7 +307,7 @@
         self.exchange_load(now);
     }
 
-    /// Ends flows at rest whose backend server is dead, before their callers ask on them.
+    /// Resets idle flows whose backend server is dead, before their callers send on them.
     fn reset_idle_flows(&mut self, now: ClockTime) {
         for FlowReset { key, received, backend, reason } in self.router.drain_flow_resets(now) {
             let packet = FlowPacket {
@@ -319,12 +323,12 @@
     }
 
     fn handle_datagram(&mut self, now: ClockTime, size: usize, origin: PacketOrigin) {
-        let read = self
+        let parsed = self
             .context
             .adapters
             .codec
             .parse_packet(&self.frame[HEADROOM_BYTES..HEADROOM_BYTES + size]);
-        let packet = match read {
+        let packet = match parsed {
             Ok(packet) => packet,
             Err(fault) => {
                 self.context.metrics.malformed.with_label_values(&[fault.as_str()]).inc();
@@ -353,7 +357,7 @@
         }
     }
 
-    /// Hands a packet to an instance that knows the whole list, unless it came that way.
+    /// Relays a packet to an instance that knows the whole list, unless it was relayed here.
     fn relay_packet(
         &mut self,
         now: ClockTime,
@@ -389,7 +393,8 @@
         self.context.adapters.codec.set_backend(&mut self.frame[..], backend.number);
         let to = SocketAddr::V4(backend.address);
         if self.socket.send_to(&self.frame[..HEADROOM_BYTES + size], to).is_err() {
-            // The caller sends again; a log line for each would add to a trouble.
+            // The caller retransmits; a log line for each would add load to an overloaded
+            // instance.
             self.context.metrics.send_errors.with_label_values(&["data"]).inc();
         }
     }
@@ -416,11 +421,11 @@
     }
 
     fn send_reset(&mut self, packet: &FlowPacket) {
-        let refusal = self.context.adapters.codec.reset_packet(packet);
-        // Callers listen at the port at which packets arrive here.
+        let reset = self.context.adapters.codec.reset_packet(packet);
+        // Callers listen on the port number of the data socket.
         let port = self.context.settings.borrow().data.port();
         let to = SocketAddr::V4(SocketAddrV4::new(*packet.key.caller.ip(), port));
-        if self.socket.send_to(&refusal, to).is_err() {
+        if self.socket.send_to(&reset, to).is_err() {
             self.context.metrics.send_errors.with_label_values(&["data"]).inc();
         }
     }
@@ -435,30 +440,30 @@
         });
     }
 
-    /// Lets the fleet part send what the member has to send.
+    /// Has the fleet part send the queued messages of the fleet member.
     pub(super) fn send_messages(&self) {
         if let Some(fleet) = self.context.directory.get::<FleetPart>() {
             call!([fleet], send_messages());
         }
     }
 
-    /// Tells other instances what packets told of backend servers, and counts.
+    /// Publishes what the router derived from packets: metrics, token queries and observations.
     fn share_observations(&mut self) {
         for latency in self.router.drain_latencies() {
             self.context.metrics.latency.observe(latency.as_secs_f64());
         }
-        let counts = self.router.counters();
+        let counters = self.router.counters();
         let metrics = &self.context.metrics;
-        metrics
-            .retransmitted_openings
-            .inc_by(counts.retransmitted_openings - self.exported_counters.retransmitted_openings);
+        metrics.retransmitted_openings.inc_by(
+            counters.retransmitted_openings - self.exported_counters.retransmitted_openings,
+        );
         metrics
             .overdue_openings
-            .inc_by(counts.overdue_openings - self.exported_counters.overdue_openings);
+            .inc_by(counters.overdue_openings - self.exported_counters.overdue_openings);
         metrics
             .retransmitted_data
-            .inc_by(counts.retransmitted_data - self.exported_counters.retransmitted_data);
-        self.exported_counters = counts;
+            .inc_by(counters.retransmitted_data - self.exported_counters.retransmitted_data);
+        self.exported_counters = counters;
         if std::mem::take(&mut self.has_messages) {
             self.send_messages();
         }
@@ -468,15 +473,15 @@
         {
             call!([fleet], query_tokens(tokens));
         }
-        let notes = self.router.drain_observations();
-        if notes.is_empty() {
+        let observations = self.router.drain_observations();
+        if observations.is_empty() {
             return;
         }
-        for note in &notes {
-            self.log_observation(note, "self");
+        for observation in &observations {
+            self.log_observation(observation, "self");
         }
         if let Some(fleet) = self.context.directory.get::<FleetPart>() {
-            call!([fleet], share_observations(notes));
+            call!([fleet], share_observations(observations));
         }
     }
 }
--- a/crates/foxledge-daemon/src/packets/lifecycle_part.rs
+++ b/crates/foxledge-daemon/src/packets/lifecycle_part.rs
@@ -1,4 +1,4 @@
-//! The part that takes the process from its start to its planned stop.
+//! The part that controls the phases of the process, from its start to its planned stop.
 
 use std::time::Duration;
 
@@ -17,37 +17,38 @@
     clock::MIN_RECHECK_DELAY, context::SharedContext, fleet_part::FleetPart, flow_part::FlowPart,
 };
 
-/// Longest wait for somebody's word that the list is the newest, in
-/// milliseconds, once a list is known.
+/// Maximum wait, in milliseconds, for a confirmation that a known list is the newest.
 ///
-/// The first list may be some seconds old. That serves callers better than no
-/// answer, and a newer list is in force a moment after.
+/// The first list may be some seconds old. Serving with it is better for callers
+/// than no response, and a newer list is applied shortly after.
 const MAX_CONFIRMATION_WAIT_MS: u64 = 30;
-/// Shortest time from the begin of a planned stop to its end, in milliseconds.
+/// Minimum duration of a planned stop, in milliseconds.
 ///
-/// Routers ask twice a second whether an instance is ready and take it out after
-/// two misses, a second at most. Packets that they send until then must still be
-/// sent on. Longer stops overlap with those of neighbours, and with fewer than half
-/// of a data centre's instances ready, routers use them all again, stopped ones too.
+/// Routers check twice a second whether an instance is ready and remove it after
+/// two failed checks, which takes a second at most. Packets that they send until
+/// then must still be forwarded. Longer stops would overlap with those of other
+/// instances, and with fewer than half of a data centre's instances ready, routers use
+/// all of them again, including stopped ones.
 const MIN_STOP_MS: u64 = 1_250;
-/// Silence after which no more packets are expected, in milliseconds.
+/// Time without packets after which no more are expected, in milliseconds.
 const QUIET_PERIOD_MS: u64 = 400;
-/// Time before the limit of a planned stop at which the process ends all the
-/// same, in milliseconds, so that it isn't killed.
+/// Time before the limit of a planned stop at which the process ends even while packets
+/// arrive, in milliseconds, so that it isn't killed.
 const STOP_MARGIN_MS: u64 = 800;
-/// Shortest planned stop, in milliseconds: what waits in the sockets is sent on.
+/// Minimum time limit of a planned stop, in milliseconds, for forwarding the packets that
+/// are queued in the sockets.
 const MIN_STOP_LIMIT_MS: u64 = 200;
-/// Time between two looks during a planned stop.
+/// Interval between checks during a planned stop.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// `LifecyclePart` sets the phase of the process.
+/// Sets the phase of the process and handles signals.
 pub struct LifecyclePart {
     context: SharedContext,
     confirmation_deadline: Option<ClockTime>,
     deadlines: Option<StopDeadlines>,
 }
 
-/// `StopDeadlines` bounds a planned stop.
+/// The time bounds of a planned stop.
 #[derive(Clone, Copy, Debug)]
 struct StopDeadlines {
     begun_at: ClockTime,
@@ -55,36 +56,36 @@
     latest_stop_at: ClockTime,
 }
 
-/// `LifecycleLine` is the log line of a change of the process.
+/// The log line of a phase change, signal or reload.
 #[derive(Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 enum LifecycleLine<'a> {
-    /// Flows are taken from now on.
+    /// The instance accepts flows from now on.
     Serving { version: u64, epoch: u64, revision: u64, list_age_ms: Option<u64> },
     /// A planned stop began.
     StopBegun { signal: i32, limit_ms: u64 },
-    /// A signal that changes nothing.
+    /// A signal was ignored.
     SignalIgnored { signal: i32 },
     /// The process ends.
     Stopped { after_ms: u64, silent_ms: u64 },
-    /// The settings were read anew.
+    /// The settings were reloaded.
     Reloaded { changes: Vec<String> },
-    /// The settings can't be used; the former stay in force.
+    /// The new settings are invalid; the previous ones stay in force.
     ReloadRefused { findings: &'a str },
 }
 
 impl LifecyclePart {
-    /// Begins where the process stands.
+    /// Starts the part in the current phase of the process.
     pub fn init(cx: CX![], context: SharedContext) -> Option<LifecyclePart> {
-        let mut life = LifecyclePart { context, confirmation_deadline: None, deadlines: None };
-        match life.context.phase.get() {
-            EnginePhase::Leaving => life.begin_leaving(cx),
+        let mut part = LifecyclePart { context, confirmation_deadline: None, deadlines: None };
+        match part.context.phase.get() {
+            EnginePhase::Leaving => part.begin_leaving(cx),
             _ => call!([cx], serve_when_ready()),
         }
-        Some(life)
+        Some(part)
     }
 
-    /// Begins to serve when the list is known.
+    /// Begins to serve once a list is known and confirmed, or the wait for that has ended.
     pub fn serve_when_ready(&mut self, cx: CX![]) {
         if self.context.phase.get() != EnginePhase::Joining {
             return;
@@ -94,19 +95,19 @@
         if !member.can_serve() {
             return;
         }
-        let is_sure = member.confirmed_at().is_some();
+        let is_confirmed = member.confirmed_at().is_some();
         drop(member);
-        let until = *self
+        let deadline = *self
             .confirmation_deadline
             .get_or_insert_with(|| now.after_millis(MAX_CONFIRMATION_WAIT_MS));
-        if is_sure || until.is_past(now) {
+        if is_confirmed || deadline.is_past(now) {
             return self.begin_serving();
         }
-        // The loop's clock may be behind this one, so the time is looked at again.
-        after!(until.remaining(now).max(MIN_RECHECK_DELAY), [cx], serve_when_ready());
+        // The main loop's clock may be behind this one, so the deadline is checked again.
+        after!(deadline.remaining(now).max(MIN_RECHECK_DELAY), [cx], serve_when_ready());
     }
 
-    /// Acts on a signal.
+    /// Handles a signal: SIGHUP reloads the settings, SIGTERM and SIGINT begin a planned stop.
     pub fn on_signal(&mut self, cx: CX![], signal: i32) {
         match signal {
             SIGHUP => self.reload(cx),
@@ -140,39 +141,39 @@
     fn begin_leaving(&mut self, cx: CX![]) {
         let now = self.context.clock.now();
         let limit_ms = self.context.settings.borrow().stop_limit_ms;
-        // A signal that came while the process stood still may be as old as the
-        // pause; routers have noticed the pause as well.
+        // A signal sent during a pause of the process may be as old as the pause, and
+        // routers' checks have failed for as long.
         let pause_ms = self.context.recent_pause().as_millis() as u64;
-        let noticed_ms = MIN_STOP_MS.saturating_sub(pause_ms);
-        let left_ms = limit_ms.saturating_sub(STOP_MARGIN_MS + pause_ms).max(MIN_STOP_LIMIT_MS);
+        let min_stop_ms = MIN_STOP_MS.saturating_sub(pause_ms);
+        let max_stop_ms = limit_ms.saturating_sub(STOP_MARGIN_MS + pause_ms).max(MIN_STOP_LIMIT_MS);
         self.deadlines = Some(StopDeadlines {
             begun_at: now,
-            earliest_stop_at: now.after_millis(noticed_ms),
-            latest_stop_at: now.after_millis(left_ms),
+            earliest_stop_at: now.after_millis(min_stop_ms),
+            latest_stop_at: now.after_millis(max_stop_ms),
         });
         after!(STOP_CHECK_INTERVAL, [cx], stop_when_drained());
     }
 
     fn stop_when_drained(&mut self, cx: CX![]) {
-        let Some(times) = self.deadlines else { return };
+        let Some(deadlines) = self.deadlines else { return };
         let now = self.context.clock.now();
-        let silent = now.since(self.context.last_packet_at.get());
-        let has_ebbed =
-            silent >= Duration::from_millis(QUIET_PERIOD_MS) && times.earliest_stop_at.is_past(now);
-        if !has_ebbed && !times.latest_stop_at.is_past(now) {
+        let quiet_time = now.since(self.context.last_packet_at.get());
+        let is_drained = quiet_time >= Duration::from_millis(QUIET_PERIOD_MS)
+            && deadlines.earliest_stop_at.is_past(now);
+        if !is_drained && !deadlines.latest_stop_at.is_past(now) {
             after!(STOP_CHECK_INTERVAL, [cx], stop_when_drained());
             return;
         }
         let line = LifecycleLine::Stopped {
-            after_ms: now.since(times.begun_at).as_millis() as u64,
-            silent_ms: silent.as_millis() as u64,
+            after_ms: now.since(deadlines.begun_at).as_millis() as u64,
+            silent_ms: quiet_time.as_millis() as u64,
         };
         self.context.log_event("stopped", &line);
         self.context.log.borrow_mut().write_pending();
         cx.shutdown(StopCause::Stopped);
     }
 
-    /// Reads the settings anew; addresses of sockets change only with a restart.
+    /// Reloads the settings; socket addresses change only with a restart.
     fn reload(&mut self, _cx: CX![]) {
         let newer = match load_packet_settings(&self.context.settings_path) {
             Ok(newer) => newer,
--- a/crates/foxledge-daemon/src/packets/metrics.rs
+++ b/crates/foxledge-daemon/src/packets/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of the packets' tree.
+//! Metrics of the packet path.
 
 use std::{
     collections::HashSet,
@@ -10,37 +10,37 @@
     Registry, TextEncoder, core::Collector, process_collector::ProcessCollector,
 };
 
-/// Labels of what is known of a service in a data centre.
+/// Labels of a value for a service in a data centre.
 const LOAD_LABELS: [&str; 2] = ["service", "data_centre"];
 const LATENCY_BUCKETS: [f64; 11] =
     [0.005, 0.01, 0.02, 0.035, 0.05, 0.075, 0.1, 0.15, 0.25, 0.5, 1.0];
 
-/// `PacketMetrics` is every metric of an instance that routes packets.
+/// All metrics of an instance of the packet path.
 pub struct PacketMetrics {
     registry: Registry,
-    /// Packets by what was decided.
+    /// Packets by decision.
     pub packets: IntCounterVec,
-    /// Datagrams of callers that weren't packets, by fault.
+    /// Datagrams that aren't valid packets, by fault.
     pub malformed: IntCounterVec,
-    /// Opening packets by why they were refused.
+    /// Refused opening packets, by reason.
     pub refusals: IntCounterVec,
-    /// Packets that were dropped, by reason.
+    /// Dropped packets, by reason.
     pub drops: IntCounterVec,
-    /// Datagrams that the system didn't take, by socket.
+    /// Datagrams that the operating system didn't accept, by socket.
     pub send_errors: IntCounterVec,
-    /// Time from a request to the first sign of its answer.
+    /// Time from a request to the first packet of its response, in seconds.
     pub latency: Histogram,
-    /// Opening packets that callers sent again.
+    /// Opening packets that callers retransmitted.
     pub retransmitted_openings: IntCounter,
-    /// Opening packets that weren't answered as fast as others are.
+    /// Opening packets that were unanswered after the usual response time.
     pub overdue_openings: IntCounter,
-    /// Data that callers sent again.
+    /// Data packets that callers retransmitted.
     pub retransmitted_data: IntCounter,
-    /// Flows that are tracked.
+    /// Tracked flows.
     pub flows: IntGauge,
-    /// Observations of backend servers by kind and by who observed.
+    /// Observations of backend servers, by kind and observer.
     pub health_observations: IntCounterVec,
-    /// Backend servers that get no new flows for want of health.
+    /// Backend servers that get no new flows because of their health.
     pub ejected: IntGauge,
     /// Revision of the list.
     pub list_revision: IntGauge,
@@ -50,77 +50,78 @@
     pub config_retained: IntGauge,
     /// Age of the store's last confirmation; -1 before the first.
     pub list_age_ms: IntGauge,
-    /// Other instances that are known.
+    /// Known other instances.
     pub peers: IntGauge,
     /// 1 while this instance reads the store.
     pub is_reader: IntGauge,
-    /// Items of the store that can't be understood, by what they should be.
+    /// Invalid items of the store, by the type that their keys name.
     pub refused_items: IntCounterVec,
-    /// Changes of what is believed of backend servers' entries, by kind.
+    /// Changes of backend servers' entries, by kind.
     pub backend_events: IntCounterVec,
-    /// Changes of what operators want of data centres.
+    /// Begins and ends of evacuations of data centres, by kind.
     pub evacuation_events: IntCounterVec,
-    /// Data centres that are evacuated.
+    /// Evacuated data centres.
     pub evacuated: IntGauge,
-    /// Calls of the store by outcome.
+    /// Calls to the store, by outcome.
     pub store_calls: IntCounterVec,
-    /// Readings of the store by what was asked and why; a whole one takes several calls.
+    /// Reads of the store, by query and reason; a read of the whole list takes several calls.
     pub store_readings: IntCounterVec,
-    /// Epoch of the store's history in its last answer to this instance.
+    /// Epoch of the store's history in its last response to this instance.
     pub store_epoch: IntGauge,
-    /// Answers of the store that were older than the list.
+    /// Responses of the store that were older than the list.
     pub outdated_readings: IntCounter,
-    /// Messages between instances by direction.
+    /// Messages between instances, by direction.
     pub messages: IntCounterVec,
-    /// Bytes of them by direction.
+    /// Bytes of messages between instances, by direction.
     pub message_bytes: IntCounterVec,
-    /// Requests that run or wait, by service and data centre that serves them.
+    /// Running and waiting requests, by service and by the data centre that serves them.
     pub load_requests: GaugeFamily,
     /// Usable slots by service and data centre.
     pub load_slots: GaugeFamily,
-    /// Hundredths of the new flows here that go to another data centre.
+    /// Percentage of the new flows here that is sent to another data centre.
     pub overflow_percent: GaugeFamily,
     /// 1 while a service is short of slots.
     pub shortage: GaugeFamily,
-    /// Hundredths of the openings of a priority that are admitted, while its service is short.
+    /// Percentage of the opening packets of a priority that is admitted while its service is
+    /// short of slots.
     pub admitted_percent: GaugeFamily,
-    /// Openings refused for want of room, by priority.
+    /// Opening packets refused for lack of capacity, by priority.
     pub shortage_refusals: IntCounterVec,
-    /// Reports of load sent to other instances.
+    /// Load reports sent to other instances.
     pub load_messages: IntCounter,
-    /// Age of the newest load told by another instance; -1 while none is known.
+    /// Age of the newest load report of another instance, in milliseconds; -1 without one.
     pub load_view_age_ms: IntGauge,
-    /// Log lines that weren't written.
+    /// Log lines that were suppressed or lost.
     pub lines_suppressed: IntGauge,
-    /// Restarts of parts.
+    /// Restarts of parts, by part.
     pub part_restarts: IntCounterVec,
 }
 
-/// `GaugeFamily` is a gauge by labels whose values come and go.
+/// A gauge with labels whose set of label values changes over time.
 pub struct GaugeFamily {
     gauge: GaugeVec,
-    /// Labels that have a value.
+    /// Label values that have a value at present.
     present_labels: Mutex<HashSet<Vec<String>>>,
 }
 
 impl GaugeFamily {
-    /// Sets all values; labels that aren't among them have none any more.
+    /// Sets the values of all rows and removes the labels that aren't among them.
     ///
-    /// Each row is set in its place: the text is rendered by another thread, which would find a
-    /// gauge that is emptied first without its rows.
+    /// Rows are replaced one by one: another thread renders the metrics at the same time and
+    /// would miss rows if the gauge were cleared first.
     pub fn set_all(&self, rows: impl Iterator<Item = (Vec<String>, f64)>) {
-        let mut known = self.present_labels.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut present_labels = self.present_labels.lock().unwrap_or_else(PoisonError::into_inner);
         let mut present = HashSet::new();
         for (labels, value) in rows {
             self.gauge.with_label_values(&labels).set(value);
-            known.remove(&labels);
+            present_labels.remove(&labels);
             present.insert(labels);
         }
-        for gone in known.drain() {
-            // A row that is missing needs no removal.
-            let _ = self.gauge.remove_label_values(&gone);
+        for removed in present_labels.drain() {
+            // Fails only for a row that doesn't exist.
+            let _ = self.gauge.remove_label_values(&removed);
         }
-        *known = present;
+        *present_labels = present;
     }
 }
 
@@ -131,11 +132,11 @@
 }
 
 impl PacketMetrics {
-    /// Makes the metrics, all zero.
+    /// Creates the metrics with all values at zero.
     pub fn new() -> PacketMetrics {
         let registry = Registry::new();
         let r = &registry;
-        let set = PacketMetrics {
+        let metrics = PacketMetrics {
             packets: counters(r, "packets_total", "Packets by decision", &["decision"]),
             malformed: counters(r, "malformed_total", "Datagrams that are no packets", &["fault"]),
             refusals: counters(r, "refusals_total", "Refused opening packets", &["reason"]),
@@ -210,12 +211,12 @@
             part_restarts: counters(r, "part_restarts_total", "Restarts of parts", &["part"]),
             registry: registry.clone(),
         };
-        // The first collector of the process's own names can't clash.
-        r.register(Box::new(ProcessCollector::for_self())).expect("names differ");
-        set
+        // This is the only process collector, so its names can't clash.
+        r.register(Box::new(ProcessCollector::for_self())).expect("metric names are unique");
+        metrics
     }
 
-    /// The text that `/metrics` answers with.
+    /// Renders the metrics in the text format of Prometheus.
     pub fn render(&self) -> String {
         let mut text = Vec::new();
         // Encoding into memory fails only for a metric without a name, and all have one.
@@ -227,32 +228,33 @@
 fn latency(registry: &Registry) -> Histogram {
     let options = HistogramOpts::new("foxledge_answer_seconds", "From a request to its answer")
         .buckets(LATENCY_BUCKETS.to_vec());
-    register(registry, Histogram::with_opts(options).expect("the name is good"))
+    register(registry, Histogram::with_opts(options).expect("the metric name is valid"))
 }
 
 fn counters(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
     let options = Opts::new(format!("foxledge_{name}"), help);
-    register(registry, IntCounterVec::new(options, labels).expect("the name is good"))
+    register(registry, IntCounterVec::new(options, labels).expect("the metric name is valid"))
 }
 
 fn gauges(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> GaugeFamily {
     let options = Opts::new(format!("foxledge_{name}"), help);
-    let gauge = register(registry, GaugeVec::new(options, labels).expect("the name is good"));
+    let gauge =
+        register(registry, GaugeVec::new(options, labels).expect("the metric name is valid"));
     GaugeFamily { gauge, present_labels: Mutex::default() }
 }
 
 fn counter(registry: &Registry, name: &str, help: &str) -> IntCounter {
     let counter = IntCounter::new(format!("foxledge_{name}"), help);
-    register(registry, counter.expect("the name is good"))
+    register(registry, counter.expect("the metric name is valid"))
 }
 
 fn gauge(registry: &Registry, name: &str, help: &str) -> IntGauge {
     let gauge = IntGauge::new(format!("foxledge_{name}"), help);
-    register(registry, gauge.expect("the name is good"))
+    register(registry, gauge.expect("the metric name is valid"))
 }
 
 fn register<T: Collector + Clone + 'static>(registry: &Registry, collector: T) -> T {
-    // Fails only when a name stands twice, which every start would show.
-    registry.register(Box::new(collector.clone())).expect("names differ");
+    // Fails only for a duplicate name, which would show at every start.
+    registry.register(Box::new(collector.clone())).expect("metric names are unique");
     collector
 }
--- a/crates/foxledge-daemon/src/packets/mod.rs
+++ b/crates/foxledge-daemon/src/packets/mod.rs
@@ -1,9 +1,10 @@
-//! The tree of parts that routes packets.
+//! The packet path: an instance that forwards the packets of callers to backend servers.
 //!
-//! [`PacketDaemon`] is the process. Its main thread runs two parts under the
-//! supervisor: [`flow_part`] reads, decides and sends on packets of callers,
-//! [`fleet_part`] keeps the list and talks with other instances. A side thread
-//! reads the store and answers HTTP ([`side`]).
+//! [`PacketDaemon`] is the process. Its main thread runs these parts under the
+//! supervisor: [`flow_part`] reads, routes and forwards packets of callers,
+//! [`fleet_part`] holds the list and exchanges messages with other instances,
+//! and [`lifecycle_part`] starts and stops serving. A side thread calls the
+//! store and serves HTTP ([`side`]).
 
 pub mod clock;
 pub mod context;
--- a/crates/foxledge-daemon/src/packets/part_kind.rs
+++ b/crates/foxledge-daemon/src/packets/part_kind.rs
@@ -1,15 +1,15 @@
-//! The names of the parts of the packets' tree.
+//! The parts of the packet path.
 
 use crate::supervisor::{PartName, Supervisor};
 
-/// `PacketPart` is one part of the packets' tree.
+/// Identifies a part of the packet path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PacketPart {
-    /// Packets of callers.
+    /// Routes packets of callers.
     Flows,
-    /// Start and planned stop.
+    /// Controls start and planned stop.
     Life,
-    /// List and peers.
+    /// Maintains the list and communicates with other instances.
     Fleet,
 }
 
@@ -23,5 +23,5 @@
     }
 }
 
-/// `PacketSupervisor` is the root of the packets' tree.
+/// The supervisor at the root of the packet path.
 pub type PacketSupervisor = Supervisor<PacketPart>;
--- a/crates/foxledge-daemon/src/packets/parts.rs
+++ b/crates/foxledge-daemon/src/packets/parts.rs
@@ -1,4 +1,4 @@
-//! The parts that the supervisor of the packets' tree looks after.
+//! Creation of the parts of the packet path.
 
 use serde::Serialize;
 use stakker::{ActorOwnAnon, CX, Ret, StopCause, actor};
@@ -13,12 +13,12 @@
     part_kind::{PacketPart, PacketSupervisor},
 };
 
-/// `PacketParts` starts the parts and enters each in the directory.
+/// Starts the parts of the packet path and registers each in the directory.
 pub struct PacketParts {
     context: SharedContext,
 }
 
-/// `RestartLine` is the log line of a part that failed and starts anew.
+/// The log line of a part that is restarted after a failure.
 #[derive(Serialize)]
 struct RestartLine {
     event: &'static str,
@@ -26,7 +26,7 @@
 }
 
 impl PacketParts {
-    /// Makes the starter.
+    /// Creates a starter for parts that share `context`.
     pub fn new(context: SharedContext) -> PacketParts {
         PacketParts { context }
     }
--- a/crates/foxledge-daemon/src/packets/reports.rs
+++ b/crates/foxledge-daemon/src/packets/reports.rs
@@ -1,4 +1,4 @@
-//! What operators see of an instance that routes packets.
+//! Status reports for operators of the packet path.
 
 use std::collections::BTreeSet;
 
@@ -16,10 +16,10 @@
 
 use super::flow_load::MAX_REPORTED_SERVICES;
 
-/// Most backend servers in a report, so that its size stays bounded.
+/// Maximum number of backend servers in a report, which bounds its size.
 const MAX_REPORTED_BACKENDS: usize = 2_000;
 
-/// `BackendReport` is one backend server as this instance sees it.
+/// The state of a backend server as seen by this instance.
 #[derive(Clone, Debug, Serialize)]
 pub struct BackendReport {
     /// Its key in the list.
@@ -28,63 +28,63 @@
     pub service: String,
     /// Its data centre.
     pub data_centre: String,
-    /// Where it takes packets.
+    /// The address that packets are forwarded to.
     pub address: String,
-    /// What is believed of its health.
+    /// Its health class.
     pub health: HealthClass,
     /// True when it may get new flows.
     pub takes_flows: bool,
-    /// Published as leaving.
+    /// True when it is published as draining.
     pub is_draining: bool,
-    /// Time until it is warm, in milliseconds; 0 once it is.
+    /// Remaining time of its slow start, in milliseconds; 0 afterwards.
     pub cold_ms: u64,
-    /// Requests that run there by this instance's own view.
+    /// Running requests as seen by this instance.
     pub running: u32,
-    /// Flows open there by this instance's own view.
+    /// Open flows as seen by this instance.
     pub flows: u32,
     /// Revision of its entry.
     #[serde(serialize_with = "serialize_number")]
     pub revision: u64,
-    /// Names the start of its process; 0 when the platform tells nothing of starts.
+    /// Identifies a start of its process; 0 when the platform doesn't publish starts.
     pub incarnation: u64,
 }
 
-/// `EvacuationReport` is a data centre that is evacuated.
+/// The state of an evacuated data centre.
 #[derive(Clone, Debug, Serialize)]
 pub struct EvacuationReport {
     /// The data centre.
     pub data_centre: String,
-    /// Revision of the operators' wish.
+    /// Revision of the operators' evacuation entry.
     #[serde(serialize_with = "serialize_number")]
     pub revision: u64,
-    /// Time since this instance heard of it, in milliseconds.
+    /// Time since this instance received the evacuation, in milliseconds.
     pub age_ms: u64,
     /// Backend servers that are listed there.
     pub backends: usize,
-    /// Flows open there by this instance's own view.
+    /// Open flows as seen by this instance.
     pub flows: u32,
-    /// New flows that this instance sent there since it heard of it.
+    /// New flows that this instance sent there since it received the evacuation.
     pub late_flows: u64,
-    /// Services that have backend servers in evacuated data centres alone: their new flows are
+    /// Services with backend servers only in evacuated data centres, whose new flows are
     /// refused.
     pub services_without_others: Vec<String>,
 }
 
-/// `RouteReport` is what the router knows.
+/// The state of the router.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RouteReport {
-    /// Flows that are tracked.
+    /// Number of tracked flows.
     pub flows: usize,
-    /// Data centres that are evacuated.
+    /// The evacuated data centres.
     pub evacuations: Vec<EvacuationReport>,
-    /// Load of services, the first of them when there are many; empty while load isn't shared.
+    /// Load of the services, limited to the first of them; empty while load isn't shared.
     pub loads: Vec<LoadReport>,
-    /// Backend servers, the first of them when there are many.
+    /// The backend servers, limited to the first of them.
     pub backends: Vec<BackendReport>,
 }
 
 impl RouteReport {
-    /// Describes a router at `now`.
+    /// Creates a report on `router` at `now`.
     pub fn new(router: &FlowRouter, now: ClockTime) -> RouteReport {
         let backends = router.backends().take(MAX_REPORTED_BACKENDS).map(|backend| BackendReport {
             backend: backend.key.to_string(),
@@ -140,32 +140,32 @@
     }
 }
 
-/// `MemberReport` is what an instance knows of list and fleet.
+/// The state of the list and the fleet as known by this instance.
 #[derive(Clone, Debug, Serialize)]
 pub struct MemberReport {
     /// The operators' version in force.
     pub version: u64,
-    /// The store's version: older for as long as a restored store lacks the one in force.
+    /// The version in the store; older while a restored store lacks the version in force.
     pub store_version: u64,
-    /// Epoch of the store's history; it rises when the store lost changes.
+    /// Epoch of the store's history, which increases when the store has lost changes.
     pub epoch: u64,
     /// The store's revision.
     #[serde(serialize_with = "serialize_number")]
     pub revision: u64,
-    /// Time since the store confirmed the list.
+    /// Time since the store confirmed the list, in milliseconds.
     pub confirmed_age_ms: Option<u64>,
     /// True while this instance reads the store.
     pub is_reader: bool,
-    /// Other instances that are known.
+    /// Number of other known instances.
     pub peers: usize,
-    /// Routes in force.
+    /// Number of routes in force.
     pub routes: usize,
-    /// Items of the store that can't be understood; only an instance that reads it knows.
+    /// Invalid items of the store; known only to an instance that reads the store.
     pub refused_items: Vec<RefusedItem>,
 }
 
 impl MemberReport {
-    /// Describes a member at `now`.
+    /// Creates a report on `member` at `now`.
     pub fn new(member: &FleetMember, now: ClockTime) -> MemberReport {
         let list = member.list();
         MemberReport {
@@ -182,52 +182,52 @@
     }
 }
 
-/// `CandidateReport` is a backend server that a flow could go to.
+/// A backend server that a flow could be placed on.
 #[derive(Clone, Debug, Serialize)]
 pub struct CandidateReport {
     /// Its key in the list.
     pub backend: String,
-    /// What is believed of its health.
+    /// Its health class.
     pub health: HealthClass,
-    /// True in the instance's own data centre.
+    /// True when it is in the data centre of this instance.
     pub is_near: bool,
-    /// True when it left an earlier copy of the opening packet unanswered.
+    /// True when it left an earlier attempt of the opening packet unanswered.
     pub is_stuck: bool,
-    /// Requests that run there.
+    /// Running requests.
     pub running: u32,
-    /// Openings that wait for its answer.
+    /// Opening packets that it hasn't answered yet.
     pub waiting: u32,
-    /// How many times as long as usual its answers take, in hundredths.
+    /// Its response time relative to the usual one, in percent.
     pub slowness: u32,
-    /// True while it is slow after its start.
+    /// True during its slow start.
     pub is_cold: bool,
 }
 
-/// `ExplainReport` is where a flow would go now and why.
+/// The decision on a flow at present, with its reasons.
 #[derive(Clone, Debug, Serialize)]
 pub struct ExplainReport {
     /// The flow.
     pub flow: String,
-    /// The route that decides; none refuses the flow.
+    /// The matching route; the flow is refused without one.
     pub route: Option<String>,
     /// The route's revision.
     pub route_revision: Option<u64>,
     /// The service.
     pub service: Option<String>,
-    /// The backend server that a new flow would go to.
+    /// The backend server that a new flow would be placed on.
     pub choice: Option<String>,
-    /// By what it was chosen.
+    /// The criterion by which it was chosen.
     pub rank: Option<PlacementRank>,
-    /// What could be chosen from.
+    /// The candidates for the choice.
     pub candidates: Vec<CandidateReport>,
     /// The backend server that the token names.
     pub token_holder: Option<String>,
-    /// What the load of all means for a new flow; none while load isn't shared.
+    /// The effect of the fleet's load on a new flow; none while load isn't shared.
     pub load: Option<LoadExplanation>,
 }
 
 impl ExplainReport {
-    /// Explains a flow at `now`.
+    /// Explains the decision on a flow at `now`.
     pub fn new(
         router: &mut FlowRouter,
         now: ClockTime,
@@ -260,17 +260,17 @@
     }
 }
 
-/// `StatusReport` is the whole instance.
+/// The status of the instance.
 #[derive(Clone, Debug, Serialize)]
 pub struct StatusReport {
-    /// Its name.
+    /// Name of the instance.
     pub instance: String,
     /// Its data centre.
     pub data_centre: String,
     /// Its phase.
     pub phase: &'static str,
-    /// List and fleet.
+    /// State of the list and the fleet.
     pub list: MemberReport,
-    /// Flows and backend servers.
+    /// State of flows and backend servers.
     pub routing: RouteReport,
 }
--- a/crates/foxledge-daemon/src/packets/side.rs
+++ b/crates/foxledge-daemon/src/packets/side.rs
@@ -1,6 +1,6 @@
-//! The side thread: calls of the store, and HTTP for routers and operators.
+//! The side thread: calls to the store, and HTTP for routers and operators.
 //!
-//! It runs a tokio runtime of its own and decides nothing.
+//! It runs its own tokio runtime and leaves all decisions to the main thread.
 
 use std::{
     io,
@@ -33,55 +33,55 @@
 
 use super::metrics::PacketMetrics;
 
-/// Longest wait for the main thread's answer to an operator's question.
+/// Timeout of an operator's query to the main thread.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 
-/// `SideCommand` is what the main thread wants done.
+/// A command of the main thread to the side thread.
 #[derive(Clone, Copy, Debug)]
 pub enum SideCommand {
     /// Call the store.
     CallStore(StoreQuery),
 }
 
-/// `SideEvent` is what the side thread tells the main thread.
+/// An event that the side thread reports to the main thread.
 pub enum SideEvent {
-    /// The store's answer to an order.
+    /// The response of the store to a query.
     StoreResponse(StoreQuery, Result<ListReading, SourceError>),
-    /// An operator asks something.
+    /// An operator sent a query; the response goes to the sender.
     QueryReceived(OperatorQuery, oneshot::Sender<Value>),
-    /// The thread has ended.
+    /// The side thread has ended, for this reason.
     Ended(String),
 }
 
-/// `OperatorQuery` is what operators can ask.
+/// A query of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorQuery {
-    /// The whole instance.
+    /// The status of the instance.
     Status,
-    /// Where a flow would go, and what a token names.
+    /// The decision on a flow, and the backend server of a token.
     Explain(FlowKey, u32),
     /// The audit trail.
     Audit,
-    /// Bring the metrics' gauges up to date.
+    /// An update of the gauges before the metrics are rendered.
     Gauges,
 }
 
-/// `SideThread` is what the thread starts with.
+/// What the side thread needs to start.
 pub struct SideThread {
-    /// Orders of the main thread.
+    /// Receives the commands of the main thread.
     pub commands: mpsc::UnboundedReceiver<SideCommand>,
     /// Reads the store.
     pub source: Box<dyn ListSource>,
-    /// HTTP for routers.
+    /// Listener for HTTP requests of routers and operators.
     pub admin: TcpListener,
-    /// HTTP for metrics and operators.
+    /// Separate listener for the same HTTP interface, if one is configured.
     pub metrics_listener: Option<TcpListener>,
     /// The metrics.
     pub metrics: Arc<PacketMetrics>,
     /// The phase of the process.
     pub phase: Arc<PhaseCell>,
-    /// Where events go.
+    /// Sends events to the main thread.
     pub events: Channel<SideEvent>,
 }
 
@@ -93,20 +93,20 @@
 }
 
 impl SideThread {
-    /// Starts the thread; it ends when the sender of orders is dropped.
+    /// Starts the thread, which ends when the sender of commands is dropped.
     ///
     /// # Errors
     ///
-    /// When the system gives no thread or no event queue.
+    /// Fails when the thread or its runtime can't be created.
     pub fn start(self) -> io::Result<()> {
         let runtime = runtime::Builder::new_current_thread().enable_io().enable_time().build()?;
         let events = self.events.clone();
         thread::Builder::new().name("side".to_owned()).spawn(move || {
-            let why = match runtime.block_on(self.run()) {
-                Ok(()) => "no more orders".to_owned(),
+            let reason = match runtime.block_on(self.run()) {
+                Ok(()) => "the command channel is closed".to_owned(),
                 Err(error) => error.to_string(),
             };
-            events.send(SideEvent::Ended(why));
+            events.send(SideEvent::Ended(reason));
         })?;
         Ok(())
     }
@@ -145,13 +145,13 @@
     mut orders: mpsc::UnboundedReceiver<SideCommand>,
     events: Channel<SideEvent>,
 ) {
-    while let Some(SideCommand::CallStore(order)) = orders.recv().await {
-        let answer = match order {
+    while let Some(SideCommand::CallStore(query)) = orders.recv().await {
+        let response = match query {
             StoreQuery::FirstPage => source.read_first_page().await,
             StoreQuery::All(mode) => source.read_all(mode).await,
             StoreQuery::Watch { after, wait_ms } => source.watch(after, wait_ms).await,
         };
-        events.send(SideEvent::StoreResponse(order, answer));
+        events.send(SideEvent::StoreResponse(query, response));
     }
 }
 
@@ -162,7 +162,7 @@
 }
 
 async fn metrics_text(State(state): State<AdminState>) -> impl IntoResponse {
-    // Old gauges are better than no answer when the main thread is busy.
+    // If the main thread is busy, the last known gauges are served.
     let _ = query_main_thread(&state, OperatorQuery::Gauges).await;
     ([("content-type", METRICS_CONTENT_TYPE)], state.metrics.render())
 }
@@ -175,7 +175,8 @@
     response_or_busy(query_main_thread(&state, OperatorQuery::Audit).await)
 }
 
-/// `ExplainQuery` names a flow: its two ends, and the token of its packets if it is open.
+/// The parameters of `/explain`: the two ends of a flow, and the token of its packets if it is
+/// open.
 #[derive(Deserialize)]
 struct ExplainQuery {
     caller: SocketAddrV4,
@@ -192,16 +193,16 @@
     response_or_busy(query_main_thread(&state, OperatorQuery::Explain(key, query.token)).await)
 }
 
-async fn query_main_thread(state: &AdminState, question: OperatorQuery) -> Option<Value> {
-    let (sender, answer) = oneshot::channel();
-    if !state.events.send(SideEvent::QueryReceived(question, sender)) {
+async fn query_main_thread(state: &AdminState, query: OperatorQuery) -> Option<Value> {
+    let (sender, response) = oneshot::channel();
+    if !state.events.send(SideEvent::QueryReceived(query, sender)) {
         return None;
     }
-    timeout(ANSWER_TIMEOUT, answer).await.ok()?.ok()
+    timeout(ANSWER_TIMEOUT, response).await.ok()?.ok()
 }
 
-fn response_or_busy(answer: Option<Value>) -> (StatusCode, Json<Value>) {
-    match answer {
+fn response_or_busy(response: Option<Value>) -> (StatusCode, Json<Value>) {
+    match response {
         Some(value) => (StatusCode::OK, Json(value)),
         None => (StatusCode::SERVICE_UNAVAILABLE, Json(json!({ "error": "busy" }))),
     }
