--- a/crates/foxledge-daemon/src/choices.rs
+++ b/crates/foxledge-daemon/src/choices.rs
@@ -1,4 +1,4 @@
-//! What the parts are told, from the settings.
+//! Conversion of the settings to the options of the parts.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 use crate::routes::RouteTable;
 
-/// The engine's options from the settings.
+/// Returns the options of the engine.
 pub fn engine_options(settings: &DaemonSettings) -> EngineOptions {
     let flow = &settings.flow;
     EngineOptions::default()
@@ -54,12 +54,12 @@
     }
 }
 
-/// The list store's options from the settings.
+/// Returns the options of the list store.
 pub fn list_options(settings: &DaemonSettings) -> ListOptions {
     ListOptions::default().stale_lists(stale_lists(settings))
 }
 
-/// What becomes of older lists, from the settings.
+/// Returns the policy for lists older than the one in force.
 pub fn stale_lists(settings: &DaemonSettings) -> StaleLists {
     match settings.trial.refuse_stale_lists {
         true => StaleLists::Refuse,
@@ -67,7 +67,7 @@
     }
 }
 
-/// The addresses that stand in for others.
+/// Returns the table of replaced addresses.
 pub fn route_table(settings: &DaemonSettings) -> RouteTable {
     RouteTable::new(settings.trial.routes.clone())
 }
--- a/crates/foxledge-daemon/src/clock.rs
+++ b/crates/foxledge-daemon/src/clock.rs
@@ -1,10 +1,10 @@
-//! The process's monotonic clock.
+//! The monotonic clock of the process.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use foxledge_core::time::ClockTime;
 
-/// `ProcessClock` is the source of every `ClockTime` of this process.
+/// The source of every `ClockTime` of the request path.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessClock {
     start: Instant,
@@ -16,22 +16,22 @@
         ProcessClock { start: Instant::now() }
     }
 
-    /// The time now, read from the operating system.
+    /// Returns the current time, read from the operating system.
     ///
-    /// The main loop's own time stands still while it works through a batch. A
-    /// process that is frozen in mid-batch and wakes later would hold tickets
-    /// good whose deadlines have passed, which one would notice as requests
-    /// that run twice. Reading the clock for every decision prevents this, as
-    /// the monotonic clock goes on while the process is frozen.
+    /// The time of the main loop doesn't advance while a batch is handled. A process
+    /// that is frozen within a batch and resumed later would accept tickets that have
+    /// expired meanwhile, and requests could run twice. Reading the clock for every
+    /// decision prevents this, as the monotonic clock advances while the process is
+    /// frozen.
     pub fn now(&self) -> ClockTime {
         ClockTime::from_micros(self.start.elapsed().as_micros() as u64)
     }
 }
 
-/// An incarnation number for a process that starts now: microseconds of the wall clock.
+/// Returns an incarnation number for a starting process: the wall-clock time in microseconds.
 ///
-/// A restart on the same instance gets a higher number as long as the wall
-/// clock doesn't go back further than the process ran.
+/// A restart of the same instance gets a higher number unless the wall clock was set
+/// back by more than the run time of the process.
 pub fn new_incarnation() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |span| span.as_micros() as u64)
 }
--- a/crates/foxledge-daemon/src/context.rs
+++ b/crates/foxledge-daemon/src/context.rs
@@ -1,4 +1,4 @@
-//! What the parts share on the main thread.
+//! State that the parts of the request path share on the main thread.
 
 use std::{
     cell::{Cell, OnceCell, RefCell},
@@ -21,11 +21,11 @@
     phase::PhaseCell, routes::RouteTable, sockets::ListenSockets,
 };
 
-/// `DaemonContext` is what every part can reach, and what outlives a failed part.
+/// State that every part can access and that outlives a failed part.
 pub struct DaemonContext {
     /// The settings.
     pub settings: DaemonSettings,
-    /// The process's clock.
+    /// The clock of the process.
     pub clock: ProcessClock,
     /// The listening sockets.
     pub sockets: ListenSockets,
@@ -33,30 +33,29 @@
     pub metrics: Arc<MetricSet>,
     /// The phase of the process.
     pub phase: Arc<PhaseCell>,
-    /// The present actor of each part.
+    /// The running actor of each part.
     pub directory: PartDirectory,
-    /// This instance; the state in it is that of the start.
+    /// Information on this instance as peers get it; its state remains that of the start.
     pub local_info: RefCell<PeerInfo>,
-    /// The newest accepted list, kept for a list keeper that starts anew.
+    /// The newest accepted list, from which a restarted list manager continues.
     ///
-    /// Without it a list keeper that failed would begin with no list, take an
-    /// older one from a peer that lags, and spread that; one would notice a
-    /// revision that goes back.
+    /// Without it, a restarted list manager would have no list, accept an older one
+    /// from a lagging peer and spread it, so that the revision would go back.
     pub accepted_list: RefCell<Option<ListSnapshot>>,
-    /// The newest view of membership.
+    /// The newest view of the membership.
     pub peer_view: RefCell<Arc<PeerView>>,
     /// True while this instance reads the platform for its data centre.
     pub is_reader: Cell<bool>,
-    /// Set by a signal; kept here so that it isn't lost while the life cycle is started anew.
+    /// Set by a signal. Stored here so that it isn't lost while the life cycle is restarted.
     pub is_stop_requested: Cell<bool>,
-    /// Addresses that stand in for others.
+    /// Replaced addresses, for tests.
     pub routes: RouteTable,
     seed_rng: RefCell<StdRng>,
     audit: OnceCell<Fwd<AuditChange>>,
 }
 
 impl DaemonContext {
-    /// Makes the context of a process that starts.
+    /// Creates the context of a starting process.
     pub fn new(
         settings: DaemonSettings,
         clock: ProcessClock,
@@ -82,14 +81,14 @@
         })
     }
 
-    /// A new seed for a part that starts.
+    /// Returns a new random seed for a starting part.
     pub fn next_seed(&self) -> u64 {
         self.seed_rng.borrow_mut().next_u64()
     }
 
-    /// Sets where changes are recorded.
+    /// Sets the receiver of changes for the audit trail.
     pub fn set_audit(&self, audit: Fwd<AuditChange>) {
-        // The root supervisor is made once, so the cell is empty.
+        // The root supervisor is created once, so the cell is empty.
         let _ = self.audit.set(audit);
     }
 
@@ -100,8 +99,12 @@
         }
     }
 
-    /// Version of the list in force; revision 0 without one.
+    /// Returns the version of the list in force, or revision 0 without one.
     pub fn list_version(&self) -> ListVersion {
-        self.accepted_list.borrow().as_ref().map(|kept| kept.list().version).unwrap_or_default()
+        self.accepted_list
+            .borrow()
+            .as_ref()
+            .map(|snapshot| snapshot.list().version)
+            .unwrap_or_default()
     }
 }
--- a/crates/foxledge-daemon/src/control_link.rs
+++ b/crates/foxledge-daemon/src/control_link.rs
@@ -1,4 +1,4 @@
-//! The part that joins the main loop to the side thread.
+//! The part that connects the main loop with the side thread.
 
 use std::{io, net::SocketAddr, rc::Rc};
 
@@ -27,10 +27,9 @@
     supervisor::PartReport,
 };
 
-/// `ControlLink` is the part that owns the side thread.
+/// Owns the side thread.
 ///
-/// The thread ends when this part does: its end of the command channel is
-/// gone then.
+/// The thread ends together with this part, as its command channel is closed then.
 pub struct ControlLink {
     context: Rc<DaemonContext>,
     commands: mpsc::UnboundedSender<LinkCommand>,
@@ -56,10 +55,10 @@
         }
     }
 
-    /// Hands a command to the side thread.
+    /// Sends a command to the side thread.
     pub fn send_command(&mut self, cx: CX![], command: LinkCommand) {
         if self.commands.send(command).is_err() {
-            fail!(cx, "the side thread is gone");
+            fail!(cx, "can't send a command, as the side thread has ended");
         }
     }
 
@@ -83,12 +82,12 @@
                     .with_values(format!("revision {newest}"), format!("revision {shown}"))
                     .with_cause("the platform is at an older revision", "platform"),
             ),
-            LinkEvent::Ended(why) => {
-                warn!("link: the side thread ended: {why}");
+            LinkEvent::Ended(reason) => {
+                warn!("link: the side thread ended: {reason}");
                 fail!(cx, "the side thread ended");
             }
             LinkEvent::StatusRequested(answer) => self.report_status(answer),
-            LinkEvent::ExplainRequested(question, answer) => self.explain(question, answer),
+            LinkEvent::ExplainRequested(query, answer) => self.explain(query, answer),
             LinkEvent::AuditRequested { after, limit, answer } => {
                 self.read_audit(after, limit, answer)
             }
@@ -104,8 +103,8 @@
     fn forward_to_members(&self, event: LinkEvent) {
         let Some(members) = self.context.directory.get::<MemberManager>() else { return };
         match event {
-            LinkEvent::HeartbeatReceived(beat, answer) => {
-                call!([members], on_heartbeat(beat, answer))
+            LinkEvent::HeartbeatReceived(heartbeat, answer) => {
+                call!([members], on_heartbeat(heartbeat, answer))
             }
             LinkEvent::HeartbeatCompleted(to, outcome) => {
                 call!([members], on_heartbeat_outcome(to, outcome))
@@ -161,9 +160,9 @@
         call!([root], read_parts(Box::new(with_parts)));
     }
 
-    fn explain(&self, question: FlowQuery, answer: oneshot::Sender<Result<String, String>>) {
+    fn explain(&self, query: FlowQuery, answer: oneshot::Sender<Result<String, String>>) {
         if let Some(engine) = self.context.directory.get::<EnginePart>() {
-            call!([engine], explain(question, answer));
+            call!([engine], explain(query, answer));
         }
     }
 
--- a/crates/foxledge-daemon/src/daemon.rs
+++ b/crates/foxledge-daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The process from its settings to its end.
+//! The process of the request path: setup and main loop.
 
 use std::{
     rc::Rc,
@@ -33,7 +33,7 @@
 const POLL_EVENT_CAPACITY: usize = 1024;
 const MAX_POLL_WAIT: Duration = Duration::from_secs(60);
 
-/// `Daemon` is the process: the main loop and what it holds.
+/// A running instance of the request path: the main loop and everything that it owns.
 pub struct Daemon {
     stakker: Stakker,
     poll: MioPoll,
@@ -43,7 +43,7 @@
     _root: ActorOwn<DaemonSupervisor>,
 }
 
-/// `PendingWork` is what is left to do without waiting.
+/// Work that is left over from the last run of the main loop and can continue at once.
 #[derive(Clone, Copy, Debug, Default)]
 struct PendingWork {
     idle: bool,
@@ -52,6 +52,10 @@
 
 impl Daemon {
     /// Binds the sockets and starts every part.
+    ///
+    /// # Errors
+    ///
+    /// Fails when a socket can't be bound or a thread can't be started.
     pub fn start(settings: DaemonSettings) -> Result<Daemon> {
         let clock = ProcessClock::start();
         let sockets = ListenSockets::bind(&listen_addresses(&settings))?;
@@ -64,7 +68,7 @@
         let context = DaemonContext::new(settings, clock, sockets, info, seeds);
 
         let mut stakker = Stakker::new(Instant::now());
-        let poll = Poll::new().context("can't poll")?;
+        let poll = Poll::new().context("can't create the poll")?;
         let events = Events::with_capacity(POLL_EVENT_CAPACITY);
         let poll = MioPoll::new(&mut stakker, poll, events, POLL_PRIORITY)?;
         let signals = watch_signals(&mut stakker, context.clone())?;
@@ -74,7 +78,11 @@
         Ok(Daemon { stakker, poll, context, pending, _signals: signals, _root: root })
     }
 
-    /// Runs until the process is told to stop.
+    /// Runs the main loop until a planned stop has finished.
+    ///
+    /// # Errors
+    ///
+    /// Fails when polling fails or the root supervisor ends for another reason.
     pub fn run(&mut self) -> Result<()> {
         while self.stakker.not_shutdown() {
             self.run_once(MAX_POLL_WAIT)?;
@@ -88,17 +96,17 @@
         }
     }
 
-    /// Waits for events, `longest` at most, and works through them.
-    pub fn run_once(&mut self, longest: Duration) -> Result<()> {
+    /// Runs one iteration of the main loop: waits for events, up to `max_wait`, and handles them.
+    pub fn run_once(&mut self, max_wait: Duration) -> Result<()> {
         let is_pending = self.pending.idle || self.pending.io;
-        let wait = self.stakker.next_wait_max(Instant::now(), longest, is_pending);
+        let wait = self.stakker.next_wait_max(Instant::now(), max_wait, is_pending);
         let (is_active, io) = self.poll.poll(wait)?;
         let idle = self.stakker.run(Instant::now(), !is_active);
         self.pending = PendingWork { idle, io };
         Ok(())
     }
 
-    /// What the parts share.
+    /// Returns the state that the parts share.
     pub fn context(&self) -> &Rc<DaemonContext> {
         &self.context
     }
--- a/crates/foxledge-daemon/src/directory.rs
+++ b/crates/foxledge-daemon/src/directory.rs
@@ -1,4 +1,4 @@
-//! Where parts find each other.
+//! Lookup of the running parts.
 
 use std::{
     any::{Any, TypeId},
@@ -8,23 +8,23 @@
 
 use stakker::Actor;
 
-/// `PartDirectory` is the present actor of each part, by the part's type.
+/// The running actor of each part, by the type of the part.
 ///
-/// Parts look each other up for each call. A reference kept from earlier would lead
-/// to an actor that has failed, and the calls would vanish. The directory names no
-/// part itself, so that each part knows only those that it calls.
+/// Parts look each other up for every call, because a stored reference may point to an
+/// actor that has failed, and calls to it are lost. The directory names no part itself,
+/// so that each part depends only on those that it calls.
 #[derive(Default)]
 pub struct PartDirectory {
     actors: RefCell<HashMap<TypeId, Box<dyn Any>>>,
 }
 
 impl PartDirectory {
-    /// Enters a part's new actor in place of the former.
+    /// Registers the actor of a part, in place of an earlier one.
     pub fn set<A: 'static>(&self, actor: &Actor<A>) {
         self.actors.borrow_mut().insert(TypeId::of::<A>(), Box::new(actor.clone()));
     }
 
-    /// A part's actor; none while it isn't running.
+    /// Returns the actor of a part, or none while it isn't running.
     pub fn get<A: 'static>(&self) -> Option<Actor<A>> {
         let actors = self.actors.borrow();
         let actor = actors.get(&TypeId::of::<A>())?.downcast_ref::<Actor<A>>()?;
--- a/crates/foxledge-daemon/src/engine_part.rs
+++ b/crates/foxledge-daemon/src/engine_part.rs
@@ -1,4 +1,4 @@
-//! The part that decides on datagrams.
+//! The part that runs the flow engine on received datagrams.
 
 use std::{
     panic::{AssertUnwindSafe, catch_unwind},
@@ -21,12 +21,12 @@
     side::messages::FlowQuery,
 };
 
-/// Time between two looks at deadlines while something waits.
+/// Time between two checks of deadlines while requests or forwards are pending.
 const BUSY_TICK_INTERVAL: Duration = Duration::from_millis(10);
-/// The same while nothing waits but probes and open feeds.
+/// Time between two checks of deadlines while only probes and open feeds are pending.
 const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// `EnginePart` is the part that holds the [`FlowEngine`].
+/// Owns the [`FlowEngine`] and applies its effects.
 pub struct EnginePart {
     context: Rc<DaemonContext>,
     engine: FlowEngine,
@@ -34,7 +34,7 @@
     tick_rate: TickRate,
 }
 
-/// `TickRate` is how soon the next tick comes.
+/// The interval between ticks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TickRate {
     Busy,
@@ -42,11 +42,11 @@
 }
 
 impl EnginePart {
-    /// Makes the engine and gives it what is known of lists, members and phase.
+    /// Creates the engine with the list, membership and phase known so far.
     pub fn init(cx: CX![], context: Rc<DaemonContext>) -> Option<EnginePart> {
         let options: EngineOptions = engine_options(&context.settings);
-        let me = context.local_info.borrow().clone();
-        let mut engine = FlowEngine::new(options, me, context.next_seed());
+        let local_info = context.local_info.borrow().clone();
+        let mut engine = FlowEngine::new(options, local_info, context.next_seed());
         let now = context.clock.now();
         engine.set_phase(now, context.phase.get());
         let tick_key = after!(BUSY_TICK_INTERVAL, [cx], tick());
@@ -60,7 +60,7 @@
         Some(part)
     }
 
-    /// Decides on a batch of datagrams.
+    /// Handles a batch of datagrams.
     pub fn handle_batch(&mut self, cx: CX![], batch: DatagramBatch) {
         self.run_engine(cx, |engine, context| {
             let mut effects = Vec::new();
@@ -76,36 +76,36 @@
         self.shorten_tick(cx);
     }
 
-    /// Puts a list in force.
+    /// Applies a newly accepted list.
     pub fn apply_list(&mut self, cx: CX![], list: Arc<RuleList>) {
         self.run_engine(cx, |engine, context| engine.apply_list(context.clock.now(), list));
     }
 
-    /// Takes a new view of membership.
+    /// Applies a new view of the membership.
     pub fn apply_peer_view(&mut self, cx: CX![], view: Arc<PeerView>) {
         self.run_engine(cx, |engine, context| engine.apply_peer_view(context.clock.now(), view));
     }
 
-    /// Takes a new phase.
+    /// Sets the phase of the process.
     pub fn set_phase(&mut self, _cx: CX![], phase: EnginePhase) {
         self.engine.set_phase(self.context.clock.now(), phase);
     }
 
-    /// Answers how many requests a planned stop has to wait for.
+    /// Passes the number of requests that a planned stop has to wait for to `answer`.
     pub fn count_unfinished(&mut self, _cx: CX![], answer: Ret<usize>) {
         ret!([answer], self.engine.unfinished_count(self.context.clock.now()));
     }
 
-    /// Brings the metrics up to date.
+    /// Updates the metrics of the engine.
     pub fn update_metrics(&mut self, _cx: CX![], answer: oneshot::Sender<()>) {
         let metrics = &self.context.metrics;
         metrics.set_engine_totals(&self.engine.counters().named_values());
         metrics.unfinished.set(self.engine.unfinished_count(self.context.clock.now()) as i64);
-        // The asker may have given up.
+        // Fails when the query has timed out.
         let _ = answer.send(());
     }
 
-    /// Completes a status report and answers with it.
+    /// Adds the status of the engine to a report and sends it to `answer`.
     pub fn report_status(
         &mut self,
         _cx: CX![],
@@ -117,22 +117,23 @@
         let _ = answer.send(report.to_string());
     }
 
-    /// Answers why a flow is treated as it is.
+    /// Sends an explanation of the treatment of a flow to `answer`.
     pub fn explain(
         &mut self,
         _cx: CX![],
-        question: FlowQuery,
+        flow_query: FlowQuery,
         answer: oneshot::Sender<Result<String, String>>,
     ) {
-        let explained = question.work.parse().map_err(|error| format!("{error}")).map(|kind| {
-            let FlowQuery { address, member, flow, .. } = question;
+        let explained = flow_query.work.parse().map_err(|error| format!("{error}")).map(|kind| {
+            let FlowQuery { address, member, flow, .. } = flow_query;
             let query = ExplainQuery { address, member, kind, flow };
             self.with_scheduler_status(json!(self.engine.explain(&query))).to_string()
         });
         let _ = answer.send(explained);
     }
 
-    /// Adds the state of the flow's desk, if it is here: what the choice of a backend server goes by.
+    /// Adds the status of the flow's scheduler, by which a backend server is chosen, if this
+    /// instance has it.
     fn with_scheduler_status(&self, mut explained: Value) -> Value {
         let status = json!(self.engine.status(self.context.clock.now()));
         let service = &explained["treatment"]["serve"]["service"];
@@ -153,10 +154,10 @@
         };
     }
 
-    /// Brings the next tick forward once something waits.
+    /// Shortens the time to the next tick when the engine is no longer idle.
     ///
-    /// A hundred ticks a second cost an idle daemon more than all its decisions,
-    /// but a request that is given up has to be told so within 10 ms.
+    /// A hundred ticks a second would cost an idle daemon more than all its decisions,
+    /// but the caller of an abandoned request has to be notified within 10 ms.
     fn shorten_tick(&mut self, cx: CX![]) {
         if self.tick_rate == TickRate::Busy || self.engine.is_idle() {
             return;
@@ -166,12 +167,12 @@
         self.tick_key = after!(BUSY_TICK_INTERVAL, [cx], tick());
     }
 
-    /// Runs a decision and carries its effects out.
+    /// Runs `decide` on the engine and applies the effects.
     ///
-    /// A panic in a decision would unwind through the main loop and end the
-    /// process with every flow in it. Caught here it ends this part alone; the
-    /// supervisor starts it anew under a new incarnation. The engine isn't
-    /// used again after a panic, so that its half-changed state does no harm.
+    /// A panic in the engine would unwind through the main loop and end the process
+    /// with all its flows. It is caught here, so that only this part fails and the
+    /// supervisor restarts it under a new incarnation. The engine isn't used again
+    /// after a panic, so its inconsistent state does no harm.
     fn run_engine<F>(&mut self, cx: CX![], decide: F)
     where
         F: FnOnce(&mut FlowEngine, &DaemonContext) -> Vec<EngineEffect>,
@@ -181,7 +182,7 @@
         self.context.metrics.flow_engine.observe(started.elapsed().as_secs_f64());
         match decided {
             Ok(effects) => self.apply_effects(effects),
-            Err(_) => fail!(cx, "a decision panicked"),
+            Err(_) => fail!(cx, "the flow engine panicked"),
         }
     }
 
@@ -207,7 +208,9 @@
         }
         match self.context.directory.get::<DatagramListener>() {
             Some(listener) => call!([listener], send(outgoing)),
-            None => warn!("engine: {} datagrams dropped, no listener", outgoing.len()),
+            None => {
+                warn!("engine: {} datagrams dropped, no listener", outgoing.len())
+            }
         }
     }
 }
--- a/crates/foxledge-daemon/src/lib.rs
+++ b/crates/foxledge-daemon/src/lib.rs
@@ -1,8 +1,9 @@
-//! The daemon: sockets, timers and threads around foxledge's decisions.
+//! The foxledge daemon: sockets, timers and threads around the decision logic.
 //!
-//! The main thread runs stakker's loop with a supervisor tree of
-//! [`parts`]; a side thread runs what needs tokio ([`side`]). Decisions are
-//! made in the pure crates; the parts feed them and carry out their effects.
+//! The main thread runs the stakker event loop with a supervisor tree of
+//! [`parts`]; a side thread runs what needs tokio ([`side`]). Decisions are made by
+//! crates that do no I/O; the parts feed them and apply their effects. The modules at
+//! the root belong to the request path, [`packets`] is the packet path.
 
 pub mod choices;
 pub mod clock;
--- a/crates/foxledge-daemon/src/life_cycle.rs
+++ b/crates/foxledge-daemon/src/life_cycle.rs
@@ -1,4 +1,4 @@
-//! The part that takes the process from its start to its planned stop.
+//! The part that controls the phases of the process, from its start to its planned stop.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -19,30 +19,31 @@
     start_gate::{PlatformContact, StartGate},
 };
 
+/// Time between two checks while the process starts or stops.
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
-/// Time between two looks while there is nothing to wait for but a stop.
+/// Time between two checks for a stop request while the process serves.
 const SERVING_TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Heartbeats sent in state leaving before the process may end.
+/// Minimum number of heartbeats sent in state leaving before the process may end.
 const MIN_LEAVING_HEARTBEATS: u64 = 3;
 
-/// `LifeCycle` is the part that sets the phase of the process.
+/// Sets the phase of the process.
 pub struct LifeCycle {
     context: Rc<DaemonContext>,
     gate: StartGate,
     deadlines: Option<LeaveDeadlines>,
 }
 
-/// `LeaveDeadlines` bounds a planned stop.
+/// The time bounds of a planned stop.
 #[derive(Clone, Copy, Debug)]
 struct LeaveDeadlines {
-    /// Until then peers are told, even with nothing left to finish.
+    /// The process doesn't end before, so that peers learn that it leaves.
     earliest_stop_at: ClockTime,
-    /// The process ends then, whatever is left.
+    /// The process ends then, even with unfinished requests.
     latest_stop_at: ClockTime,
 }
 
 impl LifeCycle {
-    /// Begins where the process stands.
+    /// Starts the part in the current phase of the process.
     pub fn init(cx: CX![], context: Rc<DaemonContext>) -> Option<LifeCycle> {
         let now = context.clock.now();
         let peers = &context.settings.peers;
@@ -51,38 +52,38 @@
             false => PlatformContact::Pending,
         };
         let mut gate = StartGate::new(platform, now.after_millis(peers.start_wait_ms));
-        let own = context.local_info.borrow().control_address;
-        gate.add_peers(peers.seeds.iter().copied().filter(|seed| *seed != own));
+        let local_address = context.local_info.borrow().control_address;
+        gate.add_peers(peers.seeds.iter().copied().filter(|seed| *seed != local_address));
         call!([cx], on_tick());
-        let mut life = LifeCycle { context, gate, deadlines: None };
-        if life.context.phase.get() == EnginePhase::Leaving {
-            life.set_leave_deadlines();
+        let mut part = LifeCycle { context, gate, deadlines: None };
+        if part.context.phase.get() == EnginePhase::Leaving {
+            part.set_leave_deadlines();
         }
-        Some(life)
+        Some(part)
     }
 
-    /// A peer told its list's version with a heartbeat or the answer to one.
+    /// Handles a heartbeat of a peer, or its reply to one, which carries its list version.
     pub fn on_peer_answer(&mut self, _cx: CX![], from: SocketAddr) {
         self.gate.record_answer(from);
     }
 
-    /// A peer gave no answer to a heartbeat.
+    /// Handles a heartbeat that a peer left unanswered.
     pub fn on_peer_failure(&mut self, _cx: CX![], from: SocketAddr) {
         self.gate.record_failure(from);
     }
 
-    /// The platform named instances, which are asked for the newest list too.
+    /// Handles the platform's listing of instances, which are queried for the newest list too.
     pub fn on_platform_listing(&mut self, _cx: CX![], addresses: Vec<SocketAddr>) {
-        let own = self.context.local_info.borrow().control_address;
-        self.gate.add_peers(addresses.into_iter().filter(|address| *address != own));
+        let local_address = self.context.local_info.borrow().control_address;
+        self.gate.add_peers(addresses.into_iter().filter(|address| *address != local_address));
     }
 
-    /// The platform answered, or couldn't be reached.
+    /// Records that the platform answered or is unreachable.
     pub fn on_platform_contact(&mut self, _cx: CX![]) {
         self.gate.record_platform_contact();
     }
 
-    /// Begins the planned stop; the answer is false when it has begun before.
+    /// Begins a planned stop. Passes false to `answer` when one is already in progress.
     pub fn leave(&mut self, _cx: CX![], source: &'static str, answer: Box<dyn FnOnce(bool)>) {
         answer(self.begin_leaving(source));
     }
@@ -134,25 +135,26 @@
         call!([engine], count_unfinished(answer));
     }
 
-    fn stop_when_finished(&mut self, cx: CX![], left: usize) {
+    fn stop_when_finished(&mut self, cx: CX![], unfinished: usize) {
         let Some(deadlines) = self.deadlines else { return };
         let now = self.context.clock.now();
-        let finished = left == 0 && deadlines.earliest_stop_at.is_past(now);
-        let waits = self.context.settings.trial.graceful_stop;
-        if waits && !finished && !deadlines.latest_stop_at.is_past(now) {
+        let is_finished = unfinished == 0 && deadlines.earliest_stop_at.is_past(now);
+        let is_graceful = self.context.settings.trial.graceful_stop;
+        if is_graceful && !is_finished && !deadlines.latest_stop_at.is_past(now) {
             return;
         }
         self.deadlines = None;
-        info!("life: stops with {left} unfinished");
+        info!("life: stops with {unfinished} unfinished");
         self.context.record(
             AuditChange::new(
                 AuditKind::ProcessChanged,
                 self.context.local_info.borrow().name.as_str(),
             )
-            .with_values("leaving", format!("stopped with {left} unfinished"))
-            .with_cause(if left == 0 { "all finished" } else { "limit of the stop" }, "life"),
+            .with_values("leaving", format!("stopped with {unfinished} unfinished"))
+            .with_cause(if unfinished == 0 { "all finished" } else { "limit of the stop" }, "life"),
         );
-        // A later turn of the loop, so that the entry is logged and the last datagrams are out.
+        // In a later iteration of the main loop, so that the entry is logged and the last
+        // datagrams are sent.
         after!(TICK_INTERVAL, [cx], |_this, cx| cx.shutdown(StopCause::Stopped));
     }
 
--- a/crates/foxledge-daemon/src/list_manager.rs
+++ b/crates/foxledge-daemon/src/list_manager.rs
@@ -1,4 +1,4 @@
-//! The part that keeps the newest accepted list and has the platform watched.
+//! The part that maintains the newest accepted list and controls the platform watch.
 
 use std::{net::SocketAddr, rc::Rc, sync::Arc, time::Duration};
 
@@ -20,9 +20,10 @@
     side::messages::{CallError, LinkCommand, WatchCommand},
 };
 
+/// Time between two ticks of the list store.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// `ListManager` is the part that holds the [`ListStore`].
+/// Owns the [`ListStore`] and applies its effects.
 pub struct ListManager {
     context: Rc<DaemonContext>,
     store: ListStore,
@@ -30,29 +31,29 @@
 }
 
 impl ListManager {
-    /// Makes the store, with the list that an earlier keeper had accepted.
+    /// Creates the store, with the list that was accepted before a restart of this part.
     pub fn init(cx: CX![], context: Rc<DaemonContext>) -> Option<ListManager> {
         let options = list_options(&context.settings);
-        let kept = context.accepted_list.borrow().clone();
-        let store = match kept {
-            Some(kept) => ListStore::restore(options, kept),
+        let snapshot = context.accepted_list.borrow().clone();
+        let store = match snapshot {
+            Some(snapshot) => ListStore::restore(options, snapshot),
             None => ListStore::new(options),
         };
-        let mut keeper = ListManager { context, store, watch: WatchCommand::Pause };
-        if let Some(list) = keeper.store.current_list() {
-            keeper.apply_accepted_list(list);
+        let mut manager = ListManager { context, store, watch: WatchCommand::Pause };
+        if let Some(list) = manager.store.current_list() {
+            manager.apply_accepted_list(list);
         }
         call!([cx], on_tick());
-        Some(keeper)
+        Some(manager)
     }
 
-    /// Takes the version of the list that a peer holds.
+    /// Handles the version of a peer's list.
     pub fn on_peer_version(&mut self, _cx: CX![], from: SocketAddr, version: ListVersion) {
         let effects = self.store.on_peer_version(self.context.clock.now(), from, version);
         self.apply_effects(effects);
     }
 
-    /// Takes the end of a manifest's fetch.
+    /// Handles the outcome of a fetch of a manifest.
     pub fn on_manifest_fetched(
         &mut self,
         _cx: CX![],
@@ -63,14 +64,14 @@
         let effects = match outcome {
             Ok(manifest) => self.store.on_manifest(now, from, manifest),
             Err(error) => {
-                debug!("lists: no manifest from {from:?}: {error}");
+                debug!("lists: can't fetch the manifest from {from:?}: {error}");
                 self.store.on_fetch_failed(now, from)
             }
         };
         self.apply_effects(effects);
     }
 
-    /// Takes the end of a fetch of parts.
+    /// Handles the outcome of a fetch of list parts.
     pub fn on_parts_fetched(
         &mut self,
         _cx: CX![],
@@ -81,19 +82,19 @@
         let effects = match outcome {
             Ok(parts) => self.store.on_parts(now, from, parts),
             Err(error) => {
-                debug!("lists: no parts from {from:?}: {error}");
+                debug!("lists: can't fetch parts from {from:?}: {error}");
                 self.store.on_fetch_failed(now, from)
             }
         };
         self.apply_effects(effects);
     }
 
-    /// Answers a peer that wants the manifest in force.
+    /// Sends the manifest in force to a peer.
     pub fn answer_manifest(&mut self, _cx: CX![], answer: oneshot::Sender<Option<Manifest>>) {
         let _ = answer.send(self.store.manifest());
     }
 
-    /// Answers a peer that wants parts.
+    /// Sends list parts to a peer.
     pub fn answer_parts(
         &mut self,
         _cx: CX![],
@@ -103,12 +104,12 @@
         let _ = answer.send(self.store.parts(&digests));
     }
 
-    /// Answers which list is in force and the newest heard of.
+    /// Passes the version in force and the newest known version to `answer`.
     pub fn read_versions(&mut self, _cx: CX![], answer: stakker::Ret<(ListVersion, ListVersion)>) {
         stakker::ret!([answer], self.store.version(), self.store.newest_known_version());
     }
 
-    /// Tells a side thread that was started anew what to watch.
+    /// Starts the platform watch of a new side thread, if it is wanted.
     pub fn on_link_started(&mut self, _cx: CX![]) {
         self.watch = WatchCommand::Pause;
         self.update_watch();
@@ -121,22 +122,22 @@
         self.apply_effects(effects);
     }
 
-    /// Watches while this instance is a reader, has no list at all, or hasn't served yet.
+    /// Runs the platform watch while this instance is a reader, has no list or is joining.
     fn update_watch(&mut self) {
         let has_list = self.store.version().revision > 0;
         let is_joining = self.context.phase.get() == EnginePhase::Joining;
-        let wanted = self.context.is_reader.get() || !has_list || is_joining;
-        let order = match wanted {
+        let is_wanted = self.context.is_reader.get() || !has_list || is_joining;
+        let command = match is_wanted {
             true => WatchCommand::Run { after: self.store.version().revision },
             false => WatchCommand::Pause,
         };
         let was_running = self.watch != WatchCommand::Pause;
-        if was_running == wanted {
+        if was_running == is_wanted {
             return;
         }
-        self.watch = order;
-        info!("lists: platform watch {}", if wanted { "starts" } else { "pauses" });
-        self.send_command(LinkCommand::Watch(order));
+        self.watch = command;
+        info!("lists: platform watch {}", if is_wanted { "starts" } else { "pauses" });
+        self.send_command(LinkCommand::Watch(command));
     }
 
     fn apply_effects(&mut self, effects: Vec<ListEffect>) {
--- a/crates/foxledge-daemon/src/listener.rs
+++ b/crates/foxledge-daemon/src/listener.rs
@@ -1,4 +1,4 @@
-//! The part that reads and writes datagrams.
+//! The part that receives and sends datagrams.
 
 use std::{io, net::SocketAddr, rc::Rc};
 
@@ -12,24 +12,25 @@
 
 use crate::{context::DaemonContext, engine_part::EnginePart};
 
-/// Most datagrams read from one socket before the main loop gets its turn.
+/// Maximum number of datagrams read from one socket before the main loop runs again.
 pub const BATCH_LIMIT: usize = 64;
-/// Priority of the sockets in the poll, the same as the waker's, so that neither starves.
+/// Priority of the sockets in the poll, equal to that of the waker, so that neither starves.
 pub const POLL_PRIORITY: u32 = 10;
-/// One byte more than allowed, so that a longer datagram shows as oversized instead of as cut.
+/// Size of the receive buffer: one byte more than allowed, so that an oversized datagram is
+/// detected instead of truncated.
 const BUFFER_BYTES: usize = MAX_DATAGRAM + 1;
 
-/// `SocketKind` is which socket a datagram belongs to.
+/// The socket that a datagram belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketKind {
-    /// Callers and backend servers.
+    /// The socket for callers and backend servers.
     Data,
-    /// Other instances.
+    /// The socket for other instances.
     Peer,
 }
 
 impl SocketKind {
-    /// The word in metrics.
+    /// Returns the label in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             SocketKind::Data => "data",
@@ -38,16 +39,16 @@
     }
 }
 
-/// `DatagramBatch` is datagrams that arrived at one socket.
+/// Datagrams received on one socket.
 #[derive(Debug)]
 pub struct DatagramBatch {
     /// The socket.
     pub socket: SocketKind,
-    /// Senders and bytes.
+    /// Sender and bytes of each datagram.
     pub datagrams: Vec<(SocketAddr, Vec<u8>)>,
 }
 
-/// `OutgoingDatagram` is one datagram to send.
+/// A datagram to send.
 #[derive(Debug)]
 pub struct OutgoingDatagram {
     /// The socket to send from.
@@ -58,7 +59,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// `DatagramListener` is the part that owns the data and peer sockets.
+/// Owns the data and peer sockets.
 pub struct DatagramListener {
     context: Rc<DaemonContext>,
     data: MioSource<UdpSocket>,
@@ -66,7 +67,7 @@
 }
 
 impl DatagramListener {
-    /// Opens duplicates of the bound sockets and reads what waits in them.
+    /// Starts the part on duplicates of the bound sockets and reads queued datagrams.
     pub fn init(cx: CX![], context: Rc<DaemonContext>) -> Option<DatagramListener> {
         match DatagramListener::open(cx, context) {
             Ok(listener) => {
@@ -75,7 +76,7 @@
                 Some(listener)
             }
             Err(error) => {
-                fail!(cx, "can't open the sockets: {}", error);
+                fail!(cx, "can't open the datagram sockets: {}", error);
                 None
             }
         }
@@ -102,12 +103,12 @@
         for datagram in datagrams {
             let to = self.context.routes.resolve(datagram.to);
             let sent = self.socket(datagram.socket).send_to(&datagram.bytes, to);
-            let word = datagram.socket.as_str();
+            let label = datagram.socket.as_str();
             match sent {
-                Ok(_) => self.context.metrics.datagrams.with_label_values(&[word, "out"]).inc(),
+                Ok(_) => self.context.metrics.datagrams.with_label_values(&[label, "out"]).inc(),
                 Err(error) => {
-                    self.context.metrics.send_errors.with_label_values(&[word]).inc();
-                    // A warning for each would let whoever names bad addresses fill the log.
+                    self.context.metrics.send_errors.with_label_values(&[label]).inc();
+                    // Not a warning: clients that supply invalid addresses could fill the log.
                     debug!("listener: can't send to {}: {error}", datagram.to);
                 }
             }
@@ -120,10 +121,10 @@
 
     /// Reads a bounded batch and lets the main loop run before the next.
     ///
-    /// Without the bound, a flood would keep the main loop in here: timers
-    /// would be late, heartbeats wouldn't go out and peers would hold the
-    /// instance dead. The rest is read when the loop has nothing else to do,
-    /// or when the next datagram makes the socket ready again.
+    /// Without the bound, a flood would block the main loop: timers would be late,
+    /// heartbeats wouldn't be sent and peers would declare the instance dead. The
+    /// remaining datagrams are read when the loop is idle, or when the next datagram
+    /// makes the socket ready again.
     fn read_batch(&mut self, cx: CX![], socket: SocketKind) {
         let mut datagrams = Vec::new();
         let mut buffer = [0; BUFFER_BYTES];
@@ -132,9 +133,9 @@
                 Ok((size, from)) => datagrams.push((from, buffer[..size].to_vec())),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
-                // An ICMP error of an earlier send; the socket itself is fine.
+                // An ICMP error caused by an earlier send; the socket remains usable.
                 Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => continue,
-                Err(error) => return fail!(cx, "can't read the socket: {}", error),
+                Err(error) => return fail!(cx, "can't read from a datagram socket: {}", error),
             }
         }
         if datagrams.len() == BATCH_LIMIT {
--- a/crates/foxledge-daemon/src/main.rs
+++ b/crates/foxledge-daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `foxledged`: the daemon's command line.
+//! `foxledged`: the command line of the daemon.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// Runs the instance that routes packets.
+/// Runs an instance of the packet path.
 fn route_packets(matches: &ArgMatches) -> ExitCode {
     let Some(path) = matches.get_one::<PathBuf>("config") else {
         return ExitCode::FAILURE;
@@ -42,7 +42,7 @@
     end_process(daemon.and_then(|mut daemon| daemon.run()))
 }
 
-/// Runs the instance that admits requests.
+/// Runs an instance of the request path.
 fn serve_requests(matches: &ArgMatches) -> ExitCode {
     let Some(path) = matches.get_one::<PathBuf>("config") else {
         return ExitCode::FAILURE;
@@ -110,9 +110,9 @@
         .set_thread_level(LevelFilter::Off)
         .set_target_level(LevelFilter::Off)
         .set_location_level(LevelFilter::Off)
-        // Other crates' lines carry no part's prefix and would only be noise.
+        // Only foxledge's own crates; lines of dependencies lack the prefix of a part.
         .add_filter_allow_str("foxledge")
         .build();
-    // The logger is set once, here.
+    // Fails only if a logger is set already, and this is the only place that sets one.
     let _ = WriteLogger::init(level, config, std::io::stderr());
 }
--- a/crates/foxledge-daemon/src/member_manager.rs
+++ b/crates/foxledge-daemon/src/member_manager.rs
@@ -1,4 +1,4 @@
-//! The part that knows which instances live.
+//! The part that maintains the membership of instances.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -23,10 +23,10 @@
     side::messages::{CallError, LinkCommand},
 };
 
-/// Ticks in one heartbeat's time.
+/// Number of ticks in one heartbeat interval.
 const TICKS_PER_HEARTBEAT: u32 = 5;
 
-/// `MemberManager` is the part that holds the [`Membership`].
+/// Owns the [`Membership`] and applies its effects.
 pub struct MemberManager {
     context: Rc<DaemonContext>,
     membership: Membership,
@@ -34,23 +34,24 @@
 }
 
 impl MemberManager {
-    /// Makes the membership from the settings and from what an earlier keeper knew.
+    /// Creates the membership from the settings and the peers known before a restart.
     pub fn init(cx: CX![], context: Rc<DaemonContext>) -> Option<MemberManager> {
         let state = context.phase.peer_state();
-        let me = PeerInfo { state, ..context.local_info.borrow().clone() };
+        let local_info = PeerInfo { state, ..context.local_info.borrow().clone() };
         let options = member_options(&context);
         let now = context.clock.now();
-        let mut membership = Membership::new(options, me, context.next_seed(), now);
+        let mut membership = Membership::new(options, local_info, context.next_seed(), now);
         membership.set_list_version(context.list_version());
-        let heartbeat = Duration::from_millis(context.settings.peers.heartbeat_ms);
-        let tick_interval = (heartbeat / TICKS_PER_HEARTBEAT).max(Duration::from_millis(1));
-        let keeper = MemberManager { context, membership, tick_interval };
-        keeper.publish_view();
+        let heartbeat_interval = Duration::from_millis(context.settings.peers.heartbeat_ms);
+        let tick_interval =
+            (heartbeat_interval / TICKS_PER_HEARTBEAT).max(Duration::from_millis(1));
+        let manager = MemberManager { context, membership, tick_interval };
+        manager.publish_view();
         call!([cx], on_tick());
-        Some(keeper)
+        Some(manager)
     }
 
-    /// Answers a heartbeat.
+    /// Handles a heartbeat of a peer and replies to it.
     pub fn on_heartbeat(
         &mut self,
         _cx: CX![],
@@ -67,7 +68,7 @@
         self.apply_effects(effects);
     }
 
-    /// Takes the end of a heartbeat of ours.
+    /// Handles the outcome of a heartbeat that this instance sent.
     pub fn on_heartbeat_outcome(
         &mut self,
         _cx: CX![],
@@ -86,7 +87,7 @@
                 self.membership.on_heartbeat_reply(now, &name, reply)
             }
             Err(error) => {
-                debug!("members: no heartbeat with {to}: {error}");
+                debug!("members: heartbeat to {to} failed: {error}");
                 if let Some(life) = life {
                     call!([life], on_peer_failure(to));
                 }
@@ -96,20 +97,20 @@
         self.apply_effects(effects);
     }
 
-    /// Takes the end of a relayed probe.
+    /// Handles the outcome of a relayed probe.
     pub fn on_probe_result(&mut self, _cx: CX![], name: String, result: ProbeResult) {
         let now = self.context.clock.now();
         let effects = self.membership.on_probe_result(now, &InstanceName::new(&name), result);
         self.apply_effects(effects);
     }
 
-    /// Takes the platform's list of instances, a hint.
+    /// Handles the platform's listing of instances, which is only a hint.
     pub fn on_platform_listing(&mut self, _cx: CX![], listing: MemberListing) {
         let effects = self.membership.on_platform_listing(self.context.clock.now(), &listing);
         self.apply_effects(effects);
     }
 
-    /// Sets the state in which peers see this instance.
+    /// Sets the state that this instance announces to its peers.
     pub fn set_state(&mut self, _cx: CX![], state: PeerState) {
         let effects = self.membership.set_state(self.context.clock.now(), state);
         self.apply_effects(effects);
@@ -169,14 +170,14 @@
 
 fn member_options(context: &DaemonContext) -> MemberOptions {
     let peers = &context.settings.peers;
-    // A keeper that starts anew tries whom the earlier one knew.
-    let known = context.peer_view.borrow();
+    // After a restart of this part, the peers known before serve as seeds.
+    let known_view = context.peer_view.borrow();
     let mut seeds = peers.seeds.clone();
-    seeds.extend(known.peers.iter().map(|peer| peer.control_address));
-    let own = context.local_info.borrow().control_address;
+    seeds.extend(known_view.peers.iter().map(|peer| peer.control_address));
+    let local_address = context.local_info.borrow().control_address;
     seeds.sort();
     seeds.dedup();
-    seeds.retain(|seed| *seed != own);
+    seeds.retain(|seed| *seed != local_address);
     MemberOptions::default()
         .heartbeat_interval(Duration::from_millis(peers.heartbeat_ms))
         .suspect_after(Duration::from_millis(peers.suspect_after_ms))
--- a/crates/foxledge-daemon/src/metrics.rs
+++ b/crates/foxledge-daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics, by prometheus' conventions of names and units.
+//! Metrics of the request path, by the Prometheus conventions for names and units.
 
 use std::{collections::HashMap, sync::Mutex};
 
@@ -11,18 +11,18 @@
     [0.000_5, 0.001, 0.002_5, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 5.0];
 const ENGINE_BUCKETS: [f64; 8] = [0.000_005, 0.000_02, 0.000_1, 0.000_5, 0.002, 0.01, 0.05, 0.25];
 
-/// `MetricSet` is every metric of the process.
+/// All metrics of an instance of the request path.
 pub struct MetricSet {
     registry: Registry,
-    /// Datagrams by socket and direction.
+    /// Datagrams, by socket and direction.
     pub datagrams: IntCounterVec,
     /// Datagrams that couldn't be sent, by socket.
     pub send_errors: IntCounterVec,
-    /// Packets that reached the engine, by the socket's kind.
+    /// Datagrams that reached the engine, by socket.
     pub packets_received: IntCounterVec,
-    /// Refusals by outcome.
+    /// Refusals, by outcome.
     pub refusals: IntCounterVec,
-    /// Everything else that the engine counts, by event.
+    /// All other events counted by the engine, by event.
     pub engine_events: IntCounterVec,
     /// Time from the arrival of a request to its dispatch.
     pub admission: HistogramVec,
@@ -30,17 +30,17 @@
     pub flow_engine: Histogram,
     /// Revision of the list in force.
     pub list_revision: IntGauge,
-    /// Instances of the data centre by state.
+    /// Instances of the data centre, by state.
     pub peers: IntGaugeVec,
-    /// Bytes on control connections by direction.
+    /// Bytes on control connections, by direction.
     pub control_bytes: IntCounterVec,
-    /// Reads of the platform, a waiting watch as one.
+    /// Reads of the platform; a long poll counts as one.
     pub platform_reads: IntCounter,
-    /// What a planned stop waits for.
+    /// Requests, forwards and tickets that a planned stop waits for.
     pub unfinished: IntGauge,
-    /// Restarts of parts.
+    /// Restarts of parts, by part.
     pub part_restarts: IntCounterVec,
-    /// Control calls to others that failed, by method.
+    /// Failed control calls to other processes, by method.
     pub call_failures: IntCounterVec,
     engine_totals: Mutex<HashMap<&'static str, u64>>,
 }
@@ -52,10 +52,10 @@
 }
 
 impl MetricSet {
-    /// Makes the metrics, all zero.
+    /// Creates the metrics with all values at zero.
     pub fn new() -> MetricSet {
         let registry = Registry::new();
-        let set = MetricSet {
+        let metrics = MetricSet {
             datagrams: counters(
                 "datagrams_total",
                 "Datagrams by socket and direction",
@@ -112,11 +112,11 @@
             engine_totals: Mutex::new(HashMap::new()),
             registry,
         };
-        set.register_all();
-        set
+        metrics.register_all();
+        metrics
     }
 
-    /// The text that `/metrics` answers with.
+    /// Renders the metrics in the text format of Prometheus.
     pub fn render(&self) -> String {
         let mut text = Vec::new();
         // Encoding into memory fails only for a metric without a name, and all have one.
@@ -124,14 +124,15 @@
         String::from_utf8_lossy(&text).into_owned()
     }
 
-    /// Takes the engine's totals; received packets and refusals have metrics of their own.
+    /// Updates the metrics from the totals of the engine; received packets and refusals have
+    /// separate metrics.
     pub fn set_engine_totals(&self, totals: &[(&'static str, u64)]) {
-        let Ok(mut known) = self.engine_totals.lock() else { return };
+        let Ok(mut last_totals) = self.engine_totals.lock() else { return };
         for (name, total) in totals {
-            let before = known.insert(name, *total).unwrap_or(0);
-            // An engine that was started anew counts from 0 again.
-            let grown = total.checked_sub(before).unwrap_or(*total);
-            self.engine_counter(name).inc_by(grown);
+            let last_total = last_totals.insert(name, *total).unwrap_or(0);
+            // A restarted engine counts from 0 again.
+            let increase = total.checked_sub(last_total).unwrap_or(*total);
+            self.engine_counter(name).inc_by(increase);
         }
     }
 
@@ -164,7 +165,7 @@
             Box::new(ProcessCollector::for_self()),
         ];
         for collector in collectors {
-            self.registry.register(collector).expect("metric names differ");
+            self.registry.register(collector).expect("metric names are unique");
         }
     }
 }
--- a/crates/foxledge-daemon/src/packets/context.rs
+++ b/crates/foxledge-daemon/src/packets/context.rs
@@ -74,7 +74,7 @@
 }
 
 impl PacketContext {
-    /// Logs an event that isn't a decision on a flow; `kind` is its rate limit.
+    /// Logs an event that isn't a decision on a flow. Lines are rate limited by `kind`.
     pub fn log_event<T: Serialize>(&self, kind: &'static str, event: &T) {
         self.log.borrow_mut().log_event(self.clock.now(), kind, event);
     }
--- a/crates/foxledge-daemon/src/packets/daemon.rs
+++ b/crates/foxledge-daemon/src/packets/daemon.rs
@@ -334,7 +334,7 @@
     let (channel, guard) = Channel::new(stakker, forward);
     thread::Builder::new().name("signals".to_owned()).spawn(move || {
         for signal in signals.forever() {
-            info!("life: received signal {signal}");
+            info!("life: signal {signal}");
             channel.send(signal);
         }
     })?;
--- a/crates/foxledge-daemon/src/part_kind.rs
+++ b/crates/foxledge-daemon/src/part_kind.rs
@@ -1,21 +1,21 @@
-//! The names of the parts that the root supervisor looks after.
+//! The parts of the request path.
 
 use crate::supervisor::{PartName, Supervisor};
 
-/// `PartKind` is one part of the daemon.
+/// Identifies a part of the request path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartKind {
-    /// Data and peer sockets.
+    /// Reads and writes the data and peer sockets.
     Listener,
-    /// Decisions on datagrams.
+    /// Decides on datagrams.
     Engine,
-    /// The newest accepted list.
+    /// Maintains the newest accepted list.
     Lists,
-    /// Which instances live.
+    /// Maintains the membership of instances.
     Members,
-    /// Control calls, the platform's watch, metrics and health.
+    /// Runs the side thread: control calls, platform watch, metrics and health checks.
     Link,
-    /// Start and planned stop.
+    /// Controls start and planned stop.
     Life,
 }
 
@@ -32,5 +32,5 @@
     }
 }
 
-/// `DaemonSupervisor` is the root of the request path's tree.
+/// The supervisor at the root of the request path.
 pub type DaemonSupervisor = Supervisor<PartKind>;
--- a/crates/foxledge-daemon/src/parts.rs
+++ b/crates/foxledge-daemon/src/parts.rs
@@ -1,4 +1,4 @@
-//! The parts that the root supervisor looks after.
+//! Creation of the parts of the request path.
 
 use std::rc::Rc;
 
@@ -18,13 +18,13 @@
     supervisor::{PartName, PartStarter},
 };
 
-/// `DaemonParts` starts the daemon's parts and enters each in the directory.
+/// Starts the parts of the request path and registers each in the directory.
 pub struct DaemonParts {
     context: Rc<DaemonContext>,
 }
 
 impl DaemonParts {
-    /// Makes the starter.
+    /// Creates a starter for parts that share `context`.
     pub fn new(context: Rc<DaemonContext>) -> DaemonParts {
         DaemonParts { context }
     }
@@ -91,20 +91,20 @@
         }
     }
 
-    /// Gives the engine a new incarnation when it starts anew.
+    /// Counts the restart, and changes the incarnation when the engine is restarted.
     ///
-    /// A new engine has forgotten which request numbers ran under the tickets
-    /// that its predecessor issued. Under the same incarnation it would hold
-    /// those tickets good and run a resent request a second time. With a new
-    /// one it refuses them as unknown; the member keeper starts anew too, so
-    /// that peers learn the incarnation.
+    /// A restarted engine doesn't know which request numbers ran under the tickets
+    /// that the previous one issued. Under the same incarnation it would accept
+    /// those tickets and run a retransmitted request a second time. Under a new one
+    /// it refuses them as unknown. The member manager is restarted too, so that
+    /// peers learn the new incarnation.
     fn on_restart(&mut self, part: PartKind) {
         self.context.metrics.part_restarts.with_label_values(&[part.as_str()]).inc();
         if part != PartKind::Engine {
             return;
         }
-        let mut me = self.context.local_info.borrow_mut();
-        let incarnation = new_incarnation().max(me.incarnation + 1);
-        *me = PeerInfo { incarnation, refutation: 0, ..me.clone() };
+        let mut local_info = self.context.local_info.borrow_mut();
+        let incarnation = new_incarnation().max(local_info.incarnation + 1);
+        *local_info = PeerInfo { incarnation, refutation: 0, ..local_info.clone() };
     }
 }
--- a/crates/foxledge-daemon/src/phase.rs
+++ b/crates/foxledge-daemon/src/phase.rs
@@ -5,7 +5,7 @@
 use foxledge_core::peers::PeerState;
 use foxledge_engine::EnginePhase;
 
-/// `PhaseCell` is the present phase of the process.
+/// The current phase of the process, shared between threads.
 #[derive(Debug, Default)]
 pub struct PhaseCell {
     phase: AtomicU8,
@@ -26,7 +26,7 @@
         self.phase.store(value, Ordering::Release);
     }
 
-    /// The present phase.
+    /// Returns the current phase.
     pub fn get(&self) -> EnginePhase {
         match self.phase.load(Ordering::Acquire) {
             JOINING => EnginePhase::Joining,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The present phase as a word.
+    /// Returns the name of the current phase.
     pub fn as_str(&self) -> &'static str {
         match self.get() {
             EnginePhase::Joining => "joining",
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The state in which peers shall see this instance.
+    /// Returns the state that this instance announces to its peers.
     pub fn peer_state(&self) -> PeerState {
         match self.get() {
             EnginePhase::Joining => PeerState::Joining,
--- a/crates/foxledge-daemon/src/restarts.rs
+++ b/crates/foxledge-daemon/src/restarts.rs
@@ -1,11 +1,11 @@
-//! When a failed part is started anew.
+//! Backoff between restarts of a failed part.
 
 use std::time::Duration;
 
 use foxledge_core::time::ClockTime;
 use rand::{Rng, rngs::StdRng};
 
-/// `RestartLimits` bounds the back-off between restarts.
+/// The bounds of the backoff between restarts.
 #[derive(Clone, Copy, Debug)]
 pub struct RestartLimits {
     initial_delay: Duration,
@@ -24,26 +24,26 @@
 }
 
 impl RestartLimits {
-    /// Sets the delay after a first failure.
+    /// Sets the delay after the first failure.
     pub fn initial_delay(mut self, initial_delay: Duration) -> RestartLimits {
         self.initial_delay = initial_delay;
         self
     }
 
-    /// Sets the longest delay.
+    /// Sets the maximum delay.
     pub fn max_delay(mut self, max_delay: Duration) -> RestartLimits {
         self.max_delay = max_delay;
         self
     }
 
-    /// Sets how long a part must have run for its earlier failures to be forgotten.
+    /// Sets the run time after which the failure count of a part is reset.
     pub fn stable_after(mut self, stable_after: Duration) -> RestartLimits {
         self.stable_after = stable_after;
         self
     }
 }
 
-/// `RestartBackoff` is the back-off of one part: exponential, capped, with jitter.
+/// The restart backoff of a part: exponential, capped, with jitter.
 #[derive(Debug)]
 pub struct RestartBackoff {
     limits: RestartLimits,
@@ -52,16 +52,16 @@
 }
 
 impl RestartBackoff {
-    /// Makes the plan of a part that starts at `now`.
+    /// Creates the backoff of a part that starts at `now`.
     pub fn new(limits: RestartLimits, now: ClockTime) -> RestartBackoff {
         RestartBackoff { limits, failure_count: 0, reset_at: now.after(limits.stable_after) }
     }
 
-    /// Notes a failure and returns when to start the part again.
+    /// Records a failure and returns the time at which to restart the part.
     ///
-    /// Without the growing delay, a part that fails at its start would be
-    /// started in a tight loop and starve the others; without the jitter, the
-    /// instances of a fleet that failed together would start together again.
+    /// Without an increasing delay, a part that fails at its start would be restarted
+    /// in a tight loop and starve the others. Without jitter, parts that failed at the
+    /// same time on all instances would restart at the same time.
     pub fn on_failure(&mut self, now: ClockTime, rng: &mut StdRng) -> ClockTime {
         if self.reset_at.is_past(now) {
             self.failure_count = 0;
@@ -74,7 +74,7 @@
         restart_at
     }
 
-    /// Failures since the part last ran for long.
+    /// Returns the number of failures since the last reset.
     pub fn failure_count(&self) -> u32 {
         self.failure_count
     }
--- a/crates/foxledge-daemon/src/routes.rs
+++ b/crates/foxledge-daemon/src/routes.rs
@@ -1,22 +1,22 @@
-//! Which address is used to reach another.
+//! Replacement of destination addresses, for tests.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
-/// `RouteTable` is the addresses that stand in for others; empty but in trials.
+/// A table of replaced destination addresses; empty except in trials.
 ///
-/// Tests lead what goes between two instances through a link that can be cut.
+/// Tests use it to route traffic between two instances through a link that they can cut.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RouteTable {
     routes: BTreeMap<SocketAddr, SocketAddr>,
 }
 
 impl RouteTable {
-    /// Makes the table; each key is reached at its value.
+    /// Creates a table in which each key is reached at its value.
     pub fn new(routes: BTreeMap<SocketAddr, SocketAddr>) -> RouteTable {
         RouteTable { routes }
     }
 
-    /// Where to send what is meant for `address`.
+    /// Returns the address to use for sending to `address`.
     pub fn resolve(&self, address: SocketAddr) -> SocketAddr {
         self.routes.get(&address).copied().unwrap_or(address)
     }
--- a/crates/foxledge-daemon/src/side/calls.rs
+++ b/crates/foxledge-daemon/src/side/calls.rs
@@ -1,4 +1,4 @@
-//! The calls that the main loop asks for, each a task with a deadline.
+//! Outgoing control calls, each a task with a deadline.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -18,20 +18,20 @@
     watch::PlatformWatch,
 };
 
-/// Longest wait for the answer to a heartbeat.
+/// Timeout of a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Longest wait for the relayed probe; the relay waits for less.
+/// Timeout of a relayed probe; longer than the timeout at the relay.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Longest wait of the relay for the instance that is probed.
+/// Timeout at the relay for the probed instance.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Longest wait for a manifest or for parts.
+/// Timeout of a fetch of a manifest or of parts.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(5);
-/// Most calls under way; a frozen fleet would otherwise pile them up.
+/// Maximum number of pending calls, which would accumulate while peers are frozen.
 const MAX_PENDING_CALLS: usize = 256;
-/// Longest message taken from a peer; parts travel several at a time.
+/// Maximum size of a message from a peer, in bytes; one message contains several parts.
 const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
-/// `CallRunner` starts calls to peers and hands their ends to the main loop.
+/// Starts calls to peers and reports their outcomes to the main loop.
 #[derive(Clone)]
 pub struct CallRunner {
     peers: ClientPool,
@@ -41,7 +41,7 @@
 }
 
 impl CallRunner {
-    /// Makes the desk.
+    /// Creates a runner that reports to `events`.
     pub fn new(
         peers: ClientPool,
         events: Channel<LinkEvent>,
@@ -50,21 +50,21 @@
         CallRunner { peers, events, metrics, permits: Arc::new(Semaphore::new(MAX_PENDING_CALLS)) }
     }
 
-    /// Starts the call that a command asks for.
+    /// Starts the call of a command, or reports it as failed when too many are pending.
     pub fn start(&self, command: LinkCommand, platform: &PlatformWatch) {
         let permit = self.permits.clone().try_acquire_owned();
         let Ok(permit) = permit else { return self.reject(command) };
-        let (desk, platform) = (self.clone(), platform.clone());
+        let (runner, platform) = (self.clone(), platform.clone());
         tokio::spawn(async move {
-            let event = desk.run(command, &platform).await;
+            let event = runner.run(command, &platform).await;
             if let Some(event) = event {
-                desk.events.send(event);
+                runner.events.send(event);
             }
             drop(permit);
         });
     }
 
-    /// Asks an instance for nothing, to see whether it answers.
+    /// Probes an instance by requesting no parts; returns true when it responds.
     pub async fn probe(&self, to: SocketAddr) -> bool {
         let request = PartsRequest { digests: Vec::new() };
         let call = |channel| async { PeerClient::new(channel).fetch_parts(request).await };
@@ -157,7 +157,7 @@
         self.events.send(event);
     }
 
-    /// Counts a call that failed.
+    /// Counts a failed call in the metrics.
     fn count_failure<T>(&self, method: &str, outcome: &Result<T, CallError>) {
         if outcome.is_err() {
             self.metrics.call_failures.with_label_values(&[method]).inc();
--- a/crates/foxledge-daemon/src/side/clients.rs
+++ b/crates/foxledge-daemon/src/side/clients.rs
@@ -1,4 +1,4 @@
-//! Connections to other processes.
+//! Pool of connections to other processes.
 
 use std::{
     collections::HashMap,
@@ -20,13 +20,13 @@
 
 use super::{counted::CountedStream, messages::CallError, tls::TlsBundle};
 
-/// Most connections kept; the one unused for longest makes room.
+/// Maximum number of open connections; the least recently used one is evicted.
 const MAX_CHANNELS: usize = 64;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(10);
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// `ClientPool` is the connections that calls go out on.
+/// A pool of connections for outgoing calls.
 #[derive(Clone)]
 pub struct ClientPool {
     channels: Arc<Mutex<ChannelTable>>,
@@ -38,7 +38,7 @@
 #[derive(Default)]
 struct ChannelTable {
     entries: HashMap<SocketAddr, ChannelEntry>,
-    /// Counts uses and openings; orders entries by last use.
+    /// The last sequence number; numbers order openings, uses and responses.
     last_seq: u64,
 }
 
@@ -50,7 +50,8 @@
     tls_generation: u64,
 }
 
-/// `PooledChannel` is a channel with what is needed to tell later whether it was silent.
+/// A channel of the pool, with the sequence numbers that show later whether it was
+/// unresponsive.
 struct PooledChannel {
     channel: Channel,
     opened_seq: u64,
@@ -58,7 +59,7 @@
 }
 
 impl ClientPool {
-    /// Makes an empty pool.
+    /// Creates an empty pool.
     pub fn new(
         metrics: Arc<MetricSet>,
         bundles: watch::Receiver<TlsBundle>,
@@ -69,11 +70,15 @@
 
     /// Makes a call with a deadline.
     ///
-    /// Something between the two ends may lose track of a connection, which
-    /// then stays silent for good while new ones work. One would notice calls
-    /// that time out although the other side lives. A call that ends without
-    /// an answer, on a channel that answered nothing else meanwhile, therefore
-    /// abandons the channel, and the next call opens a new one.
+    /// A middlebox may lose the state of a connection, which then stays unresponsive
+    /// while new connections work, and calls time out although the other process is
+    /// alive. A call that gets no response, on a channel that has delivered no other
+    /// response meanwhile, therefore discards the channel, and the next call opens a
+    /// new one.
+    ///
+    /// # Errors
+    ///
+    /// Fails when the call times out or is refused, or the connection fails.
     pub async fn call<T, F, R>(
         &self,
         to: SocketAddr,
@@ -84,22 +89,22 @@
         F: FnOnce(Channel) -> R,
         R: Future<Output = Result<Response<T>, Status>>,
     {
-        let lent = self.acquire(to)?;
-        match time::timeout(limit, call(lent.channel.clone())).await {
+        let pooled = self.acquire(to)?;
+        match time::timeout(limit, call(pooled.channel.clone())).await {
             Ok(Ok(response)) => {
-                self.record_answer(to, &lent);
+                self.record_answer(to, &pooled);
                 Ok(response.into_inner())
             }
             Ok(Err(status)) => {
                 if status.code() == Code::Unavailable {
-                    self.discard_unresponsive(to, &lent);
+                    self.discard_unresponsive(to, &pooled);
                 } else {
-                    self.record_answer(to, &lent);
+                    self.record_answer(to, &pooled);
                 }
                 Err(CallError::Refused(status.message().to_owned()))
             }
             Err(_) => {
-                self.discard_unresponsive(to, &lent);
+                self.discard_unresponsive(to, &pooled);
                 Err(CallError::TimedOut)
             }
         }
@@ -110,10 +115,10 @@
         let mut table = self.lock();
         table.last_seq += 1;
         let now = table.last_seq;
-        // Certificates that have changed since count for new connections only.
-        let known =
+        // A channel with outdated certificates isn't reused.
+        let existing =
             table.entries.get_mut(&to).filter(|entry| entry.tls_generation == bundle.generation);
-        if let Some(entry) = known {
+        if let Some(entry) = existing {
             entry.last_use_seq = now;
             return Ok(PooledChannel {
                 channel: entry.channel.clone(),
@@ -159,35 +164,35 @@
         Ok(endpoint.connect_with_connector_lazy(connector))
     }
 
-    fn record_answer(&self, to: SocketAddr, lent: &PooledChannel) {
+    fn record_answer(&self, to: SocketAddr, pooled: &PooledChannel) {
         let mut table = self.lock();
         table.last_seq += 1;
         let now = table.last_seq;
         if let Some(entry) =
-            table.entries.get_mut(&to).filter(|entry| entry.opened_seq == lent.opened_seq)
+            table.entries.get_mut(&to).filter(|entry| entry.opened_seq == pooled.opened_seq)
         {
             entry.last_answer_seq = now;
         }
     }
 
-    fn discard_unresponsive(&self, to: SocketAddr, lent: &PooledChannel) {
+    fn discard_unresponsive(&self, to: SocketAddr, pooled: &PooledChannel) {
         let mut table = self.lock();
-        let is_silent = table.entries.get(&to).is_some_and(|entry| {
-            entry.opened_seq == lent.opened_seq && entry.last_answer_seq < lent.acquired_seq
+        let is_unresponsive = table.entries.get(&to).is_some_and(|entry| {
+            entry.opened_seq == pooled.opened_seq && entry.last_answer_seq < pooled.acquired_seq
         });
-        if is_silent {
+        if is_unresponsive {
             table.entries.remove(&to);
         }
     }
 
     fn lock(&self) -> MutexGuard<'_, ChannelTable> {
-        // The table is whole between two statements, so a panic elsewhere can't have spoilt it.
+        // The table is consistent between statements, so a panic can't have corrupted it.
         self.channels.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl ChannelTable {
-    /// Closes the channel unused for longest when the table is full.
+    /// Closes the least recently used channel when the table is full.
     fn evict_when_full(&mut self) {
         if self.entries.len() < MAX_CHANNELS {
             return;
--- a/crates/foxledge-daemon/src/side/counted.rs
+++ b/crates/foxledge-daemon/src/side/counted.rs
@@ -1,4 +1,4 @@
-//! Streams that count their bytes, for the metric of control traffic.
+//! A stream that counts its bytes, for the metric of control traffic.
 
 use std::{
     io,
@@ -16,7 +16,7 @@
 
 use crate::metrics::MetricSet;
 
-/// `CountedStream` is a TCP stream whose bytes are counted.
+/// A TCP stream whose bytes are counted.
 pub struct CountedStream {
     stream: TcpStream,
     received: IntCounter,
@@ -24,7 +24,7 @@
 }
 
 impl CountedStream {
-    /// Counts the stream's bytes as control traffic.
+    /// Wraps `stream` and counts its bytes as control traffic.
     pub fn new(stream: TcpStream, metrics: &Arc<MetricSet>) -> CountedStream {
         CountedStream {
             stream,
--- a/crates/foxledge-daemon/src/side/http.rs
+++ b/crates/foxledge-daemon/src/side/http.rs
@@ -1,4 +1,4 @@
-//! Health and metrics over HTTP.
+//! HTTP interface for health checks and metrics.
 
 use std::{net::TcpListener, sync::Arc, time::Duration};
 
@@ -14,7 +14,7 @@
 
 use super::messages::LinkEvent;
 
-/// Longest wait for the engine's counts; without them the last known ones are shown.
+/// Timeout of the update of the engine's counters; after it the last known ones are served.
 const COUNTERS_TIMEOUT: Duration = Duration::from_millis(500);
 const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 
@@ -52,7 +52,7 @@
 async fn metrics_text(State(state): State<AdminState>) -> impl IntoResponse {
     let (sender, counted) = oneshot::channel();
     if state.events.send(LinkEvent::CountersRequested(sender)) {
-        // Old counts are better than no answer when the main loop is busy.
+        // If the main loop is busy, the last known counters are served.
         let _ = timeout(COUNTERS_TIMEOUT, counted).await;
     }
     ([("content-type", METRICS_CONTENT_TYPE)], state.metrics.render())
--- a/crates/foxledge-daemon/src/side/messages.rs
+++ b/crates/foxledge-daemon/src/side/messages.rs
@@ -9,40 +9,40 @@
 use thiserror::Error;
 use tokio::sync::oneshot;
 
-/// `LinkCommand` is what the main loop asks of the side thread.
+/// A command of the main loop to the side thread.
 #[derive(Debug)]
 pub enum LinkCommand {
     /// Send a heartbeat.
     SendHeartbeat {
-        /// Control address.
+        /// Control address of the peer.
         to: SocketAddr,
         /// The heartbeat.
         heartbeat: Heartbeat,
     },
-    /// Ask a peer whether a third instance answers it.
+    /// Have a peer probe a third instance.
     SendRelayProbe {
         /// Control address of the peer.
         relay: SocketAddr,
-        /// Who shall answer.
+        /// The instance to probe.
         probe: RelayProbe,
     },
     /// Fetch a manifest.
     FetchManifest {
-        /// Whom from.
+        /// The source to fetch from.
         from: ListSource,
     },
-    /// Fetch parts.
+    /// Fetch parts of a list.
     FetchParts {
-        /// Whom from.
+        /// The source to fetch from.
         from: ListSource,
-        /// Which.
+        /// Digests of the parts.
         digests: Vec<u64>,
     },
-    /// Read and watch the platform, or stop doing so.
+    /// Run or pause the platform watch.
     Watch(WatchCommand),
 }
 
-/// `WatchCommand` is whether the platform is to be watched.
+/// Whether the platform watch runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchCommand {
     /// Watch for manifests newer than this revision.
@@ -50,85 +50,85 @@
         /// The newest revision that is known.
         after: u64,
     },
-    /// Make no calls.
+    /// Make no calls to the platform.
     Pause,
 }
 
-/// `CallError` is why a control call to another process failed.
+/// The error of a control call to another process.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CallError {
-    /// No answer by the deadline.
+    /// No response arrived before the deadline.
     #[error("no answer by the deadline")]
     TimedOut,
-    /// The other side refused, or the connection failed.
+    /// The other process refused the call, or the connection failed.
     #[error("{0}")]
     Refused(String),
-    /// Too many calls are under way.
+    /// Too many calls are pending.
     #[error("too many calls under way")]
     Busy,
 }
 
-/// `LinkEvent` is what the side thread tells or asks the main loop.
+/// An event or a query that the side thread forwards to the main loop.
 ///
-/// A question carries the sender for its answer; when the part that should
-/// answer isn't running, the sender is dropped and the caller is told so.
+/// A query carries the sender for its response. When the responsible part isn't running,
+/// the sender is dropped and the client gets an error.
 #[derive(Debug)]
 pub enum LinkEvent {
-    /// A heartbeat of another instance.
+    /// A heartbeat of another instance arrived.
     HeartbeatReceived(Heartbeat, oneshot::Sender<HeartbeatReply>),
-    /// The end of a heartbeat of ours.
+    /// A heartbeat sent to this address was answered or failed.
     HeartbeatCompleted(SocketAddr, Result<HeartbeatReply, CallError>),
-    /// The end of a relayed probe.
+    /// A relayed probe of the named instance ended.
     ProbeCompleted(String, ProbeResult),
-    /// A peer wants the manifest in force.
+    /// A peer requested the manifest in force.
     ManifestRequested(oneshot::Sender<Option<Manifest>>),
-    /// A peer wants parts.
+    /// A peer requested parts of the list.
     PartsRequested(Vec<u64>, oneshot::Sender<Vec<ListPart>>),
-    /// The end of a manifest's fetch, or a newer one on the platform.
+    /// A fetch of a manifest ended, or the platform watch found a newer one.
     ManifestFetched(ListSource, Result<Manifest, CallError>),
-    /// The end of a fetch of parts.
+    /// A fetch of parts ended.
     PartsFetched(ListSource, Result<Vec<ListPart>, CallError>),
-    /// The platform answered a watch, or could not be reached at any address.
+    /// The platform answered a long poll, or is unreachable at all addresses.
     PlatformContacted,
-    /// The platform shows an older revision than it, or a peer, did before.
+    /// The platform returned an older revision than is known from it or from a peer.
     PlatformOutdated {
-        /// The one that it shows.
+        /// The revision that the platform returned.
         shown: u64,
-        /// The newest known.
+        /// The newest known revision.
         newest: u64,
     },
-    /// The platform's list of instances.
+    /// The platform's listing of instances was read.
     ListingRead(MemberListing),
-    /// An operator wants the status.
+    /// An operator requested the status.
     StatusRequested(oneshot::Sender<String>),
-    /// An operator wants a flow explained.
+    /// An operator requested the explanation of a flow.
     ExplainRequested(FlowQuery, oneshot::Sender<Result<String, String>>),
-    /// An operator wants entries of the audit trail.
+    /// An operator requested entries of the audit trail.
     AuditRequested {
-        /// Entries numbered above this.
+        /// Return entries numbered above this.
         after: u64,
-        /// At most so many.
+        /// Maximum number of entries.
         limit: usize,
-        /// The answer as JSON.
+        /// Sends the entries as JSON.
         answer: oneshot::Sender<String>,
     },
-    /// An operator wants the process to leave.
+    /// An operator requested a planned stop.
     DrainRequested(oneshot::Sender<bool>),
-    /// Metrics are wanted: the counts are to be brought up to date.
+    /// The metrics are about to be rendered; the counters have to be updated.
     CountersRequested(oneshot::Sender<()>),
-    /// The side thread has ended.
+    /// The side thread has ended, for this reason.
     Ended(String),
 }
 
-/// `FlowQuery` is the flow that an operator wants explained.
+/// The flow that an operator wants explained.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FlowQuery {
     /// Service address.
     pub address: String,
-    /// Member.
+    /// Name of the member.
     pub member: String,
-    /// Kind of traffic, as a word.
+    /// Name of the kind of traffic.
     pub work: String,
-    /// Flow id; 0 when none.
+    /// Flow id, or 0 without one.
     pub flow: u64,
 }
--- a/crates/foxledge-daemon/src/side/mod.rs
+++ b/crates/foxledge-daemon/src/side/mod.rs
@@ -1,7 +1,7 @@
-//! The side thread: control calls in both directions, the platform's watch, metrics and health.
+//! The side thread: incoming and outgoing control calls, the platform watch, metrics and health.
 //!
-//! It runs a tokio runtime of its own, as tonic needs one. It decides nothing:
-//! each question goes to the main loop as a [`LinkEvent`], each
+//! It runs its own tokio runtime, which tonic requires, and leaves all decisions to the
+//! main loop: incoming queries are forwarded as [`LinkEvent`]s, and each
 //! [`LinkCommand`] becomes one call with a deadline.
 
 mod calls;
@@ -36,7 +36,7 @@
     watch::PlatformWatch,
 };
 
-/// `SideOptions` is what the side thread starts with.
+/// Options of the side thread.
 pub struct SideOptions {
     control: TcpListener,
     admin: TcpListener,
@@ -51,7 +51,7 @@
 }
 
 impl SideOptions {
-    /// Options of a thread that listens on these sockets.
+    /// Creates options of a thread that serves these sockets.
     pub fn new(control: TcpListener, admin: TcpListener, seed: u64) -> SideOptions {
         SideOptions {
             control,
@@ -67,14 +67,14 @@
         }
     }
 
-    /// Sets the platform's addresses and how long one watch waits.
+    /// Sets the addresses of the platform and the duration of one long poll.
     pub fn platform_addresses(mut self, platforms: Vec<SocketAddr>, wait_ms: u64) -> SideOptions {
         self.platform_addresses = platforms;
         self.watch_timeout = Duration::from_millis(wait_ms);
         self
     }
 
-    /// Sets the name under which the platform is read.
+    /// Sets the reader name in requests to the platform.
     pub fn reader(mut self, reader: String) -> SideOptions {
         self.reader = reader;
         self
@@ -86,13 +86,13 @@
         self
     }
 
-    /// Sets the addresses that stand in for peers'.
+    /// Sets the table of replaced addresses.
     pub fn routes(mut self, routes: RouteTable) -> SideOptions {
         self.routes = routes;
         self
     }
 
-    /// Sets the metrics and the phase that are shared with the main thread.
+    /// Sets the metrics and the phase, which are shared with the main thread.
     pub fn shared(mut self, metrics: Arc<MetricSet>, phase: Arc<PhaseCell>) -> SideOptions {
         self.metrics = metrics;
         self.phase = phase;
@@ -100,7 +100,11 @@
     }
 }
 
-/// Starts the side thread; it ends when the returned sender is dropped.
+/// Starts the side thread, which ends when the returned sender is dropped.
+///
+/// # Errors
+///
+/// Fails when the certificates can't be loaded or the thread can't be started.
 pub fn start_side(
     options: SideOptions,
     events: Channel<LinkEvent>,
@@ -119,15 +123,15 @@
     Ok(sender)
 }
 
-/// `EndNotice` tells the main loop that the thread has ended, also when it panicked.
+/// Notifies the main loop when the thread ends, including by a panic.
 struct EndNotice {
     events: Channel<LinkEvent>,
 }
 
 impl Drop for EndNotice {
     fn drop(&mut self) {
-        let why = if thread::panicking() { "panic" } else { "end of its work" };
-        self.events.send(LinkEvent::Ended(why.to_owned()));
+        let reason = if thread::panicking() { "panic" } else { "end of its work" };
+        self.events.send(LinkEvent::Ended(reason.to_owned()));
     }
 }
 
@@ -140,7 +144,7 @@
     let metrics = options.metrics.clone();
     let (bundle_sender, bundles) = tokio::sync::watch::channel(tls.bundle());
     let peers = ClientPool::new(metrics.clone(), bundles.clone(), options.routes.clone());
-    let desk = CallRunner::new(peers.clone(), events.clone(), metrics.clone());
+    let runner = CallRunner::new(peers.clone(), events.clone(), metrics.clone());
     let platform = PlatformWatch::new(
         &options.platform_addresses,
         options.watch_timeout,
@@ -152,7 +156,7 @@
     let (watch_orders, orders) = tokio::sync::watch::channel(WatchCommand::Pause);
     let mut servers = JoinSet::new();
     let control = options.control.try_clone()?;
-    servers.spawn(server::serve(control, bundles, desk.clone(), events.clone(), metrics.clone()));
+    servers.spawn(server::serve(control, bundles, runner.clone(), events.clone(), metrics.clone()));
     servers.spawn(http::serve(options.admin, metrics, options.phase, events));
     servers.spawn(tls.reload_on_change(bundle_sender));
     servers.spawn(platform.clone().run(orders));
@@ -161,14 +165,14 @@
         tokio::select! {
             command = commands.recv() => match command {
                 Some(LinkCommand::Watch(order)) => drop(watch_orders.send(order)),
-                Some(command) => desk.start(command, &platform),
+                Some(command) => runner.start(command, &platform),
                 None => return Ok(()),
             },
-            // None of the servers ends by itself unless something is wrong.
+            // A server ends only on an error.
             ended = servers.join_next() => match ended {
                 Some(Ok(Err(error))) => return Err(error),
                 Some(Err(error)) => return Err(error.into()),
-                _ => anyhow::bail!("a server ended"),
+                _ => anyhow::bail!("a task of the side thread ended unexpectedly"),
             },
         }
     }
--- a/crates/foxledge-daemon/src/side/server.rs
+++ b/crates/foxledge-daemon/src/side/server.rs
@@ -1,4 +1,4 @@
-//! The control interface that this instance serves.
+//! Server of the control interface.
 
 use std::{net::TcpListener, sync::Arc, time::Duration};
 
@@ -28,25 +28,29 @@
     tls::TlsBundle,
 };
 
-/// Longest wait for the main loop's answer.
+/// Timeout of a query to the main loop.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(20);
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Most calls of one connection that are served at once.
+/// Maximum number of concurrent calls of one connection.
 const MAX_STREAMS: u32 = 64;
-/// Most parts that one call may ask for.
+/// Maximum number of parts requested by one call.
 const MAX_PARTS_PER_CALL: usize = 4096;
-/// Most entries of the audit trail in one answer.
+/// Maximum number of entries of the audit trail in one response.
 const MAX_AUDIT_ENTRIES: usize = 1000;
 
-/// Serves the control interface, with a new server whenever the certificates change.
+/// Serves the control interface, and replaces the server when the certificates change.
 ///
-/// The server that has the old certificates takes no more connections then,
-/// and ends when the last of its connections does.
+/// The server with the old certificates then accepts no more connections, and ends
+/// when its last connection is closed.
+///
+/// # Errors
+///
+/// Fails when a server can't be configured or ends.
 pub async fn serve(
     listener: TcpListener,
     mut bundles: watch::Receiver<TlsBundle>,
-    desk: CallRunner,
+    runner: CallRunner,
     events: Channel<LinkEvent>,
     metrics: Arc<MetricSet>,
 ) -> Result<()> {
@@ -65,7 +69,7 @@
         if let Some(tls) = bundle.server {
             builder = builder.tls_config(tls)?;
         }
-        let service = ControlService { desk: desk.clone(), events: events.clone() };
+        let service = ControlService { runner: runner.clone(), events: events.clone() };
         let server = builder
             .add_service(PeerServer::new(service.clone()))
             .add_service(AdminServer::new(service))
@@ -85,31 +89,31 @@
     }
 }
 
-/// Has the stream send at once what is written.
+/// Disables Nagle's algorithm on the stream.
 ///
-/// Otherwise the end of each answer longer than a segment, such as a part of a
-/// list, waits for the caller's delayed acknowledgement; one would notice some
-/// 40 ms for each part. A connection for which it fails is about to fail itself.
+/// Otherwise the end of each response longer than a segment, such as a part of a
+/// list, would wait for the client's delayed acknowledgement, which costs some 40 ms for
+/// each part. An error here is ignored, as the connection itself is about to fail then.
 fn with_nodelay(stream: tokio::net::TcpStream) -> tokio::net::TcpStream {
     let _ = stream.set_nodelay(true);
     stream
 }
 
-/// `ControlService` hands calls to the main loop.
+/// Forwards control calls to the main loop.
 #[derive(Clone)]
 struct ControlService {
-    desk: CallRunner,
+    runner: CallRunner,
     events: Channel<LinkEvent>,
 }
 
 impl ControlService {
-    /// Asks the main loop and waits for its answer, for a bounded time.
+    /// Sends a query to the main loop and waits for the response, for a bounded time.
     async fn query_main_loop<T>(
         &self,
-        question: impl FnOnce(oneshot::Sender<T>) -> LinkEvent,
+        query: impl FnOnce(oneshot::Sender<T>) -> LinkEvent,
     ) -> Result<T, Status> {
         let (sender, answer) = oneshot::channel();
-        if !self.events.send(question(sender)) {
+        if !self.events.send(query(sender)) {
             return Err(Status::unavailable("the instance stops"));
         }
         match timeout(ANSWER_TIMEOUT, answer).await {
@@ -158,7 +162,7 @@
         let address = address
             .parse()
             .map_err(|_| Status::invalid_argument("not an IP number with a port"))?;
-        let answered = self.desk.probe(address).await;
+        let answered = self.runner.probe(address).await;
         Ok(Response::new(RelayProbeReply { answered }))
     }
 }
@@ -178,9 +182,9 @@
         request: Request<ExplainRequest>,
     ) -> Result<Response<ExplainReply>, Status> {
         let ExplainRequest { address, member, work, flow } = request.into_inner();
-        let question = FlowQuery { address, member, work, flow };
+        let query = FlowQuery { address, member, work, flow };
         let explained =
-            self.query_main_loop(|answer| LinkEvent::ExplainRequested(question, answer)).await?;
+            self.query_main_loop(|answer| LinkEvent::ExplainRequested(query, answer)).await?;
         let json = explained.map_err(Status::invalid_argument)?;
         Ok(Response::new(ExplainReply { json }))
     }
--- a/crates/foxledge-daemon/src/side/tls.rs
+++ b/crates/foxledge-daemon/src/side/tls.rs
@@ -1,4 +1,4 @@
-//! Certificates for the calls between instances, read anew when their files change.
+//! Certificates for calls between instances, reloaded when their files change.
 
 use std::{
     fs,
@@ -12,22 +12,23 @@
 use tokio::{sync::watch, time::sleep};
 use tonic::transport::{Certificate, ClientTlsConfig, Identity, ServerTlsConfig};
 
-/// Name that every instance's certificate carries; instances are called by IP number.
+/// Domain name in the certificates of all instances, as they are called by IP address.
 pub const INSTANCE_DOMAIN: &str = "foxledge.internal";
+/// Time between two checks of the files for changes.
 const CHECK_INTERVAL: Duration = Duration::from_secs(3);
 
-/// `TlsBundle` is the certificates in use; none without TLS.
+/// The certificates in use; empty without TLS.
 #[derive(Clone, Debug, Default)]
 pub struct TlsBundle {
-    /// Counts the readings of the files.
+    /// Increases with each reload of the files.
     pub generation: u64,
-    /// For calls to other instances.
+    /// Configuration of calls to other instances.
     pub client: Option<ClientTlsConfig>,
-    /// For calls from other instances and operators.
+    /// Configuration of the server for other instances and operators.
     pub server: Option<ServerTlsConfig>,
 }
 
-/// `TlsFiles` is the files that the certificates are read from.
+/// The files of the certificates and their current contents.
 pub struct TlsFiles {
     settings: Option<TlsSettings>,
     modified_times: Vec<Option<SystemTime>>,
@@ -35,7 +36,11 @@
 }
 
 impl TlsFiles {
-    /// Reads the files; without settings the calls go without TLS.
+    /// Loads the files; calls are made without TLS when `settings` is none.
+    ///
+    /// # Errors
+    ///
+    /// Fails when a file can't be read or is invalid.
     pub fn load(settings: Option<TlsSettings>) -> Result<TlsFiles> {
         let mut files =
             TlsFiles { settings, modified_times: Vec::new(), bundle: TlsBundle::default() };
@@ -46,15 +51,19 @@
         Ok(files)
     }
 
-    /// The certificates as last read.
+    /// Returns the certificates as last loaded.
     pub fn bundle(&self) -> TlsBundle {
         self.bundle.clone()
     }
 
-    /// Reads the files again whenever one has changed, for ever.
+    /// Reloads the files whenever one of them has changed. Never returns without an error.
+    ///
+    /// Certificates are replaced before they expire. A process that went on with the old
+    /// ones would lose all its peers at their expiry.
+    ///
+    /// # Errors
     ///
-    /// Certificates are replaced before they run out. A process that kept the
-    /// old ones would be cut off from its peers when they do, all at once.
+    /// Fails when the receivers of the certificates have been dropped.
     pub async fn reload_on_change(mut self, bundles: watch::Sender<TlsBundle>) -> Result<()> {
         let Some(settings) = self.settings.take() else {
             std::future::pending::<()>().await;
@@ -62,15 +71,16 @@
         };
         loop {
             sleep(CHECK_INTERVAL).await;
-            let changed = modified_times(&settings);
-            if changed == self.modified_times {
+            let modified_times = modified_times(&settings);
+            if modified_times == self.modified_times {
                 continue;
             }
-            // The files may change one after the other; a reading in between fails and is repeated.
+            // The files may be replaced one after the other; a reload in between fails and is
+            // retried.
             match read_bundle(&settings, self.bundle.generation + 1) {
                 Ok(bundle) => {
                     info!("link: certificates read anew");
-                    self.modified_times = changed;
+                    self.modified_times = modified_times;
                     self.bundle = bundle.clone();
                     bundles.send(bundle)?;
                 }
--- a/crates/foxledge-daemon/src/side/watch.rs
+++ b/crates/foxledge-daemon/src/side/watch.rs
@@ -1,4 +1,4 @@
-//! Reading and watching the platform.
+//! Reads and long polls of the platform.
 
 use std::{
     net::SocketAddr,
@@ -29,32 +29,32 @@
 
 const MANIFEST_KEY: &str = "manifest";
 const MEMBERS_KEY: &str = "members";
-/// Longest wait for the answer to a plain read.
+/// Timeout of a read that returns at once.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
-/// How much longer than its wait a watch may take to be answered.
+/// Time added to the duration of a long poll for its timeout.
 const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
-/// Time between two reads of the list of instances.
+/// Maximum time between two reads of the listing of instances.
 const MEMBERS_INTERVAL: Duration = Duration::from_secs(5);
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// Pause when the platform has no list at all.
+/// Maximum delay of the next read when the platform has no list.
 const EMPTY_LIST_DELAY: Duration = Duration::from_millis(300);
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
-/// Bytes after which a fetch of parts ends; the list keeper asks for the others.
+/// Size, in bytes, after which a fetch of parts ends; the list manager requests the others.
 ///
-/// The main loop reads what a fetch brings at once, and carries no datagram
-/// meanwhile: some 10 ms for this much, some 250 ms for a list of 38,000 targets.
+/// The main loop parses all parts of a fetch at once and handles no datagrams
+/// meanwhile: some 10 ms for this size, some 250 ms for a list of 38,000 targets.
 const MAX_FETCH_BYTES: usize = 256 * 1024;
-/// Longest value that the platform holds, with room for the message around it.
+/// Maximum size of a response: the largest value of the platform and the message around it.
 const MAX_MESSAGE_BYTES: usize = 2 << 20;
 
-/// `OutdatedState` is a revision that the platform showed, and the newer one known then.
+/// An outdated revision returned by the platform, and the newest one known at that time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct OutdatedState {
     shown: u64,
     newest: u64,
 }
 
-/// `PlatformWatch` reads the platform over its addresses in turn.
+/// Reads the platform, rotating through its addresses.
 #[derive(Clone)]
 pub struct PlatformWatch {
     addresses: Vec<SocketAddr>,
@@ -68,7 +68,7 @@
 }
 
 impl PlatformWatch {
-    /// Makes the watch; it makes no call before it is told to.
+    /// Creates a watch, which makes no calls before it is run.
     pub fn new(
         addresses: &[SocketAddr],
         watch_timeout: Duration,
@@ -78,14 +78,14 @@
         seed: u64,
     ) -> PlatformWatch {
         let mut rng = StdRng::seed_from_u64(seed);
-        // Readers begin at different addresses, so that one that is stale misleads few of them.
-        let first = rng.random_range(0..addresses.len().max(1));
-        // The platform's interface has no certificates of foxledge's; its sender is never used.
-        let (_, plain) = watch::channel(TlsBundle::default());
+        // Readers start at different addresses, so that a stale one affects few of them.
+        let first_index = rng.random_range(0..addresses.len().max(1));
+        // The platform is called without foxledge's certificates, so the sender isn't needed.
+        let (_, no_bundles) = watch::channel(TlsBundle::default());
         PlatformWatch {
             addresses: addresses.to_vec(),
-            address_index: Arc::new(AtomicUsize::new(first)),
-            pool: ClientPool::new(metrics.clone(), plain, RouteTable::default()),
+            address_index: Arc::new(AtomicUsize::new(first_index)),
+            pool: ClientPool::new(metrics.clone(), no_bundles, RouteTable::default()),
             watch_timeout,
             reader,
             metrics,
@@ -94,20 +94,20 @@
         }
     }
 
-    /// Watches while the orders say so.
-    pub async fn run(self, mut orders: watch::Receiver<WatchCommand>) -> anyhow::Result<()> {
+    /// Runs the watch while the last command is to run it.
+    pub async fn run(self, mut commands: watch::Receiver<WatchCommand>) -> anyhow::Result<()> {
         if self.addresses.is_empty() {
             std::future::pending::<()>().await;
         }
         let mut newest = 0;
         loop {
-            let order = *orders.borrow_and_update();
-            match order {
-                WatchCommand::Pause => orders.changed().await?,
+            let command = *commands.borrow_and_update();
+            match command {
+                WatchCommand::Pause => commands.changed().await?,
                 WatchCommand::Run { after } => {
                     newest = newest.max(after);
                     tokio::select! {
-                        changed = orders.changed() => changed?,
+                        changed = commands.changed() => changed?,
                         () = self.watch_manifest(&mut newest) => {}
                         () = self.watch_members() => {}
                     }
@@ -116,18 +116,25 @@
         }
     }
 
-    /// Reads the manifest as it is now.
+    /// Reads the current manifest.
+    ///
+    /// # Errors
+    ///
+    /// Fails when the read fails, or the platform has no valid manifest.
     pub async fn fetch_manifest(&self) -> Result<Manifest, CallError> {
         let reply = self.read(MANIFEST_KEY, 0, Duration::ZERO).await?;
         decode_manifest(&reply)
     }
 
-    /// Reads parts one by one; a part that isn't there is left out.
+    /// Reads parts one by one; missing parts are left out.
+    ///
+    /// Parts read before a failure are returned. A platform that limits the rate of
+    /// reads refuses some of them; if the others were discarded, a list of many parts
+    /// would be read from the start again and again, and the instance would stay joining.
+    ///
+    /// # Errors
     ///
-    /// What was read before a failure counts. A platform that rations its reads
-    /// refuses one of them sooner or later; if the others were thrown away, a list
-    /// of many parts would be read from the start again and again and never be
-    /// whole. One would notice an instance that stays joining.
+    /// Fails when no part could be read.
     pub async fn fetch_parts(&self, digests: &[u64]) -> Result<Vec<ListPart>, CallError> {
         let mut parts = Vec::new();
         let mut bytes = 0;
@@ -148,12 +155,12 @@
         Ok(parts)
     }
 
-    /// Watches for manifests, for ever.
+    /// Polls for newer manifests; never returns.
     async fn watch_manifest(&self, newest: &mut u64) {
         let mut backoff = INITIAL_BACKOFF;
         let mut failures = 0;
-        let mut older = OutdatedState::default();
-        // What is there is read at once, not waited for.
+        let mut reported = OutdatedState::default();
+        // The first read returns the current manifest without waiting for a change.
         let mut wait = Duration::ZERO;
         loop {
             match self.read(MANIFEST_KEY, *newest, wait).await {
@@ -161,7 +168,7 @@
                     failures = 0;
                     backoff = INITIAL_BACKOFF;
                     wait = self.watch_timeout;
-                    self.report_outdated(&reply, *newest, &mut older);
+                    self.report_outdated(&reply, *newest, &mut reported);
                     self.handle_reply(&reply, newest).await;
                 }
                 Err(error) => {
@@ -178,17 +185,17 @@
         }
     }
 
-    /// Tells of a platform that went back, once for each state that it shows.
+    /// Reports a platform that went back to an older revision, once for each such state.
     ///
-    /// What operators publish then is ignored until its revision is above the
-    /// newest known. Without a word they would wait for it in vain; told at each
-    /// watch, it would push every other entry out of the audit trail.
-    fn report_outdated(&self, reply: &ReadReply, newest: u64, told: &mut OutdatedState) {
+    /// Lists that operators publish then are ignored until their revision exceeds the
+    /// newest known one. Without a report, operators wouldn't learn why; a report at each
+    /// poll would push all other entries out of the audit trail.
+    fn report_outdated(&self, reply: &ReadReply, newest: u64, reported: &mut OutdatedState) {
         let state = OutdatedState { shown: reply.revision, newest };
-        if !reply.unchanged || state.shown >= newest || *told == state {
+        if !reply.unchanged || state.shown >= newest || *reported == state {
             return;
         }
-        *told = state;
+        *reported = state;
         warn!("link: the platform is at revision {}, older than {newest}", state.shown);
         self.events.send(LinkEvent::PlatformOutdated { shown: state.shown, newest });
     }
@@ -199,18 +206,19 @@
             let outcome = decode_manifest(reply);
             self.events.send(LinkEvent::ManifestFetched(ListSource::Platform, outcome));
         }
-        // After the manifest, so that nobody takes the platform for asked while its list is on the way.
+        // Sent after the manifest, so that the platform doesn't count as contacted before its
+        // list is known.
         self.events.send(LinkEvent::PlatformContacted);
         if !reply.found {
             sleep(EMPTY_LIST_DELAY.mul_f64(self.jitter())).await;
         }
         if !reply.found || reply.unchanged {
-            // An address that is stale would otherwise be believed for ever.
+            // Otherwise a stale address would be used permanently.
             self.rotate_address();
         }
     }
 
-    /// Reads the list of instances now and then, for ever.
+    /// Reads the listing of instances periodically; never returns.
     async fn watch_members(&self) {
         loop {
             self.read_members().await;
@@ -227,15 +235,15 @@
         }
     }
 
-    /// Reads a value at the present address; the next read goes elsewhere after a failure.
+    /// Reads a value at the current address, and moves to the next address after a failure.
     async fn read(
         &self,
         key: &str,
         after_revision: u64,
         wait: Duration,
     ) -> Result<ReadReply, CallError> {
-        let turn = self.address_index.load(Ordering::Relaxed) % self.addresses.len().max(1);
-        let Some(address) = self.addresses.get(turn).copied() else {
+        let index = self.address_index.load(Ordering::Relaxed) % self.addresses.len().max(1);
+        let Some(address) = self.addresses.get(index).copied() else {
             return Err(CallError::Refused("no platform in the settings".to_owned()));
         };
         let request = ReadRequest {
@@ -245,13 +253,13 @@
             reader: self.reader.clone(),
         };
         self.metrics.platform_reads.inc();
-        let limit = if wait.is_zero() { READ_TIMEOUT } else { wait + WATCH_TIMEOUT_MARGIN };
+        let timeout = if wait.is_zero() { READ_TIMEOUT } else { wait + WATCH_TIMEOUT_MARGIN };
         let call = |channel| async {
             let mut client =
                 PlatformClient::new(channel).max_decoding_message_size(MAX_MESSAGE_BYTES);
             client.read(request).await
         };
-        let outcome = self.pool.call(address, limit, call).await;
+        let outcome = self.pool.call(address, timeout, call).await;
         if outcome.is_err() {
             self.metrics.call_failures.with_label_values(&["platform_read"]).inc();
             self.rotate_address();
@@ -263,13 +271,13 @@
         self.address_index.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// A factor that spreads the readers' calls in time.
+    /// Returns a random factor that spreads the calls of readers over time.
     fn jitter(&self) -> f64 {
         self.rng.lock().unwrap_or_else(PoisonError::into_inner).random_range(0.5..=1.0)
     }
 }
 
-/// The manifest in a reply; its revision is the one that the platform gives.
+/// Decodes the manifest in a reply; its revision is that of the reply.
 fn decode_manifest(reply: &ReadReply) -> Result<Manifest, CallError> {
     if !reply.found {
         return Err(CallError::Refused("the platform has no manifest".to_owned()));
--- a/crates/foxledge-daemon/src/signals.rs
+++ b/crates/foxledge-daemon/src/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that begin the planned stop.
+//! Signals that begin a planned stop.
 
 use std::{io, rc::Rc, thread};
 
@@ -14,10 +14,10 @@
 
 use crate::context::DaemonContext;
 
-/// Begins the planned stop at SIGTERM or SIGINT, as long as the guard is kept.
+/// Requests a planned stop at SIGTERM or SIGINT, until the returned guard is dropped.
 ///
-/// The signals have a thread of their own, so that a stop can begin while
-/// any part, the side thread included, is being started anew.
+/// Signals are received in a separate thread, so that a stop can begin while any
+/// part, including the side thread, is being restarted.
 pub fn watch_signals(
     stakker: &mut Stakker,
     context: Rc<DaemonContext>,
--- a/crates/foxledge-daemon/src/sockets.rs
+++ b/crates/foxledge-daemon/src/sockets.rs
@@ -8,10 +8,10 @@
 use anyhow::{Context, Result};
 use socket2::SockRef;
 
-/// Room asked of the system for datagrams that wait to be read.
+/// Size of the receive buffer requested from the operating system, in bytes.
 const RECEIVE_BUFFER_BYTES: usize = 4 << 20;
 
-/// `ListenAddresses` is where to listen, from the settings.
+/// The addresses to listen on.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenAddresses {
     /// Datagrams of callers and backend servers.
@@ -24,10 +24,10 @@
     pub admin: SocketAddr,
 }
 
-/// `ListenSockets` is every listening socket of the process.
+/// All listening sockets of the process.
 ///
-/// A part that is started anew gets a duplicate, so that nothing else can
-/// take the port in between and what waits in the socket isn't lost.
+/// A restarted part gets a duplicate of its socket, so that no other process can take
+/// the port in between and queued datagrams aren't lost.
 #[derive(Debug)]
 pub struct ListenSockets {
     data: UdpSocket,
@@ -47,7 +47,7 @@
         })
     }
 
-    /// Where the sockets are bound; differs from the settings for port 0.
+    /// Returns the bound addresses, which differ from the settings for port 0.
     pub fn addresses(&self) -> io::Result<ListenAddresses> {
         Ok(ListenAddresses {
             data: self.data.local_addr()?,
@@ -57,22 +57,22 @@
         })
     }
 
-    /// A duplicate of the data socket.
+    /// Returns a duplicate of the data socket.
     pub fn data(&self) -> io::Result<UdpSocket> {
         self.data.try_clone()
     }
 
-    /// A duplicate of the peer socket.
+    /// Returns a duplicate of the peer socket.
     pub fn peer(&self) -> io::Result<UdpSocket> {
         self.peer.try_clone()
     }
 
-    /// A duplicate of the control socket.
+    /// Returns a duplicate of the control socket.
     pub fn control(&self) -> io::Result<TcpListener> {
         self.control.try_clone()
     }
 
-    /// A duplicate of the admin socket.
+    /// Returns a duplicate of the admin socket.
     pub fn admin(&self) -> io::Result<TcpListener> {
         self.admin.try_clone()
     }
@@ -81,8 +81,8 @@
 /// Binds a UDP socket; the error names the address and its setting.
 pub(crate) fn bind_udp(key: &str, address: SocketAddr) -> Result<UdpSocket> {
     let socket = UdpSocket::bind(address).with_context(|| bind_failed(key, address))?;
-    // A burst that comes while the main loop is busy waits in the kernel; a
-    // smaller limit of the system's is taken as it is.
+    // A burst during a busy main loop is queued in the kernel. A smaller limit of the
+    // operating system is accepted.
     let _ = SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER_BYTES);
     socket.set_nonblocking(true)?;
     Ok(socket)
--- a/crates/foxledge-daemon/src/start_gate.rs
+++ b/crates/foxledge-daemon/src/start_gate.rs
@@ -1,29 +1,30 @@
-//! When a process that starts may serve.
+//! The decision when a starting process may begin to serve.
 
 use std::{collections::HashSet, net::SocketAddr};
 
 use foxledge_core::time::ClockTime;
 
-/// Peers whose answer is waited for; a newer list has reached one of two when it spreads at all.
+/// Number of peers that have to answer: if a newer list is spreading, at least one of two
+/// peers has it.
 const REQUIRED_PEER_ANSWERS: usize = 2;
-/// Most peers that are kept in mind.
+/// Maximum number of tracked peers.
 const MAX_PEERS: usize = 64;
 
-/// `PlatformAsked` is whether the platform still has to be waited for.
+/// Whether the platform has been contacted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlatformContact {
-    /// It hasn't answered yet.
+    /// The platform hasn't answered yet.
     Pending,
-    /// It answered, couldn't be reached, or there is none.
+    /// The platform answered, is unreachable, or isn't configured.
     Done,
 }
 
-/// `StartGate` decides when a process that starts may serve.
+/// Decides when a starting process may begin to serve.
 ///
-/// The instance keeps nothing over a restart. If it served with the first list
-/// that comes to hand, it could go back to one that the fleet replaced long
-/// ago; one would notice requests treated by old rules for some seconds after
-/// each restart. So it asks the platform and its peers first, for a bounded time.
+/// An instance has no persistent state. If it served with the first list that it
+/// receives, it could use one that the fleet replaced long ago, and treat requests by
+/// outdated rules for some seconds after each restart. It therefore queries the
+/// platform and its peers first, for a bounded time.
 #[derive(Debug)]
 pub struct StartGate {
     platform: PlatformContact,
@@ -34,7 +35,7 @@
 }
 
 impl StartGate {
-    /// Makes the gate of a process that waits until `deadline` at most.
+    /// Creates a gate that opens at `deadline` at the latest, if any list is known.
     pub fn new(platform: PlatformContact, deadline: ClockTime) -> StartGate {
         StartGate {
             platform,
@@ -45,41 +46,41 @@
         }
     }
 
-    /// Adds peers that were learnt of, by control address.
+    /// Adds peers by control address, up to the maximum number.
     pub fn add_peers(&mut self, peers: impl IntoIterator<Item = SocketAddr>) {
-        let room = MAX_PEERS.saturating_sub(self.peers.len());
-        self.peers.extend(peers.into_iter().take(room));
+        let capacity = MAX_PEERS.saturating_sub(self.peers.len());
+        self.peers.extend(peers.into_iter().take(capacity));
     }
 
-    /// Notes that the platform answered, or couldn't be reached.
+    /// Records that the platform answered or is unreachable.
     pub fn record_platform_contact(&mut self) {
         self.platform = PlatformContact::Done;
     }
 
-    /// Notes that a peer told its list's version.
+    /// Records that a peer reported the version of its list.
     pub fn record_answer(&mut self, peer: SocketAddr) {
         self.add_peers([peer]);
         self.failed.remove(&peer);
         self.answered.insert(peer);
     }
 
-    /// Notes that a peer gave no answer.
+    /// Records that a peer didn't answer.
     pub fn record_failure(&mut self, peer: SocketAddr) {
         if self.peers.contains(&peer) && !self.answered.contains(&peer) {
             self.failed.insert(peer);
         }
     }
 
-    /// True when the process may serve with the list of revision `current`,
-    /// while the highest revision heard of is `newest`.
+    /// Returns true when the process may serve with the list of revision `current`,
+    /// given that `newest` is the highest revision known.
     pub fn is_open(&self, now: ClockTime, current: u64, newest: u64) -> bool {
         if current == 0 {
             return false;
         }
-        let left = self.peers.len().saturating_sub(self.failed.len());
-        let has_asked = self.platform == PlatformContact::Done
-            && self.answered.len() >= REQUIRED_PEER_ANSWERS.min(left);
-        let has_newest = has_asked && current >= newest;
+        let reachable_peers = self.peers.len().saturating_sub(self.failed.len());
+        let has_contacted_enough = self.platform == PlatformContact::Done
+            && self.answered.len() >= REQUIRED_PEER_ANSWERS.min(reachable_peers);
+        let has_newest = has_contacted_enough && current >= newest;
         has_newest || self.deadline.is_past(now)
     }
 }
--- a/crates/foxledge-daemon/src/supervisor.rs
+++ b/crates/foxledge-daemon/src/supervisor.rs
@@ -1,4 +1,4 @@
-//! The root of the supervisor tree: starts the parts, starts failed ones anew, keeps the audit trail.
+//! The root of the supervisor tree: starts parts, restarts failed ones, owns the audit trail.
 
 use foxledge_core::{
     audit::{AuditChange, AuditEntry, AuditKind, AuditTrail},
@@ -15,28 +15,28 @@
     restarts::{RestartBackoff, RestartLimits},
 };
 
-/// `PartName` is one part of a tree.
+/// Identifies a part of a supervisor tree.
 pub trait PartName: Copy + PartialEq + 'static {
-    /// The prefix of the part's log lines.
+    /// Returns the name of the part, which is also the prefix of its log lines.
     fn as_str(self) -> &'static str;
 }
 
-/// `PartStarter` makes the parts that a [`Supervisor`] looks after.
+/// Creates the parts that a [`Supervisor`] supervises.
 pub trait PartStarter<P: PartName> {
-    /// The parts, in the order of their start.
+    /// Returns the parts in the order in which they are started.
     fn parts(&self) -> Vec<P>;
 
-    /// Starts `part`; `notify` is told when it ends.
+    /// Starts `part`; `notify` receives the cause when it ends.
     fn start(&mut self, cx: CX![Supervisor<P>], part: P, notify: Ret<StopCause>) -> ActorOwnAnon;
 
-    /// Parts that can't go on with what they know when `part` was started anew.
+    /// Returns the parts that have to be restarted together with `part`.
     fn dependents(&self, part: P) -> &'static [P];
 
-    /// Takes note of a restart, before the part is started again.
+    /// Called before a failed part is started again.
     fn on_restart(&mut self, part: P);
 }
 
-/// `SupervisorOptions` is what a supervisor starts with.
+/// Options of a [`Supervisor`].
 pub struct SupervisorOptions {
     clock: ProcessClock,
     seed: u64,
@@ -45,33 +45,33 @@
 }
 
 impl SupervisorOptions {
-    /// Options with default limits.
+    /// Creates options with default limits.
     pub fn new(clock: ProcessClock, seed: u64) -> SupervisorOptions {
         let restart_limits = RestartLimits::default();
         SupervisorOptions { clock, seed, audit_limit: 2000, restart_limits }
     }
 
-    /// Sets how many entries the audit trail keeps.
+    /// Sets the capacity of the audit trail, in entries.
     pub fn audit_limit(mut self, audit_limit: usize) -> SupervisorOptions {
         self.audit_limit = audit_limit;
         self
     }
 
-    /// Sets the back-off of restarts.
+    /// Sets the backoff of restarts.
     pub fn restart_limits(mut self, restart_limits: RestartLimits) -> SupervisorOptions {
         self.restart_limits = restart_limits;
         self
     }
 }
 
-/// `PartReport` is the state of one part, as shown to operators.
+/// The state of a part, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct PartReport {
-    /// The part.
+    /// Name of the part.
     pub part: &'static str,
-    /// True while it runs.
+    /// True while the part runs.
     pub running: bool,
-    /// Restarts since the process started.
+    /// Number of restarts since the process started.
     pub restarts: u64,
 }
 
@@ -79,11 +79,12 @@
     part: P,
     owner: Option<ActorOwnAnon>,
     backoff: RestartBackoff,
-    /// Counts starts, so that the end of an earlier start isn't taken for the present one's.
+    /// Number of starts. It distinguishes the end of an earlier start from the end of the
+    /// current one.
     start_count: u64,
 }
 
-/// `Supervisor` is the actor at the root of the tree.
+/// The actor at the root of a supervisor tree.
 pub struct Supervisor<P: PartName> {
     starter: Box<dyn PartStarter<P>>,
     slots: Vec<PartSlot<P>>,
@@ -94,7 +95,7 @@
 }
 
 impl<P: PartName> Supervisor<P> {
-    /// Starts every part.
+    /// Creates the supervisor and starts every part.
     pub fn init(
         cx: CX![],
         options: SupervisorOptions,
@@ -130,12 +131,12 @@
         self.add_entry(change);
     }
 
-    /// Notes the revision of the list in force, which later entries carry.
+    /// Sets the revision of the list in force, which is added to later audit entries.
     pub fn set_list_revision(&mut self, _cx: CX![], revision: u64) {
         self.list_revision = revision;
     }
 
-    /// Answers with entries of the audit trail above `after`.
+    /// Passes up to `limit` entries of the audit trail numbered above `after` to `answer`.
     pub fn read_audit(
         &mut self,
         _cx: CX![],
@@ -146,22 +147,22 @@
         answer(self.trail.read(after, limit));
     }
 
-    /// Answers with the state of every part.
+    /// Passes the state of every part to `answer`.
     pub fn read_parts(&mut self, _cx: CX![], answer: Box<dyn FnOnce(Vec<PartReport>)>) {
         answer(self.slots.iter().map(PartSlot::report).collect());
     }
 
-    /// Makes a part fail, for tests; false when there is no such part.
+    /// Makes a part fail, for tests. Passes false to `answer` when no such part is running.
     pub fn fail_part(&mut self, _cx: CX![], name: String, answer: Box<dyn FnOnce(bool)>) {
         let slot = self.slots.iter_mut().find(|slot| slot.part.as_str() == name);
-        // Dropping the owner ends the actor, and its end is reported like any other.
+        // Dropping the owner ends the actor, and the end is reported like any failure.
         let dropped = slot.and_then(|slot| slot.owner.take());
         answer(dropped.is_some());
     }
 
-    /// Ends the process, as something outside of the parts failed for good.
-    pub fn fail_process(&mut self, cx: CX![], why: String) {
-        fail!(cx, "{}", why);
+    /// Ends the process because something outside of the parts failed permanently.
+    pub fn fail_process(&mut self, cx: CX![], reason: String) {
+        fail!(cx, "{}", reason);
     }
 
     fn start_slot(&mut self, cx: CX![], index: usize) {
@@ -180,10 +181,10 @@
         slot.owner = None;
         let now = self.clock.now();
         let restart_at = slot.backoff.on_failure(now, &mut self.rng);
-        let name = slot.part.as_str();
-        warn!("supervisor: {name} ended: {cause}");
+        let part_name = slot.part.as_str();
+        warn!("supervisor: {part_name} ended: {cause}");
         self.add_entry(
-            AuditChange::new(AuditKind::PartRestarted, name)
+            AuditChange::new(AuditKind::PartRestarted, part_name)
                 .with_values(
                     "running",
                     format!("starts again in {} ms", restart_at.remaining_millis(now)),
@@ -198,15 +199,15 @@
     }
 
     fn restart_part(&mut self, cx: CX![], index: usize, start: u64) {
-        // A companion's restart may have come first.
+        // The part may already have been restarted together with another one.
         if self.slots[index].start_count != start {
             return;
         }
         let part = self.slots[index].part;
         self.starter.on_restart(part);
         self.start_slot(cx, index);
-        for companion in self.starter.dependents(part) {
-            let found = self.slots.iter().position(|slot| slot.part == *companion);
+        for dependent in self.starter.dependents(part) {
+            let found = self.slots.iter().position(|slot| slot.part == *dependent);
             if let Some(index) = found {
                 self.slots[index].owner = None;
                 self.start_slot(cx, index);
