--- a/crates/foxledge-daemon/src/side/clients.rs
+++ b/crates/foxledge-daemon/src/side/clients.rs
@@ -68,7 +68,7 @@
         ClientPool { channels: Arc::default(), metrics, bundles, routes }
     }
 
-    /// Makes a call with a deadline.
+    /// Makes a call to `to` with a deadline.
     ///
     /// A middlebox may lose the state of a connection, which then stays unresponsive
     /// while new connections work, and calls time out although the other process is
--- a/crates/foxledge-settings/src/checks.rs
+++ b/crates/foxledge-settings/src/checks.rs
@@ -1,4 +1,4 @@
-//! Checks that look at several settings together.
+//! Checks of the relations between settings.
 
 use std::net::SocketAddr;
 
@@ -6,17 +6,20 @@
 
 use crate::settings::{FlowSettings, PeerSettings, StopSettings};
 
-/// Two sockets of one process can't share an address, and peers can't call a
-/// wildcard.
-pub(crate) fn check_listen(table: &TableReader<'_>, named: &[(&'static str, Option<SocketAddr>)]) {
-    for (at, (key, address)) in named.iter().enumerate() {
+/// Checks that the listening sockets have different addresses, and that the addresses
+/// announced to peers aren't wildcards.
+pub(crate) fn check_listen(
+    table: &TableReader<'_>,
+    addresses: &[(&'static str, Option<SocketAddr>)],
+) {
+    for (index, (key, address)) in addresses.iter().enumerate() {
         let Some(address) = address else {
             continue;
         };
         if *key != "admin" && address.ip().is_unspecified() {
             table.note(key, "must name one IP number, because peers are told it");
         }
-        let mut earlier = named[..at].iter();
+        let mut earlier = addresses[..index].iter();
         let shared =
             earlier.find(|(_, other)| other.is_some_and(|other| addresses_clash(other, *address)));
         if let Some((other, _)) = shared {
@@ -30,7 +33,8 @@
     same_ip && a.port() == b.port()
 }
 
-/// A peer that is suspected before its next heartbeat is due flaps for ever.
+/// Checks the timeouts of peers: a peer that is suspected before its next heartbeat would
+/// alternate between alive and suspect permanently.
 pub(crate) fn check_peer_timeouts(table: &TableReader<'_>, peers: &PeerSettings) {
     if peers.suspect_after_ms <= peers.heartbeat_ms {
         table.note("suspect_after_ms", "must be more than peers.heartbeat_ms");
@@ -40,8 +44,8 @@
     }
 }
 
-/// A stop that ends before the last ticket runs out cuts requests that it
-/// promised to answer.
+/// Checks the limit of a planned stop: if it were shorter than the validity of tickets,
+/// requests under valid tickets would be cut off.
 pub(crate) fn check_stop(table: &TableReader<'_>, stop: &StopSettings, flow: &FlowSettings) {
     if stop.limit_ms <= flow.ticket_ms {
         table.note("limit_ms", "must be more than flow.ticket_ms");
--- a/crates/foxledge-settings/src/choices.rs
+++ b/crates/foxledge-settings/src/choices.rs
@@ -1,23 +1,23 @@
-//! Settings that are one of a few words.
+//! Settings with a fixed set of values.
 
-/// `PlacementChoice` is where new work of a service is admitted.
+/// Where new work of a service is admitted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PlacementChoice {
-    /// At one home per service and data centre.
+    /// At one home instance per service and data centre.
     #[default]
     ServiceHome,
-    /// At whichever instance it arrives.
+    /// At the instance where it arrives.
     EntryLocal,
-    /// At one home per backend server.
+    /// At one home instance per backend server.
     TargetHome,
 }
 
 impl PlacementChoice {
-    /// Every placement.
+    /// All placements.
     pub const ALL: [PlacementChoice; 3] =
         [PlacementChoice::ServiceHome, PlacementChoice::EntryLocal, PlacementChoice::TargetHome];
 
-    /// The word in the settings.
+    /// Returns the value in the settings.
     pub fn as_str(self) -> &'static str {
         match self {
             PlacementChoice::ServiceHome => "service-home",
@@ -27,22 +27,22 @@
     }
 }
 
-/// `PolicyChoice` is how a home chooses among its backend servers.
+/// How a home instance selects one of its backend servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PolicyChoice {
-    /// The one with the most free slots.
+    /// The backend server with the most free slots.
     #[default]
     Freest,
-    /// By hash of the flow.
+    /// By a hash of the flow.
     Hash,
-    /// In turn.
+    /// In rotation.
     RoundRobin,
-    /// The less loaded of two drawn at random.
+    /// The less loaded of two backend servers selected at random.
     TwoChoices,
 }
 
 impl PolicyChoice {
-    /// Every policy.
+    /// All policies.
     pub const ALL: [PolicyChoice; 4] = [
         PolicyChoice::Freest,
         PolicyChoice::Hash,
@@ -50,7 +50,7 @@
         PolicyChoice::TwoChoices,
     ];
 
-    /// The word in the settings.
+    /// Returns the value in the settings.
     pub fn as_str(self) -> &'static str {
         match self {
             PolicyChoice::Freest => "freest",
--- a/crates/foxledge-settings/src/lib.rs
+++ b/crates/foxledge-settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The daemon's settings, read from a TOML file and checked whole.
+//! Settings of the daemon, read from a TOML file and checked as a whole.
 //!
-//! Every finding is reported together with file, line and key; nothing starts
-//! on settings that have one. `docs/examples/foxledged.toml` shows every key.
+//! All findings are reported, each with file, line and key; the daemon doesn't start with
+//! settings that have any. `docs/examples/foxledged.toml` shows every key.
 
 mod checks;
 pub mod choices;
--- a/crates/foxledge-settings/src/packet_settings.rs
+++ b/crates/foxledge-settings/src/packet_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an instance that routes packets.
+//! Settings of an instance of the packet path.
 
 use std::{collections::HashMap, fs, net::SocketAddr, net::SocketAddrV4, path::Path, sync::Arc};
 
@@ -9,63 +9,65 @@
 };
 use foxledge_document::{SourceNotes, TableReader, read_document};
 
-/// Largest settings file, in bytes.
+/// Maximum size of a settings file, in bytes.
 const MAX_FILE_BYTES: usize = 1_000_000;
 
-/// Longest planned stop when the settings name none, in seconds, as on the users'
-/// platform.
+/// Default time limit of a planned stop, in seconds: the limit of the users' platform.
 const DEFAULT_STOP_LIMIT_S: f64 = 6.0;
-/// Hundredths of the room for less urgent priorities when the settings name none.
+/// Default share of the capacity that is reserved for less urgent priorities, in percent.
 const DEFAULT_FLOOR_PERCENT: u64 = 10;
-/// Multiple of the fair rate for one client account when the settings name none.
+/// Default limit of one client account, as a multiple of the fair rate.
 const DEFAULT_ACCOUNT_SHARE: f64 = 1.0;
 
-/// `PacketSettings` is everything that an instance reads at its start.
+/// All settings of an instance of the packet path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PacketSettings {
-    /// The instance's name, unique in the fleet.
+    /// Name of the instance, unique in the fleet.
     pub name: InstanceName,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub data_centre: CentreName,
     /// The region of each data centre.
     pub regions: HashMap<CentreName, RegionName>,
-    /// Hundredths of its published limit of new flows that a cold backend server may get.
+    /// Rate of new flows that a backend server may get during its slow start, in percent of
+    /// its published limit.
     pub cold_overrun_percent: u32,
-    /// New flows a second that it may get beside these.
+    /// Additional new flows per second that it may get.
     pub cold_slack: u32,
-    /// Bandwidth of its link in Mbit/s; 0 when it isn't told.
+    /// Bandwidth of the link of the instance, in Mbit/s; 0 when unknown.
     pub link_mbps: u32,
-    /// UDP, packets of callers.
+    /// UDP address for packets of callers.
     pub data: SocketAddrV4,
-    /// UDP, other instances.
+    /// UDP address for messages of other instances.
     pub peer: SocketAddrV4,
-    /// Where other instances are told to send; the address of `peer` unless a
-    /// translation stands in between.
+    /// Address announced to other instances; equal to `peer` unless address translation is
+    /// used.
     pub peer_public: SocketAddrV4,
-    /// TCP, HTTP with `/healthz`.
+    /// TCP address of the HTTP interface with `/healthz`.
     pub admin: SocketAddr,
-    /// TCP, HTTP with `/metrics`, `/status` and more; none serves them with `admin`.
+    /// Separate TCP address of the HTTP interface with `/metrics`, `/status` and more; if none,
+    /// only `admin` serves them.
     pub metrics: Option<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddrV4,
-    /// Instances to ask first.
+    /// Instances to contact first.
     pub seeds: Vec<SocketAddrV4>,
-    /// Longest time of a planned stop, in milliseconds.
+    /// Time limit of a planned stop, in milliseconds.
     pub stop_limit_ms: u64,
-    /// Lines of each kind logged in a second at most.
+    /// Maximum number of log lines of each kind per second.
     pub log_lines_per_s: u32,
-    /// True when load is reported to other instances, and new flows leave full data centres.
+    /// True when load is reported to other instances, and new flows overflow from full data
+    /// centres.
     pub shares_load: bool,
-    /// Refusal of new flows under shortage; none leaves it out.
+    /// Admission control under a shortage of capacity; none disables it.
     pub admission: Option<AdmissionSettings>,
 }
 
-/// `AdmissionSettings` is how room is shared while a service is short of it.
+/// How capacity is shared while a service is short of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionSettings {
-    /// Hundredths of the room that stay with less urgent priorities.
+    /// Share of the capacity that is reserved for less urgent priorities, in percent.
     pub floor_percent: u32,
-    /// Hundredths of the fair rate that one client account may take; 0 for no limit.
+    /// Limit of one client account, in percent of the fair rate; 0 for no limit.
     pub account_percent: u32,
 }
 
@@ -73,7 +75,7 @@
 ///
 /// # Errors
 ///
-/// Every finding, with its line and key.
+/// Returns all findings, with their lines and keys.
 pub fn load_packet_settings(path: &Path) -> Result<PacketSettings, FindingList> {
     let source = path.display().to_string();
     match fs::read_to_string(path) {
@@ -82,11 +84,11 @@
     }
 }
 
-/// Checks the text of a settings file; `source` stands in the findings.
+/// Parses and checks the text of a settings file; `source` names the file in the findings.
 ///
 /// # Errors
 ///
-/// Every finding, with its line and key.
+/// Returns all findings, with their lines and keys.
 pub fn parse_packet_settings(source: &str, text: &str) -> Result<PacketSettings, FindingList> {
     if text.len() > MAX_FILE_BYTES {
         return Err(file_finding(source, "is larger than 1 MB"));
@@ -98,7 +100,7 @@
     }
 }
 
-/// Reads every table before it gives up on one, so that all findings are noted.
+/// Reads every table before it fails, so that all findings are reported.
 fn read_settings(root: &TableReader<'_>) -> Option<PacketSettings> {
     let instance = root.table("instance");
     let name = instance.require("name", non_empty_text(&instance, "name"));
@@ -166,7 +168,8 @@
     })
 }
 
-/// Admission decides by the load of all instances, so it needs their reports.
+/// Reads the admission table. Admission depends on the load reports of all instances, so it
+/// requires load sharing.
 fn read_admission(table: &TableReader<'_>, shares_load: bool) -> Option<AdmissionSettings> {
     let is_enabled = table.switch("enabled").unwrap_or(false);
     let floor_percent = table.number_or("floor_percent", 0..=50, DEFAULT_FLOOR_PERCENT) as u32;
@@ -183,7 +186,7 @@
 }
 
 impl PacketSettings {
-    /// What differs from `newer`, each as key, value before and value after.
+    /// Returns the differences to `newer`, each as key, old value and new value.
     pub fn changes(&self, newer: &PacketSettings) -> Vec<(Arc<str>, String, String)> {
         let pairs = [
             ("instance.name", self.name.to_string(), newer.name.to_string()),
@@ -217,7 +220,7 @@
     }
 }
 
-/// The region of each data centre that is named.
+/// Reads the region of each listed data centre.
 fn read_regions(root: &TableReader<'_>) -> HashMap<CentreName, RegionName> {
     let mut regions = HashMap::new();
     for table in root.tables("data_centres") {
@@ -249,7 +252,7 @@
     format!("{regions:?}")
 }
 
-/// The seeds, each once: a list that names one twice is harmless.
+/// Reads the seeds and removes duplicates, which are harmless.
 fn read_seeds(table: &TableReader<'_>) -> Vec<SocketAddrV4> {
     let mut seeds = Vec::new();
     for text in table.texts("seeds") {
@@ -274,7 +277,7 @@
     Some(text)
 }
 
-/// Packets name their ends by IPv4 addresses.
+/// Reads an IPv4 address, as packets identify their ends by IPv4 addresses.
 fn ipv4_address(table: &TableReader<'_>, key: &'static str) -> Option<SocketAddrV4> {
     let address = table.address(key)?;
     let found = as_ipv4(address);
--- a/crates/foxledge-settings/src/parse.rs
+++ b/crates/foxledge-settings/src/parse.rs
@@ -1,4 +1,4 @@
-//! From the text of a settings file to settings, or findings.
+//! Parsing of settings files of the request path.
 
 use std::{fs, path::Path};
 
@@ -19,12 +19,16 @@
     },
 };
 
-/// Longest span that a setting may have, in milliseconds: an hour.
+/// Maximum duration in a setting, in milliseconds: one hour.
 const MAX_DURATION_MS: u64 = 3_600_000;
-/// Largest settings file, in bytes.
+/// Maximum size of a settings file, in bytes.
 const MAX_FILE_BYTES: usize = 1_000_000;
 
 /// Reads and checks a settings file.
+///
+/// # Errors
+///
+/// Returns all findings, with their lines and keys.
 pub fn load_settings(path: &Path) -> Result<DaemonSettings, FindingList> {
     let source = path.display().to_string();
     match fs::read(path) {
@@ -36,7 +40,11 @@
     }
 }
 
-/// Checks the text of a settings file; `source_name` stands in the findings.
+/// Parses and checks the text of a settings file; `source_name` names the file in the findings.
+///
+/// # Errors
+///
+/// Returns all findings, with their lines and keys.
 pub fn parse_settings(source_name: &str, text: &str) -> Result<DaemonSettings, FindingList> {
     if text.len() > MAX_FILE_BYTES {
         return Err(file_finding(source_name, "is larger than 1 MB"));
@@ -54,9 +62,9 @@
     findings
 }
 
-/// Reads every table before it gives up on one, so that all findings are noted.
+/// Reads every table before it fails, so that all findings are reported.
 ///
-/// Invariant: where the answer is none, a finding says why.
+/// Invariant: when the result is none, there is a finding that says why.
 fn read_settings(root: &TableReader<'_>) -> Option<DaemonSettings> {
     let instance = read_instance(&root.table("instance"));
     let listen = read_listen(&root.table("listen"));
@@ -228,13 +236,13 @@
 fn read_choice<T: Copy>(
     table: &TableReader<'_>,
     key: &'static str,
-    words: &[(&str, T)],
+    choices: &[(&str, T)],
 ) -> Option<T> {
     let text = table.text(key)?;
-    let found = words.iter().find(|(word, _)| *word == text);
-    if found.is_none() {
-        let known: Vec<_> = words.iter().map(|(word, _)| format!("\"{word}\"")).collect();
+    let choice = choices.iter().find(|(name, _)| *name == text);
+    if choice.is_none() {
+        let known: Vec<_> = choices.iter().map(|(name, _)| format!("\"{name}\"")).collect();
         table.note(key, format!("must be one of {}", known.join(", ")));
     }
-    found.map(|(_, value)| *value)
+    choice.map(|(_, value)| *value)
 }
--- a/crates/foxledge-settings/src/settings.rs
+++ b/crates/foxledge-settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings by table.
+//! The settings of the request path, one type per table.
 
 use std::{collections::BTreeMap, net::SocketAddr, path::PathBuf};
 
@@ -7,7 +7,7 @@
 
 use crate::choices::{PlacementChoice, PolicyChoice};
 
-/// `DaemonSettings` is everything that a daemon reads at its start.
+/// All settings of an instance of the request path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DaemonSettings {
     /// `[instance]`
@@ -28,149 +28,150 @@
     pub log: LogSettings,
     /// `[audit]`
     pub audit: AuditSettings,
-    /// `[tls]`; none when the table is absent and control calls are plain.
+    /// `[tls]`; control calls are unencrypted when the table is absent.
     pub tls: Option<TlsSettings>,
     /// `[trial]`
     pub trial: TrialSettings,
 }
 
-/// `InstanceSettings` is who the instance is.
+/// The identity of the instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InstanceSettings {
-    /// Its name, unique in the fleet.
+    /// Name of the instance, unique in the fleet.
     pub name: InstanceName,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub data_centre: CentreName,
 }
 
-/// `ListenSettings` is where the instance listens; peers are told these addresses.
+/// The addresses that the instance listens on; they are announced to peers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListenSettings {
-    /// UDP, callers and backend servers.
+    /// UDP address for callers and backend servers.
     pub data: SocketAddr,
-    /// UDP, other instances.
+    /// UDP address for other instances.
     pub peer: SocketAddr,
-    /// TCP, control calls of instances and of `foxledgectl`.
+    /// TCP address for control calls of instances and of `foxledgectl`.
     pub control: SocketAddr,
-    /// TCP, HTTP with `/metrics` and `/healthz`.
+    /// TCP address of the HTTP interface with `/metrics` and `/healthz`.
     pub admin: SocketAddr,
 }
 
-/// `PlatformSettings` is how the platform is read.
+/// How the platform is read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformSettings {
-    /// Its addresses, tried in turn.
+    /// Addresses of the platform, used in rotation.
     pub addresses: Vec<SocketAddr>,
-    /// How long one watch waits for a change, in milliseconds.
+    /// Time for which one long poll waits for a change, in milliseconds.
     pub wait_ms: u64,
-    /// Instances of one data centre that read the platform; the others ask peers.
+    /// Number of instances per data centre that read the platform; the others read from peers.
     pub readers_per_centre: u32,
 }
 
-/// `PeerSettings` is membership between instances.
+/// Membership of instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerSettings {
     /// Control addresses of instances to join through.
     pub seeds: Vec<SocketAddr>,
     /// Time between rounds of heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Silence after which a peer is suspected, in milliseconds.
+    /// Time without a response after which a peer is suspected, in milliseconds.
     pub suspect_after_ms: u64,
-    /// Silence after which a peer is held dead, in milliseconds.
+    /// Time without a response after which a peer is declared dead, in milliseconds.
     pub dead_after_ms: u64,
-    /// Longest wait for peers' and the platform's answers before serving, in milliseconds.
+    /// Maximum wait for responses of peers and the platform before serving, in milliseconds.
     pub start_wait_ms: u64,
 }
 
-/// `FlowSettings` is placement, tickets and forwarding.
+/// Placement, tickets and forwarding.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FlowSettings {
     /// Where new work is admitted.
     pub placement: PlacementChoice,
-    /// How a home chooses among its backend servers.
+    /// How a home instance selects one of its backend servers.
     pub policy: PolicyChoice,
-    /// Time that a ticket is good for starting, in milliseconds.
+    /// Time for which a ticket can start requests, in milliseconds.
     pub ticket_ms: u64,
-    /// Requests that one ticket is good for.
+    /// Number of requests that one ticket admits.
     pub ticket_count: u32,
-    /// Wait for a home's ack before it is passed over, in milliseconds.
+    /// Timeout of a home's acknowledgement of a forward, after which the home is skipped, in
+    /// milliseconds.
     pub forward_wait_ms: u64,
-    /// How long a silent home stays passed over, in milliseconds.
+    /// Time for which an unresponsive home is skipped, in milliseconds.
     pub passed_over_ms: u64,
 }
 
-/// `DeskSettings` is admission and backend servers' health at a home.
+/// Admission and health checking of backend servers by the scheduler of a home.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DeskSettings {
-    /// Wait for a backend server's first answer before the same dispatch is resent, in milliseconds.
+    /// Timeout of a backend server's first response, after which the dispatch is
+    /// retransmitted, in milliseconds.
     pub ack_ms: u64,
-    /// Resends of one dispatch before its backend server counts as lost.
+    /// Number of retransmissions of a dispatch before its backend server counts as lost.
     pub resends: u32,
-    /// Losses in a row after which a backend server is ejected.
+    /// Consecutive losses after which a backend server is ejected.
     pub eject_after_losses: u32,
-    /// How long a first ejection lasts, in milliseconds.
+    /// Duration of the first ejection, in milliseconds.
     pub eject_ms: u64,
-    /// Time over which a new or returned backend server gets its full share, in milliseconds.
+    /// Slow-start time of a new or returned backend server, in milliseconds.
     pub slow_start_ms: u64,
-    /// Retries allowed, as a share of first tries, in percent.
+    /// Allowed retries, in percent of first attempts.
     pub retry_budget_percent: u32,
     /// Time between probes of one backend server, in milliseconds.
     pub probe_ms: u64,
 }
 
-/// `StopSettings` is the planned stop.
+/// The planned stop.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StopSettings {
-    /// Longest time that a planned stop takes, in milliseconds.
+    /// Time limit of a planned stop, in milliseconds.
     pub limit_ms: u64,
 }
 
-/// `LogSettings` is the log.
+/// The log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogSettings {
-    /// Least important level that is written.
+    /// The least severe level that is logged.
     pub level: LevelFilter,
 }
 
-/// `AuditSettings` is the audit trail.
+/// The audit trail.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AuditSettings {
-    /// Entries kept in memory.
+    /// Capacity of the audit trail in memory, in entries.
     pub entries: usize,
 }
 
-/// `TlsSettings` is the files of mutual TLS on control calls.
+/// The files for mutual TLS on control calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TlsSettings {
-    /// PEM file of the authorities that peers' certificates are checked against.
+    /// PEM file of the authorities against which certificates of peers are verified.
     pub ca: PathBuf,
-    /// PEM file of the own certificate chain.
+    /// PEM file of the certificate chain of this instance.
     pub certificate: PathBuf,
-    /// PEM file of the own private key.
+    /// PEM file of the private key of this instance.
     pub key: PathBuf,
 }
 
-/// `TrialSettings` switches single mechanisms off, only to prove that each matters.
+/// Switches that disable single mechanisms, for experiments that show their effect.
 ///
-/// A fleet that serves anybody has them all on; the daemon warns about each
-/// that is off.
+/// In production all of them are on; the daemon logs a warning for each that is off.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TrialSettings {
-    /// Non-idempotent requests run through the one incarnation that issued their ticket.
+    /// Non-idempotent requests run only through the incarnation that issued their ticket.
     pub run_once: bool,
     /// A list older than the one in force is refused.
     pub refuse_stale_lists: bool,
-    /// A flow token is checked against the present owner of the target's address.
+    /// A flow token is checked against the current owner of the backend server's address.
     pub check_target_owner: bool,
-    /// A home that doesn't answer is passed over.
+    /// Unresponsive homes are skipped.
     pub pass_over_homes: bool,
-    /// A refusal that says "not run" is repeated to every copy of its request.
+    /// A refusal that says "not run" is repeated for every retransmission of its request.
     pub remember_refusals: bool,
-    /// A planned stop finishes what the instance has.
+    /// A planned stop finishes pending requests first.
     pub graceful_stop: bool,
-    /// The queue is ordered fairly by member within paid priority.
+    /// The queue is fair between members within each paid priority.
     pub fair_order: bool,
-    /// Addresses that are reached at others, so that a test can cut what goes there.
+    /// Replaced destination addresses, so that a test can cut the traffic to them.
     pub routes: BTreeMap<SocketAddr, SocketAddr>,
 }
 
@@ -190,7 +191,7 @@
 }
 
 impl TrialSettings {
-    /// The keys of the mechanisms that are off; the daemon logs a warning for each.
+    /// Returns the keys of the disabled mechanisms.
     pub fn disabled_mechanisms(&self) -> Vec<&'static str> {
         let switches = [
             ("run_once", self.run_once),
