--- a/crates/foxledge-daemon/src/engine_part.rs
+++ b/crates/foxledge-daemon/src/engine_part.rs
@@ -51,8 +51,9 @@
         engine.set_phase(now, context.phase.get());
         let tick_key = after!(BUSY_TICK_INTERVAL, [cx], tick());
         let part = EnginePart { context, engine, tick_key, tick_rate: TickRate::Busy };
-        let kept = part.context.accepted_list.borrow().as_ref().map(|kept| kept.list().clone());
-        if let Some(list) = kept {
+        let accepted_list =
+            part.context.accepted_list.borrow().as_ref().map(|snapshot| snapshot.list().clone());
+        if let Some(list) = accepted_list {
             call!([cx], apply_list(list));
         }
         let view = part.context.peer_view.borrow().clone();
@@ -137,11 +138,12 @@
     fn with_scheduler_status(&self, mut explained: Value) -> Value {
         let status = json!(self.engine.status(self.context.clock.now()));
         let service = &explained["treatment"]["serve"]["service"];
-        let is_asked = |entry: &&Value| {
+        let is_same_shard = |entry: &&Value| {
             entry["key"]["service"] == *service && entry["key"]["shard"] == explained["shard"]
         };
-        let desk = status["desks"].as_array().and_then(|desks| desks.iter().find(is_asked));
-        explained["desk"] = desk.map_or(Value::Null, |entry| entry["desk"].clone());
+        let scheduler =
+            status["desks"].as_array().and_then(|schedulers| schedulers.iter().find(is_same_shard));
+        explained["desk"] = scheduler.map_or(Value::Null, |entry| entry["desk"].clone());
         explained
     }
 
--- a/crates/foxledge-daemon/src/listener.rs
+++ b/crates/foxledge-daemon/src/listener.rs
@@ -96,9 +96,9 @@
 
     /// Sends datagrams.
     ///
-    /// What the system doesn't take at once is dropped and counted, as the
-    /// network may drop it too: senders repeat. Waiting here would hold up
-    /// every other flow.
+    /// Datagrams that the operating system doesn't accept at once are dropped and counted.
+    /// The network may drop them too, and senders retransmit. Waiting would delay all other
+    /// flows.
     pub fn send(&mut self, _cx: CX![], datagrams: Vec<OutgoingDatagram>) {
         for datagram in datagrams {
             let to = self.context.routes.resolve(datagram.to);
--- a/crates/foxledge-daemon/src/packets/clock.rs
+++ b/crates/foxledge-daemon/src/packets/clock.rs
@@ -1,4 +1,4 @@
-//! A clock that goes on while the machine is suspended.
+//! A clock that advances while the machine is suspended.
 
 use std::time::Duration;
 
--- a/crates/foxledge-daemon/src/packets/daemon.rs
+++ b/crates/foxledge-daemon/src/packets/daemon.rs
@@ -223,7 +223,7 @@
     Ok(guard)
 }
 
-/// Binds the separate port for metrics; returns none when the address is taken.
+/// Binds the separate port for metrics; returns none when the address is in use.
 ///
 /// A failure isn't fatal: callers can be served without this port, and the admin
 /// address serves the metrics as well.
--- a/crates/foxledge-daemon/src/packets/mod.rs
+++ b/crates/foxledge-daemon/src/packets/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! [`PacketDaemon`] is the process. Its main thread runs these parts under the
 //! supervisor: [`flow_part`] reads, routes and forwards packets of callers,
-//! [`fleet_part`] holds the list and exchanges messages with other instances,
+//! [`fleet_part`] maintains the list and exchanges messages with other instances,
 //! and [`lifecycle_part`] starts and stops serving. A side thread calls the
 //! store and serves HTTP ([`side`]).
 
--- a/crates/foxledge-daemon/src/packets/side.rs
+++ b/crates/foxledge-daemon/src/packets/side.rs
@@ -142,10 +142,10 @@
 
 async fn read_store(
     mut source: Box<dyn ListSource>,
-    mut orders: mpsc::UnboundedReceiver<SideCommand>,
+    mut commands: mpsc::UnboundedReceiver<SideCommand>,
     events: Channel<SideEvent>,
 ) {
-    while let Some(SideCommand::CallStore(query)) = orders.recv().await {
+    while let Some(SideCommand::CallStore(query)) = commands.recv().await {
         let response = match query {
             StoreQuery::FirstPage => source.read_first_page().await,
             StoreQuery::All(mode) => source.read_all(mode).await,
--- a/crates/foxledge-daemon/src/side/clients.rs
+++ b/crates/foxledge-daemon/src/side/clients.rs
@@ -114,29 +114,29 @@
         let bundle = self.bundles.borrow().clone();
         let mut table = self.lock();
         table.last_seq += 1;
-        let now = table.last_seq;
+        let seq = table.last_seq;
         // A channel with outdated certificates isn't reused.
         let existing =
             table.entries.get_mut(&to).filter(|entry| entry.tls_generation == bundle.generation);
         if let Some(entry) = existing {
-            entry.last_use_seq = now;
+            entry.last_use_seq = seq;
             return Ok(PooledChannel {
                 channel: entry.channel.clone(),
                 opened_seq: entry.opened_seq,
-                acquired_seq: now,
+                acquired_seq: seq,
             });
         }
         table.evict_when_full();
         let channel = self.open(to, &bundle)?;
         let entry = ChannelEntry {
             channel: channel.clone(),
-            opened_seq: now,
-            last_use_seq: now,
+            opened_seq: seq,
+            last_use_seq: seq,
             last_answer_seq: 0,
             tls_generation: bundle.generation,
         };
         table.entries.insert(to, entry);
-        Ok(PooledChannel { channel, opened_seq: now, acquired_seq: now })
+        Ok(PooledChannel { channel, opened_seq: seq, acquired_seq: seq })
     }
 
     fn open(&self, to: SocketAddr, bundle: &TlsBundle) -> Result<Channel, CallError> {
@@ -167,11 +167,11 @@
     fn record_answer(&self, to: SocketAddr, pooled: &PooledChannel) {
         let mut table = self.lock();
         table.last_seq += 1;
-        let now = table.last_seq;
+        let seq = table.last_seq;
         if let Some(entry) =
             table.entries.get_mut(&to).filter(|entry| entry.opened_seq == pooled.opened_seq)
         {
-            entry.last_answer_seq = now;
+            entry.last_answer_seq = seq;
         }
     }
 
--- a/crates/foxledge-settings/src/settings.rs
+++ b/crates/foxledge-settings/src/settings.rs
@@ -112,7 +112,8 @@
     pub eject_after_losses: u32,
     /// Duration of the first ejection, in milliseconds.
     pub eject_ms: u64,
-    /// Slow-start time of a new or returned backend server, in milliseconds.
+    /// Slow-start time after which a new or returned backend server gets its full share, in
+    /// milliseconds.
     pub slow_start_ms: u64,
     /// Allowed retries, in percent of first attempts.
     pub retry_budget_percent: u32,
