--- a/crates/foxledge-daemon/src/daemon.rs
+++ b/crates/foxledge-daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The process from its settings to its end.
+//! The process of the request path: setup and main loop.
 
 use std::{
     rc::Rc,
@@ -30,20 +30,20 @@
     supervisor::SupervisorOptions,
 };
 
-const EVENT_LIMIT: usize = 1024;
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+const POLL_EVENT_CAPACITY: usize = 1024;
+const MAX_POLL_WAIT: Duration = Duration::from_secs(60);
 
-/// `Daemon` is the process: the main loop and what it holds.
+/// A running instance of the request path: the main loop and everything that it owns.
 pub struct Daemon {
     stakker: Stakker,
     poll: MioPoll,
     context: Rc<DaemonContext>,
-    waiting: PendingWork,
+    pending: PendingWork,
     _signals: ChannelGuard,
     _root: ActorOwn<DaemonSupervisor>,
 }
 
-/// `PendingWork` is what is left to do without waiting.
+/// Work that is left over from the last run of the main loop and can continue at once.
 #[derive(Clone, Copy, Debug, Default)]
 struct PendingWork {
     idle: bool,
@@ -52,32 +52,40 @@
 
 impl Daemon {
     /// Binds the sockets and starts every part.
+    ///
+    /// # Errors
+    ///
+    /// Fails when a socket can't be bound or a thread can't be started.
     pub fn start(settings: DaemonSettings) -> Result<Daemon> {
         let clock = ProcessClock::start();
         let sockets = ListenSockets::bind(&listen_addresses(&settings))?;
-        let me = own_info(&settings, &sockets)?;
-        info!("daemon: {} in {}, incarnation {}", me.name, me.data_centre, me.incarnation);
-        for key in settings.trial.switched_off() {
+        let info = local_info(&settings, &sockets)?;
+        info!("daemon: {} in {}, incarnation {}", info.name, info.data_centre, info.incarnation);
+        for key in settings.trial.disabled_mechanisms() {
             warn!("daemon: trial.{key} is off, promises are not kept");
         }
         let seeds = StdRng::from_os_rng();
-        let context = DaemonContext::new(settings, clock, sockets, me, seeds);
+        let context = DaemonContext::new(settings, clock, sockets, info, seeds);
 
         let mut stakker = Stakker::new(Instant::now());
-        let poll = Poll::new().context("can't poll")?;
-        let events = Events::with_capacity(EVENT_LIMIT);
+        let poll = Poll::new().context("can't create the poll")?;
+        let events = Events::with_capacity(POLL_EVENT_CAPACITY);
         let poll = MioPoll::new(&mut stakker, poll, events, POLL_PRIORITY)?;
         let signals = watch_signals(&mut stakker, context.clone())?;
         let root = start_root(&mut stakker, &context);
         let idle = stakker.run(Instant::now(), false);
-        let waiting = PendingWork { idle, io: false };
-        Ok(Daemon { stakker, poll, context, waiting, _signals: signals, _root: root })
+        let pending = PendingWork { idle, io: false };
+        Ok(Daemon { stakker, poll, context, pending, _signals: signals, _root: root })
     }
 
-    /// Runs until the process is told to stop.
+    /// Runs the main loop until a planned stop has finished.
+    ///
+    /// # Errors
+    ///
+    /// Fails when polling fails or the root supervisor ends for another reason.
     pub fn run(&mut self) -> Result<()> {
         while self.stakker.not_shutdown() {
-            self.turn(LONGEST_WAIT)?;
+            self.run_once(MAX_POLL_WAIT)?;
         }
         match self.stakker.shutdown_reason() {
             None | Some(StopCause::Stopped) => {
@@ -88,17 +96,17 @@
         }
     }
 
-    /// Waits for events, `longest` at most, and works through them.
-    pub fn turn(&mut self, longest: Duration) -> Result<()> {
-        let is_pending = self.waiting.idle || self.waiting.io;
-        let wait = self.stakker.next_wait_max(Instant::now(), longest, is_pending);
+    /// Runs one iteration of the main loop: waits for events, up to `max_wait`, and handles them.
+    pub fn run_once(&mut self, max_wait: Duration) -> Result<()> {
+        let is_pending = self.pending.idle || self.pending.io;
+        let wait = self.stakker.next_wait_max(Instant::now(), max_wait, is_pending);
         let (is_active, io) = self.poll.poll(wait)?;
         let idle = self.stakker.run(Instant::now(), !is_active);
-        self.waiting = PendingWork { idle, io };
+        self.pending = PendingWork { idle, io };
         Ok(())
     }
 
-    /// What the parts share.
+    /// Returns the state that the parts share.
     pub fn context(&self) -> &Rc<DaemonContext> {
         &self.context
     }
@@ -112,7 +120,7 @@
     context.directory.set(&root);
     context.set_audit(fwd_to!([root], record() as (AuditChange)));
     context.record(
-        AuditChange::new(AuditKind::ProcessChanged, context.me.borrow().name.as_str())
+        AuditChange::new(AuditKind::ProcessChanged, context.local_info.borrow().name.as_str())
             .with_values("", "joining")
             .with_cause("start", "daemon"),
     );
@@ -129,7 +137,7 @@
     }
 }
 
-fn own_info(settings: &DaemonSettings, sockets: &ListenSockets) -> Result<PeerInfo> {
+fn local_info(settings: &DaemonSettings, sockets: &ListenSockets) -> Result<PeerInfo> {
     let addresses = sockets.addresses()?;
     Ok(PeerInfo {
         name: settings.instance.name.clone(),
--- a/crates/foxledge-daemon/src/engine_part.rs
+++ b/crates/foxledge-daemon/src/engine_part.rs
@@ -1,4 +1,4 @@
-//! The part that decides on datagrams.
+//! The part that runs the flow engine on received datagrams.
 
 use std::{
     panic::{AssertUnwindSafe, catch_unwind},
@@ -18,51 +18,52 @@
     choices::engine_options,
     context::DaemonContext,
     listener::{DatagramBatch, DatagramListener, OutgoingDatagram, SocketKind},
-    side::messages::FlowQuestion,
+    side::messages::FlowQuery,
 };
 
-/// Time between two looks at deadlines while something waits.
-const BUSY_TICK: Duration = Duration::from_millis(10);
-/// The same while nothing waits but probes and open feeds.
-const QUIET_TICK: Duration = Duration::from_millis(50);
+/// Time between two checks of deadlines while requests or forwards are pending.
+const BUSY_TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// Time between two checks of deadlines while only probes and open feeds are pending.
+const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// `EnginePart` is the part that holds the [`FlowEngine`].
+/// Owns the [`FlowEngine`] and applies its effects.
 pub struct EnginePart {
     context: Rc<DaemonContext>,
     engine: FlowEngine,
     tick_key: FixedTimerKey,
-    pace: TickPace,
+    tick_rate: TickRate,
 }
 
-/// `TickPace` is how soon the next tick comes.
+/// The interval between ticks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum TickPace {
+enum TickRate {
     Busy,
-    Quiet,
+    Idle,
 }
 
 impl EnginePart {
-    /// Makes the engine and gives it what is known of lists, members and phase.
+    /// Creates the engine with the list, membership and phase known so far.
     pub fn init(cx: CX![], context: Rc<DaemonContext>) -> Option<EnginePart> {
         let options: EngineOptions = engine_options(&context.settings);
-        let me = context.me.borrow().clone();
-        let mut engine = FlowEngine::new(options, me, context.next_seed());
+        let local_info = context.local_info.borrow().clone();
+        let mut engine = FlowEngine::new(options, local_info, context.next_seed());
         let now = context.clock.now();
         engine.set_phase(now, context.phase.get());
-        let tick_key = after!(BUSY_TICK, [cx], tick());
-        let part = EnginePart { context, engine, tick_key, pace: TickPace::Busy };
-        let kept = part.context.kept_list.borrow().as_ref().map(|kept| kept.list().clone());
-        if let Some(list) = kept {
-            call!([cx], take_list(list));
+        let tick_key = after!(BUSY_TICK_INTERVAL, [cx], tick());
+        let part = EnginePart { context, engine, tick_key, tick_rate: TickRate::Busy };
+        let accepted_list =
+            part.context.accepted_list.borrow().as_ref().map(|snapshot| snapshot.list().clone());
+        if let Some(list) = accepted_list {
+            call!([cx], apply_list(list));
         }
-        let view = part.context.view.borrow().clone();
-        call!([cx], take_view(view));
+        let view = part.context.peer_view.borrow().clone();
+        call!([cx], apply_peer_view(view));
         Some(part)
     }
 
-    /// Decides on a batch of datagrams.
-    pub fn take_batch(&mut self, cx: CX![], batch: DatagramBatch) {
-        self.run(cx, |engine, context| {
+    /// Handles a batch of datagrams.
+    pub fn handle_batch(&mut self, cx: CX![], batch: DatagramBatch) {
+        self.run_engine(cx, |engine, context| {
             let mut effects = Vec::new();
             for (from, bytes) in &batch.datagrams {
                 let now = context.clock.now();
@@ -73,39 +74,39 @@
             }
             effects
         });
-        self.hasten(cx);
+        self.shorten_tick(cx);
     }
 
-    /// Puts a list in force.
-    pub fn take_list(&mut self, cx: CX![], list: Arc<RuleList>) {
-        self.run(cx, |engine, context| engine.apply_list(context.clock.now(), list));
+    /// Applies a newly accepted list.
+    pub fn apply_list(&mut self, cx: CX![], list: Arc<RuleList>) {
+        self.run_engine(cx, |engine, context| engine.apply_list(context.clock.now(), list));
     }
 
-    /// Takes a new view of membership.
-    pub fn take_view(&mut self, cx: CX![], view: Arc<PeerView>) {
-        self.run(cx, |engine, context| engine.apply_peer_view(context.clock.now(), view));
+    /// Applies a new view of the membership.
+    pub fn apply_peer_view(&mut self, cx: CX![], view: Arc<PeerView>) {
+        self.run_engine(cx, |engine, context| engine.apply_peer_view(context.clock.now(), view));
     }
 
-    /// Takes a new phase.
-    pub fn take_phase(&mut self, _cx: CX![], phase: EnginePhase) {
+    /// Sets the phase of the process.
+    pub fn set_phase(&mut self, _cx: CX![], phase: EnginePhase) {
         self.engine.set_phase(self.context.clock.now(), phase);
     }
 
-    /// Answers how many requests a planned stop has to wait for.
+    /// Passes the number of requests that a planned stop has to wait for to `answer`.
     pub fn count_unfinished(&mut self, _cx: CX![], answer: Ret<usize>) {
         ret!([answer], self.engine.unfinished_count(self.context.clock.now()));
     }
 
-    /// Brings the metrics up to date.
-    pub fn count_metrics(&mut self, _cx: CX![], answer: oneshot::Sender<()>) {
+    /// Updates the metrics of the engine.
+    pub fn update_metrics(&mut self, _cx: CX![], answer: oneshot::Sender<()>) {
         let metrics = &self.context.metrics;
         metrics.set_engine_totals(&self.engine.counters().named_values());
         metrics.unfinished.set(self.engine.unfinished_count(self.context.clock.now()) as i64);
-        // The asker may have given up.
+        // Fails when the query has timed out.
         let _ = answer.send(());
     }
 
-    /// Completes a status report and answers with it.
+    /// Adds the status of the engine to a report and sends it to `answer`.
     pub fn report_status(
         &mut self,
         _cx: CX![],
@@ -117,62 +118,64 @@
         let _ = answer.send(report.to_string());
     }
 
-    /// Answers why a flow is treated as it is.
+    /// Sends an explanation of the treatment of a flow to `answer`.
     pub fn explain(
         &mut self,
         _cx: CX![],
-        question: FlowQuestion,
+        flow_query: FlowQuery,
         answer: oneshot::Sender<Result<String, String>>,
     ) {
-        let explained = question.work.parse().map_err(|error| format!("{error}")).map(|kind| {
-            let FlowQuestion { address, member, flow, .. } = question;
+        let explained = flow_query.work.parse().map_err(|error| format!("{error}")).map(|kind| {
+            let FlowQuery { address, member, flow, .. } = flow_query;
             let query = ExplainQuery { address, member, kind, flow };
-            self.with_desk(json!(self.engine.explain(&query))).to_string()
+            self.with_scheduler_status(json!(self.engine.explain(&query))).to_string()
         });
         let _ = answer.send(explained);
     }
 
-    /// Adds the state of the flow's desk, if it is here: what the choice of a backend server goes by.
-    fn with_desk(&self, mut explained: Value) -> Value {
+    /// Adds the status of the flow's scheduler, by which a backend server is chosen, if this
+    /// instance has it.
+    fn with_scheduler_status(&self, mut explained: Value) -> Value {
         let status = json!(self.engine.status(self.context.clock.now()));
         let service = &explained["treatment"]["serve"]["service"];
-        let is_asked = |entry: &&Value| {
+        let is_same_shard = |entry: &&Value| {
             entry["key"]["service"] == *service && entry["key"]["shard"] == explained["shard"]
         };
-        let desk = status["desks"].as_array().and_then(|desks| desks.iter().find(is_asked));
-        explained["desk"] = desk.map_or(Value::Null, |entry| entry["desk"].clone());
+        let scheduler =
+            status["desks"].as_array().and_then(|schedulers| schedulers.iter().find(is_same_shard));
+        explained["desk"] = scheduler.map_or(Value::Null, |entry| entry["desk"].clone());
         explained
     }
 
     fn tick(&mut self, cx: CX![]) {
-        self.run(cx, |engine, context| engine.on_tick(context.clock.now()));
-        self.pace = if self.engine.is_idle() { TickPace::Quiet } else { TickPace::Busy };
-        self.tick_key = match self.pace {
-            TickPace::Quiet => after!(QUIET_TICK, [cx], tick()),
-            TickPace::Busy => after!(BUSY_TICK, [cx], tick()),
+        self.run_engine(cx, |engine, context| engine.on_tick(context.clock.now()));
+        self.tick_rate = if self.engine.is_idle() { TickRate::Idle } else { TickRate::Busy };
+        self.tick_key = match self.tick_rate {
+            TickRate::Idle => after!(IDLE_TICK_INTERVAL, [cx], tick()),
+            TickRate::Busy => after!(BUSY_TICK_INTERVAL, [cx], tick()),
         };
     }
 
-    /// Brings the next tick forward once something waits.
+    /// Shortens the time to the next tick when the engine is no longer idle.
     ///
-    /// A hundred ticks a second cost an idle daemon more than all its decisions,
-    /// but a request that is given up has to be told so within 10 ms.
-    fn hasten(&mut self, cx: CX![]) {
-        if self.pace == TickPace::Busy || self.engine.is_idle() {
+    /// A hundred ticks a second would cost an idle daemon more than all its decisions,
+    /// but the caller of an abandoned request has to be notified within 10 ms.
+    fn shorten_tick(&mut self, cx: CX![]) {
+        if self.tick_rate == TickRate::Busy || self.engine.is_idle() {
             return;
         }
         cx.timer_del(self.tick_key);
-        self.pace = TickPace::Busy;
-        self.tick_key = after!(BUSY_TICK, [cx], tick());
+        self.tick_rate = TickRate::Busy;
+        self.tick_key = after!(BUSY_TICK_INTERVAL, [cx], tick());
     }
 
-    /// Runs a decision and carries its effects out.
+    /// Runs `decide` on the engine and applies the effects.
     ///
-    /// A panic in a decision would unwind through the main loop and end the
-    /// process with every flow in it. Caught here it ends this part alone; the
-    /// supervisor starts it anew under a new incarnation. The engine isn't
-    /// used again after a panic, so that its half-changed state does no harm.
-    fn run<F>(&mut self, cx: CX![], decide: F)
+    /// A panic in the engine would unwind through the main loop and end the process
+    /// with all its flows. It is caught here, so that only this part fails and the
+    /// supervisor restarts it under a new incarnation. The engine isn't used again
+    /// after a panic, so its inconsistent state does no harm.
+    fn run_engine<F>(&mut self, cx: CX![], decide: F)
     where
         F: FnOnce(&mut FlowEngine, &DaemonContext) -> Vec<EngineEffect>,
     {
@@ -180,12 +183,12 @@
         let decided = catch_unwind(AssertUnwindSafe(|| decide(&mut self.engine, &self.context)));
         self.context.metrics.flow_engine.observe(started.elapsed().as_secs_f64());
         match decided {
-            Ok(effects) => self.carry_out(effects),
-            Err(_) => fail!(cx, "a decision panicked"),
+            Ok(effects) => self.apply_effects(effects),
+            Err(_) => fail!(cx, "the flow engine panicked"),
         }
     }
 
-    fn carry_out(&self, effects: Vec<EngineEffect>) {
+    fn apply_effects(&self, effects: Vec<EngineEffect>) {
         let mut outgoing = Vec::new();
         for effect in effects {
             match effect {
@@ -207,7 +210,9 @@
         }
         match self.context.directory.get::<DatagramListener>() {
             Some(listener) => call!([listener], send(outgoing)),
-            None => warn!("engine: {} datagrams dropped, no listener", outgoing.len()),
+            None => {
+                warn!("engine: {} datagrams dropped, no listener", outgoing.len())
+            }
         }
     }
 }
--- a/crates/foxledge-daemon/src/packets/daemon.rs
+++ b/crates/foxledge-daemon/src/packets/daemon.rs
@@ -1,4 +1,4 @@
-//! The process that routes packets, from its settings to its end.
+//! The process of the packet path: setup, main loop and queries of operators.
 
 use std::{
     cell::{Cell, OnceCell, RefCell},
@@ -47,20 +47,20 @@
     event_log::EventLog,
     fleet_part::FleetPart,
     flow_part::FlowPart,
-    life_part::LifePart,
+    lifecycle_part::LifecyclePart,
     metrics::PacketMetrics,
     part_kind::PacketSupervisor,
     parts::PacketParts,
     reports::{MemberReport, StatusReport},
-    side::{OperatorQuestion, SideEvent, SideThread},
+    side::{OperatorQuery, SideEvent, SideThread},
 };
 
-const EVENT_LIMIT: usize = 256;
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
-/// Entries that the audit trail keeps.
-const AUDIT_ENTRIES: usize = 500;
+const POLL_EVENT_CAPACITY: usize = 256;
+const MAX_POLL_WAIT: Duration = Duration::from_secs(60);
+/// Capacity of the audit trail, in entries.
+const MAX_AUDIT_ENTRIES: usize = 500;
 
-/// `StartLine` is the log line of a process that starts.
+/// The log line written when the process starts.
 #[derive(Serialize)]
 struct StartLine<'a> {
     event: &'static str,
@@ -73,7 +73,7 @@
     incarnation: u64,
 }
 
-/// `PacketDaemon` is the process: the main loop and what it holds.
+/// A running instance of the packet path: the main loop and everything that it owns.
 pub struct PacketDaemon {
     stakker: Stakker,
     poll: MioPoll,
@@ -89,21 +89,21 @@
     ///
     /// # Errors
     ///
-    /// When a socket can't be bound or the system gives no thread.
+    /// Fails when a socket can't be bound or a thread can't be started.
     pub fn start(
         settings: PacketSettings,
         path: PathBuf,
         adapters: PacketAdapters,
     ) -> Result<PacketDaemon> {
-        // First of all: a signal that comes before would end the process unasked.
+        // Registered first: an earlier signal would end the process without a planned stop.
         let signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
         let mut stakker = Stakker::new(Instant::now());
-        let poll = Poll::new().context("can't poll")?;
-        let events = Events::with_capacity(EVENT_LIMIT);
+        let poll = Poll::new().context("can't create the poll")?;
+        let events = Events::with_capacity(POLL_EVENT_CAPACITY);
         let poll = MioPoll::new(&mut stakker, poll, events, POLL_PRIORITY)?;
-        let (side, orders) = mpsc::unbounded_channel();
-        let context = make_context(settings, path, adapters, side)?;
-        let side_guard = start_side(&mut stakker, &context, orders)?;
+        let (side_commands, commands) = mpsc::unbounded_channel();
+        let context = make_context(settings, path, adapters, side_commands)?;
+        let side_guard = start_side(&mut stakker, &context, commands)?;
         let signal_guard = watch_signals(&mut stakker, &context, signals)?;
         let root = start_root(&mut stakker, &context);
         let is_idle_pending = stakker.run(Instant::now(), false);
@@ -118,20 +118,20 @@
         })
     }
 
-    /// Runs until the process is told to stop.
+    /// Runs the main loop until a planned stop has finished.
     ///
     /// # Errors
     ///
-    /// When the root supervisor ends for another reason.
+    /// Fails when polling fails or the root supervisor ends for another reason.
     pub fn run(&mut self) -> Result<()> {
         while self.stakker.not_shutdown() {
             let is_pending = self.is_idle_pending || self.is_io_pending;
-            let wait = self.stakker.next_wait_max(Instant::now(), LONGEST_WAIT, is_pending);
+            let wait = self.stakker.next_wait_max(Instant::now(), MAX_POLL_WAIT, is_pending);
             let (is_active, is_io_pending) = self.poll.poll(wait)?;
             self.is_io_pending = is_io_pending;
             self.is_idle_pending = self.stakker.run(Instant::now(), !is_active);
         }
-        self.context.log.borrow_mut().write();
+        self.context.log.borrow_mut().write_pending();
         match self.stakker.shutdown_reason() {
             None | Some(StopCause::Stopped) => Ok(()),
             Some(cause) => bail!("the root supervisor ended: {cause}"),
@@ -143,7 +143,7 @@
     settings: PacketSettings,
     path: PathBuf,
     adapters: PacketAdapters,
-    side: mpsc::UnboundedSender<super::side::SideOrder>,
+    side_commands: mpsc::UnboundedSender<super::side::SideCommand>,
 ) -> Result<SharedContext> {
     let clock = BootClock::start();
     let mut rng = StdRng::from_os_rng();
@@ -154,7 +154,7 @@
         .seeds(settings.seeds.clone())
         .report_load(settings.shares_load)
         .seed(rng.random());
-    let mut log = EventLog::on_stdout(settings.lines_per_s)?;
+    let mut log = EventLog::to_stdout(settings.log_lines_per_s)?;
     let line = StartLine {
         event: "started",
         instance: &settings.name,
@@ -165,8 +165,8 @@
         seeds: settings.seeds.len(),
         incarnation,
     };
-    log.note(clock.now(), "started", &line);
-    log.write();
+    log.log_event(clock.now(), "started", &line);
+    log.write_pending();
     Ok(Rc::new(PacketContext {
         data: bind_udp("listen.data", settings.data.into())?,
         peer: bind_udp("listen.peer", settings.peer.into())?,
@@ -178,10 +178,10 @@
         phase: Arc::new(PhaseCell::default()),
         log: RefCell::new(log),
         member: RefCell::new(FleetMember::new(options, clock.now())),
-        due_at: Cell::new(ClockTime::MAX),
+        next_timer_at: Cell::new(ClockTime::MAX),
         last_pause: Cell::new((ClockTime::ZERO, Duration::ZERO)),
-        packet_at: Cell::new(ClockTime::ZERO),
-        side,
+        last_packet_at: Cell::new(ClockTime::ZERO),
+        side_commands,
         directory: PartDirectory::default(),
         audit: OnceCell::new(),
     }))
@@ -189,11 +189,12 @@
 
 fn start_root(stakker: &mut Stakker, context: &SharedContext) -> ActorOwn<PacketSupervisor> {
     let seed = StdRng::from_os_rng().random();
-    let options = SupervisorOptions::new(ProcessClock::start(), seed).audit_limit(AUDIT_ENTRIES);
+    let options =
+        SupervisorOptions::new(ProcessClock::start(), seed).audit_limit(MAX_AUDIT_ENTRIES);
     let starter = Box::new(PacketParts::new(context.clone()));
     let root = actor!(stakker, PacketSupervisor::init(options, starter), ret_shutdown!(stakker));
     context.directory.set(&root);
-    // The root supervisor is made once, so the cell is empty.
+    // The root supervisor is created once, so the cell is empty.
     let _ = context.audit.set(fwd_to!([root], record() as (AuditChange)));
     root
 }
@@ -201,15 +202,16 @@
 fn start_side(
     stakker: &mut Stakker,
     context: &SharedContext,
-    orders: mpsc::UnboundedReceiver<super::side::SideOrder>,
+    commands: mpsc::UnboundedReceiver<super::side::SideCommand>,
 ) -> Result<ChannelGuard> {
     let settings = context.settings.borrow();
     let admin = bind_tcp("listen.admin", settings.admin)?;
     let metrics_listener = settings.metrics.and_then(|address| bind_metrics(context, address));
     let shared = context.clone();
-    let (events, guard) = Channel::new(stakker, fwd_do!(move |event| take_event(&shared, event)));
+    let (events, guard) =
+        Channel::new(stakker, fwd_do!(move |event| handle_side_event(&shared, event)));
     let side = SideThread {
-        orders,
+        commands,
         source: (context.adapters.source)(&settings),
         admin,
         metrics_listener,
@@ -221,77 +223,78 @@
     Ok(guard)
 }
 
-/// Opens the metrics' own port, if it is free.
+/// Binds the separate port for metrics; returns none when the address is in use.
 ///
-/// Callers can be served without it, and operators find the metrics at the admin
-/// address too.
+/// A failure isn't fatal: callers can be served without this port, and the admin
+/// address serves the metrics as well.
 fn bind_metrics(context: &SharedContext, address: SocketAddr) -> Option<TcpListener> {
     match bind_tcp("listen.metrics", address) {
         Ok(listener) => Some(listener),
         Err(error) => {
             let event = "metrics_unavailable";
             let error = format!("{error:#}");
-            context.note(event, &serde_json::json!({ "event": event, "error": error }));
+            context.log_event(event, &serde_json::json!({ "event": event, "error": error }));
             None
         }
     }
 }
 
-fn take_event(context: &SharedContext, event: SideEvent) {
+fn handle_side_event(context: &SharedContext, event: SideEvent) {
     match event {
-        SideEvent::Reading(order, answer) => {
+        SideEvent::StoreResponse(query, response) => {
             if let Some(fleet) = context.directory.get::<FleetPart>() {
-                call!([fleet], take_reading(order, answer));
+                call!([fleet], handle_store_response(query, response));
             }
         }
-        SideEvent::Asked(question, sender) => answer_operator(context, question, sender),
-        // Without the thread nobody learns that this process is alive, and it
-        // learns of no list. The platform starts it anew.
+        SideEvent::QueryReceived(query, sender) => answer_operator_query(context, query, sender),
+        // Without the side thread, health checks get no response and the store isn't read,
+        // so the process ends and the platform restarts it.
         SideEvent::Ended(why) => {
-            context.note("side_ended", &serde_json::json!({ "event": "side_ended", "why": why }));
-            context.log.borrow_mut().write();
+            context
+                .log_event("side_ended", &serde_json::json!({ "event": "side_ended", "why": why }));
+            context.log.borrow_mut().write_pending();
             if let Some(root) = context.directory.get::<PacketSupervisor>() {
-                call!([root], give_up(why));
+                call!([root], fail_process(why));
             }
         }
     }
 }
 
-fn answer_operator(
+fn answer_operator_query(
     context: &SharedContext,
-    question: OperatorQuestion,
+    query: OperatorQuery,
     sender: oneshot::Sender<Value>,
 ) {
-    match question {
-        OperatorQuestion::Gauges => {
+    match query {
+        OperatorQuery::Gauges => {
             set_gauges(context);
             let Some(flows) = context.directory.get::<FlowPart>() else { return };
-            // A question whose asker has gone needs no answer; so below.
+            // The send fails when the client has disconnected, which is harmless; so below.
             let answer = Box::new(move || drop(sender.send(Value::Null)));
             call!([flows], set_gauges(answer));
         }
-        OperatorQuestion::Status => {
+        OperatorQuery::Status => {
             let Some(flows) = context.directory.get::<FlowPart>() else { return };
             let shared = context.clone();
             let answer = Box::new(move |routing| {
                 let report = status_report(&shared, routing);
                 let _ = sender.send(serde_json::to_value(report).unwrap_or_default());
             });
-            call!([flows], report(answer));
+            call!([flows], report_routes(answer));
         }
-        OperatorQuestion::Explain(key, token) => {
+        OperatorQuery::Explain(key, token) => {
             let Some(flows) = context.directory.get::<FlowPart>() else { return };
             let answer = Box::new(move |report| {
                 let _ = sender.send(serde_json::to_value(report).unwrap_or_default());
             });
             call!([flows], explain(key, token, answer));
         }
-        OperatorQuestion::Audit => {
+        OperatorQuery::Audit => {
             let Some(root) = context.directory.get::<PacketSupervisor>() else { return };
             let answer = Box::new(move |entries| {
                 let _ = sender.send(serde_json::to_value(entries).unwrap_or_default());
             });
-            call!([root], read_audit(0, AUDIT_ENTRIES, answer));
+            call!([root], read_audit(0, MAX_AUDIT_ENTRIES, answer));
         }
     }
 }
@@ -301,7 +304,7 @@
     StatusReport {
         instance: settings.name.to_string(),
         data_centre: settings.data_centre.to_string(),
-        phase: context.phase.word(),
+        phase: context.phase.as_str(),
         list: MemberReport::new(&context.member.borrow(), context.clock.now()),
         routing,
     }
@@ -313,22 +316,22 @@
     metrics.peers.set(member.peer_count() as i64);
     metrics.is_reader.set(i64::from(member.is_reading_store()));
     metrics.list_age_ms.set(context.confirmed_age_ms().map_or(-1, |age| age as i64));
-    metrics.lines_suppressed.set(context.log.borrow().suppressed() as i64);
+    metrics.lines_suppressed.set(context.log.borrow().suppressed_lines() as i64);
 }
 
-/// Hands signals to the life part, in a thread of their own.
+/// Starts a thread that forwards signals to the lifecycle part.
 fn watch_signals(
     stakker: &mut Stakker,
     context: &SharedContext,
     mut signals: Signals,
 ) -> Result<ChannelGuard> {
     let shared = context.clone();
-    let hand_over = fwd_do!(move |signal: i32| {
-        if let Some(life) = shared.directory.get::<LifePart>() {
+    let forward = fwd_do!(move |signal: i32| {
+        if let Some(life) = shared.directory.get::<LifecyclePart>() {
             call!([life], on_signal(signal));
         }
     });
-    let (channel, guard) = Channel::new(stakker, hand_over);
+    let (channel, guard) = Channel::new(stakker, forward);
     thread::Builder::new().name("signals".to_owned()).spawn(move || {
         for signal in signals.forever() {
             info!("life: signal {signal}");
--- a/crates/foxledge-daemon/src/packets/event_log.rs
+++ b/crates/foxledge-daemon/src/packets/event_log.rs
@@ -1,7 +1,7 @@
 //! Structured log lines on standard output.
 //!
-//! Each line is one JSON object. Lines are collected and written without ever
-//! waiting: a reader that is slow costs lines, which are counted, and no packet.
+//! Each line is one JSON object. Lines are buffered and written without blocking: a
+//! slow reader causes lost lines, which are counted, but no delayed packets.
 
 use std::{
     collections::HashMap,
@@ -15,17 +15,17 @@
 };
 use serde::Serialize;
 
-/// Bytes of lines kept while standard output takes none; more are lost.
-const MOST_WAITING: usize = 128 * 1024;
-/// Most bytes of one write. A pipe takes so many together or not at all: with more,
-/// a pipe that several processes share, or that is nearly full, splits lines.
-const WRITE_AT: usize = 4 * 1024;
-/// Longest time that a line waits to be written together with others, in milliseconds.
-const WAIT_MS: u64 = 200;
-/// One flow in this many keeps all its lines, on every instance, when there are too many.
-const SAMPLE: u64 = 16;
-
-/// `LogField` are the fields with which every line begins.
+/// Maximum size of the buffer, in bytes; further lines are lost while the output blocks.
+const MAX_PENDING_BYTES: usize = 128 * 1024;
+/// Maximum size of one write, in bytes. A pipe accepts that much atomically; larger writes
+/// would split lines in a pipe that several processes share or that is nearly full.
+const MAX_WRITE_BYTES: usize = 4 * 1024;
+/// Maximum time for which a line is buffered to be written with others, in milliseconds.
+const MAX_WRITE_DELAY_MS: u64 = 200;
+/// While sampling, one flow in this many has all its lines logged, on every instance.
+const SAMPLED_FLOW_DIVISOR: u64 = 16;
+
+/// A line: the fields that all lines begin with, followed by those of the event.
 #[derive(Serialize)]
 struct LogLine<'a, T: Serialize> {
     at_ms: u64,
@@ -39,19 +39,19 @@
     *count == 0
 }
 
-/// `LineBudget` bounds the lines of one kind in a second.
+/// The rate limit of one kind of lines, counted in windows of a second.
 #[derive(Clone, Copy, Debug)]
 struct LineBudget {
     window_end: ClockTime,
-    asked: u64,
+    requested: u64,
     written: u64,
     suppressed: u64,
-    /// Set for a second when more lines were asked for in the one before.
+    /// True for a window when more lines than allowed were requested in the previous one.
     is_sampling: bool,
 }
 
-/// `RawStdout` writes to standard output without the buffer of the standard
-/// library, which would hide how much was taken.
+/// Unbuffered standard output. The buffer of the standard library would hide how many bytes
+/// were written.
 struct RawStdout;
 
 impl Write for RawStdout {
@@ -64,58 +64,58 @@
     }
 }
 
-/// `EventLog` is the log of one process.
+/// The event log of a process, with a rate limit for each kind of event.
 pub struct EventLog {
     lines_per_s: u64,
     budgets: HashMap<&'static str, LineBudget>,
-    waiting: Vec<u8>,
-    write_at: ClockTime,
-    suppressed: u64,
+    pending: Vec<u8>,
+    next_write_at: ClockTime,
+    suppressed_lines: u64,
     output: Box<dyn Write>,
 }
 
 impl EventLog {
-    /// A log on standard output, which is set never to wait.
+    /// Creates a log on standard output, which it sets to non-blocking mode.
     ///
     /// # Errors
     ///
-    /// When the process has no standard output.
-    pub fn on_stdout(lines_per_s: u32) -> io::Result<EventLog> {
+    /// Fails when the process has no standard output.
+    pub fn to_stdout(lines_per_s: u32) -> io::Result<EventLog> {
         let flags = fcntl(io::stdout(), FcntlArg::F_GETFL).map(OFlag::from_bits_truncate)?;
         fcntl(io::stdout(), FcntlArg::F_SETFL(flags | OFlag::O_NONBLOCK))?;
-        Ok(EventLog::on(Box::new(RawStdout), lines_per_s))
+        Ok(EventLog::with_output(Box::new(RawStdout), lines_per_s))
     }
 
-    /// A log on another output.
-    pub fn on(output: Box<dyn Write>, lines_per_s: u32) -> EventLog {
+    /// Creates a log that writes to `output`.
+    pub fn with_output(output: Box<dyn Write>, lines_per_s: u32) -> EventLog {
         EventLog {
             lines_per_s: u64::from(lines_per_s),
             budgets: HashMap::new(),
-            waiting: Vec::new(),
-            write_at: ClockTime::ZERO,
-            suppressed: 0,
+            pending: Vec::new(),
+            next_write_at: ClockTime::ZERO,
+            suppressed_lines: 0,
             output,
         }
     }
 
-    /// Lines that weren't written since the start.
-    pub fn suppressed(&self) -> u64 {
-        self.suppressed
+    /// Returns the number of lines that were suppressed or lost since the start.
+    pub fn suppressed_lines(&self) -> u64 {
+        self.suppressed_lines
     }
 
-    /// Logs a change of what the process is or believes.
-    pub fn note<T: Serialize>(&mut self, now: ClockTime, kind: &'static str, event: &T) {
+    /// Logs an event that isn't a decision on a flow.
+    pub fn log_event<T: Serialize>(&mut self, now: ClockTime, kind: &'static str, event: &T) {
         if let Some(suppressed) = self.admit(now, kind, 0) {
-            self.add(now, suppressed, event);
+            self.append_line(now, suppressed, event);
         }
     }
 
     /// Logs a decision on a flow.
     ///
-    /// In the second after one with too many, only one flow in sixteen is logged,
-    /// chosen by its hash: such a flow has all its lines on every instance. The
-    /// event of a line that isn't kept is never made.
-    pub fn decision<T: Serialize>(
+    /// In the second after one with too many lines, only one flow in sixteen is logged,
+    /// selected by its hash, so that such a flow has all its lines on every instance.
+    /// `make` isn't called for a suppressed line.
+    pub fn log_decision<T: Serialize>(
         &mut self,
         now: ClockTime,
         kind: &'static str,
@@ -123,96 +123,97 @@
         make: impl FnOnce() -> T,
     ) {
         if let Some(suppressed) = self.admit(now, kind, flow_hash) {
-            self.add(now, suppressed, &make());
+            self.append_line(now, suppressed, &make());
         }
     }
 
-    /// Writes what waits, if it has waited long enough or is much.
+    /// Writes the buffer when it is old or large enough.
     pub fn flush(&mut self, now: ClockTime) {
-        let is_due = self.waiting.len() >= WRITE_AT || self.write_at.is_past(now);
-        if is_due && !self.waiting.is_empty() {
-            self.write();
+        let is_write_due = self.pending.len() >= MAX_WRITE_BYTES || self.next_write_at.is_past(now);
+        if is_write_due && !self.pending.is_empty() {
+            self.write_pending();
         }
     }
 
-    /// Writes what waits.
-    pub fn write(&mut self) {
-        while !self.waiting.is_empty() {
-            let size = whole_lines(&self.waiting);
-            match self.output.write(&self.waiting[..size]) {
+    /// Writes the buffer, as far as the output accepts it.
+    pub fn write_pending(&mut self) {
+        while !self.pending.is_empty() {
+            let size = whole_lines_length(&self.pending);
+            match self.output.write(&self.pending[..size]) {
                 Ok(0) => return,
-                Ok(count) => drop(self.waiting.drain(..count)),
+                Ok(count) => drop(self.pending.drain(..count)),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                // Nobody reads now: the lines wait, as far as there is room.
+                // The reader is slow: the lines stay in the buffer.
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(_) => {
-                    // Nobody will ever read them.
-                    self.suppressed += count_lines(&self.waiting);
-                    self.waiting.clear();
+                    // The output is closed for good.
+                    self.suppressed_lines += count_lines(&self.pending);
+                    self.pending.clear();
                 }
             }
         }
     }
 
-    /// Counts a line; returns how many of the kind were suppressed since the last,
-    /// or none when this one is.
+    /// Applies the rate limit to a line. Returns the number of lines of its kind that were
+    /// suppressed since the last one logged, or none when this line is suppressed.
     fn admit(&mut self, now: ClockTime, kind: &'static str, flow_hash: u64) -> Option<u64> {
-        let most = self.lines_per_s;
+        let max_lines = self.lines_per_s;
         let budget = self.budgets.entry(kind).or_insert(LineBudget {
             window_end: now.after_millis(1_000),
-            asked: 0,
+            requested: 0,
             written: 0,
             suppressed: 0,
             is_sampling: false,
         });
         if budget.window_end.is_past(now) {
-            budget.is_sampling = budget.asked > most;
+            budget.is_sampling = budget.requested > max_lines;
             budget.window_end = now.after_millis(1_000);
-            (budget.asked, budget.written) = (0, 0);
+            (budget.requested, budget.written) = (0, 0);
         }
-        budget.asked += 1;
-        let is_left_out = budget.is_sampling && !flow_hash.is_multiple_of(SAMPLE);
-        if budget.written >= most || is_left_out {
+        budget.requested += 1;
+        let is_sampled_out = budget.is_sampling && !flow_hash.is_multiple_of(SAMPLED_FLOW_DIVISOR);
+        if budget.written >= max_lines || is_sampled_out {
             budget.suppressed += 1;
-            self.suppressed += 1;
+            self.suppressed_lines += 1;
             return None;
         }
         budget.written += 1;
         Some(std::mem::take(&mut budget.suppressed))
     }
 
-    fn add<T: Serialize>(&mut self, now: ClockTime, suppressed: u64, event: &T) {
-        if self.waiting.len() >= MOST_WAITING {
-            self.suppressed += 1;
+    fn append_line<T: Serialize>(&mut self, now: ClockTime, suppressed: u64, event: &T) {
+        if self.pending.len() >= MAX_PENDING_BYTES {
+            self.suppressed_lines += 1;
             return;
         }
-        if self.waiting.is_empty() {
-            self.write_at = now.after_millis(WAIT_MS);
+        if self.pending.is_empty() {
+            self.next_write_at = now.after_millis(MAX_WRITE_DELAY_MS);
         }
-        let line = LogLine { at_ms: wall_ms(), suppressed, event };
-        let size = self.waiting.len();
-        match serde_json::to_writer(&mut self.waiting, &line) {
-            Ok(()) => self.waiting.push(b'\n'),
+        let line = LogLine { at_ms: wall_clock_ms(), suppressed, event };
+        let size = self.pending.len();
+        match serde_json::to_writer(&mut self.pending, &line) {
+            Ok(()) => self.pending.push(b'\n'),
             Err(_) => {
-                self.waiting.truncate(size);
-                self.suppressed += 1;
+                self.pending.truncate(size);
+                self.suppressed_lines += 1;
             }
         }
     }
 }
 
-/// The time of day in milliseconds, for people; nothing is decided by it.
-fn wall_ms() -> u64 {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    since.map_or(0, |span| span.as_millis() as u64)
+/// Returns the wall-clock time in milliseconds; it is for readers of the log only.
+fn wall_clock_ms() -> u64 {
+    let elapsed = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+    elapsed.map_or(0, |span| span.as_millis() as u64)
 }
 
-/// Length of the lines that one write takes; a longer line goes by itself.
-fn whole_lines(bytes: &[u8]) -> usize {
+/// Returns the length of the whole lines that fit into one write; a longer line is written
+/// by itself.
+fn whole_lines_length(bytes: &[u8]) -> usize {
     let is_end = |byte: &u8| *byte == b'\n';
-    let room = &bytes[..bytes.len().min(WRITE_AT)];
-    let last = room.iter().rposition(is_end).or_else(|| bytes.iter().position(is_end));
-    last.map_or(bytes.len(), |end| end + 1)
+    let window = &bytes[..bytes.len().min(MAX_WRITE_BYTES)];
+    let last_end = window.iter().rposition(is_end).or_else(|| bytes.iter().position(is_end));
+    last_end.map_or(bytes.len(), |end| end + 1)
 }
 
 fn count_lines(bytes: &[u8]) -> u64 {
--- a/crates/foxledge-daemon/src/packets/parts.rs
+++ b/crates/foxledge-daemon/src/packets/parts.rs
@@ -1,4 +1,4 @@
-//! The parts that the supervisor of the packets' tree looks after.
+//! Creation of the parts of the packet path.
 
 use serde::Serialize;
 use stakker::{ActorOwnAnon, CX, Ret, StopCause, actor};
@@ -9,16 +9,16 @@
     context::SharedContext,
     fleet_part::FleetPart,
     flow_part::FlowPart,
-    life_part::LifePart,
+    lifecycle_part::LifecyclePart,
     part_kind::{PacketPart, PacketSupervisor},
 };
 
-/// `PacketParts` starts the parts and enters each in the directory.
+/// Starts the parts of the packet path and registers each in the directory.
 pub struct PacketParts {
     context: SharedContext,
 }
 
-/// `RestartLine` is the log line of a part that failed and starts anew.
+/// The log line of a part that is restarted after a failure.
 #[derive(Serialize)]
 struct RestartLine {
     event: &'static str,
@@ -26,7 +26,7 @@
 }
 
 impl PacketParts {
-    /// Makes the starter.
+    /// Creates a starter for parts that share `context`.
     pub fn new(context: SharedContext) -> PacketParts {
         PacketParts { context }
     }
@@ -57,20 +57,20 @@
                 owner.anon()
             }
             PacketPart::Life => {
-                let owner = actor!(cx, LifePart::init(context), notify);
+                let owner = actor!(cx, LifecyclePart::init(context), notify);
                 directory.set(&owner);
                 owner.anon()
             }
         }
     }
 
-    fn companions(&self, _part: PacketPart) -> &'static [PacketPart] {
+    fn dependents(&self, _part: PacketPart) -> &'static [PacketPart] {
         &[]
     }
 
-    fn note_restart(&mut self, part: PacketPart) {
+    fn on_restart(&mut self, part: PacketPart) {
         let part = part.as_str();
         self.context.metrics.part_restarts.with_label_values(&[part]).inc();
-        self.context.note("part_restarted", &RestartLine { event: "part_restarted", part });
+        self.context.log_event("part_restarted", &RestartLine { event: "part_restarted", part });
     }
 }
--- a/crates/foxledge-daemon/src/side/clients.rs
+++ b/crates/foxledge-daemon/src/side/clients.rs
@@ -1,4 +1,4 @@
-//! Connections to other processes.
+//! Pool of connections to other processes.
 
 use std::{
     collections::HashMap,
@@ -20,13 +20,13 @@
 
 use super::{counted::CountedStream, messages::CallError, tls::TlsBundle};
 
-/// Most connections kept; the one unused for longest makes room.
-const CHANNEL_LIMIT: usize = 64;
-const CONNECT_WAIT: Duration = Duration::from_millis(500);
-const KEEP_ALIVE_EVERY: Duration = Duration::from_secs(10);
-const KEEP_ALIVE_WAIT: Duration = Duration::from_secs(3);
+/// Maximum number of open connections; the least recently used one is evicted.
+const MAX_CHANNELS: usize = 64;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(10);
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// `ClientPool` is the connections that calls go out on.
+/// A pool of connections for outgoing calls.
 #[derive(Clone)]
 pub struct ClientPool {
     channels: Arc<Mutex<ChannelTable>>,
@@ -38,27 +38,28 @@
 #[derive(Default)]
 struct ChannelTable {
     entries: HashMap<SocketAddr, ChannelEntry>,
-    /// Counts uses and openings; orders entries by last use.
-    clock: u64,
+    /// The last sequence number; numbers order openings, uses and responses.
+    last_seq: u64,
 }
 
 struct ChannelEntry {
     channel: Channel,
-    opened: u64,
-    last_use: u64,
-    last_answer: u64,
-    tls_number: u64,
+    opened_seq: u64,
+    last_use_seq: u64,
+    last_answer_seq: u64,
+    tls_generation: u64,
 }
 
-/// `LentChannel` is a channel with what is needed to tell later whether it was silent.
-struct LentChannel {
+/// A channel of the pool, with the sequence numbers that show later whether it was
+/// unresponsive.
+struct PooledChannel {
     channel: Channel,
-    opened: u64,
-    lent: u64,
+    opened_seq: u64,
+    acquired_seq: u64,
 }
 
 impl ClientPool {
-    /// Makes an empty pool.
+    /// Creates an empty pool.
     pub fn new(
         metrics: Arc<MetricSet>,
         bundles: watch::Receiver<TlsBundle>,
@@ -67,13 +68,17 @@
         ClientPool { channels: Arc::default(), metrics, bundles, routes }
     }
 
-    /// Makes a call with a deadline.
+    /// Makes a call to `to` with a deadline.
     ///
-    /// Something between the two ends may lose track of a connection, which
-    /// then stays silent for good while new ones work. One would notice calls
-    /// that time out although the other side lives. A call that ends without
-    /// an answer, on a channel that answered nothing else meanwhile, therefore
-    /// abandons the channel, and the next call opens a new one.
+    /// A middlebox may lose the state of a connection, which then stays unresponsive
+    /// while new connections work, and calls time out although the other process is
+    /// alive. A call that gets no response, on a channel that has delivered no other
+    /// response meanwhile, therefore discards the channel, and the next call opens a
+    /// new one.
+    ///
+    /// # Errors
+    ///
+    /// Fails when the call times out or is refused, or the connection fails.
     pub async fn call<T, F, R>(
         &self,
         to: SocketAddr,
@@ -84,69 +89,70 @@
         F: FnOnce(Channel) -> R,
         R: Future<Output = Result<Response<T>, Status>>,
     {
-        let lent = self.lend(to)?;
-        match time::timeout(limit, call(lent.channel.clone())).await {
+        let pooled = self.acquire(to)?;
+        match time::timeout(limit, call(pooled.channel.clone())).await {
             Ok(Ok(response)) => {
-                self.note_answer(to, &lent);
+                self.record_answer(to, &pooled);
                 Ok(response.into_inner())
             }
             Ok(Err(status)) => {
                 if status.code() == Code::Unavailable {
-                    self.abandon(to, &lent);
+                    self.discard_unresponsive(to, &pooled);
                 } else {
-                    self.note_answer(to, &lent);
+                    self.record_answer(to, &pooled);
                 }
                 Err(CallError::Refused(status.message().to_owned()))
             }
             Err(_) => {
-                self.abandon(to, &lent);
+                self.discard_unresponsive(to, &pooled);
                 Err(CallError::TimedOut)
             }
         }
     }
 
-    fn lend(&self, to: SocketAddr) -> Result<LentChannel, CallError> {
+    fn acquire(&self, to: SocketAddr) -> Result<PooledChannel, CallError> {
         let bundle = self.bundles.borrow().clone();
         let mut table = self.lock();
-        table.clock += 1;
-        let now = table.clock;
-        // Certificates that have changed since count for new connections only.
-        let known = table.entries.get_mut(&to).filter(|entry| entry.tls_number == bundle.number);
-        if let Some(entry) = known {
-            entry.last_use = now;
-            return Ok(LentChannel {
+        table.last_seq += 1;
+        let seq = table.last_seq;
+        // A channel with outdated certificates isn't reused.
+        let existing =
+            table.entries.get_mut(&to).filter(|entry| entry.tls_generation == bundle.generation);
+        if let Some(entry) = existing {
+            entry.last_use_seq = seq;
+            return Ok(PooledChannel {
                 channel: entry.channel.clone(),
-                opened: entry.opened,
-                lent: now,
+                opened_seq: entry.opened_seq,
+                acquired_seq: seq,
             });
         }
-        table.make_room();
+        table.evict_when_full();
         let channel = self.open(to, &bundle)?;
         let entry = ChannelEntry {
             channel: channel.clone(),
-            opened: now,
-            last_use: now,
-            last_answer: 0,
-            tls_number: bundle.number,
+            opened_seq: seq,
+            last_use_seq: seq,
+            last_answer_seq: 0,
+            tls_generation: bundle.generation,
         };
         table.entries.insert(to, entry);
-        Ok(LentChannel { channel, opened: now, lent: now })
+        Ok(PooledChannel { channel, opened_seq: seq, acquired_seq: seq })
     }
 
     fn open(&self, to: SocketAddr, bundle: &TlsBundle) -> Result<Channel, CallError> {
         let scheme = if bundle.client.is_some() { "https" } else { "http" };
         let mut endpoint = Endpoint::from_shared(format!("{scheme}://{to}"))
             .map_err(|error| CallError::Refused(error.to_string()))?
-            .connect_timeout(CONNECT_WAIT)
-            .http2_keep_alive_interval(KEEP_ALIVE_EVERY)
-            .keep_alive_timeout(KEEP_ALIVE_WAIT)
+            .connect_timeout(CONNECT_TIMEOUT)
+            .http2_keep_alive_interval(KEEP_ALIVE_INTERVAL)
+            .keep_alive_timeout(KEEP_ALIVE_TIMEOUT)
             .keep_alive_while_idle(true);
         if let Some(client) = &bundle.client {
             endpoint = endpoint
                 .tls_config(client.clone())
                 .map_err(|error| CallError::Refused(error.to_string()))?;
         }
-        let (metrics, via) = (self.metrics.clone(), self.routes.via(to));
+        let (metrics, via) = (self.metrics.clone(), self.routes.resolve(to));
         let connector = service_fn(move |_: Uri| {
             let metrics = metrics.clone();
             async move {
@@ -158,40 +164,40 @@
         Ok(endpoint.connect_with_connector_lazy(connector))
     }
 
-    fn note_answer(&self, to: SocketAddr, lent: &LentChannel) {
+    fn record_answer(&self, to: SocketAddr, pooled: &PooledChannel) {
         let mut table = self.lock();
-        table.clock += 1;
-        let now = table.clock;
-        if let Some(entry) = table.entries.get_mut(&to).filter(|entry| entry.opened == lent.opened)
+        table.last_seq += 1;
+        let seq = table.last_seq;
+        if let Some(entry) =
+            table.entries.get_mut(&to).filter(|entry| entry.opened_seq == pooled.opened_seq)
         {
-            entry.last_answer = now;
+            entry.last_answer_seq = seq;
         }
     }
 
-    fn abandon(&self, to: SocketAddr, lent: &LentChannel) {
+    fn discard_unresponsive(&self, to: SocketAddr, pooled: &PooledChannel) {
         let mut table = self.lock();
-        let is_silent = table
-            .entries
-            .get(&to)
-            .is_some_and(|entry| entry.opened == lent.opened && entry.last_answer < lent.lent);
-        if is_silent {
+        let is_unresponsive = table.entries.get(&to).is_some_and(|entry| {
+            entry.opened_seq == pooled.opened_seq && entry.last_answer_seq < pooled.acquired_seq
+        });
+        if is_unresponsive {
             table.entries.remove(&to);
         }
     }
 
     fn lock(&self) -> MutexGuard<'_, ChannelTable> {
-        // The table is whole between two statements, so a panic elsewhere can't have spoilt it.
+        // The table is consistent between statements, so a panic can't have corrupted it.
         self.channels.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl ChannelTable {
-    /// Closes the channel unused for longest when the table is full.
-    fn make_room(&mut self) {
-        if self.entries.len() < CHANNEL_LIMIT {
+    /// Closes the least recently used channel when the table is full.
+    fn evict_when_full(&mut self) {
+        if self.entries.len() < MAX_CHANNELS {
             return;
         }
-        let oldest = self.entries.iter().min_by_key(|(_, entry)| entry.last_use);
+        let oldest = self.entries.iter().min_by_key(|(_, entry)| entry.last_use_seq);
         if let Some(address) = oldest.map(|(address, _)| *address) {
             self.entries.remove(&address);
         }
--- a/crates/foxledge-daemon/src/side/server.rs
+++ b/crates/foxledge-daemon/src/side/server.rs
@@ -1,4 +1,4 @@
-//! The control interface that this instance serves.
+//! Server of the control interface.
 
 use std::{net::TcpListener, sync::Arc, time::Duration};
 
@@ -22,31 +22,35 @@
 use crate::metrics::MetricSet;
 
 use super::{
-    calls::CallDesk,
+    calls::CallRunner,
     counted::CountedStream,
-    messages::{FlowQuestion, LinkEvent},
+    messages::{FlowQuery, LinkEvent},
     tls::TlsBundle,
 };
 
-/// Longest wait for the main loop's answer.
-const ANSWER_WAIT: Duration = Duration::from_secs(2);
-const KEEP_ALIVE_EVERY: Duration = Duration::from_secs(20);
-const KEEP_ALIVE_WAIT: Duration = Duration::from_secs(5);
-/// Most calls of one connection that are served at once.
-const STREAM_LIMIT: u32 = 64;
-/// Most parts that one call may ask for.
-const PARTS_LIMIT: usize = 4096;
-/// Most entries of the audit trail in one answer.
-const AUDIT_LIMIT: usize = 1000;
-
-/// Serves the control interface, with a new server whenever the certificates change.
+/// Timeout of a query to the main loop.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(20);
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of concurrent calls of one connection.
+const MAX_STREAMS: u32 = 64;
+/// Maximum number of parts requested by one call.
+const MAX_PARTS_PER_CALL: usize = 4096;
+/// Maximum number of entries of the audit trail in one response.
+const MAX_AUDIT_ENTRIES: usize = 1000;
+
+/// Serves the control interface, and replaces the server when the certificates change.
 ///
-/// The server that has the old certificates takes no more connections then,
-/// and ends when the last of its connections does.
+/// The server with the old certificates then accepts no more connections, and ends
+/// when its last connection is closed.
+///
+/// # Errors
+///
+/// Fails when a server can't be configured or ends.
 pub async fn serve(
     listener: TcpListener,
     mut bundles: watch::Receiver<TlsBundle>,
-    desk: CallDesk,
+    runner: CallRunner,
     events: Channel<LinkEvent>,
     metrics: Arc<MetricSet>,
 ) -> Result<()> {
@@ -56,16 +60,16 @@
         let listener = tokio::net::TcpListener::from_std(listener.try_clone()?)?;
         let metrics = metrics.clone();
         let incoming = TcpListenerStream::new(listener)
-            .map(move |accepted| accepted.map(no_delay))
+            .map(move |accepted| accepted.map(with_nodelay))
             .map(move |accepted| accepted.map(|stream| CountedStream::new(stream, &metrics)));
         let mut builder = Server::builder()
-            .http2_keepalive_interval(Some(KEEP_ALIVE_EVERY))
-            .http2_keepalive_timeout(Some(KEEP_ALIVE_WAIT))
-            .max_concurrent_streams(STREAM_LIMIT);
+            .http2_keepalive_interval(Some(KEEP_ALIVE_INTERVAL))
+            .http2_keepalive_timeout(Some(KEEP_ALIVE_TIMEOUT))
+            .max_concurrent_streams(MAX_STREAMS);
         if let Some(tls) = bundle.server {
             builder = builder.tls_config(tls)?;
         }
-        let service = ControlService { desk: desk.clone(), events: events.clone() };
+        let service = ControlService { runner: runner.clone(), events: events.clone() };
         let server = builder
             .add_service(PeerServer::new(service.clone()))
             .add_service(AdminServer::new(service))
@@ -85,34 +89,34 @@
     }
 }
 
-/// Has the stream send at once what is written.
+/// Disables Nagle's algorithm on the stream.
 ///
-/// Otherwise the end of each answer longer than a segment, such as a part of a
-/// list, waits for the caller's delayed acknowledgement; one would notice some
-/// 40 ms for each part. A connection for which it fails is about to fail itself.
-fn no_delay(stream: tokio::net::TcpStream) -> tokio::net::TcpStream {
+/// Otherwise the end of each response longer than a segment, such as a part of a
+/// list, would wait for the client's delayed acknowledgement, which costs some 40 ms for
+/// each part. An error here is ignored, as the connection itself is about to fail then.
+fn with_nodelay(stream: tokio::net::TcpStream) -> tokio::net::TcpStream {
     let _ = stream.set_nodelay(true);
     stream
 }
 
-/// `ControlService` hands calls to the main loop.
+/// Forwards control calls to the main loop.
 #[derive(Clone)]
 struct ControlService {
-    desk: CallDesk,
+    runner: CallRunner,
     events: Channel<LinkEvent>,
 }
 
 impl ControlService {
-    /// Asks the main loop and waits for its answer, for a bounded time.
-    async fn ask<T>(
+    /// Sends a query to the main loop and waits for the response, for a bounded time.
+    async fn query_main_loop<T>(
         &self,
-        question: impl FnOnce(oneshot::Sender<T>) -> LinkEvent,
+        query: impl FnOnce(oneshot::Sender<T>) -> LinkEvent,
     ) -> Result<T, Status> {
         let (sender, answer) = oneshot::channel();
-        if !self.events.send(question(sender)) {
+        if !self.events.send(query(sender)) {
             return Err(Status::unavailable("the instance stops"));
         }
-        match timeout(ANSWER_WAIT, answer).await {
+        match timeout(ANSWER_TIMEOUT, answer).await {
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(_)) => Err(Status::unavailable("the part that should answer isn't running")),
             Err(_) => Err(Status::deadline_exceeded("the main loop didn't answer")),
@@ -124,14 +128,16 @@
 impl Peer for ControlService {
     async fn beat(&self, request: Request<Heartbeat>) -> Result<Response<HeartbeatReply>, Status> {
         let beat = request.into_inner();
-        self.ask(|answer| LinkEvent::BeatArrived(beat, answer)).await.map(Response::new)
+        self.query_main_loop(|answer| LinkEvent::HeartbeatReceived(beat, answer))
+            .await
+            .map(Response::new)
     }
 
     async fn fetch_manifest(
         &self,
         _request: Request<ManifestRequest>,
     ) -> Result<Response<Manifest>, Status> {
-        let manifest = self.ask(LinkEvent::ManifestAsked).await?;
+        let manifest = self.query_main_loop(LinkEvent::ManifestRequested).await?;
         manifest.map(Response::new).ok_or_else(|| Status::not_found("no list yet"))
     }
 
@@ -140,10 +146,11 @@
         request: Request<PartsRequest>,
     ) -> Result<Response<PartsReply>, Status> {
         let digests = request.into_inner().digests;
-        if digests.len() > PARTS_LIMIT {
+        if digests.len() > MAX_PARTS_PER_CALL {
             return Err(Status::invalid_argument("too many parts asked for"));
         }
-        let parts = self.ask(|answer| LinkEvent::PartsAsked(digests, answer)).await?;
+        let parts =
+            self.query_main_loop(|answer| LinkEvent::PartsRequested(digests, answer)).await?;
         Ok(Response::new(PartsReply { parts }))
     }
 
@@ -155,7 +162,7 @@
         let address = address
             .parse()
             .map_err(|_| Status::invalid_argument("not an IP number with a port"))?;
-        let answered = self.desk.probe(address).await;
+        let answered = self.runner.probe(address).await;
         Ok(Response::new(RelayProbeReply { answered }))
     }
 }
@@ -166,7 +173,7 @@
         &self,
         _request: Request<StatusRequest>,
     ) -> Result<Response<StatusReply>, Status> {
-        let json = self.ask(LinkEvent::StatusAsked).await?;
+        let json = self.query_main_loop(LinkEvent::StatusRequested).await?;
         Ok(Response::new(StatusReply { json }))
     }
 
@@ -175,8 +182,9 @@
         request: Request<ExplainRequest>,
     ) -> Result<Response<ExplainReply>, Status> {
         let ExplainRequest { address, member, work, flow } = request.into_inner();
-        let question = FlowQuestion { address, member, work, flow };
-        let explained = self.ask(|answer| LinkEvent::ExplainAsked(question, answer)).await?;
+        let query = FlowQuery { address, member, work, flow };
+        let explained =
+            self.query_main_loop(|answer| LinkEvent::ExplainRequested(query, answer)).await?;
         let json = explained.map_err(Status::invalid_argument)?;
         Ok(Response::new(ExplainReply { json }))
     }
@@ -184,15 +192,17 @@
     async fn audit(&self, request: Request<AuditRequest>) -> Result<Response<AuditReply>, Status> {
         let AuditRequest { after, limit } = request.into_inner();
         let limit = match limit {
-            0 => AUDIT_LIMIT,
-            limit => (limit as usize).min(AUDIT_LIMIT),
+            0 => MAX_AUDIT_ENTRIES,
+            limit => (limit as usize).min(MAX_AUDIT_ENTRIES),
         };
-        let json = self.ask(|answer| LinkEvent::AuditAsked { after, limit, answer }).await?;
+        let json = self
+            .query_main_loop(|answer| LinkEvent::AuditRequested { after, limit, answer })
+            .await?;
         Ok(Response::new(AuditReply { json }))
     }
 
     async fn drain(&self, _request: Request<DrainRequest>) -> Result<Response<DrainReply>, Status> {
-        let accepted = self.ask(LinkEvent::DrainAsked).await?;
+        let accepted = self.query_main_loop(LinkEvent::DrainRequested).await?;
         if accepted {
             warn!("link: an operator asked this instance to leave");
         }
--- a/crates/foxledge-daemon/src/side/tls.rs
+++ b/crates/foxledge-daemon/src/side/tls.rs
@@ -1,4 +1,4 @@
-//! Certificates for the calls between instances, read anew when their files change.
+//! Certificates for calls between instances, reloaded when their files change.
 
 use std::{
     fs,
@@ -12,64 +12,75 @@
 use tokio::{sync::watch, time::sleep};
 use tonic::transport::{Certificate, ClientTlsConfig, Identity, ServerTlsConfig};
 
-/// Name that every instance's certificate carries; instances are called by IP number.
+/// Domain name in the certificates of all instances, as they are called by IP address.
 pub const INSTANCE_DOMAIN: &str = "foxledge.internal";
-const CHECK_EVERY: Duration = Duration::from_secs(3);
+/// Time between two checks of the files for changes.
+const CHECK_INTERVAL: Duration = Duration::from_secs(3);
 
-/// `TlsBundle` is the certificates in use; none without TLS.
+/// The certificates in use; empty without TLS.
 #[derive(Clone, Debug, Default)]
 pub struct TlsBundle {
-    /// Counts the readings of the files.
-    pub number: u64,
-    /// For calls to other instances.
+    /// Increases with each reload of the files.
+    pub generation: u64,
+    /// Configuration of calls to other instances.
     pub client: Option<ClientTlsConfig>,
-    /// For calls from other instances and operators.
+    /// Configuration of the server for other instances and operators.
     pub server: Option<ServerTlsConfig>,
 }
 
-/// `TlsFiles` is the files that the certificates are read from.
+/// The files of the certificates and their current contents.
 pub struct TlsFiles {
     settings: Option<TlsSettings>,
-    changed: Vec<Option<SystemTime>>,
+    modified_times: Vec<Option<SystemTime>>,
     bundle: TlsBundle,
 }
 
 impl TlsFiles {
-    /// Reads the files; without settings the calls go without TLS.
+    /// Loads the files; calls are made without TLS when `settings` is none.
+    ///
+    /// # Errors
+    ///
+    /// Fails when a file can't be read or is invalid.
     pub fn load(settings: Option<TlsSettings>) -> Result<TlsFiles> {
-        let mut files = TlsFiles { settings, changed: Vec::new(), bundle: TlsBundle::default() };
+        let mut files =
+            TlsFiles { settings, modified_times: Vec::new(), bundle: TlsBundle::default() };
         if let Some(settings) = &files.settings {
-            files.changed = change_times(settings);
+            files.modified_times = modified_times(settings);
             files.bundle = read_bundle(settings, 1)?;
         }
         Ok(files)
     }
 
-    /// The certificates as last read.
+    /// Returns the certificates as last loaded.
     pub fn bundle(&self) -> TlsBundle {
         self.bundle.clone()
     }
 
-    /// Reads the files again whenever one has changed, for ever.
+    /// Reloads the files whenever one of them has changed. Never returns without an error.
+    ///
+    /// Certificates are replaced before they expire. A process that went on with the old
+    /// ones would lose all its peers at their expiry.
+    ///
+    /// # Errors
     ///
-    /// Certificates are replaced before they run out. A process that kept the
-    /// old ones would be cut off from its peers when they do, all at once.
+    /// Fails when the receivers of the certificates have been dropped.
     pub async fn reload_on_change(mut self, bundles: watch::Sender<TlsBundle>) -> Result<()> {
         let Some(settings) = self.settings.take() else {
             std::future::pending::<()>().await;
             return Ok(());
         };
         loop {
-            sleep(CHECK_EVERY).await;
-            let changed = change_times(&settings);
-            if changed == self.changed {
+            sleep(CHECK_INTERVAL).await;
+            let modified_times = modified_times(&settings);
+            if modified_times == self.modified_times {
                 continue;
             }
-            // The files may change one after the other; a reading in between fails and is repeated.
-            match read_bundle(&settings, self.bundle.number + 1) {
+            // The files may be replaced one after the other; a reload in between fails and is
+            // retried.
+            match read_bundle(&settings, self.bundle.generation + 1) {
                 Ok(bundle) => {
                     info!("link: certificates read anew");
-                    self.changed = changed;
+                    self.modified_times = modified_times;
                     self.bundle = bundle.clone();
                     bundles.send(bundle)?;
                 }
@@ -79,12 +90,12 @@
     }
 }
 
-fn change_times(settings: &TlsSettings) -> Vec<Option<SystemTime>> {
+fn modified_times(settings: &TlsSettings) -> Vec<Option<SystemTime>> {
     let paths = [&settings.ca, &settings.certificate, &settings.key];
     paths.map(|path| fs::metadata(path).and_then(|data| data.modified()).ok()).to_vec()
 }
 
-fn read_bundle(settings: &TlsSettings, number: u64) -> Result<TlsBundle> {
+fn read_bundle(settings: &TlsSettings, generation: u64) -> Result<TlsBundle> {
     let ca = Certificate::from_pem(read_file(&settings.ca)?);
     let certificate = read_file(&settings.certificate)?;
     let identity = Identity::from_pem(certificate, read_file(&settings.key)?);
@@ -95,7 +106,7 @@
     let server = ServerTlsConfig::new().identity(identity).client_ca_root(ca);
     // Building a server is the check that the files go together.
     tonic::transport::Server::builder().tls_config(server.clone()).context("certificates")?;
-    Ok(TlsBundle { number, client: Some(client), server: Some(server) })
+    Ok(TlsBundle { generation, client: Some(client), server: Some(server) })
 }
 
 fn read_file(path: &PathBuf) -> Result<Vec<u8>> {
--- a/crates/foxledge-settings/src/packet_settings.rs
+++ b/crates/foxledge-settings/src/packet_settings.rs
@@ -1,71 +1,73 @@
-//! Settings of an instance that routes packets.
+//! Settings of an instance of the packet path.
 
 use std::{collections::HashMap, fs, net::SocketAddr, net::SocketAddrV4, path::Path, sync::Arc};
 
-use crate::parse::whole_finding;
+use crate::parse::file_finding;
 use foxledge_core::{
     findings::FindingList,
     names::{CentreName, InstanceName, RegionName},
 };
 use foxledge_document::{SourceFindings, TableReader, read_document};
 
-/// Largest settings file, in bytes.
-const LARGEST_FILE: usize = 1_000_000;
+/// Maximum size of a settings file, in bytes.
+const MAX_FILE_BYTES: usize = 1_000_000;
 
-/// Longest planned stop when the settings name none, in seconds, as on the users'
-/// platform.
-const STOP_LIMIT_S: f64 = 6.0;
-/// Hundredths of the room for less urgent priorities when the settings name none.
-const FLOOR_PERCENT: u64 = 10;
-/// Multiple of the fair rate for one client account when the settings name none.
-const ACCOUNT_SHARE: f64 = 1.0;
+/// Default time limit of a planned stop, in seconds: the limit of the users' platform.
+const DEFAULT_STOP_LIMIT_S: f64 = 6.0;
+/// Default share of the capacity that is reserved for less urgent priorities, in percent.
+const DEFAULT_FLOOR_PERCENT: u64 = 10;
+/// Default limit of one client account, as a multiple of the fair rate.
+const DEFAULT_ACCOUNT_SHARE: f64 = 1.0;
 
-/// `PacketSettings` is everything that an instance reads at its start.
+/// All settings of an instance of the packet path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PacketSettings {
-    /// The instance's name, unique in the fleet.
+    /// Name of the instance, unique in the fleet.
     pub name: InstanceName,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub data_centre: CentreName,
     /// The region of each data centre.
     pub regions: HashMap<CentreName, RegionName>,
-    /// Hundredths of its published limit of new flows that a cold backend server may get.
+    /// Rate of new flows that a backend server may get during its slow start, in percent of
+    /// its published limit.
     pub cold_overrun_percent: u32,
-    /// New flows a second that it may get beside these.
+    /// Additional new flows per second that it may get.
     pub cold_slack: u32,
-    /// Bandwidth of its link in Mbit/s; 0 when it isn't told.
+    /// Bandwidth of the link of the instance, in Mbit/s; 0 when unknown.
     pub link_mbps: u32,
-    /// UDP, packets of callers.
+    /// UDP address for packets of callers.
     pub data: SocketAddrV4,
-    /// UDP, other instances.
+    /// UDP address for messages of other instances.
     pub peer: SocketAddrV4,
-    /// Where other instances are told to send; the address of `peer` unless a
-    /// translation stands in between.
+    /// Address announced to other instances; equal to `peer` unless address translation is
+    /// used.
     pub peer_public: SocketAddrV4,
-    /// TCP, HTTP with `/healthz`.
+    /// TCP address of the HTTP interface with `/healthz`.
     pub admin: SocketAddr,
-    /// TCP, HTTP with `/metrics`, `/status` and more; none serves them with `admin`.
+    /// Separate TCP address of the HTTP interface with `/metrics`, `/status` and more; if none,
+    /// only `admin` serves them.
     pub metrics: Option<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddrV4,
-    /// Instances to ask first.
+    /// Instances to contact first.
     pub seeds: Vec<SocketAddrV4>,
-    /// Longest time of a planned stop, in milliseconds.
-    pub stop_ms: u64,
-    /// Lines of each kind logged in a second at most.
-    pub lines_per_s: u32,
-    /// True when load is reported to other instances, and new flows leave full data centres.
+    /// Time limit of a planned stop, in milliseconds.
+    pub stop_limit_ms: u64,
+    /// Maximum number of log lines of each kind per second.
+    pub log_lines_per_s: u32,
+    /// True when load is reported to other instances, and new flows overflow from full data
+    /// centres.
     pub shares_load: bool,
-    /// Refusal of new flows under shortage; none leaves it out.
+    /// Admission control under a shortage of capacity; none disables it.
     pub admission: Option<AdmissionSettings>,
 }
 
-/// `AdmissionSettings` is how room is shared while a service is short of it.
+/// How capacity is shared while a service is short of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionSettings {
-    /// Hundredths of the room that stay with less urgent priorities.
+    /// Share of the capacity that is reserved for less urgent priorities, in percent.
     pub floor_percent: u32,
-    /// Hundredths of the fair rate that one client account may take; 0 for no limit.
+    /// Limit of one client account, in percent of the fair rate; 0 for no limit.
     pub account_percent: u32,
 }
 
@@ -73,23 +75,23 @@
 ///
 /// # Errors
 ///
-/// Every finding, with its line and key.
+/// Returns all findings, with their lines and keys.
 pub fn load_packet_settings(path: &Path) -> Result<PacketSettings, FindingList> {
     let source = path.display().to_string();
     match fs::read_to_string(path) {
         Ok(text) => parse_packet_settings(&source, &text),
-        Err(error) => Err(whole_finding(&source, format!("can't be read: {error}"))),
+        Err(error) => Err(file_finding(&source, format!("can't be read: {error}"))),
     }
 }
 
-/// Checks the text of a settings file; `source` stands in the findings.
+/// Parses and checks the text of a settings file; `source` names the file in the findings.
 ///
 /// # Errors
 ///
-/// Every finding, with its line and key.
+/// Returns all findings, with their lines and keys.
 pub fn parse_packet_settings(source: &str, text: &str) -> Result<PacketSettings, FindingList> {
-    if text.len() > LARGEST_FILE {
-        return Err(whole_finding(source, "is larger than 1 MB"));
+    if text.len() > MAX_FILE_BYTES {
+        return Err(file_finding(source, "is larger than 1 MB"));
     }
     let notes = SourceFindings::new(source, text);
     match read_document(&notes, text, read_settings).flatten() {
@@ -98,11 +100,11 @@
     }
 }
 
-/// Reads every table before it gives up on one, so that all findings are noted.
+/// Reads every table before it fails, so that all findings are reported.
 fn read_settings(root: &TableReader<'_>) -> Option<PacketSettings> {
     let instance = root.table("instance");
-    let name = instance.require("name", filled_text(&instance, "name"));
-    let data_centre = instance.require("data_centre", filled_text(&instance, "data_centre"));
+    let name = instance.require("name", non_empty_text(&instance, "name"));
+    let data_centre = instance.require("data_centre", non_empty_text(&instance, "data_centre"));
     let link_mbps = instance.decimal("link_mbps", 0.0..=1e6).unwrap_or(0.0) as u32;
     instance.finish();
 
@@ -113,9 +115,9 @@
     cold.finish();
 
     let listen = root.table("listen");
-    let data = listen.require("data", address_v4(&listen, "data"));
-    let peer = listen.require("peer", address_v4(&listen, "peer"));
-    let peer_public = address_v4(&listen, "peer_public").or(peer);
+    let data = listen.require("data", ipv4_address(&listen, "data"));
+    let peer = listen.require("peer", ipv4_address(&listen, "peer"));
+    let peer_public = ipv4_address(&listen, "peer_public").or(peer);
     let admin = listen.require("admin", listen.address("admin"));
     let metrics = listen.has_key("metrics").then(|| listen.address("metrics"));
     if data.is_some() && data == peer {
@@ -124,7 +126,7 @@
     listen.finish();
 
     let store = root.table("store");
-    let address = store.require("address", address_v4(&store, "address"));
+    let address = store.require("address", ipv4_address(&store, "address"));
     store.finish();
 
     let peers = root.table("peers");
@@ -132,12 +134,12 @@
     peers.finish();
 
     let stop = root.table("stop");
-    let limit_s = stop.decimal("limit_s", 1.0..=3_600.0).unwrap_or(STOP_LIMIT_S);
-    let stop_ms = (limit_s * 1_000.0) as u64;
+    let limit_s = stop.decimal("limit_s", 1.0..=3_600.0).unwrap_or(DEFAULT_STOP_LIMIT_S);
+    let stop_limit_ms = (limit_s * 1_000.0) as u64;
     stop.finish();
 
     let log = root.table("log");
-    let lines_per_s = log.number_or("lines_per_s", 1..=100_000, 100) as u32;
+    let log_lines_per_s = log.number_or("lines_per_s", 1..=100_000, 100) as u32;
     log.finish();
 
     let load = root.table("load");
@@ -159,18 +161,19 @@
         metrics: metrics.flatten(),
         store: address?,
         seeds,
-        stop_ms,
-        lines_per_s,
+        stop_limit_ms,
+        log_lines_per_s,
         shares_load,
         admission,
     })
 }
 
-/// Admission decides by the load of all instances, so it needs their reports.
+/// Reads the admission table. Admission depends on the load reports of all instances, so it
+/// requires load sharing.
 fn read_admission(table: &TableReader<'_>, shares_load: bool) -> Option<AdmissionSettings> {
     let is_enabled = table.boolean("enabled").unwrap_or(false);
-    let floor_percent = table.number_or("floor_percent", 0..=50, FLOOR_PERCENT) as u32;
-    let share = table.decimal("account_share", 0.0..=100.0).unwrap_or(ACCOUNT_SHARE);
+    let floor_percent = table.number_or("floor_percent", 0..=50, DEFAULT_FLOOR_PERCENT) as u32;
+    let share = table.decimal("account_share", 0.0..=100.0).unwrap_or(DEFAULT_ACCOUNT_SHARE);
     if share > 0.0 && share < 1.0 {
         table.add_finding("account_share", "must be 0 or from 1 to 100");
     }
@@ -183,12 +186,12 @@
 }
 
 impl PacketSettings {
-    /// What differs from `newer`, each as key, value before and value after.
+    /// Returns the differences to `newer`, each as key, old value and new value.
     pub fn changes(&self, newer: &PacketSettings) -> Vec<(Arc<str>, String, String)> {
         let pairs = [
             ("instance.name", self.name.to_string(), newer.name.to_string()),
             ("instance.data_centre", self.data_centre.to_string(), newer.data_centre.to_string()),
-            ("data_centres", sorted(&self.regions), sorted(&newer.regions)),
+            ("data_centres", sorted_regions(&self.regions), sorted_regions(&newer.regions)),
             (
                 "cold.overrun",
                 self.cold_overrun_percent.to_string(),
@@ -203,8 +206,12 @@
             ("listen.metrics", format!("{:?}", self.metrics), format!("{:?}", newer.metrics)),
             ("store.address", self.store.to_string(), newer.store.to_string()),
             ("peers.seeds", format!("{:?}", self.seeds), format!("{:?}", newer.seeds)),
-            ("stop.limit_s", self.stop_ms.to_string(), newer.stop_ms.to_string()),
-            ("log.lines_per_s", self.lines_per_s.to_string(), newer.lines_per_s.to_string()),
+            ("stop.limit_s", self.stop_limit_ms.to_string(), newer.stop_limit_ms.to_string()),
+            (
+                "log.lines_per_s",
+                self.log_lines_per_s.to_string(),
+                newer.log_lines_per_s.to_string(),
+            ),
             ("load.enabled", self.shares_load.to_string(), newer.shares_load.to_string()),
             ("admission", admission_text(self.admission), admission_text(newer.admission)),
         ];
@@ -213,12 +220,12 @@
     }
 }
 
-/// The region of each data centre that is named.
+/// Reads the region of each listed data centre.
 fn read_regions(root: &TableReader<'_>) -> HashMap<CentreName, RegionName> {
     let mut regions = HashMap::new();
     for table in root.tables("data_centres") {
-        let name = table.require("name", filled_text(&table, "name"));
-        let region = table.require("region", filled_text(&table, "region"));
+        let name = table.require("name", non_empty_text(&table, "name"));
+        let region = table.require("region", non_empty_text(&table, "region"));
         if let (Some(name), Some(region)) = (name, region) {
             let former = regions.insert(CentreName::new(name), RegionName::new(region));
             if former.is_some() {
@@ -239,13 +246,13 @@
     }
 }
 
-fn sorted(regions: &HashMap<CentreName, RegionName>) -> String {
+fn sorted_regions(regions: &HashMap<CentreName, RegionName>) -> String {
     let mut regions: Vec<_> = regions.iter().collect();
     regions.sort_unstable();
     format!("{regions:?}")
 }
 
-/// The seeds, each once: a list that names one twice is harmless.
+/// Reads the seeds and removes duplicates, which are harmless.
 fn read_seeds(table: &TableReader<'_>) -> Vec<SocketAddrV4> {
     let mut seeds = Vec::new();
     for text in table.texts("seeds") {
@@ -261,7 +268,7 @@
     seeds
 }
 
-fn filled_text<'d>(table: &TableReader<'d>, key: &'static str) -> Option<&'d str> {
+fn non_empty_text<'d>(table: &TableReader<'d>, key: &'static str) -> Option<&'d str> {
     let text = table.text(key)?;
     if text.is_empty() {
         table.add_finding(key, "must not be empty");
@@ -270,17 +277,17 @@
     Some(text)
 }
 
-/// Packets name their ends by IPv4 addresses.
-fn address_v4(table: &TableReader<'_>, key: &'static str) -> Option<SocketAddrV4> {
+/// Reads an IPv4 address, as packets identify their ends by IPv4 addresses.
+fn ipv4_address(table: &TableReader<'_>, key: &'static str) -> Option<SocketAddrV4> {
     let address = table.address(key)?;
-    let found = v4_of(address);
+    let found = as_ipv4(address);
     if found.is_none() {
         table.add_finding(key, "must be an IPv4 address");
     }
     found
 }
 
-fn v4_of(address: SocketAddr) -> Option<SocketAddrV4> {
+fn as_ipv4(address: SocketAddr) -> Option<SocketAddrV4> {
     match address {
         SocketAddr::V4(address) => Some(address),
         SocketAddr::V6(_) => None,
