--- a/crates/foxledge-soak/src/backends.rs
+++ b/crates/foxledge-soak/src/backends.rs
@@ -16,28 +16,28 @@
 use tokio::{net::UdpSocket, task::JoinHandle};
 
 use crate::{
-    heads::{ACK, FIN, RST, SYN, WirePacket},
     links::PacketLoss,
+    packets::{ACK, FIN, RST, SYN, WirePacket},
     promises::PromiseLedger,
     store::StandInStore,
 };
 
 /// Time that a request takes.
-const WORK: Duration = Duration::from_millis(8);
+const REQUEST_TIME: Duration = Duration::from_millis(8);
 /// Time that a request takes at a backend server whose slots are counted.
-const SLOT_WORK: Duration = Duration::from_millis(60);
+const SLOT_REQUEST_TIME: Duration = Duration::from_millis(60);
 /// Requests that a backend server runs at once, as its entry tells.
-const SLOTS: usize = 2;
+const SLOT_COUNT: usize = 2;
 /// Longest wait for a slot; requests that would wait for longer aren't run.
-const LONGEST_QUEUE: Duration = Duration::from_millis(240);
+const MAX_QUEUE_WAIT: Duration = Duration::from_millis(240);
 /// Time after which a request that isn't run is answered.
-const NOT_RUN: Duration = Duration::from_millis(150);
+const REJECTION_DELAY: Duration = Duration::from_millis(150);
 /// Size of the answer to it.
-pub(crate) const NOT_RUN_SIZE: usize = 9;
+pub(crate) const REJECTION_SIZE_BYTES: usize = 9;
 
-/// `BackendPlace` is where a backend server runs and what it belongs to.
+/// `BackendSpec` is where a backend server runs and what it belongs to.
 #[derive(Clone, Debug)]
-pub struct BackendPlace {
+pub struct BackendSpec {
     /// The number by which packets name it.
     pub number: u64,
     /// Its service.
@@ -49,9 +49,9 @@
     /// The port at which callers listen.
     pub caller_port: u16,
     /// Which start of it this is, as its entry tells; 0 when it doesn't.
-    pub born: u64,
+    pub started_unix_ms: u64,
     /// How it works on requests.
-    pub work: WorkKind,
+    pub work_kind: WorkKind,
 }
 
 /// `WorkKind` is how a backend server works on requests.
@@ -60,19 +60,19 @@
     /// Any number at once.
     Unbounded,
     /// As many at once as it has slots; some more wait.
-    BySlots,
+    LimitedBySlots,
 }
 
-impl BackendPlace {
+impl BackendSpec {
     /// Its entry in a state.
     pub fn entry(&self, state: &str) -> Value {
         let mut entry = json!({
             "service": self.service, "address": self.address.to_string(),
-            "zone": self.data_centre, "version": "v1", "slots": SLOTS, "state": state,
+            "zone": self.data_centre, "version": "v1", "slots": SLOT_COUNT, "state": state,
             "warmup_left_ms": 0, "sequence": 1,
         });
-        if self.born > 0 {
-            entry["born"] = self.born.into();
+        if self.started_unix_ms > 0 {
+            entry["born"] = self.started_unix_ms.into();
         }
         entry
     }
@@ -86,7 +86,7 @@
 /// `StandInBackend` is one running process of a backend server.
 pub struct StandInBackend {
     /// Where it runs.
-    pub place: BackendPlace,
+    pub spec: BackendSpec,
     /// True while it answers nothing.
     pub is_silent: Arc<AtomicBool>,
     task: JoinHandle<()>,
@@ -97,7 +97,7 @@
     sequence: u32,
     is_open: bool,
     /// Sequence number of the next byte that hasn't come yet.
-    expected: u32,
+    next_sequence: u32,
 }
 
 impl StandInBackend {
@@ -107,51 +107,51 @@
     ///
     /// When its address can't be bound.
     pub async fn start(
-        place: BackendPlace,
+        place: BackendSpec,
         store: &StandInStore,
         ledger: Arc<PromiseLedger>,
         loss: PacketLoss,
     ) -> Result<StandInBackend> {
         let socket = Arc::new(UdpSocket::bind(place.address).await?);
-        ledger.backend_started(place.number, &place.service, &place.data_centre, SLOTS);
+        ledger.backend_started(place.number, &place.service, &place.data_centre, SLOT_COUNT);
         let is_silent = Arc::new(AtomicBool::new(false));
         let server = BackendLoop {
-            place: place.clone(),
+            spec: place.clone(),
             socket,
             ledger: ledger.clone(),
             is_silent: is_silent.clone(),
             loss,
             flows: HashMap::new(),
-            slots_free_at: [Instant::now(); SLOTS],
+            slots_free_at: [Instant::now(); SLOT_COUNT],
         };
         let task = tokio::spawn(server.run());
-        let backend = StandInBackend { place, is_silent, task, ledger };
+        let backend = StandInBackend { spec: place, is_silent, task, ledger };
         backend.register(store, "ready");
         Ok(backend)
     }
 
     /// Writes the backend server's entry.
     pub fn register(&self, store: &StandInStore, state: &str) {
-        store.put(&self.key(), &self.place.entry(state));
+        store.put(&self.key(), &self.spec.entry(state));
         if state == "ready" {
-            self.ledger.backend_ready(self.place.number);
+            self.ledger.backend_ready(self.spec.number);
         }
     }
 
     /// Reports that it leaves.
     pub fn drain(&self, store: &StandInStore) {
         self.register(store, "draining");
-        self.ledger.backend_draining(self.place.number);
+        self.ledger.backend_draining(self.spec.number);
     }
 
     /// The key of its entry.
     pub fn key(&self) -> String {
-        self.place.key()
+        self.spec.key()
     }
 
     /// Ends it; its address is free afterwards.
-    pub async fn end(self) {
-        self.ledger.backend_ended(self.place.number);
+    pub async fn terminate(self) {
+        self.ledger.backend_ended(self.spec.number);
         self.task.abort();
         // The task was ended on purpose; nothing else is told by its result.
         let _ = self.task.await;
@@ -159,14 +159,14 @@
 }
 
 struct BackendLoop {
-    place: BackendPlace,
+    spec: BackendSpec,
     socket: Arc<UdpSocket>,
     ledger: Arc<PromiseLedger>,
     is_silent: Arc<AtomicBool>,
     loss: PacketLoss,
     flows: HashMap<FlowKey, BackendFlow>,
     /// When each slot is free, the requests that wait included.
-    slots_free_at: [Instant; SLOTS],
+    slots_free_at: [Instant; SLOT_COUNT],
 }
 
 impl BackendLoop {
@@ -174,28 +174,28 @@
         let mut buffer = [0; 2_048];
         loop {
             let Ok((size, from)) = self.socket.recv_from(&mut buffer).await else { continue };
-            if self.is_silent.load(Ordering::Relaxed) || size < 8 || self.loss.takes_one() {
+            if self.is_silent.load(Ordering::Relaxed) || size < 8 || self.loss.drops_packet() {
                 continue;
             }
             let intended = u64::from_be_bytes(buffer[..8].try_into().unwrap_or_default());
             // What is meant for another backend server gets no answer.
-            if intended != self.place.number {
+            if intended != self.spec.number {
                 continue;
             }
             if let Some(packet) = WirePacket::decode(&buffer[8..size]) {
-                self.take(packet, instance_of(from));
+                self.handle_packet(packet, instance_of(from));
             }
         }
     }
 
-    fn take(&mut self, packet: WirePacket, instance: usize) {
-        let flow = packet.flow();
+    fn handle_packet(&mut self, packet: WirePacket, instance: usize) {
+        let flow = packet.flow_key();
         if packet.flags & SYN != 0 {
             return self.open(&packet, flow, instance);
         }
         let Some(known) = self.flows.get_mut(&flow) else {
             if packet.flags & RST == 0 {
-                self.ledger.strayed(flow, self.place.number);
+                self.ledger.check_stray_packet(flow, self.spec.number);
                 self.reply(&packet, RST, 0, Vec::new(), Duration::ZERO);
             }
             return;
@@ -205,7 +205,7 @@
                 return;
             }
             known.is_open = true;
-            self.ledger.handshake_ended(flow, self.place.number);
+            self.ledger.handshake_ended(flow, self.spec.number);
         }
         let sequence = known.sequence.wrapping_add(1);
         if packet.flags & (FIN | RST) != 0 {
@@ -217,35 +217,41 @@
         }
         let id = u64::from_be_bytes(packet.data[..8].try_into().unwrap_or_default());
         let end = packet.sequence.wrapping_add(packet.data.len() as u32);
-        if packet.sequence == known.expected {
-            known.expected = end;
-            self.ledger.ran(id, packet.data[8] == 1);
-        } else if end != known.expected {
+        if packet.sequence == known.next_sequence {
+            known.next_sequence = end;
+            self.ledger.record_run(id, packet.data[8] == 1);
+        } else if end != known.next_sequence {
             // A copy of an earlier request, which waited in a paused instance. Only
             // the last request's answer may still be missing.
             return;
-        } else if self.place.work == WorkKind::BySlots {
+        } else if self.spec.work_kind == WorkKind::LimitedBySlots {
             return self.reply(&packet, ACK, sequence, Vec::new(), Duration::ZERO);
         }
         let answer = id.to_be_bytes().to_vec();
-        match self.place.work {
-            WorkKind::Unbounded => self.reply(&packet, ACK, sequence, answer, WORK),
-            WorkKind::BySlots => self.serve(&packet, sequence, answer),
+        match self.spec.work_kind {
+            WorkKind::Unbounded => self.reply(&packet, ACK, sequence, answer, REQUEST_TIME),
+            WorkKind::LimitedBySlots => self.run_request(&packet, sequence, answer),
         }
     }
 
     /// Runs a request in the first slot that is free, unless too many wait.
-    fn serve(&mut self, packet: &WirePacket, sequence: u32, answer: Vec<u8>) {
+    fn run_request(&mut self, packet: &WirePacket, sequence: u32, answer: Vec<u8>) {
         self.reply(packet, ACK, sequence, Vec::new(), Duration::ZERO);
         let now = Instant::now();
         let Some(slot) = self.slots_free_at.iter_mut().min() else { return };
         let begin = (*slot).max(now);
-        if begin - now > LONGEST_QUEUE {
-            return self.reply(packet, ACK, sequence, vec![0; NOT_RUN_SIZE], NOT_RUN);
+        if begin - now > MAX_QUEUE_WAIT {
+            return self.reply(
+                packet,
+                ACK,
+                sequence,
+                vec![0; REJECTION_SIZE_BYTES],
+                REJECTION_DELAY,
+            );
         }
-        *slot = begin + SLOT_WORK;
+        *slot = begin + SLOT_REQUEST_TIME;
         let left = *slot - now;
-        let (ledger, number) = (self.ledger.clone(), self.place.number);
+        let (ledger, number) = (self.ledger.clone(), self.spec.number);
         ledger.work_begun(number);
         tokio::spawn(async move {
             tokio::time::sleep(left).await;
@@ -255,9 +261,10 @@
     }
 
     fn open(&mut self, packet: &WirePacket, flow: FlowKey, instance: usize) {
-        self.ledger.opened(flow, self.place.number, &self.place.service, instance);
+        self.ledger.check_opening(flow, self.spec.number, &self.spec.service, instance);
         let expected = packet.sequence;
-        let fresh = BackendFlow { sequence: rand::random(), is_open: false, expected };
+        let fresh =
+            BackendFlow { sequence: rand::random(), is_open: false, next_sequence: expected };
         let sequence = self.flows.entry(flow).or_insert(fresh).sequence;
         self.reply(packet, SYN | ACK, sequence, Vec::new(), Duration::ZERO);
     }
@@ -269,7 +276,7 @@
         reply.acknowledged = to.sequence.wrapping_add(to.data.len() as u32);
         reply.data = data;
         let socket = self.socket.clone();
-        let caller = SocketAddrV4::new(*to.from.ip(), self.place.caller_port);
+        let caller = SocketAddrV4::new(*to.from.ip(), self.spec.caller_port);
         tokio::spawn(async move {
             tokio::time::sleep(delay).await;
             // The caller sends again if this is lost.
--- a/crates/foxledge-soak/src/callers.rs
+++ b/crates/foxledge-soak/src/callers.rs
@@ -20,37 +20,37 @@
 };
 
 use crate::{
-    backends::NOT_RUN_SIZE,
-    heads::{ACK, FIN, RST, SYN, WirePacket},
+    backends::REJECTION_SIZE_BYTES,
     links::PacketLoss,
+    packets::{ACK, FIN, RST, SYN, WirePacket},
     promises::PromiseLedger,
     router::PacketRouter,
 };
 
 /// Waits of an opening packet before its first copy, its second and the end.
-const OPENING: [Duration; 3] =
+const OPENING_TIMEOUTS: [Duration; 3] =
     [Duration::from_millis(200), Duration::from_millis(400), Duration::from_millis(800)];
 /// First wait before data is sent again; doubles with each.
-const RESEND: Duration = Duration::from_millis(200);
+const INITIAL_RESEND_DELAY: Duration = Duration::from_millis(200);
 /// Pause of a caller whose flow couldn't be opened.
-const REFUSED_PAUSE: Duration = Duration::from_millis(100);
+const REFUSAL_BACKOFF: Duration = Duration::from_millis(100);
 /// Size of an answer.
-const ANSWER_SIZE: u32 = 8;
+const RESPONSE_SIZE_BYTES: u32 = 8;
 /// Openings that a caller tries for one request.
-const TRIES: u32 = 3;
+const MAX_OPEN_ATTEMPTS: u32 = 3;
 /// Time for a request.
-const DEADLINE: Duration = Duration::from_millis(1_500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// `CallerHabit` is how a caller uses its flow.
+/// `RequestPattern` is how a caller uses its flow.
 #[derive(Clone, Copy, Debug)]
-struct CallerHabit {
+struct RequestPattern {
     is_idempotent: bool,
     /// Longest pause between two requests, in milliseconds.
     pause_ms: u64,
 }
 
 /// Callers that keep a flow for requests that may not be repeated.
-const KEPT: CallerHabit = CallerHabit { is_idempotent: false, pause_ms: 2_500 };
+const PERSISTENT_PATTERN: RequestPattern = RequestPattern { is_idempotent: false, pause_ms: 2_500 };
 
 /// `CallerHost` is one caller's address with all its flows.
 pub struct CallerHost {
@@ -79,14 +79,14 @@
     acknowledged: u32,
     sequence: u32,
     /// The requests so far, by the sequence number after their last byte.
-    asked: HashMap<u32, u64>,
+    sent_requests: HashMap<u32, u64>,
 }
 
 /// `OpenResult` is how an opening ended.
 enum OpenResult {
     Opened(CallerFlow),
     Refused,
-    Silent,
+    TimedOut,
 }
 
 impl CallerHost {
@@ -123,18 +123,18 @@
         while !self.is_stopping.load(Ordering::Relaxed) {
             let (port, is_idempotent) = ports[rng.random_range(0..ports.len())];
             let count = if is_idempotent { rng.random_range(5..60) } else { 1 };
-            let habit = CallerHabit { is_idempotent, pause_ms: 80 };
-            self.clone().talk(port, habit, count, &mut rng).await;
+            let habit = RequestPattern { is_idempotent, pause_ms: 80 };
+            self.clone().run_flow(port, habit, count, &mut rng).await;
             sleep(Duration::from_millis(rng.random_range(5..60))).await;
         }
     }
 
     /// Keeps a flow open for requests that may not be repeated, with pauses between them.
-    pub async fn run_kept(self: Arc<CallerHost>, port: u16, seed: u64) {
+    pub async fn run_persistent(self: Arc<CallerHost>, port: u16, seed: u64) {
         let mut rng = StdRng::seed_from_u64(seed);
         while !self.is_stopping.load(Ordering::Relaxed) {
             let count = rng.random_range(3..12);
-            self.clone().talk(port, KEPT, count, &mut rng).await;
+            self.clone().run_flow(port, PERSISTENT_PATTERN, count, &mut rng).await;
         }
     }
 
@@ -142,61 +142,61 @@
     pub async fn run_rate(self: Arc<CallerHost>, port: u16, per_s: u64, end: Option<Instant>) {
         let is_over = || end.is_some_and(|end| Instant::now() > end);
         while !self.is_stopping.load(Ordering::Relaxed) && !is_over() {
-            tokio::spawn(self.clone().ask(port));
+            tokio::spawn(self.clone().send_request(port));
             let pause_us = rand::rng().random_range(0..2_000_000 / per_s);
             sleep(Duration::from_micros(pause_us)).await;
         }
     }
 
     /// Makes one request; a refused caller tries again from another port.
-    async fn ask(self: Arc<CallerHost>, port: u16) {
+    async fn send_request(self: Arc<CallerHost>, port: u16) {
         let mut is_served = false;
-        for _ in 0..TRIES {
-            let key = self.next_key(port);
+        for _ in 0..MAX_OPEN_ATTEMPTS {
+            let key = self.next_flow_key(port);
             if let OpenResult::Opened(mut flow) = self.clone().open(key, None).await {
                 is_served = flow.request(rand::random(), false).await;
                 flow.send(FIN | ACK, Vec::new()).await;
                 break;
             }
-            sleep(REFUSED_PAUSE).await;
+            sleep(REFUSAL_BACKOFF).await;
         }
-        self.ledger.ended(is_served);
-        self.ledger.ended_at(port, is_served);
+        self.ledger.record_request_end(is_served);
+        self.ledger.record_route_request_end(port, is_served);
     }
 
     /// Opens a flow to a route at one instance, and tells whether it was answered.
     pub async fn probe(self: Arc<CallerHost>, port: u16, instance: usize) -> bool {
-        let key = self.next_key(port);
+        let key = self.next_flow_key(port);
         match self.open(key, Some(instance)).await {
             OpenResult::Opened(mut flow) => {
                 flow.send(FIN | ACK, Vec::new()).await;
                 true
             }
-            OpenResult::Refused | OpenResult::Silent => false,
+            OpenResult::Refused | OpenResult::TimedOut => false,
         }
     }
 
-    async fn talk(
+    async fn run_flow(
         self: Arc<CallerHost>,
         port: u16,
-        CallerHabit { is_idempotent, pause_ms }: CallerHabit,
+        RequestPattern { is_idempotent, pause_ms }: RequestPattern,
         count: u32,
         rng: &mut StdRng,
     ) {
-        let key = self.next_key(port);
+        let key = self.next_flow_key(port);
         let opened = match self.clone().open(key, None).await {
             OpenResult::Opened(flow) => Some(flow),
-            OpenResult::Refused | OpenResult::Silent => None,
+            OpenResult::Refused | OpenResult::TimedOut => None,
         };
         let Some(mut flow) = opened else {
-            self.ledger.ended(false);
+            self.ledger.record_request_end(false);
             // Callers that come back at once use up the ports of their address, and take
             // one that another flow still has.
-            return sleep(REFUSED_PAUSE).await;
+            return sleep(REFUSAL_BACKOFF).await;
         };
         for _ in 0..count {
             let is_served = flow.request(rng.random(), is_idempotent).await;
-            self.ledger.ended(is_served);
+            self.ledger.record_request_end(is_served);
             if !is_served || self.is_stopping.load(Ordering::Relaxed) {
                 break;
             }
@@ -205,7 +205,7 @@
         flow.send(FIN | ACK, Vec::new()).await;
     }
 
-    fn next_key(&self, port: u16) -> FlowKey {
+    fn next_flow_key(&self, port: u16) -> FlowKey {
         let own = self.next_port.fetch_add(1, Ordering::Relaxed).max(1_024);
         FlowKey {
             caller: SocketAddrV4::new(self.ip, own),
@@ -214,7 +214,7 @@
     }
 
     async fn open(self: Arc<CallerHost>, key: FlowKey, instance: Option<usize>) -> OpenResult {
-        self.ledger.flow_begun(key);
+        self.ledger.clear_flow(key);
         let (sender, packets) = unbounded_channel();
         self.flows().insert(key.caller.port(), sender);
         let sequence = rand::random();
@@ -227,16 +227,16 @@
             echo: 0,
             acknowledged: 0,
             sequence,
-            asked: HashMap::new(),
+            sent_requests: HashMap::new(),
         };
-        for (copy, wait) in OPENING.into_iter().enumerate() {
+        for (copy, wait) in OPENING_TIMEOUTS.into_iter().enumerate() {
             flow.acknowledged = copy as u32;
             let asked = flow.send(SYN, Vec::new()).await;
             let until = Instant::now() + wait;
             while let Ok(Some(packet)) = timeout_at(until, flow.packets.recv()).await {
                 if packet.flags & RST != 0 {
-                    if packet.sum == 0 {
-                        self.ledger.refused(key, asked);
+                    if packet.checksum == 0 {
+                        self.ledger.check_refusal(key, asked);
                     }
                     return OpenResult::Refused;
                 }
@@ -248,7 +248,7 @@
                 }
             }
         }
-        OpenResult::Silent
+        OpenResult::TimedOut
     }
 
     async fn receive(self: Arc<CallerHost>) {
@@ -256,12 +256,12 @@
         loop {
             let Ok((size, _)) = self.socket.recv_from(&mut buffer).await else { continue };
             let Some(packet) = WirePacket::decode(&buffer[..size]) else { continue };
-            if self.loss.takes_one() {
+            if self.loss.drops_packet() {
                 continue;
             }
             // Checked as it comes: a flow at rest is read only with its next request.
-            if packet.flags & RST != 0 && packet.sum == 0 {
-                self.ledger.reset_by_instance(FlowKey { caller: packet.to, service: packet.from });
+            if packet.flags & RST != 0 && packet.checksum == 0 {
+                self.ledger.check_reset(FlowKey { caller: packet.to, service: packet.from });
             }
             let port = packet.to.port();
             let sender = self.flows().get(&port).cloned();
@@ -282,22 +282,22 @@
     async fn request(&mut self, id: u64, is_idempotent: bool) -> bool {
         let mut data = id.to_be_bytes().to_vec();
         data.push(u8::from(is_idempotent));
-        self.asked.insert(self.sequence.wrapping_add(data.len() as u32), id);
-        let deadline = Instant::now() + DEADLINE;
-        let mut wait = RESEND;
+        self.sent_requests.insert(self.sequence.wrapping_add(data.len() as u32), id);
+        let deadline = Instant::now() + REQUEST_TIMEOUT;
+        let mut wait = INITIAL_RESEND_DELAY;
         while Instant::now() < deadline {
             self.send(ACK, data.clone()).await;
             let mut until = (Instant::now() + wait).min(deadline);
             wait *= 2;
             while let Ok(Some(packet)) = timeout_at(until, self.packets.recv()).await {
-                if packet.flags & RST != 0 || packet.data.len() == NOT_RUN_SIZE {
+                if packet.flags & RST != 0 || packet.data.len() == REJECTION_SIZE_BYTES {
                     return false;
                 }
                 // Data that was received isn't sent again, however long its answer takes.
                 if packet.flags == ACK && packet.data.is_empty() {
                     until = deadline;
                 }
-                if self.takes_answer(&packet, id) {
+                if self.accept_response(&packet, id) {
                     self.sequence = self.sequence.wrapping_add(data.len() as u32);
                     self.acknowledge().await;
                     return true;
@@ -310,7 +310,7 @@
     /// Tells that an answer came, by which instances learn when a request has ended.
     async fn acknowledge(&mut self) {
         if self.host.centre.is_some() {
-            self.acknowledged = self.acknowledged.wrapping_add(ANSWER_SIZE);
+            self.acknowledged = self.acknowledged.wrapping_add(RESPONSE_SIZE_BYTES);
             self.send(ACK, Vec::new()).await;
         }
     }
@@ -319,17 +319,17 @@
     ///
     /// An answer tells by what it acknowledges which request it belongs to; one that
     /// holds another's breaks a promise, and so does one to nothing that was asked.
-    fn takes_answer(&mut self, packet: &WirePacket, id: u64) -> bool {
+    fn accept_response(&mut self, packet: &WirePacket, id: u64) -> bool {
         if packet.data.len() != 8 {
             return false;
         }
         self.echo = packet.echo;
         let answered = u64::from_be_bytes(packet.data[..].try_into().unwrap_or_default());
-        let asked = self.asked.get(&packet.acknowledged).copied();
+        let asked = self.sent_requests.get(&packet.acknowledged).copied();
         if asked != Some(answered) {
             let asked = asked.map_or("nothing".to_owned(), |asked| format!("{asked:x}"));
             let text = format!("{} got the answer to {answered:x} for {asked}", self.key);
-            self.host.ledger.breach(text);
+            self.host.ledger.record_breach(text);
         }
         asked == Some(id)
     }
@@ -343,7 +343,7 @@
         packet.data = data;
         let (index, address) = match self.instance {
             Some(index) => (index, self.host.router.address(index)),
-            None => self.host.router.pick(&self.key, self.host.centre),
+            None => self.host.router.select_instance(&self.key, self.host.centre),
         };
         // What a dead instance doesn't take is sent again.
         let _ = self.host.socket.send_to(&packet.encode(), SocketAddr::V4(address)).await;
--- a/crates/foxledge-soak/src/faults.rs
+++ b/crates/foxledge-soak/src/faults.rs
@@ -10,30 +10,30 @@
 use tokio::time::{Instant, sleep};
 
 use crate::{
-    backends::BackendPlace,
+    backends::BackendSpec,
     links::{LinkFault, PeerFault},
-    plan::{BurstSource, RestartPlace, SoakFault, SpoiledValue},
+    plan::{BurstSource, CorruptEntry, RestartAddress, SoakFault},
     store::StoreMode,
     world::{BID_PORT, FEED_PORT, SoakWorld, centre_of, evacuation_key},
 };
 
 /// Time in which a planned stop of a backend server goes on after its report.
-const DRAIN: Duration = Duration::from_millis(3_500);
+const DRAIN_TIME: Duration = Duration::from_millis(3_500);
 /// Time from the store's return until lapsed entries are back.
-const LAPSE_BACK: Duration = Duration::from_millis(1_500);
+const ENTRY_RETURN_DELAY: Duration = Duration::from_millis(1_500);
 /// Time from the store's return until operators have written again what it lost.
-const WRITTEN_AGAIN: Duration = Duration::from_millis(50);
+const OPERATOR_REWRITE_DELAY: Duration = Duration::from_millis(50);
 /// Time after a death until the entry lapses.
-const ENTRY_LAPSES: Duration = Duration::from_millis(3_600);
+const ENTRY_TTL: Duration = Duration::from_millis(3_600);
 /// Time after a death until its address is given to another.
-const ADDRESS_REUSED: Duration = Duration::from_millis(2_000);
+const ADDRESS_REUSE_DELAY: Duration = Duration::from_millis(2_000);
 /// Number of a backend server that never starts.
 const UNUSED_NUMBER: u64 = 0xfff_ffff;
 /// Time between two lists of a series.
-const SERIES: Duration = Duration::from_millis(300);
+const SERIES_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Carries out a fault from its begin to its end.
-pub async fn carry_out(world: Arc<SoakWorld>, fault: SoakFault) {
+pub async fn apply_fault(world: Arc<SoakWorld>, fault: SoakFault) {
     match fault {
         SoakFault::Kill { instance, down_ms } => kill(&world, instance, down_ms).await,
         SoakFault::KillAll { down_ms } => {
@@ -42,7 +42,7 @@
                 tokio::spawn(async move { kill(&world, instance, down_ms).await })
             });
             for task in all.collect::<Vec<_>>() {
-                world.join(task).await;
+                world.join_task(task).await;
             }
         }
         SoakFault::Stop { instance, times } => stop(&world, instance, times).await,
@@ -54,13 +54,13 @@
                 1 => StoreMode::Silent,
                 _ => StoreMode::Slow(250),
             };
-            store_away(&world, mode, for_ms).await;
+            interrupt_store(&world, mode, for_ms).await;
         }
         SoakFault::StoreCompact => world.store.compact(),
         SoakFault::StoreRestored { age_ms, away_ms } => {
-            store_restored(&world, age_ms, away_ms).await;
+            restore_snapshot(&world, age_ms, away_ms).await;
         }
-        SoakFault::StoreLapse { for_ms } => store_lapse(&world, for_ms).await,
+        SoakFault::StoreLapse { for_ms } => lapse_entries(&world, for_ms).await,
         SoakFault::StoreLink { instance, how, for_ms } => {
             store_link(&world, instance, how, for_ms).await;
         }
@@ -79,17 +79,17 @@
         SoakFault::BackendRestarts { backend, down_ms, place } => {
             backend_restarts(&world, backend, down_ms, place).await;
         }
-        SoakFault::EntrySpoiled { backend, value, for_ms } => {
-            entry_spoiled(&world, backend, value, for_ms).await;
+        SoakFault::EntryCorrupted { backend, value, for_ms } => {
+            corrupt_entry(&world, backend, value, for_ms).await;
         }
         SoakFault::EntryAdded { backend, value, for_ms } => {
-            entry_added(&world, backend, value, for_ms).await;
+            add_entry(&world, backend, value, for_ms).await;
         }
         SoakFault::Evacuate { centre, for_ms } => evacuate(&world, centre, for_ms).await,
         SoakFault::Publish { times } => {
             for _ in 0..times {
-                world.publish_next();
-                sleep(SERIES).await;
+                world.publish_next_list();
+                sleep(SERIES_INTERVAL).await;
             }
         }
         SoakFault::Burst { source, for_ms } => burst(&world, source, for_ms).await,
@@ -120,7 +120,7 @@
 }
 
 async fn kill(world: &Arc<SoakWorld>, instance: usize, down_ms: u64) {
-    world.ledger.disturb(instance);
+    world.ledger.record_instance_fault(instance);
     world.with_instance(instance, |running| running.kill());
     sleep(Duration::from_millis(down_ms)).await;
     world.start_instance(instance);
@@ -130,20 +130,20 @@
 async fn evacuate(world: &Arc<SoakWorld>, centre: usize, for_ms: u64) {
     let data_centre = centre_of(centre);
     let key = evacuation_key(data_centre);
-    if !world.ledger.evacuated(data_centre) {
+    if !world.ledger.record_evacuation_start(data_centre) {
         return;
     }
     world.store.put(&key, &Value::Object(serde_json::Map::new()));
     sleep(Duration::from_millis(for_ms)).await;
-    world.ledger.taken_back(data_centre);
+    world.ledger.record_evacuation_end(data_centre);
     world.store.remove(&key);
 }
 
 async fn stop(world: &Arc<SoakWorld>, instance: usize, times: u32) {
     for _ in 0..times {
-        world.ledger.disturb(instance);
+        world.ledger.record_instance_fault(instance);
         world.signal(instance, Signal::SIGTERM);
-        sleep(SERIES).await;
+        sleep(SERIES_INTERVAL).await;
     }
     // The watch over processes starts it anew when it has ended.
 }
@@ -154,58 +154,58 @@
     // A stop that is paused would count as too slow.
     let for_ms = if is_stopping { for_ms.min(100) } else { for_ms };
     for _ in 0..for_ms.div_ceil(100) {
-        world.ledger.disturb(instance);
+        world.ledger.record_instance_fault(instance);
         sleep(Duration::from_millis(100)).await;
     }
-    world.ledger.disturb(instance);
+    world.ledger.record_instance_fault(instance);
     world.signal(instance, Signal::SIGCONT);
 }
 
-async fn store_away(world: &Arc<SoakWorld>, mode: StoreMode, for_ms: u64) {
-    hold_store(world, mode, for_ms).await;
-    store_back(world);
+async fn interrupt_store(world: &Arc<SoakWorld>, mode: StoreMode, for_ms: u64) {
+    keep_store_mode(world, mode, for_ms).await;
+    resume_store(world);
 }
 
 /// Holds the store in a mode that is a disturbance as long as it lasts.
-async fn hold_store(world: &Arc<SoakWorld>, mode: StoreMode, for_ms: u64) {
+async fn keep_store_mode(world: &Arc<SoakWorld>, mode: StoreMode, for_ms: u64) {
     world.store.set_mode(mode);
     for _ in 0..for_ms.div_ceil(100) {
-        world.ledger.disturb_store();
+        world.ledger.record_store_fault();
         sleep(Duration::from_millis(100)).await;
     }
 }
 
-fn store_back(world: &Arc<SoakWorld>) {
+fn resume_store(world: &Arc<SoakWorld>) {
     world.store.set_mode(StoreMode::Serving);
-    world.ledger.disturb_store();
+    world.ledger.record_store_fault();
 }
 
-async fn store_lapse(world: &Arc<SoakWorld>, for_ms: u64) {
+async fn lapse_entries(world: &Arc<SoakWorld>, for_ms: u64) {
     world.store.set_mode(StoreMode::Refusing);
     let keys = world.live_keys();
     for key in &keys {
         world.store.remove(key);
     }
-    store_away(world, StoreMode::Refusing, for_ms).await;
-    sleep(LAPSE_BACK).await;
-    world.ledger.disturb_store();
+    interrupt_store(world, StoreMode::Refusing, for_ms).await;
+    sleep(ENTRY_RETURN_DELAY).await;
+    world.ledger.record_store_fault();
     world.register_live();
 }
 
 /// Brings the store back from a copy; operators write again at once, backend servers with their
 /// next heartbeats. Entries of those that are dead lapse.
-async fn store_restored(world: &Arc<SoakWorld>, age_ms: u64, away_ms: u64) {
-    let copy = world.store.copy();
+async fn restore_snapshot(world: &Arc<SoakWorld>, age_ms: u64, away_ms: u64) {
+    let copy = world.store.snapshot();
     sleep(Duration::from_millis(age_ms)).await;
-    hold_store(world, StoreMode::Silent, away_ms).await;
+    keep_store_mode(world, StoreMode::Silent, away_ms).await;
     world.store.restore(&copy);
-    store_back(world);
-    sleep(WRITTEN_AGAIN).await;
-    world.write_again();
-    sleep(LAPSE_BACK).await;
-    world.ledger.disturb_store();
-    world.register_again();
-    sleep(ENTRY_LAPSES - LAPSE_BACK).await;
+    resume_store(world);
+    sleep(OPERATOR_REWRITE_DELAY).await;
+    world.restore_operator_keys();
+    sleep(ENTRY_RETURN_DELAY).await;
+    world.ledger.record_store_fault();
+    world.restore_entries();
+    sleep(ENTRY_TTL - ENTRY_RETURN_DELAY).await;
     let live = world.registered_keys();
     for key in world.store.keys("servers/").into_iter().filter(|key| !live.contains(key)) {
         world.store.remove(&key);
@@ -215,7 +215,7 @@
 async fn store_link(world: &Arc<SoakWorld>, instance: usize, how: u32, for_ms: u64) {
     let fault = match how {
         0 => LinkFault::Cut,
-        1 => LinkFault::CutBack,
+        1 => LinkFault::CutResponses,
         2 => LinkFault::Delay(200),
         3 => LinkFault::Reset,
         _ => LinkFault::Silence,
@@ -223,11 +223,11 @@
     let link = world.store_link(instance);
     link.set(fault);
     for _ in 0..for_ms.div_ceil(100) {
-        world.ledger.disturb(instance);
+        world.ledger.record_instance_fault(instance);
         sleep(Duration::from_millis(100)).await;
     }
     link.set(LinkFault::None);
-    world.ledger.disturb(instance);
+    world.ledger.record_instance_fault(instance);
 }
 
 async fn peer_link(world: &Arc<SoakWorld>, instance: usize, how: u32, for_ms: u64) {
@@ -244,10 +244,10 @@
         }
     }
     for _ in 0..for_ms.div_ceil(100) {
-        world.ledger.disturb_peers();
+        world.ledger.record_peer_fault();
         sleep(Duration::from_millis(100)).await;
     }
-    world.ledger.disturb_peers();
+    world.ledger.record_peer_fault();
     for other in others {
         world.peers.set(instance, other, None);
         world.peers.set(other, instance, None);
@@ -255,89 +255,90 @@
 }
 
 async fn backend_silent(world: &Arc<SoakWorld>, backend: usize, for_ms: u64) {
-    let Some((number, is_silent)) = world.silence_of(backend) else { return };
+    let Some((number, is_silent)) = world.silence_switch(backend) else { return };
     is_silent.store(true, Ordering::Relaxed);
     for _ in 0..for_ms.div_ceil(100) {
-        world.ledger.disturb_backend(number);
+        world.ledger.record_backend_fault(number);
         sleep(Duration::from_millis(100)).await;
     }
     is_silent.store(false, Ordering::Relaxed);
-    world.ledger.disturb_backend(number);
+    world.ledger.record_backend_fault(number);
 }
 
 async fn packet_loss(world: &Arc<SoakWorld>, per_mille: u32, for_ms: u64) {
     world.packet_loss.set(per_mille);
     for _ in 0..for_ms.div_ceil(100) {
-        world.ledger.disturb_packets();
+        world.ledger.record_packet_fault();
         sleep(Duration::from_millis(100)).await;
     }
     world.packet_loss.set(0);
-    world.ledger.disturb_packets();
+    world.ledger.record_packet_fault();
 }
 
 async fn backend_dies(world: &Arc<SoakWorld>, backend: usize) {
-    let Some(dead) = world.take_backend(backend) else { return };
-    let (key, place) = (dead.key(), dead.place.clone());
-    dead.end().await;
-    sleep(ENTRY_LAPSES).await;
+    let Some(dead) = world.remove_backend(backend) else { return };
+    let (key, place) = (dead.key(), dead.spec.clone());
+    dead.terminate().await;
+    sleep(ENTRY_TTL).await;
     world.store.remove(&key);
     world.start_backend(&place.service, None).await;
 }
 
 async fn backend_reused(world: &Arc<SoakWorld>, backend: usize) {
-    let Some(dead) = world.take_backend(backend) else { return };
-    let (key, place) = (dead.key(), dead.place.clone());
-    dead.end().await;
-    sleep(ADDRESS_REUSED).await;
+    let Some(dead) = world.remove_backend(backend) else { return };
+    let (key, place) = (dead.key(), dead.spec.clone());
+    dead.terminate().await;
+    sleep(ADDRESS_REUSE_DELAY).await;
     let other = world.other_service(&place.service);
     world.start_backend(&other, Some(place.address)).await;
-    sleep(ENTRY_LAPSES - ADDRESS_REUSED).await;
+    sleep(ENTRY_TTL - ADDRESS_REUSE_DELAY).await;
     world.store.remove(&key);
     world.start_backend(&place.service, None).await;
 }
 
 async fn backend_replaced(world: &Arc<SoakWorld>, backend: usize) {
-    let Some(leaving) = world.take_backend(backend) else { return };
-    world.start_backend(&leaving.place.service, None).await;
+    let Some(leaving) = world.remove_backend(backend) else { return };
+    world.start_backend(&leaving.spec.service, None).await;
     leaving.drain(&world.store);
-    world.note_leaving(&leaving.place);
-    sleep(DRAIN).await;
-    world.forget_leaving(&leaving.place);
+    world.record_draining(&leaving.spec);
+    sleep(DRAIN_TIME).await;
+    world.remove_draining(&leaving.spec);
     world.store.remove(&leaving.key());
-    leaving.end().await;
+    leaving.terminate().await;
 }
 
 async fn backend_restarts(
     world: &Arc<SoakWorld>,
     backend: usize,
     down_ms: u64,
-    place: RestartPlace,
+    place: RestartAddress,
 ) {
-    let Some(crashed) = world.take_backend(backend) else { return };
-    let former = crashed.place.clone();
-    crashed.end().await;
+    let Some(crashed) = world.remove_backend(backend) else { return };
+    let former = crashed.spec.clone();
+    crashed.terminate().await;
     sleep(Duration::from_millis(down_ms)).await;
     world.restart_backend(former, place).await;
 }
 
-async fn entry_spoiled(world: &Arc<SoakWorld>, backend: usize, value: SpoiledValue, for_ms: u64) {
-    let Some(place) = world.place_of(backend) else { return };
+async fn corrupt_entry(world: &Arc<SoakWorld>, backend: usize, value: CorruptEntry, for_ms: u64) {
+    let Some(place) = world.backend_spec(backend) else { return };
     // A whole entry at another address can be told from the backend server's own only by
     // instances that knew that one.
-    let value = if value == SpoiledValue::Elsewhere { SpoiledValue::Stateless } else { value };
-    world.store.put_bytes(&place.key(), &spoiled(world, &place, value));
+    let value =
+        if value == CorruptEntry::OtherAddress { CorruptEntry::MissingState } else { value };
+    world.store.put_bytes(&place.key(), &corrupt_value(world, &place, value));
     world.ledger.backend_draining(place.number);
     sleep(Duration::from_millis(for_ms)).await;
-    world.register_one(place.number);
+    world.register_backend(place.number);
 }
 
-async fn entry_added(
+async fn add_entry(
     world: &Arc<SoakWorld>,
     backend: Option<usize>,
-    value: SpoiledValue,
+    value: CorruptEntry,
     for_ms: u64,
 ) {
-    let Some(mut place) = world.place_of(backend.unwrap_or_default()) else { return };
+    let Some(mut place) = world.backend_spec(backend.unwrap_or_default()) else { return };
     let mut key = format!("servers/other-0{:x}", place.number);
     if backend.is_none() {
         place.number = UNUSED_NUMBER;
@@ -345,26 +346,26 @@
     }
     // A whole entry of a new backend server is no fault but a backend server.
     let value = match (backend, value) {
-        (None, SpoiledValue::Elsewhere) => SpoiledValue::Text,
+        (None, CorruptEntry::OtherAddress) => CorruptEntry::InvalidJson,
         (_, value) => value,
     };
-    world.store.put_bytes(&key, &spoiled(world, &place, value));
+    world.store.put_bytes(&key, &corrupt_value(world, &place, value));
     sleep(Duration::from_millis(for_ms)).await;
     world.store.remove(&key);
 }
 
 /// An entry as another writer leaves it. No flow's packet may reach the address in it.
-fn spoiled(world: &SoakWorld, place: &BackendPlace, value: SpoiledValue) -> Vec<u8> {
+fn corrupt_value(world: &SoakWorld, place: &BackendSpec, value: CorruptEntry) -> Vec<u8> {
     let mut entry = place.entry("ready");
-    entry["address"] = world.empty_address().to_string().into();
+    entry["address"] = world.unused_address().to_string().into();
     match value {
-        SpoiledValue::Text => return b"{\"state\":".to_vec(),
-        SpoiledValue::Stateless => entry["state"] = Value::Null,
-        SpoiledValue::UnknownState => entry["state"] = "resting".into(),
-        SpoiledValue::BadAddress => entry["address"] = "a.name:80".into(),
-        SpoiledValue::BadSlots => entry["slots"] = (-2).into(),
-        SpoiledValue::BadStart => entry["born"] = 1.5.into(),
-        SpoiledValue::Elsewhere => {}
+        CorruptEntry::InvalidJson => return b"{\"state\":".to_vec(),
+        CorruptEntry::MissingState => entry["state"] = Value::Null,
+        CorruptEntry::UnknownState => entry["state"] = "resting".into(),
+        CorruptEntry::BadAddress => entry["address"] = "a.name:80".into(),
+        CorruptEntry::BadSlots => entry["slots"] = (-2).into(),
+        CorruptEntry::BadStart => entry["born"] = 1.5.into(),
+        CorruptEntry::OtherAddress => {}
     }
     entry.to_string().into_bytes()
 }
--- a/crates/foxledge-soak/src/instances.rs
+++ b/crates/foxledge-soak/src/instances.rs
@@ -16,20 +16,20 @@
 };
 
 /// Time in which a planned stop must end.
-pub const STOP_LIMIT: Duration = Duration::from_secs(6);
+pub const STOP_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Time in which a planned stop must end after a pause.
-const AFTER_PAUSE: Duration = Duration::from_millis(1_500);
+const MIN_STOP_TIME_AFTER_PAUSE: Duration = Duration::from_millis(1_500);
 /// Time after the start in which a program may not have begun.
-const STILLBORN: Duration = Duration::from_millis(20);
+const SIGNAL_SETUP_TIME: Duration = Duration::from_millis(20);
 /// Settings of instances that share load.
 const LOAD_SETTINGS: &str = "[load]\nenabled = true\n\n[admission]\nenabled = true\n";
 /// Number of the signal of a planned stop.
 const SIGTERM: i32 = Signal::SIGTERM as i32;
 
-/// `InstancePlace` is where an instance listens and whom it knows.
+/// `InstanceSpec` is where an instance listens and whom it knows.
 #[derive(Clone, Debug)]
-pub struct InstancePlace {
+pub struct InstanceSpec {
     /// Its name.
     pub name: String,
     /// Its data centre.
@@ -56,35 +56,35 @@
 
 impl BuildSet {
     /// The same daemon at each start.
-    pub fn one(binary: PathBuf) -> BuildSet {
+    pub fn single(binary: PathBuf) -> BuildSet {
         BuildSet(vec![binary])
     }
 
     /// Another daemon beside.
-    pub fn and(mut self, binary: PathBuf) -> BuildSet {
+    pub fn with_binary(mut self, binary: PathBuf) -> BuildSet {
         self.0.push(binary);
         self
     }
 
-    fn at_turn(&self, turn: usize) -> &Path {
+    fn binary_for_start(&self, turn: usize) -> &Path {
         &self.0[turn % self.0.len()]
     }
 }
 
 /// `RunningInstance` is an instance that may be running.
 pub struct RunningInstance {
-    place: InstancePlace,
+    spec: InstanceSpec,
     builds: BuildSet,
     /// Counts starts; instances begin at different counts.
-    turn: usize,
+    start_count: usize,
     settings: PathBuf,
     log: PathBuf,
     child: Option<Child>,
     started_at: Instant,
     /// When the planned stop must have ended.
-    stop_by: Option<Instant>,
+    stop_deadline: Option<Instant>,
     /// The planned stop began before the process could have done anything.
-    is_stillborn: bool,
+    is_before_signal_setup: bool,
 }
 
 impl RunningInstance {
@@ -94,7 +94,7 @@
     ///
     /// When the folder can't be written.
     pub fn prepare(
-        place: InstancePlace,
+        place: InstanceSpec,
         builds: &BuildSet,
         turn: usize,
         folder: &Path,
@@ -103,15 +103,15 @@
         let log = folder.join(format!("{}.log", place.name));
         fs::write(&settings, settings_text(&place))?;
         Ok(RunningInstance {
-            place,
+            spec: place,
             builds: builds.clone(),
-            turn,
+            start_count: turn,
             settings,
             log,
             child: None,
             started_at: Instant::now(),
-            stop_by: None,
-            is_stillborn: false,
+            stop_deadline: None,
+            is_before_signal_setup: false,
         })
     }
 
@@ -122,7 +122,7 @@
     /// When the program can't be started.
     pub fn start(&mut self) -> Result<()> {
         let log = File::options().create(true).append(true).open(&self.log)?;
-        let binary = self.builds.at_turn(self.turn);
+        let binary = self.builds.binary_for_start(self.start_count);
         let child = Command::new(binary)
             .arg("packets")
             .arg("--config")
@@ -133,9 +133,9 @@
             .spawn()
             .with_context(|| format!("can't start {}", binary.display()))?;
         self.child = Some(child);
-        self.turn += 1;
+        self.start_count += 1;
         self.started_at = Instant::now();
-        self.stop_by = None;
+        self.stop_deadline = None;
         Ok(())
     }
 
@@ -146,21 +146,22 @@
 
     /// True while a planned stop goes on.
     pub fn is_stopping(&self) -> bool {
-        self.stop_by.is_some()
+        self.stop_deadline.is_some()
     }
 
     /// Sends a signal to the process, if there is one.
     pub fn signal(&mut self, signal: Signal) {
         let Some(child) = &self.child else { return };
         let now = Instant::now();
-        if signal == Signal::SIGTERM && self.stop_by.is_none() {
-            self.stop_by = Some(now + STOP_LIMIT);
-            self.is_stillborn = now - self.started_at < STILLBORN;
+        if signal == Signal::SIGTERM && self.stop_deadline.is_none() {
+            self.stop_deadline = Some(now + STOP_TIMEOUT);
+            self.is_before_signal_setup = now - self.started_at < SIGNAL_SETUP_TIME;
         }
         // Seeds 605 and 707: a process that stands still can't stop. What is left of
         // the time when it goes on may be next to nothing.
         if signal == Signal::SIGCONT {
-            self.stop_by = self.stop_by.map(|by| by.max(now + AFTER_PAUSE));
+            self.stop_deadline =
+                self.stop_deadline.map(|by| by.max(now + MIN_STOP_TIME_AFTER_PAUSE));
         }
         // A process that has ended in between takes no signal.
         let _ = kill(Pid::from_raw(child.id() as i32), signal);
@@ -173,26 +174,26 @@
             let _ = child.kill();
             let _ = child.wait();
         }
-        self.stop_by = None;
+        self.stop_deadline = None;
     }
 
     /// Looks whether the process has ended; what is wrong, if it has ended by itself or too late.
-    pub fn check(&mut self) -> Option<String> {
-        let name = &self.place.name;
+    pub fn check_exit(&mut self) -> Option<String> {
+        let name = &self.spec.name;
         let status = match self.child.as_mut()?.try_wait() {
             Ok(status) => status,
             Err(error) => return Some(format!("{name} can't be looked at: {error}")),
         };
         let Some(status) = status else {
-            let is_late = self.stop_by.is_some_and(|by| Instant::now() > by);
-            return is_late.then(|| format!("{name} takes longer to stop than {STOP_LIMIT:?}"));
+            let is_late = self.stop_deadline.is_some_and(|by| Instant::now() > by);
+            return is_late.then(|| format!("{name} takes longer to stop than {STOP_TIMEOUT:?}"));
         };
         self.child = None;
-        match self.stop_by.take() {
+        match self.stop_deadline.take() {
             Some(_) if status.success() => None,
             // Seed 702: the signal came before the program's first instruction, as its
             // log shows, which lacks even the line of its start.
-            Some(_) if self.is_stillborn && status.signal() == Some(SIGTERM) => None,
+            Some(_) if self.is_before_signal_setup && status.signal() == Some(SIGTERM) => None,
             Some(_) => Some(format!("{name} stopped with {status}")),
             None => Some(format!("{name} ended by itself with {status}")),
         }
@@ -205,7 +206,7 @@
     }
 }
 
-fn settings_text(place: &InstancePlace) -> String {
+fn settings_text(place: &InstanceSpec) -> String {
     let seeds: Vec<_> = place.seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
     format!(
         "[instance]\nname = \"{}\"\ndata_centre = \"{}\"\n\n\
--- a/crates/foxledge-soak/src/lib.rs
+++ b/crates/foxledge-soak/src/lib.rs
@@ -8,16 +8,16 @@
 pub mod backends;
 pub mod callers;
 pub mod faults;
-pub mod heads;
 pub mod instances;
 pub mod links;
-mod nets;
+mod monitors;
+mod networks;
+pub mod packets;
 pub mod plan;
 pub mod promises;
 pub mod router;
 pub mod soak;
 pub mod store;
-mod watches;
 pub mod world;
 
 pub use instances::BuildSet;
--- a/crates/foxledge-soak/src/links.rs
+++ b/crates/foxledge-soak/src/links.rs
@@ -30,7 +30,7 @@
     /// Nothing passes, in neither direction.
     Cut,
     /// Answers don't pass.
-    CutBack,
+    CutResponses,
     /// What passes waits this many milliseconds.
     Delay(u64),
     /// Connections are closed.
@@ -59,7 +59,7 @@
                 // What began before the connection doesn't silence or reset it.
                 let mut faults = faults.clone();
                 faults.mark_unchanged();
-                tokio::spawn(pass_connection(stream, store, faults));
+                tokio::spawn(proxy_connection(stream, store, faults));
             }
         });
         Ok(StoreLink { fault })
@@ -71,12 +71,16 @@
     }
 }
 
-async fn pass_connection(near: TcpStream, store: SocketAddrV4, faults: watch::Receiver<LinkFault>) {
+async fn proxy_connection(
+    near: TcpStream,
+    store: SocketAddrV4,
+    faults: watch::Receiver<LinkFault>,
+) {
     let Ok(far) = TcpStream::connect(store).await else { return };
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
-    let there = pass_bytes(near_read, far_write, faults.clone(), Direction::There);
-    let back = pass_bytes(far_read, near_write, faults, Direction::Back);
+    let there = proxy_bytes(near_read, far_write, faults.clone(), LinkDirection::ToStore);
+    let back = proxy_bytes(far_read, near_write, faults, LinkDirection::FromStore);
     tokio::select! {
         () = there => {}
         () = back => {}
@@ -84,16 +88,16 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Direction {
-    There,
-    Back,
+enum LinkDirection {
+    ToStore,
+    FromStore,
 }
 
-async fn pass_bytes(
+async fn proxy_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut faults: watch::Receiver<LinkFault>,
-    direction: Direction,
+    direction: LinkDirection,
 ) {
     let mut buffer = vec![0; 16 * 1_024];
     let mut is_silenced = false;
@@ -117,7 +121,7 @@
         match fault {
             _ if is_silenced => continue,
             LinkFault::Cut => continue,
-            LinkFault::CutBack if direction == Direction::Back => continue,
+            LinkFault::CutResponses if direction == LinkDirection::FromStore => continue,
             LinkFault::Delay(millis) => sleep(Duration::from_millis(millis)).await,
             _ => {}
         }
@@ -141,7 +145,7 @@
     }
 
     /// True when the packet that has just come is one of them.
-    pub fn takes_one(&self) -> bool {
+    pub fn drops_packet(&self) -> bool {
         let per_mille = self.per_mille.load(Ordering::Relaxed);
         per_mille > 0 && rand::rng().random_range(0..1_000) < per_mille
     }
@@ -176,7 +180,7 @@
         let index_of: HashMap<_, _> = own.iter().enumerate().map(|(i, own)| (*own, i)).collect();
         let index_of = Arc::new(index_of);
         for (to, own) in own.iter().enumerate() {
-            let carrier = Carrier {
+            let carrier = PeerProxy {
                 links: links.clone(),
                 sockets: sockets.clone(),
                 index_of: index_of.clone(),
@@ -201,7 +205,7 @@
     }
 }
 
-struct Carrier {
+struct PeerProxy {
     links: Arc<PeerLinks>,
     sockets: Vec<Arc<UdpSocket>>,
     index_of: Arc<HashMap<SocketAddrV4, usize>>,
@@ -209,7 +213,7 @@
     own: SocketAddrV4,
 }
 
-impl Carrier {
+impl PeerProxy {
     /// Passes messages on from the sender's public address, so that answers come back here.
     async fn run(self) {
         let mut buffer = vec![0; 4_096];
--- a/crates/foxledge-soak/src/main.rs
+++ b/crates/foxledge-soak/src/main.rs
@@ -28,8 +28,8 @@
         None => std::env::current_exe()?.with_file_name("foxledged"),
     };
     let builds = match matches.get_one::<PathBuf>("other-binary") {
-        Some(other) => BuildSet::one(binary).and(other.clone()),
-        None => BuildSet::one(binary),
+        Some(other) => BuildSet::single(binary).with_binary(other.clone()),
+        None => BuildSet::single(binary),
     };
     let range = match matches.get_one::<String>("range").map(String::as_str) {
         Some("control") => FaultRange::Control,
--- a/crates/foxledge-soak/src/watches.rs
+++ b/crates/foxledge-soak/src/monitors.rs
@@ -9,22 +9,22 @@
 
 use crate::{
     callers::CallerHost,
-    world::{MOVING, MOVING_PORT, SoakWorld},
+    world::{DYNAMIC_ROUTE_COUNT, FIRST_DYNAMIC_PORT, SoakWorld},
 };
 
 /// Starts instances anew that were stopped, and tells of those that ended by themselves.
-pub(crate) async fn watch_processes(world: Arc<SoakWorld>) {
+pub(crate) async fn monitor_processes(world: Arc<SoakWorld>) {
     while !world.is_ending.load(Ordering::Relaxed) {
         for index in 0..world.size() {
             let (found, has_ended) = world.with_instance(index, |running| {
                 let was_running = running.is_running();
-                (running.check(), was_running && !running.is_running())
+                (running.check_exit(), was_running && !running.is_running())
             });
             if let Some(found) = found {
-                world.ledger.breach(found);
+                world.ledger.record_breach(found);
             }
             if has_ended {
-                world.ledger.disturb(index);
+                world.ledger.record_instance_fault(index);
                 world.start_instance(index);
             }
         }
@@ -33,13 +33,17 @@
 }
 
 /// Tells of packets that reach an address which only another writer's entries name.
-pub(crate) async fn watch_empty(world: Arc<SoakWorld>) {
-    let Ok(socket) = tokio::net::UdpSocket::bind(world.empty_address()).await else {
-        return world.ledger.breach("the soak itself failed: an address is taken".to_owned());
+pub(crate) async fn monitor_unused_address(world: Arc<SoakWorld>) {
+    let Ok(socket) = tokio::net::UdpSocket::bind(world.unused_address()).await else {
+        return world
+            .ledger
+            .record_breach("the soak itself failed: an address is taken".to_owned());
     };
     let mut buffer = [0; 64];
     while let Ok((_, from)) = socket.recv_from(&mut buffer).await {
-        world.ledger.breach(format!("{from} sent a flow's packet to another writer's address"));
+        world
+            .ledger
+            .record_breach(format!("{from} sent a flow's packet to another writer's address"));
     }
 }
 
@@ -47,7 +51,7 @@
 pub(crate) async fn probe_routes(world: Arc<SoakWorld>, host: Arc<CallerHost>) {
     while !world.is_ending.load(Ordering::Relaxed) {
         for instance in 0..world.size() {
-            for port in MOVING_PORT..MOVING_PORT + MOVING {
+            for port in FIRST_DYNAMIC_PORT..FIRST_DYNAMIC_PORT + DYNAMIC_ROUTE_COUNT {
                 let host = host.clone();
                 tokio::spawn(async move { host.probe(port, instance).await });
             }
--- a/crates/foxledge-soak/src/heads.rs
+++ b/crates/foxledge-soak/src/packets.rs
@@ -14,7 +14,7 @@
 pub const FIN: u8 = 2;
 
 /// Sum of packets that their ends wrote; an instance doesn't know how to make it.
-pub const END_SUM: u32 = 0x5eed_5eed;
+pub const ENDPOINT_CHECKSUM: u32 = 0x5eed_5eed;
 
 /// `WirePacket` is one packet in full.
 #[derive(Clone, Debug)]
@@ -26,7 +26,7 @@
     /// Handed back by both ends.
     pub echo: u32,
     /// Sum over the packet; 0 in an instance's own refusals.
-    pub sum: u32,
+    pub checksum: u32,
     /// Flags.
     pub flags: u8,
     /// Sequence number.
@@ -41,7 +41,16 @@
     /// A packet without data.
     pub fn new(from: SocketAddrV4, to: SocketAddrV4, flags: u8) -> WirePacket {
         let (echo, sequence, acknowledged) = (0, 0, 0);
-        WirePacket { from, to, echo, sum: END_SUM, flags, sequence, acknowledged, data: Vec::new() }
+        WirePacket {
+            from,
+            to,
+            echo,
+            checksum: ENDPOINT_CHECKSUM,
+            flags,
+            sequence,
+            acknowledged,
+            data: Vec::new(),
+        }
     }
 
     /// The bytes.
@@ -53,7 +62,7 @@
         bytes[8..12].copy_from_slice(&self.from.ip().octets());
         bytes[12..16].copy_from_slice(&self.to.ip().octets());
         bytes[16..18].copy_from_slice(&(self.data.len() as u16).to_be_bytes());
-        bytes[18..22].copy_from_slice(&self.sum.to_be_bytes());
+        bytes[18..22].copy_from_slice(&self.checksum.to_be_bytes());
         bytes[22] = self.flags;
         bytes[24..28].copy_from_slice(&self.sequence.to_be_bytes());
         bytes[28..32].copy_from_slice(&self.acknowledged.to_be_bytes());
@@ -72,7 +81,7 @@
             echo: word(0),
             to: SocketAddrV4::new(word(12).into(), port(4)),
             from: SocketAddrV4::new(word(8).into(), port(6)),
-            sum: word(18),
+            checksum: word(18),
             flags: bytes[22],
             sequence: word(24),
             acknowledged: word(28),
@@ -81,7 +90,7 @@
     }
 
     /// The flow, for a packet of a caller.
-    pub fn flow(&self) -> FlowKey {
+    pub fn flow_key(&self) -> FlowKey {
         FlowKey { caller: self.from, service: self.to }
     }
 }
--- a/crates/foxledge-soak/src/plan.rs
+++ b/crates/foxledge-soak/src/plan.rs
@@ -41,7 +41,7 @@
 
 impl FaultRange {
     /// True when backend servers tell in their entries when they started.
-    pub fn tells_starts(self) -> bool {
+    pub fn includes_start_times(self) -> bool {
         matches!(self, FaultRange::Entries | FaultRange::Evacuations | FaultRange::Restores)
     }
 
@@ -198,14 +198,14 @@
         /// Time between, in milliseconds.
         down_ms: u64,
         /// Where it starts.
-        place: RestartPlace,
+        place: RestartAddress,
     },
     /// Another writer overwrites a backend server's entry, which its own next one mends.
-    EntrySpoiled {
+    EntryCorrupted {
         /// Which, of all.
         backend: usize,
         /// What is written.
-        value: SpoiledValue,
+        value: CorruptEntry,
         /// Time until it is mended, in milliseconds.
         for_ms: u64,
     },
@@ -214,7 +214,7 @@
         /// Of a new backend server, or with the number of this one.
         backend: Option<usize>,
         /// What is written.
-        value: SpoiledValue,
+        value: CorruptEntry,
         /// Time in milliseconds.
         for_ms: u64,
     },
@@ -250,22 +250,22 @@
     Caller(usize),
 }
 
-/// `RestartPlace` is where a backend server starts again.
+/// `RestartAddress` is where a backend server starts again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RestartPlace {
+pub enum RestartAddress {
     /// At the address that it had.
     Same,
     /// At another.
     Other,
 }
 
-/// `SpoiledValue` is an entry as another writer leaves it.
+/// `CorruptEntry` is an entry as another writer leaves it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SpoiledValue {
+pub enum CorruptEntry {
     /// No JSON.
-    Text,
+    InvalidJson,
     /// Without a state.
-    Stateless,
+    MissingState,
     /// In a state that nobody knows.
     UnknownState,
     /// With an address of another form.
@@ -275,19 +275,19 @@
     /// With a fraction for the time of its start.
     BadStart,
     /// Whole, at an address where no backend server is.
-    Elsewhere,
+    OtherAddress,
 }
 
-impl SpoiledValue {
+impl CorruptEntry {
     /// Every one.
-    pub const ALL: [SpoiledValue; 7] = [
-        SpoiledValue::Text,
-        SpoiledValue::Stateless,
-        SpoiledValue::UnknownState,
-        SpoiledValue::BadAddress,
-        SpoiledValue::BadSlots,
-        SpoiledValue::BadStart,
-        SpoiledValue::Elsewhere,
+    pub const ALL: [CorruptEntry; 7] = [
+        CorruptEntry::InvalidJson,
+        CorruptEntry::MissingState,
+        CorruptEntry::UnknownState,
+        CorruptEntry::BadAddress,
+        CorruptEntry::BadSlots,
+        CorruptEntry::BadStart,
+        CorruptEntry::OtherAddress,
     ];
 }
 
@@ -309,7 +309,7 @@
         let end = options.seconds * 1_000;
         let mut at = 500;
         while at < end {
-            faults.push((at, any_fault(&mut rng, options)));
+            faults.push((at, random_fault(&mut rng, options)));
             // Some come together, others with a pause.
             let is_together = rng.random_bool(0.25);
             let pause = rng.random_range(0..options.fault_every_ms * 2);
@@ -319,7 +319,7 @@
     }
 }
 
-fn any_fault(rng: &mut StdRng, options: &SoakOptions) -> SoakFault {
+fn random_fault(rng: &mut StdRng, options: &SoakOptions) -> SoakFault {
     let instance = rng.random_range(0..options.instances * 2);
     let backend = rng.random_range(0..1_000);
     let for_ms = rng.random_range(300..6_000);
@@ -329,7 +329,7 @@
         FaultRange::Entries => 34,
         FaultRange::Evacuations => 40,
         FaultRange::Restores => 46,
-        FaultRange::Bursts => return any_burst(rng, options, instance),
+        FaultRange::Bursts => return random_burst_fault(rng, options, instance),
     };
     match rng.random_range(0..kinds) {
         0..3 => SoakFault::Kill { instance, down_ms: rng.random_range(100..2_500) },
@@ -349,9 +349,9 @@
         25..30 => SoakFault::BackendRestarts {
             backend,
             down_ms: rng.random_range(5..3_000),
-            place: if rng.random_bool(0.6) { RestartPlace::Same } else { RestartPlace::Other },
+            place: if rng.random_bool(0.6) { RestartAddress::Same } else { RestartAddress::Other },
         },
-        30..32 => SoakFault::EntrySpoiled { backend, value: any_value(rng), for_ms },
+        30..32 => SoakFault::EntryCorrupted { backend, value: random_value(rng), for_ms },
         40.. => SoakFault::StoreRestored {
             age_ms: rng.random_range(0..8_000),
             away_ms: rng.random_range(100..4_000),
@@ -362,7 +362,7 @@
         },
         32..34 => SoakFault::EntryAdded {
             backend: rng.random_bool(0.5).then_some(backend),
-            value: any_value(rng),
+            value: random_value(rng),
             for_ms,
         },
         23.. => SoakFault::PacketLoss { per_mille: rng.random_range(20..400), for_ms },
@@ -370,7 +370,7 @@
     }
 }
 
-fn any_burst(rng: &mut StdRng, options: &SoakOptions, instance: usize) -> SoakFault {
+fn random_burst_fault(rng: &mut StdRng, options: &SoakOptions, instance: usize) -> SoakFault {
     let for_ms = rng.random_range(1_500..4_000);
     let source = match rng.random_range(0..10) {
         0..2 => BurstSource::Centre(rng.random_range(0..2)),
@@ -382,6 +382,6 @@
     SoakFault::Burst { source, for_ms }
 }
 
-fn any_value(rng: &mut StdRng) -> SpoiledValue {
-    SpoiledValue::ALL[rng.random_range(0..SpoiledValue::ALL.len())]
+fn random_value(rng: &mut StdRng) -> CorruptEntry {
+    CorruptEntry::ALL[rng.random_range(0..CorruptEntry::ALL.len())]
 }
--- a/crates/foxledge-soak/src/router.rs
+++ b/crates/foxledge-soak/src/router.rs
@@ -15,7 +15,7 @@
 };
 
 /// Time between two questions whether an instance is ready.
-const PROBE: Duration = Duration::from_millis(500);
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// `PacketRouter` spreads flows over the instances that are ready.
 pub struct PacketRouter {
@@ -35,7 +35,7 @@
 
     /// Where a flow's packet goes now, by a hash that moves only what it must; to an instance of
     /// one of the two data centres if one is named.
-    pub fn pick(&self, flow: &FlowKey, centre: Option<usize>) -> (usize, SocketAddrV4) {
+    pub fn select_instance(&self, flow: &FlowKey, centre: Option<usize>) -> (usize, SocketAddrV4) {
         let ready = self.ready.lock().unwrap_or_else(PoisonError::into_inner);
         let is_own = |index: &usize| centre.is_none_or(|centre| index % 2 == centre);
         let all: Vec<usize> = (0..self.data.len()).filter(is_own).collect();
@@ -60,11 +60,11 @@
     }
 
     async fn probe(self: Arc<PacketRouter>, index: usize, address: SocketAddrV4) {
-        let mut ticks = interval(PROBE);
+        let mut ticks = interval(PROBE_INTERVAL);
         let mut misses = 0;
         loop {
             ticks.tick().await;
-            let is_ready = timeout(PROBE, is_healthy(address)).await.unwrap_or(false);
+            let is_ready = timeout(PROBE_INTERVAL, is_healthy(address)).await.unwrap_or(false);
             misses = if is_ready { 0 } else { misses + 1 };
             let mut ready = self.ready.lock().unwrap_or_else(PoisonError::into_inner);
             if is_ready {
--- a/crates/foxledge-soak/src/soak.rs
+++ b/crates/foxledge-soak/src/soak.rs
@@ -13,25 +13,25 @@
 
 use crate::{
     callers::CallerHost,
-    faults::carry_out,
+    faults::apply_fault,
     instances::{BuildSet, RunningInstance},
-    nets::take_net,
+    monitors::{monitor_processes, monitor_unused_address, probe_routes},
+    networks::reserve_network,
     plan::{FaultPlan, SoakOptions},
-    watches::{probe_routes, watch_empty, watch_processes},
-    world::{BID_PORT, DATA_PORT, FEED_PORT, KEPT_FLOWS, SoakWorld, UPLOAD_PORT},
+    world::{BID_PORT, DATA_PORT, FEED_PORT, PERSISTENT_FLOWS, SoakWorld, UPLOAD_PORT},
 };
 
 /// Time for the start, and for the calm after the faults.
-const SETTLE: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time after the last fault until requests are counted again.
-const CALM: Duration = Duration::from_secs(7);
+const RECOVERY_WAIT: Duration = Duration::from_secs(7);
 /// Time that requests are counted for at the end.
-const COUNTED: Duration = Duration::from_secs(3);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(3);
 /// Share of requests that must be served in the calm at the end.
-const SERVED_SHARE: f64 = 0.98;
+const MIN_SERVED_SHARE: f64 = 0.98;
 /// Requests a second of each caller's address where slots are counted, by kind.
-const USUAL_BIDS: u64 = 4;
-const USUAL_FEEDS: u64 = 6;
+const BASE_BIDS_PER_S: u64 = 4;
+const BASE_FEEDS_PER_S: u64 = 6;
 
 /// `SoakReport` is what a run showed.
 #[derive(Clone, Debug)]
@@ -93,7 +93,7 @@
 pub fn run_soak(options: SoakOptions, builds: &BuildSet) -> Result<SoakReport> {
     let runtime = runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
     // Several runs of a process may have the same seed, but not the same network.
-    let (net, hold) = take_net()?;
+    let (net, hold) = reserve_network()?;
     let name = format!("foxledge-soak-{}-{}-{net}", std::process::id(), options.seed);
     let folder = std::env::temp_dir().join(name);
     std::fs::create_dir_all(&folder)?;
@@ -115,21 +115,21 @@
     let hosts = start_callers(&world).await?;
     world.lock_hosts().clone_from(&hosts);
     wait_ready(&world).await?;
-    tokio::spawn(watch_processes(world.clone()));
+    tokio::spawn(monitor_processes(world.clone()));
     // Where slots are counted, probes that ask for nothing would be load without requests.
     if !world.options.range.shares_load() {
         tokio::spawn(probe_routes(world.clone(), hosts[0].clone()));
     }
-    tokio::spawn(watch_empty(world.clone()));
-    world.ledger.take_counts();
-    let faults = play(&world).await;
-    let during = world.ledger.take_counts();
-    sleep(CALM).await;
-    world.ledger.take_counts();
-    sleep(COUNTED).await;
-    let after = world.ledger.take_counts();
+    tokio::spawn(monitor_unused_address(world.clone()));
+    world.ledger.drain_counts();
+    let faults = run_plan(&world).await;
+    let during = world.ledger.drain_counts();
+    sleep(RECOVERY_WAIT).await;
+    world.ledger.drain_counts();
+    sleep(MEASUREMENT_TIME).await;
+    let after = world.ledger.drain_counts();
     check_recovery(&world, after);
-    world.ledger.check_urgent(BID_PORT, FEED_PORT);
+    world.ledger.check_urgent_share(BID_PORT, FEED_PORT);
     world.is_ending.store(true, Ordering::Relaxed);
     for host in &hosts {
         host.is_stopping.store(true, Ordering::Relaxed);
@@ -140,37 +140,37 @@
         faults,
         during,
         after,
-        urgent: world.ledger.counts_at(BID_PORT),
-        others: world.ledger.counts_at(FEED_PORT),
+        urgent: world.ledger.route_counts(BID_PORT),
+        others: world.ledger.route_counts(FEED_PORT),
         refused: world.ledger.refused_count(),
-        store_calls: world.store.calls(),
+        store_calls: world.store.call_count(),
         breaches: world.ledger.breaches(),
         folder: folder.to_owned(),
     })
 }
 
 /// Carries the plan out; faults overlap, and all have ended when it returns.
-async fn play(world: &Arc<SoakWorld>) -> usize {
+async fn run_plan(world: &Arc<SoakWorld>) -> usize {
     let plan = FaultPlan::new(&world.options);
     let start = Instant::now();
     let mut tasks = Vec::new();
     for (at, fault) in &plan.faults {
         let due = start + Duration::from_millis(*at);
         sleep(due.saturating_duration_since(Instant::now())).await;
-        tasks.push(tokio::spawn(carry_out(world.clone(), *fault)));
+        tasks.push(tokio::spawn(apply_fault(world.clone(), *fault)));
     }
     let end = start + Duration::from_secs(world.options.seconds);
     sleep(end.saturating_duration_since(Instant::now())).await;
     for task in tasks {
-        world.join(task).await;
+        world.join_task(task).await;
     }
     plan.faults.len()
 }
 
 fn check_recovery(world: &SoakWorld, (served, failed): (u64, u64)) {
     let share = served as f64 / (served + failed).max(1) as f64;
-    if served == 0 || share < SERVED_SHARE {
-        world.ledger.breach(format!("after the faults {served} were served, {failed} not"));
+    if served == 0 || share < MIN_SERVED_SHARE {
+        world.ledger.record_breach(format!("after the faults {served} were served, {failed} not"));
     }
 }
 
@@ -184,7 +184,7 @@
         let centre = shares_load.then_some(index % 2);
         let host = CallerHost::start(address, router, ledger, loss, centre).await?;
         if shares_load {
-            start_usual(&host, &mut rng);
+            start_base_load(&host, &mut rng);
             hosts.push(host);
             continue;
         }
@@ -192,9 +192,9 @@
         for _ in 0..3 {
             tokio::spawn(host.clone().run(ports.clone(), rng.random()));
         }
-        if world.options.range.tells_starts() {
-            for _ in 0..KEPT_FLOWS {
-                tokio::spawn(host.clone().run_kept(BID_PORT, rng.random()));
+        if world.options.range.includes_start_times() {
+            for _ in 0..PERSISTENT_FLOWS {
+                tokio::spawn(host.clone().run_persistent(BID_PORT, rng.random()));
             }
         }
         hosts.push(host);
@@ -203,16 +203,16 @@
 }
 
 /// Starts the requests that take half of the slots: flows of one request, and some kept ones.
-fn start_usual(host: &Arc<CallerHost>, rng: &mut StdRng) {
-    tokio::spawn(host.clone().run_rate(BID_PORT, USUAL_BIDS, None));
-    tokio::spawn(host.clone().run_rate(FEED_PORT, USUAL_FEEDS, None));
+fn start_base_load(host: &Arc<CallerHost>, rng: &mut StdRng) {
+    tokio::spawn(host.clone().run_rate(BID_PORT, BASE_BIDS_PER_S, None));
+    tokio::spawn(host.clone().run_rate(FEED_PORT, BASE_FEEDS_PER_S, None));
     for _ in 0..2 {
-        tokio::spawn(host.clone().run_kept(BID_PORT, rng.random()));
+        tokio::spawn(host.clone().run_persistent(BID_PORT, rng.random()));
     }
 }
 
 async fn wait_ready(world: &SoakWorld) -> Result<()> {
-    let end = Instant::now() + SETTLE;
+    let end = Instant::now() + START_TIMEOUT;
     while world.router.ready_count() < world.size() {
         if Instant::now() > end {
             bail!("{} of {} are ready", world.router.ready_count(), world.size());
--- a/crates/foxledge-soak/src/store.rs
+++ b/crates/foxledge-soak/src/store.rs
@@ -36,18 +36,18 @@
 
 struct StoreState {
     items: BTreeMap<String, Value>,
-    log: Vec<(u64, Value)>,
+    history: Vec<(u64, Value)>,
     revision: u64,
-    floor: u64,
+    compacted_revision: u64,
     /// Rises each time the store comes back from a copy.
-    era: u64,
+    epoch: u64,
     mode: StoreMode,
     calls: u64,
 }
 
-/// `StoreCopy` is what a store held at one moment.
+/// `StoreSnapshot` is what a store held at one moment.
 #[derive(Clone)]
-pub struct StoreCopy {
+pub struct StoreSnapshot {
     items: BTreeMap<String, Value>,
     revision: u64,
 }
@@ -76,7 +76,7 @@
 }
 
 /// Items of one page; few, so that even small lists have several pages.
-const PAGE: usize = 12;
+const PAGE_SIZE: usize = 12;
 
 impl StandInStore {
     /// Starts to serve.
@@ -87,10 +87,10 @@
     pub async fn start(address: SocketAddrV4) -> Result<StandInStore> {
         let state = StoreState {
             items: BTreeMap::new(),
-            log: Vec::new(),
+            history: Vec::new(),
             revision: 100,
-            floor: 100,
-            era: 0,
+            compacted_revision: 100,
+            epoch: 0,
             mode: StoreMode::Serving,
             calls: 0,
         };
@@ -99,7 +99,7 @@
         let router = Router::new()
             .route("/foxledge/kv-range", get(range))
             .route("/foxledge/kv-watch", get(watch))
-            .layer(middleware::from_fn_with_state(store.clone(), tell_era))
+            .layer(middleware::from_fn_with_state(store.clone(), add_epoch_header))
             .with_state(store.clone());
         tokio::spawn(async move { axum::serve(listener, router).await });
         Ok(store)
@@ -111,7 +111,7 @@
     }
 
     /// Writes an item unless it lies there as it is.
-    pub fn put_again(&self, key: &str, value: &Value) {
+    pub fn put_if_changed(&self, key: &str, value: &Value) {
         let text = BASE64_STANDARD.encode(value.to_string());
         let is_there = self.lock().items.get(key).is_some_and(|item| item["value"] == text);
         if !is_there {
@@ -133,7 +133,7 @@
             "key": key, "value": text, "revision": revision, "created": created, "lease": 0,
         });
         state.items.insert(key.to_owned(), item.clone());
-        state.log.push((revision, item));
+        state.history.push((revision, item));
         drop(state);
         self.changed.notify_waiters();
     }
@@ -146,7 +146,9 @@
         }
         state.revision += 1;
         let revision = state.revision;
-        state.log.push((revision, json!({"key": key, "revision": revision, "tombstone": true})));
+        state
+            .history
+            .push((revision, json!({"key": key, "revision": revision, "tombstone": true})));
         drop(state);
         self.changed.notify_waiters();
     }
@@ -154,24 +156,24 @@
     /// Drops the history.
     pub fn compact(&self) {
         let mut state = self.lock();
-        state.floor = state.revision;
-        state.log.clear();
+        state.compacted_revision = state.revision;
+        state.history.clear();
     }
 
     /// Copies what the store holds now.
-    pub fn copy(&self) -> StoreCopy {
+    pub fn snapshot(&self) -> StoreSnapshot {
         let state = self.lock();
-        StoreCopy { items: state.items.clone(), revision: state.revision }
+        StoreSnapshot { items: state.items.clone(), revision: state.revision }
     }
 
     /// Comes back from a copy: what was written since is gone, and its revisions are given out
     /// again.
-    pub fn restore(&self, copy: &StoreCopy) {
+    pub fn restore(&self, copy: &StoreSnapshot) {
         let mut state = self.lock();
         state.items.clone_from(&copy.items);
-        state.log.clear();
-        (state.revision, state.floor) = (copy.revision, copy.revision);
-        state.era += 1;
+        state.history.clear();
+        (state.revision, state.compacted_revision) = (copy.revision, copy.revision);
+        state.epoch += 1;
         drop(state);
         self.changed.notify_waiters();
     }
@@ -189,7 +191,7 @@
     }
 
     /// Calls so far.
-    pub fn calls(&self) -> u64 {
+    pub fn call_count(&self) -> u64 {
         self.lock().calls
     }
 
@@ -216,13 +218,13 @@
 
     fn events_after(&self, prefix: &str, after: u64) -> Result<(Vec<Value>, u64), StatusCode> {
         let state = self.lock();
-        if after < state.floor || after > state.revision {
+        if after < state.compacted_revision || after > state.revision {
             return Err(StatusCode::GONE);
         }
         let is_wanted = |(revision, item): &&(u64, Value)| {
             *revision > after && item["key"].as_str().is_some_and(|key| key.starts_with(prefix))
         };
-        let events = state.log.iter().filter(is_wanted).map(|(_, item)| item.clone()).collect();
+        let events = state.history.iter().filter(is_wanted).map(|(_, item)| item.clone()).collect();
         Ok((events, state.revision))
     }
 
@@ -231,9 +233,13 @@
     }
 }
 
-async fn tell_era(State(store): State<StandInStore>, call: Request, next: Next) -> Response {
+async fn add_epoch_header(
+    State(store): State<StandInStore>,
+    call: Request,
+    next: Next,
+) -> Response {
     let mut answer = next.run(call).await;
-    let era = store.lock().era;
+    let era = store.lock().epoch;
     answer.headers_mut().insert("store-era", era.into());
     answer
 }
@@ -248,8 +254,8 @@
     };
     let mut items: Vec<_> =
         state.items.iter().filter(is_wanted).map(|(_, item)| item.clone()).collect();
-    let truncated = items.len() > PAGE;
-    items.truncate(PAGE);
+    let truncated = items.len() > PAGE_SIZE;
+    items.truncate(PAGE_SIZE);
     let body = json!({"items": items, "truncated": truncated, "as_of": state.revision});
     Json(body).into_response()
 }
--- a/crates/foxledge-soak/src/world.rs
+++ b/crates/foxledge-soak/src/world.rs
@@ -16,11 +16,11 @@
 use tokio::task::JoinHandle;
 
 use crate::{
-    backends::{BackendPlace, StandInBackend, WorkKind},
+    backends::{BackendSpec, StandInBackend, WorkKind},
     callers::CallerHost,
-    instances::{BuildSet, InstancePlace, RunningInstance},
+    instances::{BuildSet, InstanceSpec, RunningInstance},
     links::{PacketLoss, PeerLinks, StoreLink},
-    plan::{RestartPlace, SoakOptions},
+    plan::{RestartAddress, SoakOptions},
     promises::PromiseLedger,
     router::PacketRouter,
     store::StandInStore,
@@ -29,17 +29,17 @@
 /// Services, the first for feeds and bids.
 pub(crate) const SERVICES: [&str; 2] = ["desk", "intake"];
 /// Backend servers of each service and data centre.
-pub(crate) const BACKENDS: usize = 3;
+pub(crate) const BACKENDS_PER_CENTRE: usize = 3;
 /// Ports of routes: feeds, bids, uploads.
 pub(crate) const FEED_PORT: u16 = 8_443;
 pub(crate) const BID_PORT: u16 = 8_080;
 pub(crate) const UPLOAD_PORT: u16 = 9_443;
 /// Flows that each caller's address keeps for requests that may not be repeated.
-pub(crate) const KEPT_FLOWS: usize = 6;
+pub(crate) const PERSISTENT_FLOWS: usize = 6;
 /// First port of the routes that come, move and go.
-pub(crate) const MOVING_PORT: u16 = 500;
+pub(crate) const FIRST_DYNAMIC_PORT: u16 = 500;
 /// Number of those routes.
-pub(crate) const MOVING: u16 = 6;
+pub(crate) const DYNAMIC_ROUTE_COUNT: u16 = 6;
 /// Ports of instances, store and backend servers.
 pub(crate) const DATA_PORT: u16 = 7_100;
 const PEER_PORT: u16 = 7_101;
@@ -65,11 +65,11 @@
     backends: Mutex<Vec<StandInBackend>>,
     next_backend: AtomicU64,
     version: AtomicU64,
-    moving: Mutex<Vec<Option<usize>>>,
+    dynamic_routes: Mutex<Vec<Option<usize>>>,
     /// The operators' newest list.
     newest_list: Mutex<Value>,
     /// Backend servers that have said that they leave, and run on.
-    leaving: Mutex<Vec<BackendPlace>>,
+    draining: Mutex<Vec<BackendSpec>>,
     /// Callers' addresses, of the two data centres in turns.
     hosts: Mutex<Vec<Arc<CallerHost>>>,
     pub(crate) is_ending: AtomicBool,
@@ -100,7 +100,7 @@
         let router = PacketRouter::start(all(1, DATA_PORT), all(1, ADMIN_PORT));
         let mut instances = Vec::new();
         for index in 0..size {
-            let place = InstancePlace {
+            let place = InstanceSpec {
                 name: format!("instance-{index}"),
                 data_centre: centre_of(index).to_owned(),
                 data: address(1, index, DATA_PORT),
@@ -126,18 +126,18 @@
             backends: Mutex::default(),
             next_backend: AtomicU64::new(0),
             version: AtomicU64::new(0),
-            moving: Mutex::new(vec![Some(0); usize::from(MOVING)]),
+            dynamic_routes: Mutex::new(vec![Some(0); usize::from(DYNAMIC_ROUTE_COUNT)]),
             newest_list: Mutex::default(),
-            leaving: Mutex::default(),
+            draining: Mutex::default(),
             hosts: Mutex::default(),
             is_ending: AtomicBool::new(false),
         });
         for service in SERVICES {
-            for _ in 0..BACKENDS * 2 {
+            for _ in 0..BACKENDS_PER_CENTRE * 2 {
                 world.start_backend(service, None).await;
             }
         }
-        world.publish_list(&world.lock_moving());
+        world.publish_list(&world.lock_dynamic_routes());
         for index in 0..size {
             world.lock_instances()[index].start()?;
         }
@@ -170,7 +170,7 @@
 
     /// Starts an instance that isn't running.
     pub fn start_instance(&self, index: usize) {
-        self.ledger.disturb(index);
+        self.ledger.record_instance_fault(index);
         if self.is_ending.load(Ordering::Relaxed) {
             return;
         }
@@ -179,14 +179,14 @@
             false => running.start(),
         });
         if let Err(error) = started {
-            self.ledger.breach(format!("instance {index}: {error:#}"));
+            self.ledger.record_breach(format!("instance {index}: {error:#}"));
         }
     }
 
     /// Waits for a task of this run; its panic is a fault of the run.
-    pub async fn join(&self, task: JoinHandle<()>) {
+    pub async fn join_task(&self, task: JoinHandle<()>) {
         if let Err(error) = task.await {
-            self.ledger.breach(format!("the soak itself failed: {error}"));
+            self.ledger.record_breach(format!("the soak itself failed: {error}"));
         }
     }
 
@@ -194,24 +194,24 @@
     pub async fn start_backend(&self, service: &str, address: Option<SocketAddrV4>) {
         let count = self.next_backend.fetch_add(1, Ordering::Relaxed);
         let own = self.backend_address(count);
-        let place = BackendPlace {
+        let place = BackendSpec {
             number: 0x1_0000 + count,
             service: service.to_owned(),
             address: address.unwrap_or(own),
             data_centre: centre_of(count as usize).to_owned(),
             caller_port: DATA_PORT,
-            born: self.born(),
-            work: match self.options.range.shares_load() {
-                true => WorkKind::BySlots,
+            started_unix_ms: self.start_time_ms(),
+            work_kind: match self.options.range.shares_load() {
+                true => WorkKind::LimitedBySlots,
                 false => WorkKind::Unbounded,
             },
         };
-        self.start_at(place).await;
+        self.start_backend_at(place).await;
     }
 
     /// The time of a start, as an entry tells it; older runs have platforms without.
-    fn born(&self) -> u64 {
-        if !self.options.range.tells_starts() {
+    fn start_time_ms(&self) -> u64 {
+        if !self.options.range.includes_start_times() {
             return 0;
         }
         let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
@@ -219,18 +219,23 @@
     }
 
     /// Starts a backend server again under its id.
-    pub async fn restart_backend(&self, former: BackendPlace, place: RestartPlace) {
+    pub async fn restart_backend(&self, former: BackendSpec, place: RestartAddress) {
         let count = self.next_backend.fetch_add(1, Ordering::Relaxed);
         let other = self.backend_address(count);
-        let address = if place == RestartPlace::Same { former.address } else { other };
-        self.start_at(BackendPlace { address, born: self.born(), ..former }).await;
+        let address = if place == RestartAddress::Same { former.address } else { other };
+        self.start_backend_at(BackendSpec {
+            address,
+            started_unix_ms: self.start_time_ms(),
+            ..former
+        })
+        .await;
     }
 
-    async fn start_at(&self, place: BackendPlace) {
+    async fn start_backend_at(&self, place: BackendSpec) {
         let (ledger, loss) = (self.ledger.clone(), self.packet_loss.clone());
         match StandInBackend::start(place, &self.store, ledger, loss).await {
             Ok(backend) => self.lock_backends().push(backend),
-            Err(error) => self.ledger.breach(format!("the soak itself failed: {error:#}")),
+            Err(error) => self.ledger.record_breach(format!("the soak itself failed: {error:#}")),
         }
     }
 
@@ -239,38 +244,38 @@
     }
 
     /// An address where no backend server ever is.
-    pub fn empty_address(&self) -> SocketAddrV4 {
+    pub fn unused_address(&self) -> SocketAddrV4 {
         self.address(7, 0, BACKEND_PORT)
     }
 
     /// The place of a running backend server.
-    pub fn place_of(&self, choice: usize) -> Option<BackendPlace> {
+    pub fn backend_spec(&self, choice: usize) -> Option<BackendSpec> {
         let backends = self.lock_backends();
-        Some(backends.get(choice % backends.len().max(1))?.place.clone())
+        Some(backends.get(choice % backends.len().max(1))?.spec.clone())
     }
 
     /// Writes the own entry of a backend server that runs.
-    pub fn register_one(&self, number: u64) {
+    pub fn register_backend(&self, number: u64) {
         let backends = self.lock_backends();
-        if let Some(backend) = backends.iter().find(|one| one.place.number == number) {
+        if let Some(backend) = backends.iter().find(|one| one.spec.number == number) {
             backend.register(&self.store, "ready");
         }
     }
 
     /// Takes a running backend server out, unless too few would be left of its service.
-    pub fn take_backend(&self, choice: usize) -> Option<StandInBackend> {
+    pub fn remove_backend(&self, choice: usize) -> Option<StandInBackend> {
         let mut backends = self.lock_backends();
         let index = choice % backends.len().max(1);
-        let service = backends.get(index)?.place.service.clone();
-        let left = backends.iter().filter(|one| one.place.service == service).count();
-        (left > BACKENDS).then(|| backends.swap_remove(index))
+        let service = backends.get(index)?.spec.service.clone();
+        let left = backends.iter().filter(|one| one.spec.service == service).count();
+        (left > BACKENDS_PER_CENTRE).then(|| backends.swap_remove(index))
     }
 
     /// The number of a running backend server, and what silences it.
-    pub fn silence_of(&self, choice: usize) -> Option<(u64, Arc<AtomicBool>)> {
+    pub fn silence_switch(&self, choice: usize) -> Option<(u64, Arc<AtomicBool>)> {
         let backends = self.lock_backends();
         let backend = backends.get(choice % backends.len().max(1))?;
-        Some((backend.place.number, backend.is_silent.clone()))
+        Some((backend.spec.number, backend.is_silent.clone()))
     }
 
     /// Keys of the entries of all running backend servers.
@@ -286,43 +291,43 @@
     }
 
     /// Writes again what operators want: the newest list, and which data centres are evacuated.
-    pub fn write_again(&self) {
-        let _moving = self.lock_moving();
-        self.store.put_again("op/config", &lock(&self.newest_list));
+    pub fn restore_operator_keys(&self) {
+        let _moving = self.lock_dynamic_routes();
+        self.store.put_if_changed("op/config", &lock(&self.newest_list));
         for centre in (0..2).map(centre_of) {
             let key = evacuation_key(centre);
             match self.ledger.is_evacuated(centre) {
-                true => self.store.put_again(&key, &json!({})),
+                true => self.store.put_if_changed(&key, &json!({})),
                 false => self.store.remove(&key),
             }
         }
     }
 
     /// Writes again the entries of all backend servers that run, where the store lost them.
-    pub fn register_again(&self) {
+    pub fn restore_entries(&self) {
         for backend in self.lock_backends().iter() {
-            self.store.put_again(&backend.key(), &backend.place.entry("ready"));
-            self.ledger.backend_ready(backend.place.number);
+            self.store.put_if_changed(&backend.key(), &backend.spec.entry("ready"));
+            self.ledger.backend_ready(backend.spec.number);
         }
-        for place in lock(&self.leaving).iter() {
-            self.store.put_again(&place.key(), &place.entry("draining"));
+        for place in lock(&self.draining).iter() {
+            self.store.put_if_changed(&place.key(), &place.entry("draining"));
         }
     }
 
     /// Notes that a backend server has said that it leaves.
-    pub fn note_leaving(&self, place: &BackendPlace) {
-        lock(&self.leaving).push(place.clone());
+    pub fn record_draining(&self, place: &BackendSpec) {
+        lock(&self.draining).push(place.clone());
     }
 
     /// Notes that it is about to end.
-    pub fn forget_leaving(&self, place: &BackendPlace) {
-        lock(&self.leaving).retain(|other| other.number != place.number);
+    pub fn remove_draining(&self, place: &BackendSpec) {
+        lock(&self.draining).retain(|other| other.number != place.number);
     }
 
     /// Keys of the entries of all backend servers that run, those that leave included.
     pub fn registered_keys(&self) -> Vec<String> {
         let mut keys = self.live_keys();
-        keys.extend(lock(&self.leaving).iter().map(BackendPlace::key));
+        keys.extend(lock(&self.draining).iter().map(BackendSpec::key));
         keys
     }
 
@@ -333,8 +338,8 @@
     }
 
     /// Publishes a list in which one route has moved, gone or come.
-    pub fn publish_next(&self) {
-        let mut moving = self.lock_moving();
+    pub fn publish_next_list(&self) {
+        let mut moving = self.lock_dynamic_routes();
         let place = self.version.load(Ordering::Relaxed) as usize * 7 % moving.len();
         moving[place] = match moving[place] {
             Some(0) => Some(1),
@@ -355,14 +360,14 @@
         ];
         let mut routes: Vec<Value> = fixed
             .iter()
-            .map(|(name, port, service, kind)| route(name, *port, service, kind))
+            .map(|(name, port, service, kind)| route_json(name, *port, service, kind))
             .collect();
         // Less urgent than the others.
         routes[0]["priority"] = 2.into();
         for (index, service) in moving.iter().enumerate() {
-            let port = MOVING_PORT + index as u16;
+            let port = FIRST_DYNAMIC_PORT + index as u16;
             if let Some(service) = service.map(|index| SERVICES[index]) {
-                routes.push(route(&format!("moving-{index}"), port, service, "idempotent"));
+                routes.push(route_json(&format!("moving-{index}"), port, service, "idempotent"));
             }
         }
         let config = json!({
@@ -378,7 +383,7 @@
         }
         for (index, service) in moving.iter().enumerate() {
             let service = service.map(|index| SERVICES[index].to_owned());
-            self.ledger.route_published(MOVING_PORT + index as u16, service);
+            self.ledger.route_published(FIRST_DYNAMIC_PORT + index as u16, service);
         }
     }
 
@@ -398,8 +403,8 @@
         lock(&self.backends)
     }
 
-    fn lock_moving(&self) -> MutexGuard<'_, Vec<Option<usize>>> {
-        lock(&self.moving)
+    fn lock_dynamic_routes(&self) -> MutexGuard<'_, Vec<Option<usize>>> {
+        lock(&self.dynamic_routes)
     }
 }
 
@@ -418,7 +423,7 @@
     ["toledo", "erie"][index % 2]
 }
 
-fn route(name: &str, port: u16, service: &str, kind: &str) -> Value {
+fn route_json(name: &str, port: u16, service: &str, kind: &str) -> Value {
     json!({
         "name": name, "host": "198.18.0.1", "prefix": format!("/{port}/"), "type": kind,
         "timeout_ms": 1_500, "aim_ms": 400, "priority": 1, "service": service, "attempts": 2,
--- a/crates/foxledge-soak/tests/burst_promises.rs
+++ b/crates/foxledge-soak/tests/burst_promises.rs
@@ -33,7 +33,7 @@
 fn refuse(ledger: &PromiseLedger) -> usize {
     let caller = SocketAddrV4::new(Ipv4Addr::new(127, 1, 4, 1), 40_001);
     let service = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), PORT);
-    ledger.refused(FlowKey { caller, service }, 0);
+    ledger.check_refusal(FlowKey { caller, service }, 0);
     ledger.breaches().len()
 }
 
@@ -59,7 +59,7 @@
 #[test]
 fn cut_centre_refuses() {
     let ledger = ledger([2, 0]);
-    ledger.disturb_peers();
+    ledger.record_peer_fault();
     assert_eq!(refuse(&ledger), 0);
 }
 
@@ -68,12 +68,12 @@
 fn urgent_worse_seen() {
     let ledger = PromiseLedger::default();
     for served in 0..100 {
-        ledger.ended_at(1, served < 90);
-        ledger.ended_at(2, served < 91);
+        ledger.record_route_request_end(1, served < 90);
+        ledger.record_route_request_end(2, served < 91);
     }
-    ledger.check_urgent(1, 2);
+    ledger.check_urgent_share(1, 2);
     assert_eq!(ledger.breaches(), Vec::<String>::new());
-    (0..10).for_each(|_| ledger.ended_at(1, false));
-    ledger.check_urgent(1, 2);
+    (0..10).for_each(|_| ledger.record_route_request_end(1, false));
+    ledger.check_urgent_share(1, 2);
     assert_eq!(ledger.breaches().len(), 1);
 }
--- a/crates/foxledge-soak/tests/late_answers.rs
+++ b/crates/foxledge-soak/tests/late_answers.rs
@@ -8,8 +8,8 @@
 
 use foxledge_soak::{
     callers::CallerHost,
-    heads::{ACK, FIN, SYN, WirePacket},
     links::PacketLoss,
+    packets::{ACK, FIN, SYN, WirePacket},
     promises::PromiseLedger,
     router::PacketRouter,
 };
--- a/crates/foxledge-soak/tests/short_soak.rs
+++ b/crates/foxledge-soak/tests/short_soak.rs
@@ -15,7 +15,7 @@
 }
 
 fn assert_kept(options: SoakOptions) {
-    let report = run_soak(options, &BuildSet::one(daemon())).expect("runs");
+    let report = run_soak(options, &BuildSet::single(daemon())).expect("runs");
     println!("{report}");
     assert!(report.breaches.is_empty(), "{report}");
 }
@@ -32,7 +32,7 @@
 #[test]
 fn calm_serves_all() {
     let report =
-        run_soak(SoakOptions::new(1).seconds(4).fault_every_ms(0), &BuildSet::one(daemon()));
+        run_soak(SoakOptions::new(1).seconds(4).fault_every_ms(0), &BuildSet::single(daemon()));
     let report = report.expect("runs");
     assert!(report.breaches.is_empty(), "{report}");
     assert_eq!(report.during.1, 0, "{report}");
--- a/crates/foxledge-soak/tests/store_client.rs
+++ b/crates/foxledge-soak/tests/store_client.rs
@@ -123,11 +123,11 @@
 fn epoch_told() {
     run(async {
         let (store, address) = store_with_entries(2).await;
-        store.restore(&store.copy());
+        store.restore(&store.snapshot());
         let mut client = StoreClient::new(address);
         let reading = client.read_all(ReadMode::Linearizable).await.expect("is read");
         assert_eq!(reading.epoch(), 1);
-        store.restore(&store.copy());
+        store.restore(&store.snapshot());
         assert_eq!(client.read_first_page().await.expect("is read").epoch(), 2);
         let reading = client.read_all(ReadMode::Serializable).await.expect("is read");
         assert_eq!(reading.epoch(), 2);
@@ -142,7 +142,7 @@
     run(async {
         let (store, address) = store_with_entries(2).await;
         let mut client = StoreClient::new(address);
-        let copy = store.copy();
+        let copy = store.snapshot();
         store.remove("servers/i-00000002");
         let head = client.read_all(ReadMode::Linearizable).await.expect("is read").head;
         store.restore(&copy);
