--- a/crates/foxledge-proofs/src/lasting.rs
+++ b/crates/foxledge-proofs/src/fleet_helpers.rs
@@ -23,14 +23,14 @@
 use foxledge_wire::control::{AuditRequest, StatusRequest, admin_client::AdminClient};
 use serde_json::Value;
 
-use crate::once::{CENTRE, DESK, INTAKE, MEMBER, WIDE_LIMIT};
+use crate::request_helpers::{CENTRE, DESK, INTAKE, MEMBER, WIDE_LIMIT};
 
 /// The other data centre of fleets that have two.
 pub const OTHER_CENTRE: &str = "erie";
 /// Load that lasts until its test ends it, in seconds.
-const LONG_LOAD: f64 = 120.0;
+const LOAD_DURATION_S: f64 = 120.0;
 /// Time between two looks at revisions.
-const LOOK_PERIOD: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Entries of an audit trail that are read.
 const AUDIT_LIMIT: u32 = 1000;
 
@@ -50,8 +50,9 @@
 pub fn start_feeds(fleet: &mut TestFleet, centre: &str, feeds: u32) -> anyhow::Result<TestCaller> {
     let before = open_connections(fleet, DESK.0)?;
     let plan = fleet.plan_caller(DESK.0, MEMBER, TrafficKind::Feed)?;
-    let plan = plan.name(&format!("feeds-{centre}")).rate(0.0).feeds(feeds).seconds(LONG_LOAD);
-    let plan = plan.seed(seed_of(centre));
+    let plan =
+        plan.name(&format!("feeds-{centre}")).rate(0.0).feeds(feeds).seconds(LOAD_DURATION_S);
+    let plan = plan.seed(centre_seed(centre));
     let caller = fleet.start_caller(centre, &plan)?;
     wait_until_ok("feeds are open", WIDE_LIMIT, || {
         let open = open_connections(fleet, DESK.0)? - before;
@@ -64,21 +65,21 @@
 /// Starts bids that arrive until they are stopped.
 pub fn start_bids(fleet: &TestFleet, centre: &str, rate: f64) -> anyhow::Result<TestCaller> {
     let plan = fleet.plan_caller(DESK.0, MEMBER, TrafficKind::Bid)?;
-    let plan = plan.name(&format!("bids-{centre}")).rate(rate).seconds(LONG_LOAD);
-    let plan = plan.seed(seed_of(centre));
+    let plan = plan.name(&format!("bids-{centre}")).rate(rate).seconds(LOAD_DURATION_S);
+    let plan = plan.seed(centre_seed(centre));
     fleet.start_caller(centre, &plan)
 }
 
 /// Starts uploads that arrive until they are stopped.
 pub fn start_uploads(fleet: &TestFleet, centre: &str, rate: f64) -> anyhow::Result<TestCaller> {
     let plan = fleet.plan_caller(INTAKE.0, MEMBER, TrafficKind::Upload)?;
-    let plan = plan.name(&format!("uploads-{centre}")).rate(rate).seconds(LONG_LOAD);
-    let plan = plan.seed(seed_of(centre));
+    let plan = plan.name(&format!("uploads-{centre}")).rate(rate).seconds(LOAD_DURATION_S);
+    let plan = plan.seed(centre_seed(centre));
     fleet.start_caller(centre, &plan)
 }
 
 /// Loads in two data centres must not draw the same flow ids.
-fn seed_of(centre: &str) -> u64 {
+fn centre_seed(centre: &str) -> u64 {
     if centre == CENTRE { 1 } else { 2 }
 }
 
@@ -127,7 +128,7 @@
 }
 
 /// Revision of the list in force at an instance; 0 without one.
-pub fn revision_of(admin: SocketAddr) -> anyhow::Result<u64> {
+pub fn current_revision(admin: SocketAddr) -> anyhow::Result<u64> {
     let text = http::get(admin, "/metrics")?.body;
     Ok(sum_metric(&text, "foxledge_list_revision", "") as u64)
 }
@@ -152,7 +153,7 @@
     limit: Duration,
 ) -> anyhow::Result<()> {
     wait_until_ok(&format!("revision {revision} at {}", instance.name), limit, || {
-        let held = revision_of(instance.listen.admin)?;
+        let held = current_revision(instance.listen.admin)?;
         ensure!(held == revision, "revision {held}");
         Ok(())
     })
@@ -185,15 +186,15 @@
     })
 }
 
-/// `RevisionWatch` looks at the revisions in force, and notes each that goes back.
-pub struct RevisionWatch {
+/// `RevisionMonitor` looks at the revisions in force, and notes each that goes back.
+pub struct RevisionMonitor {
     ended: Arc<AtomicBool>,
     thread: JoinHandle<Vec<String>>,
 }
 
-impl RevisionWatch {
+impl RevisionMonitor {
     /// Begins to watch every instance there is now.
-    pub fn start(fleet: &TestFleet) -> RevisionWatch {
+    pub fn start(fleet: &TestFleet) -> RevisionMonitor {
         let watched: Vec<_> = fleet
             .instances
             .iter()
@@ -201,8 +202,8 @@
             .collect();
         let ended = Arc::new(AtomicBool::new(false));
         let is_ended = ended.clone();
-        let thread = thread::spawn(move || watch_revisions(&watched, &is_ended));
-        RevisionWatch { ended, thread }
+        let thread = thread::spawn(move || monitor_revisions(&watched, &is_ended));
+        RevisionMonitor { ended, thread }
     }
 
     /// Ends the watch; returns the steps back that were seen.
@@ -212,27 +213,27 @@
     }
 }
 
-fn watch_revisions(watched: &[(String, SocketAddr)], ended: &AtomicBool) -> Vec<String> {
+fn monitor_revisions(watched: &[(String, SocketAddr)], ended: &AtomicBool) -> Vec<String> {
     let mut newest = vec![0; watched.len()];
     let mut steps_back = Vec::new();
     while !ended.load(Ordering::Relaxed) {
         for (index, (name, admin)) in watched.iter().enumerate() {
             // An instance that has ended or is frozen says nothing.
-            let Ok(revision) = revision_of(*admin) else { continue };
+            let Ok(revision) = current_revision(*admin) else { continue };
             if revision < newest[index] {
                 steps_back.push(format!("{name}: {} to {revision}", newest[index]));
             }
             newest[index] = revision;
         }
-        thread::sleep(LOOK_PERIOD);
+        thread::sleep(POLL_INTERVAL);
     }
     steps_back
 }
 
 /// The audit trail of an instance.
-pub fn audit_of(instance: &TestInstance) -> anyhow::Result<Vec<Value>> {
+pub fn read_audit(instance: &TestInstance) -> anyhow::Result<Vec<Value>> {
     let address = instance.listen.control;
-    let text = ask_admin(async move {
+    let text = call_admin(async move {
         let mut client = AdminClient::connect(format!("http://{address}")).await?;
         let request = AuditRequest { after: 0, limit: AUDIT_LIMIT };
         anyhow::Ok(client.audit(request).await?.into_inner().json)
@@ -242,7 +243,7 @@
 
 /// The entries of one kind in the audit trail of an instance.
 pub fn audit_entries(instance: &TestInstance, kind: &str) -> anyhow::Result<Vec<Value>> {
-    let entries = audit_of(instance)?;
+    let entries = read_audit(instance)?;
     Ok(entries.into_iter().filter(|entry| entry["kind"] == kind).collect())
 }
 
@@ -262,9 +263,9 @@
 }
 
 /// The status report of an instance.
-pub fn status_of(instance: &TestInstance) -> anyhow::Result<Value> {
+pub fn read_status(instance: &TestInstance) -> anyhow::Result<Value> {
     let address = instance.listen.control;
-    let text = ask_admin(async move {
+    let text = call_admin(async move {
         let mut client = AdminClient::connect(format!("http://{address}")).await?;
         anyhow::Ok(client.status(StatusRequest {}).await?.into_inner().json)
     })?;
@@ -272,8 +273,8 @@
 }
 
 /// Names of the peers that an instance sees in one of `states`.
-pub fn peers_seen(instance: &TestInstance, states: &[&str]) -> anyhow::Result<Vec<String>> {
-    let status = status_of(instance)?;
+pub fn peers_in_states(instance: &TestInstance, states: &[&str]) -> anyhow::Result<Vec<String>> {
+    let status = read_status(instance)?;
     let peers = status["view"]["peers"].as_array().cloned().unwrap_or_default();
     let is_wanted =
         |peer: &&Value| peer["state"].as_str().is_some_and(|state| states.contains(&state));
@@ -285,20 +286,20 @@
 pub fn wait_alive(fleet: &TestFleet, index: usize, expected: &[&str]) -> anyhow::Result<()> {
     let instance = &fleet.instances[index];
     wait_until_ok(&format!("peers of {}", instance.name), WIDE_LIMIT, || {
-        let seen = peers_seen(instance, &["alive"])?;
+        let seen = peers_in_states(instance, &["alive"])?;
         ensure!(seen == expected, "{seen:?}");
         Ok(())
     })
 }
 
 /// The data centres that an instance holds for reachable.
-pub fn centres_seen(instance: &TestInstance) -> anyhow::Result<Vec<String>> {
-    let status = status_of(instance)?;
+pub fn reachable_centres(instance: &TestInstance) -> anyhow::Result<Vec<String>> {
+    let status = read_status(instance)?;
     let centres = status["view"]["reachable_centres"].as_array().cloned().unwrap_or_default();
     Ok(centres.iter().filter_map(|centre| centre.as_str().map(str::to_owned)).collect())
 }
 
-fn ask_admin<T>(question: impl Future<Output = anyhow::Result<T>>) -> anyhow::Result<T> {
+fn call_admin<T>(question: impl Future<Output = anyhow::Result<T>>) -> anyhow::Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async { tokio::time::timeout(Duration::from_secs(5), question).await? })
 }
--- a/crates/foxledge-proofs/src/gate.rs
+++ b/crates/foxledge-proofs/src/fleet_limit.rs
@@ -8,30 +8,30 @@
 use foxledge_fakes::harness::{FleetPlan, TestFleet};
 
 /// Fleets of one test binary that run at once.
-const MOST_FLEETS: usize = 3;
+const MAX_RUNNING_FLEETS: usize = 3;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
-static ENDED: Condvar = Condvar::new();
+static FLEET_ENDED: Condvar = Condvar::new();
 
-/// `GatedFleet` is a fleet that counts among those running at once.
+/// `LimitedFleet` is a fleet that counts among those running at once.
 ///
 /// A dozen fleets on one machine would starve each other; one would notice tests that fail only
 /// when they run together.
-pub struct GatedFleet {
+pub struct LimitedFleet {
     fleet: TestFleet,
     // Dropped after the fleet, whose processes have then ended.
     _permit: FleetPermit,
 }
 
-impl GatedFleet {
+impl LimitedFleet {
     /// Waits for its turn, then starts a fleet whose instances are all ready.
-    pub fn start(plan: FleetPlan) -> anyhow::Result<GatedFleet> {
-        let permit = FleetPermit::take();
-        Ok(GatedFleet { fleet: TestFleet::start(plan)?, _permit: permit })
+    pub fn start(plan: FleetPlan) -> anyhow::Result<LimitedFleet> {
+        let permit = FleetPermit::acquire();
+        Ok(LimitedFleet { fleet: TestFleet::start(plan)?, _permit: permit })
     }
 }
 
-impl Deref for GatedFleet {
+impl Deref for LimitedFleet {
     type Target = TestFleet;
 
     fn deref(&self) -> &TestFleet {
@@ -39,7 +39,7 @@
     }
 }
 
-impl DerefMut for GatedFleet {
+impl DerefMut for LimitedFleet {
     fn deref_mut(&mut self) -> &mut TestFleet {
         &mut self.fleet
     }
@@ -48,10 +48,10 @@
 struct FleetPermit;
 
 impl FleetPermit {
-    fn take() -> FleetPermit {
+    fn acquire() -> FleetPermit {
         let mut running = lock();
-        while *running >= MOST_FLEETS {
-            running = ENDED.wait(running).unwrap_or_else(PoisonError::into_inner);
+        while *running >= MAX_RUNNING_FLEETS {
+            running = FLEET_ENDED.wait(running).unwrap_or_else(PoisonError::into_inner);
         }
         *running += 1;
         FleetPermit
@@ -61,7 +61,7 @@
 impl Drop for FleetPermit {
     fn drop(&mut self) {
         *lock() -= 1;
-        ENDED.notify_one();
+        FLEET_ENDED.notify_one();
     }
 }
 
--- a/crates/foxledge-proofs/src/hand_caller.rs
+++ b/crates/foxledge-proofs/src/manual_caller.rs
@@ -20,11 +20,11 @@
     flow::{Packet, PacketKind, RefusalReason, RunOutcome},
 };
 
-use crate::once::{MEMBER, SEND_PERIOD, WIDE_LIMIT};
+use crate::request_helpers::{MEMBER, SEND_PERIOD, WIDE_LIMIT};
 
-/// `FinalWord` is what a caller was told last of a request.
+/// `RequestOutcome` is what a caller was told last of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FinalWord {
+pub enum RequestOutcome {
     /// The whole answer came.
     Answered,
     /// It didn't run and never will.
@@ -33,8 +33,8 @@
     Unknown(RefusalReason),
 }
 
-/// `HandCaller` is a caller whose packets are made one by one.
-pub struct HandCaller {
+/// `ManualCaller` is a caller whose packets are made one by one.
+pub struct ManualCaller {
     /// Who it is.
     pub identity: FlowIdentity,
     socket: UdpSocket,
@@ -42,13 +42,13 @@
     last_request: u64,
 }
 
-impl HandCaller {
+impl ManualCaller {
     /// Makes a caller of `service` behind the first fabric; `number` sets its ids.
     pub fn new(
         fleet: &TestFleet,
         service: (&str, &str),
         number: u64,
-    ) -> anyhow::Result<HandCaller> {
+    ) -> anyhow::Result<ManualCaller> {
         let fabric = fleet.fabrics.first().context("a fabric")?.address;
         let identity = FlowIdentity {
             flow: 0xf10f_0000 + number,
@@ -61,7 +61,7 @@
             service: None,
         };
         let socket = UdpSocket::bind("127.0.0.1:0")?;
-        Ok(HandCaller { identity, socket, fabric, last_request: 0 })
+        Ok(ManualCaller { identity, socket, fabric, last_request: 0 })
     }
 
     /// Sends a packet to the fabric.
@@ -94,7 +94,11 @@
     }
 
     /// Sends a packet again and again until one that `fits` comes.
-    pub fn ask(&self, packet: &Packet, fits: impl Fn(&Packet) -> bool) -> anyhow::Result<Packet> {
+    pub fn send_until(
+        &self,
+        packet: &Packet,
+        fits: impl Fn(&Packet) -> bool,
+    ) -> anyhow::Result<Packet> {
         let deadline = Instant::now() + WIDE_LIMIT;
         let mut packet = packet.clone();
         loop {
@@ -117,7 +121,7 @@
     /// Asks until it gets a ticket.
     pub fn obtain_ticket(&self) -> anyhow::Result<Vec<u8>> {
         let grants = |packet: &Packet| packet.kind() == PacketKind::TicketGrant;
-        Ok(self.ask(&self.ticket_request(), grants)?.ticket)
+        Ok(self.send_until(&self.ticket_request(), grants)?.ticket)
     }
 
     /// The opening packet of its next request, of one part.
@@ -140,28 +144,32 @@
     }
 
     /// Sends a packet again and again as it is until its request has a final answer.
-    pub fn insist(&self, packet: &Packet) -> anyhow::Result<FinalWord> {
+    pub fn resend_until_final(&self, packet: &Packet) -> anyhow::Result<RequestOutcome> {
         let request = packet.request;
         let is_final = |reply: &Packet| {
             let ends = matches!(reply.kind(), PacketKind::Answer | PacketKind::Refusal);
             reply.request == request && ends
         };
-        Ok(word_of(&self.ask(packet, is_final)?))
+        Ok(outcome_of(&self.send_until(packet, is_final)?))
     }
 
     /// The refusal or answer to a request that comes within `limit`, without sending anything.
-    pub fn overhear(&self, request: u64, limit: Duration) -> Option<FinalWord> {
+    pub fn receive_final(&self, request: u64, limit: Duration) -> Option<RequestOutcome> {
         let reply = self.receive(limit, |reply| {
             let ends = matches!(reply.kind(), PacketKind::Answer | PacketKind::Refusal);
             reply.request == request && ends
         })?;
-        Some(word_of(&reply))
+        Some(outcome_of(&reply))
     }
 
     /// Follows a request as callers do, by token once one is known, to its whole answer or refusal.
     ///
     /// Every part must be of `service` and of this request.
-    pub fn follow(&self, opening: &Packet, service: &str) -> anyhow::Result<FinalWord> {
+    pub fn complete_request(
+        &self,
+        opening: &Packet,
+        service: &str,
+    ) -> anyhow::Result<RequestOutcome> {
         let deadline = Instant::now() + WIDE_LIMIT;
         let mut packet = opening.clone();
         let mut answer = AnswerStore::default();
@@ -176,7 +184,7 @@
                     packet = self.poll(opening.request, &reply.token);
                 }
                 match reply.kind() {
-                    PacketKind::Refusal => return Ok(word_of(&reply)),
+                    PacketKind::Refusal => return Ok(outcome_of(&reply)),
                     PacketKind::Answer => {
                         let body = read_part(&reply, None);
                         let body = body.map_err(|fault| anyhow::anyhow!("answer {fault:?}"))?;
@@ -185,7 +193,7 @@
                         let stored = answer.store(&body);
                         ensure!(stored.is_ok(), "parts of two answers");
                         if answer.is_whole() {
-                            return Ok(FinalWord::Answered);
+                            return Ok(RequestOutcome::Answered);
                         }
                         packet.missing = answer.missing();
                     }
@@ -196,18 +204,18 @@
     }
 
     /// The id of a request.
-    pub fn id(&self, request: u64) -> RequestId {
+    pub fn request_id(&self, request: u64) -> RequestId {
         RequestId { flow: self.identity.flow, request }
     }
 }
 
-fn word_of(reply: &Packet) -> FinalWord {
+fn outcome_of(reply: &Packet) -> RequestOutcome {
     if reply.kind() == PacketKind::Answer {
-        return FinalWord::Answered;
+        return RequestOutcome::Answered;
     }
     let refusal = reply.refusal.unwrap_or_default();
     match refusal.outcome() {
-        RunOutcome::NotRun => FinalWord::NotRun(refusal.reason()),
-        _ => FinalWord::Unknown(refusal.reason()),
+        RunOutcome::NotRun => RequestOutcome::NotRun(refusal.reason()),
+        _ => RequestOutcome::Unknown(refusal.reason()),
     }
 }
--- a/crates/foxledge-proofs/src/once.rs
+++ b/crates/foxledge-proofs/src/request_helpers.rs
@@ -13,8 +13,8 @@
 use foxledge_seal::{KeyRing, seals::open_ticket};
 use foxledge_wire::flow::{Packet, RefusalReason, Ticket};
 
-use crate::gate::GatedFleet;
-pub use crate::hand_caller::{FinalWord, HandCaller};
+use crate::fleet_limit::LimitedFleet;
+pub use crate::manual_caller::{ManualCaller, RequestOutcome};
 
 /// Time between two sendings of a packet that finds no answer.
 pub const SEND_PERIOD: Duration = Duration::from_millis(200);
@@ -41,11 +41,11 @@
 
 /// Settings of tickets that outlast a test, membership that finds out quickly, and patience with
 /// backend servers on a busy machine.
-pub const QUICK: &str = "[flow]\nticket_ms = 20000\n[stop]\nlimit_ms = 30000\n\
+pub const FAST_DETECTION_SETTINGS: &str = "[flow]\nticket_ms = 20000\n[stop]\nlimit_ms = 30000\n\
                          [peers]\nheartbeat_ms = 150\nsuspect_after_ms = 600\ndead_after_ms = 1200\n\
                          [desk]\nack_ms = 1500\n";
 /// Factor of service times so long that a run is still going when its home dies.
-pub const LONG_RUN: f64 = 500.0;
+pub const LONG_RUN_FACTOR: f64 = 500.0;
 
 /// `RunOnce` is whether non-idempotent work runs through its ticket's home only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,7 +64,7 @@
 }
 
 /// Multiplies the service time of every running backend server.
-pub fn slow_down(fleet: &mut TestFleet, factor: f64) -> anyhow::Result<()> {
+pub fn scale_service_time(fleet: &mut TestFleet, factor: f64) -> anyhow::Result<()> {
     let running = fleet.backends.iter_mut().filter_map(|backend| {
         let is_running = backend.process.is_running();
         is_running.then_some(&*backend)
@@ -78,8 +78,8 @@
 ///
 /// Before that two instances may both be the home of a service, and a test that kills "the" home
 /// kills the wrong one.
-pub fn start_fleet(plan: FleetPlan) -> anyhow::Result<GatedFleet> {
-    let fleet = GatedFleet::start(plan)?;
+pub fn start_fleet(plan: FleetPlan) -> anyhow::Result<LimitedFleet> {
+    let fleet = LimitedFleet::start(plan)?;
     let count = fleet.instances.len() as f64;
     for instance in &fleet.instances {
         wait_until(&format!("{} sees all alive", instance.name), WIDE_LIMIT, || {
@@ -91,37 +91,37 @@
 }
 
 /// Lets the first fabric spray over these instances only, listed or not.
-pub fn steer(fleet: &TestFleet, indexes: &[usize]) -> anyhow::Result<()> {
+pub fn set_fabric_instances(fleet: &TestFleet, indexes: &[usize]) -> anyhow::Result<()> {
     let addresses = indexes.iter().map(|index| fleet.instances[*index].listen.data);
     fleet.fabrics[0].client.set_instances(addresses.collect())
 }
 
 /// The published keys of a fleet.
-pub fn published_ring(fleet: &TestFleet) -> KeyRing {
+pub fn published_keys(fleet: &TestFleet) -> KeyRing {
     let keys =
-        fleet.list.keys.iter().map(|key| KeySpec { id: key.id, secret: bytes_of(&key.secret) });
+        fleet.list.keys.iter().map(|key| KeySpec { id: key.id, secret: decode_hex(&key.secret) });
     KeyRing::from_keys(&keys.collect::<Vec<_>>())
 }
 
-fn bytes_of(hex: &str) -> Vec<u8> {
+fn decode_hex(hex: &str) -> Vec<u8> {
     let digit = |start| u8::from_str_radix(&hex[start..start + 2], 16).expect("keys are hex");
     (0..hex.len()).step_by(2).map(digit).collect()
 }
 
 /// What a ticket says.
 pub fn read_ticket(fleet: &TestFleet, ticket: &[u8]) -> anyhow::Result<Ticket> {
-    open_ticket(&published_ring(fleet), ticket).context("a ticket under a published key")
+    open_ticket(&published_keys(fleet), ticket).context("a ticket under a published key")
 }
 
 /// Index of the instance that issued a ticket.
-pub fn home_of(fleet: &TestFleet, ticket: &[u8]) -> anyhow::Result<usize> {
+pub fn ticket_home(fleet: &TestFleet, ticket: &[u8]) -> anyhow::Result<usize> {
     let home = read_ticket(fleet, ticket)?.home;
     let mut instances = fleet.instances.iter();
     instances.position(|instance| instance.name == home).context("the ticket's home")
 }
 
 /// Indexes of the running instances but `index`.
-pub fn others(fleet: &mut TestFleet, index: usize) -> Vec<usize> {
+pub fn other_running(fleet: &mut TestFleet, index: usize) -> Vec<usize> {
     let mut instances = fleet.instances.iter_mut().enumerate();
     let running = instances.by_ref().filter_map(|(other, instance)| {
         (other != index && instance.process.is_running()).then_some(other)
@@ -129,10 +129,10 @@
     running.collect()
 }
 
-/// `OpenBid` is a caller's first bid, by ticket.
-pub struct OpenBid {
+/// `PreparedBid` is a caller's first bid, by ticket.
+pub struct PreparedBid {
     /// The caller.
-    pub caller: HandCaller,
+    pub caller: ManualCaller,
     /// The opening packet, not sent yet.
     pub bid: Packet,
     /// Index of the instance that issued the ticket.
@@ -140,36 +140,36 @@
 }
 
 /// Gets a ticket and makes the bid that is to be sent by it; `number` sets the caller's ids.
-pub fn prepare_bid(fleet: &TestFleet, number: u64) -> anyhow::Result<OpenBid> {
-    let mut caller = HandCaller::new(fleet, DESK, number)?;
+pub fn prepare_bid(fleet: &TestFleet, number: u64) -> anyhow::Result<PreparedBid> {
+    let mut caller = ManualCaller::new(fleet, DESK, number)?;
     let ticket = caller.obtain_ticket()?;
-    let home = home_of(fleet, &ticket)?;
+    let home = ticket_home(fleet, &ticket)?;
     let bid = caller.next_request(&ticket);
-    Ok(OpenBid { caller, bid, home })
+    Ok(PreparedBid { caller, bid, home })
 }
 
 /// Sends copies of a bid that runs and whose home is lost; returns the runs.
 ///
 /// Without the mechanism a copy must run a second time. With it the caller must hear that nobody
 /// knows. The markers go through these instances.
-pub fn count_after_copies(
+pub fn count_after_retransmission(
     run_once: RunOnce,
     fleet: &mut TestFleet,
-    caller: &HandCaller,
+    caller: &ManualCaller,
     bid: &Packet,
     instances: &[usize],
 ) -> anyhow::Result<u32> {
     match run_once {
         RunOnce::Off => resend_until_runs(fleet, caller, bid, 2)?,
         RunOnce::On => {
-            let word = caller.insist(bid)?;
-            let expected = FinalWord::Unknown(RefusalReason::HomeLost);
+            let word = caller.resend_until_final(bid)?;
+            let expected = RequestOutcome::Unknown(RefusalReason::HomeLost);
             ensure!(word == expected, "told {word:?} of a bid whose home is lost");
         }
     }
-    slow_down(fleet, 1.0)?;
-    pass_marker(fleet, instances, 1)?;
-    count_runs(fleet, caller.id(bid.request))
+    scale_service_time(fleet, 1.0)?;
+    complete_marker(fleet, instances, 1)?;
+    count_runs(fleet, caller.request_id(bid.request))
 }
 
 /// How often a request was started, on all backend servers.
@@ -189,23 +189,27 @@
 /// Sends a packet again and again until its request was started so often.
 pub fn resend_until_runs(
     fleet: &mut TestFleet,
-    caller: &HandCaller,
+    caller: &ManualCaller,
     packet: &Packet,
     runs: u32,
 ) -> anyhow::Result<()> {
     let mut words = Vec::new();
     wait_until_ok("copies that run", WIDE_LIMIT, || {
         caller.send(packet)?;
-        words.extend(caller.overhear(packet.request, SEND_PERIOD));
+        words.extend(caller.receive_final(packet.request, SEND_PERIOD));
         words.dedup();
-        let count = count_runs(fleet, caller.id(packet.request))?;
-        ensure!(count >= runs, "{count} runs of {runs}, told {words:?}, {}", loads_of(fleet)?);
+        let count = count_runs(fleet, caller.request_id(packet.request))?;
+        ensure!(
+            count >= runs,
+            "{count} runs of {runs}, told {words:?}, {}",
+            describe_loads(fleet)?
+        );
         Ok(())
     })
 }
 
 /// What every backend server has at hand, for messages.
-fn loads_of(fleet: &mut TestFleet) -> anyhow::Result<String> {
+fn describe_loads(fleet: &mut TestFleet) -> anyhow::Result<String> {
     let stats = fleet.backend_stats()?;
     let loads = stats.iter().map(|stat| {
         let (busy, queued, copies) = (stat.busy_slots, stat.queued, stat.copies);
@@ -226,7 +230,7 @@
 }
 
 /// Waits until an instance holds so many instances for living, itself included.
-pub fn wait_living(fleet: &TestFleet, index: usize, count: u32) -> anyhow::Result<()> {
+pub fn wait_alive_count(fleet: &TestFleet, index: usize, count: u32) -> anyhow::Result<()> {
     let instance = &fleet.instances[index];
     wait_until(&format!("{} sees {count} living", instance.name), WIDE_LIMIT, || {
         instance.metric("foxledge_peers", "").is_ok_and(|living| living == f64::from(count))
@@ -247,14 +251,14 @@
 
 /// Makes sure that what was sent before has been worked off: a bid that is sent later, through
 /// each of these instances in turn, is answered.
-pub fn pass_marker(fleet: &TestFleet, indexes: &[usize], number: u64) -> anyhow::Result<()> {
+pub fn complete_marker(fleet: &TestFleet, indexes: &[usize], number: u64) -> anyhow::Result<()> {
     for index in indexes {
-        steer(fleet, &[*index])?;
-        let mut caller = HandCaller::new(fleet, DESK, 0x8000 + number * 16 + *index as u64)?;
+        set_fabric_instances(fleet, &[*index])?;
+        let mut caller = ManualCaller::new(fleet, DESK, 0x8000 + number * 16 + *index as u64)?;
         let ticket = caller.obtain_ticket()?;
         let bid = caller.next_request(&ticket);
-        let word = caller.follow(&bid, DESK.0)?;
-        ensure!(word == FinalWord::Answered, "the marker was told {word:?}");
+        let word = caller.complete_request(&bid, DESK.0)?;
+        ensure!(word == RequestOutcome::Answered, "the marker was told {word:?}");
     }
     Ok(())
 }
--- a/crates/foxledge-proofs/tests/bad_callers.rs
+++ b/crates/foxledge-proofs/tests/bad_callers.rs
@@ -6,10 +6,10 @@
 use foxledge_core::names::MemberName;
 use foxledge_fakes::publish::{KeyPlan, MemberPlan};
 use foxledge_proofs::{
-    gate::GatedFleet,
-    once::{
-        DESK, FinalWord, HandCaller, INTAKE, count_runs, pass_marker, plan_fleet, published_ring,
-        read_ticket, start_fleet, wait_revision,
+    fleet_limit::LimitedFleet,
+    request_helpers::{
+        DESK, INTAKE, ManualCaller, RequestOutcome, complete_marker, count_runs, plan_fleet,
+        published_keys, read_ticket, start_fleet, wait_revision,
     },
 };
 use foxledge_seal::{
@@ -28,12 +28,12 @@
     KeyRing::from_keys(&[KeySpec { id, secret: vec![0x66; 32] }])
 }
 
-fn served_bid(caller: &mut HandCaller, ticket: &[u8]) -> (Packet, Vec<u8>) {
+fn served_bid(caller: &mut ManualCaller, ticket: &[u8]) -> (Packet, Vec<u8>) {
     let bid = caller.next_request(ticket);
     let request = bid.request;
     // Parts of earlier answers may still be on their way.
     let is_own = |reply: &Packet| reply.kind() == PacketKind::Answer && reply.request == request;
-    let answer = caller.ask(&bid, is_own).unwrap();
+    let answer = caller.send_until(&bid, is_own).unwrap();
     (bid, answer.token)
 }
 
@@ -45,13 +45,13 @@
     // Cause: what the ticket says isn't held against the packet, the count or the clock.
     let settings = "[flow]\nticket_ms = 2000\nticket_count = 2\n";
     let mut fleet = start_fleet(plan_fleet(2, 1).settings(settings)).unwrap();
-    let owner = HandCaller::new(&fleet, DESK, 1).unwrap();
+    let owner = ManualCaller::new(&fleet, DESK, 1).unwrap();
     let good = owner.obtain_ticket().unwrap();
     let body = read_ticket(&fleet, &good).unwrap();
     let mut altered = good.clone();
     let last = altered.len() - 1;
     altered[last] ^= 1;
-    let bad_ticket = FinalWord::NotRun(RefusalReason::BadTicket);
+    let bad_ticket = RequestOutcome::NotRun(RefusalReason::BadTicket);
     let cases = [
         ("forged", 1, DESK, seal_ticket(&forged_ring(1), &body).unwrap(), bad_ticket),
         (
@@ -59,7 +59,7 @@
             1,
             DESK,
             seal_ticket(&forged_ring(9), &body).unwrap(),
-            FinalWord::Unknown(RefusalReason::BadTicket),
+            RequestOutcome::Unknown(RefusalReason::BadTicket),
         ),
         ("altered", 1, DESK, altered, bad_ticket),
         ("another caller's", 2, DESK, good.clone(), bad_ticket),
@@ -67,34 +67,40 @@
         ("no ticket at all", 1, DESK, vec![0xff; 40], bad_ticket),
     ];
     for (request, (what, number, service, ticket, expected)) in (10..).zip(cases) {
-        let mut caller = HandCaller::new(&fleet, service, number).unwrap();
+        let mut caller = ManualCaller::new(&fleet, service, number).unwrap();
         let mut bid = caller.next_request(&ticket);
         bid.request = request;
-        assert_eq!(caller.insist(&bid).unwrap(), expected, "{what}");
-        assert_eq!(count_runs(&mut fleet, caller.id(request)).unwrap(), 0, "{what}");
+        assert_eq!(caller.resend_until_final(&bid).unwrap(), expected, "{what}");
+        assert_eq!(count_runs(&mut fleet, caller.request_id(request)).unwrap(), 0, "{what}");
     }
 
-    let mut other_member = HandCaller::new(&fleet, DESK, 1).unwrap();
+    let mut other_member = ManualCaller::new(&fleet, DESK, 1).unwrap();
     other_member.identity.member = MemberName::new("harbor-sets");
     let mut bid = other_member.next_request(&good);
     bid.request = 30;
-    assert_eq!(other_member.insist(&bid).unwrap(), bad_ticket, "another member's");
+    assert_eq!(other_member.resend_until_final(&bid).unwrap(), bad_ticket, "another member's");
 
-    let mut caller = HandCaller::new(&fleet, DESK, 3).unwrap();
+    let mut caller = ManualCaller::new(&fleet, DESK, 3).unwrap();
     let ticket = caller.obtain_ticket().unwrap();
     served_bid(&mut caller, &ticket);
     served_bid(&mut caller, &ticket);
     let third = caller.next_request(&ticket);
-    assert_eq!(caller.insist(&third).unwrap(), FinalWord::NotRun(RefusalReason::Limit));
-    assert_eq!(count_runs(&mut fleet, caller.id(3)).unwrap(), 0, "used up");
+    assert_eq!(
+        caller.resend_until_final(&third).unwrap(),
+        RequestOutcome::NotRun(RefusalReason::Limit)
+    );
+    assert_eq!(count_runs(&mut fleet, caller.request_id(3)).unwrap(), 0, "used up");
 
-    let mut caller = HandCaller::new(&fleet, DESK, 4).unwrap();
+    let mut caller = ManualCaller::new(&fleet, DESK, 4).unwrap();
     let ticket = caller.obtain_ticket().unwrap();
     std::thread::sleep(Duration::from_millis(2200));
     let late = caller.next_request(&ticket);
-    assert_eq!(caller.insist(&late).unwrap(), FinalWord::NotRun(RefusalReason::TicketExpired));
-    assert_eq!(count_runs(&mut fleet, caller.id(1)).unwrap(), 0, "run out");
-    pass_marker(&fleet, &[0, 1], 1).unwrap();
+    assert_eq!(
+        caller.resend_until_final(&late).unwrap(),
+        RequestOutcome::NotRun(RefusalReason::TicketExpired)
+    );
+    assert_eq!(count_runs(&mut fleet, caller.request_id(1)).unwrap(), 0, "run out");
+    complete_marker(&fleet, &[0, 1], 1).unwrap();
 }
 
 #[test]
@@ -104,14 +110,14 @@
     //   made up with an address of the sender's choice.
     // Cause: whoever holds a token is taken for its owner.
     let fleet = start_fleet(plan_fleet(2, 1)).unwrap();
-    let mut owner = HandCaller::new(&fleet, DESK, 1).unwrap();
+    let mut owner = ManualCaller::new(&fleet, DESK, 1).unwrap();
     let ticket = owner.obtain_ticket().unwrap();
     let (_, token) = served_bid(&mut owner, &ticket);
-    let whole = owner.follow(&owner.poll(1, &token), DESK.0).unwrap();
-    assert_eq!(whole, FinalWord::Answered, "the owner's token is good");
+    let whole = owner.complete_request(&owner.poll(1, &token), DESK.0).unwrap();
+    assert_eq!(whole, RequestOutcome::Answered, "the owner's token is good");
 
     let trap = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let mut body = open_token(&published_ring(&fleet), &token).unwrap();
+    let mut body = open_token(&published_keys(&fleet), &token).unwrap();
     body.target_address = trap.local_addr().unwrap().to_string();
     let forged = seal_token(&forged_ring(1), &body).unwrap();
     let cases = [
@@ -123,11 +129,11 @@
         ("no token at all", 1, DESK, 1, vec![0xff; 40]),
     ];
     for (what, number, service, request, token) in cases {
-        let caller = HandCaller::new(&fleet, service, number).unwrap();
-        let word = caller.insist(&caller.poll(request, &token)).unwrap();
-        assert_eq!(word, FinalWord::Unknown(RefusalReason::BadToken), "{what}");
+        let caller = ManualCaller::new(&fleet, service, number).unwrap();
+        let word = caller.resend_until_final(&caller.poll(request, &token)).unwrap();
+        assert_eq!(word, RequestOutcome::Unknown(RefusalReason::BadToken), "{what}");
     }
-    pass_marker(&fleet, &[0, 1], 1).unwrap();
+    complete_marker(&fleet, &[0, 1], 1).unwrap();
     trap.set_nonblocking(true).unwrap();
     assert!(trap.recv(&mut [0; 100]).is_err(), "nothing was sent to the forged address");
 }
@@ -141,7 +147,7 @@
     let member = MemberPlan { name: "pier-nine".to_owned(), secret: Some("0badcafe".repeat(4)) };
     let fleet = start_fleet(plan_fleet(2, 1).member(member)).unwrap();
     let secret: Vec<u8> = [0x0b, 0xad, 0xca, 0xfe].repeat(4);
-    let mut caller = HandCaller::new(&fleet, DESK, 1).unwrap();
+    let mut caller = ManualCaller::new(&fleet, DESK, 1).unwrap();
     caller.identity.member = MemberName::new("pier-nine");
     let id = caller.identity.caller;
     let bad = [
@@ -152,7 +158,7 @@
     for credential in bad {
         caller.identity.credential = credential;
         let refusal = |reply: &Packet| reply.kind() == PacketKind::Refusal;
-        let reply = caller.ask(&caller.ticket_request(), refusal).unwrap();
+        let reply = caller.send_until(&caller.ticket_request(), refusal).unwrap();
         assert_eq!(reply.refusal.unwrap().reason(), RefusalReason::BadCredential);
     }
     caller.identity.credential = foxledge_seal::credential(&secret, "pier-nine", id);
@@ -169,33 +175,34 @@
     // Cause: keys change at once, or what was sealed isn't sealed anew.
     let settings = "[flow]\nticket_ms = 30000\n[stop]\nlimit_ms = 40000\n";
     let mut fleet = start_fleet(plan_fleet(2, 1).settings(settings)).unwrap();
-    let mut caller = HandCaller::new(&fleet, DESK, 1).unwrap();
+    let mut caller = ManualCaller::new(&fleet, DESK, 1).unwrap();
     let ticket = caller.obtain_ticket().unwrap();
     let (_, old_token) = served_bid(&mut caller, &ticket);
 
     publish_keys(&mut fleet, &[1, 2]);
     served_bid(&mut caller, &ticket);
     let poll = caller.poll(1, &old_token);
-    let answer = caller.ask(&poll, |reply| reply.request == 1 && !reply.token.is_empty()).unwrap();
+    let answer =
+        caller.send_until(&poll, |reply| reply.request == 1 && !reply.token.is_empty()).unwrap();
 
     publish_keys(&mut fleet, &[2]);
-    let word = caller.insist(&caller.poll(1, &old_token)).unwrap();
-    assert_eq!(word, FinalWord::Unknown(RefusalReason::BadToken), "the old key is withdrawn");
-    let word = caller.follow(&caller.poll(1, &answer.token), DESK.0).unwrap();
-    assert_eq!(word, FinalWord::Answered, "the resealed token goes on");
+    let word = caller.resend_until_final(&caller.poll(1, &old_token)).unwrap();
+    assert_eq!(word, RequestOutcome::Unknown(RefusalReason::BadToken), "the old key is withdrawn");
+    let word = caller.complete_request(&caller.poll(1, &answer.token), DESK.0).unwrap();
+    assert_eq!(word, RequestOutcome::Answered, "the resealed token goes on");
     let late = caller.next_request(&ticket);
-    let word = caller.insist(&late).unwrap();
-    assert_eq!(word, FinalWord::Unknown(RefusalReason::BadTicket));
-    assert_eq!(count_runs(&mut fleet, caller.id(late.request)).unwrap(), 0);
+    let word = caller.resend_until_final(&late).unwrap();
+    assert_eq!(word, RequestOutcome::Unknown(RefusalReason::BadTicket));
+    assert_eq!(count_runs(&mut fleet, caller.request_id(late.request)).unwrap(), 0);
 
     publish_keys(&mut fleet, &[2, 3]);
-    let word = caller.follow(&caller.poll(1, &answer.token), DESK.0).unwrap();
-    assert_eq!(word, FinalWord::Answered);
+    let word = caller.complete_request(&caller.poll(1, &answer.token), DESK.0).unwrap();
+    assert_eq!(word, RequestOutcome::Answered);
     let ticket = caller.obtain_ticket().unwrap();
     served_bid(&mut caller, &ticket);
 }
 
-fn publish_keys(fleet: &mut GatedFleet, ids: &[u32]) {
+fn publish_keys(fleet: &mut LimitedFleet, ids: &[u32]) {
     fleet.list.keys = ids.iter().map(|id| KeyPlan::numbered(*id)).collect();
     let revision = fleet.publish().unwrap();
     wait_revision(fleet, &[0, 1], revision).unwrap();
@@ -210,7 +217,7 @@
     let mut fleet = start_fleet(plan_fleet(2, 1)).unwrap();
     let victim = UdpSocket::bind("127.0.0.1:0").unwrap();
     let victim_address = victim.local_addr().unwrap().to_string();
-    let caller = HandCaller::new(&fleet, DESK, 1).unwrap();
+    let caller = ManualCaller::new(&fleet, DESK, 1).unwrap();
     let path = ReturnPath { caller_address: victim_address.clone(), ..ReturnPath::default() };
     let answer = Packet {
         return_path: seal_path(&forged_ring(1), &path).unwrap(),
@@ -244,7 +251,7 @@
             stranger.send_to(datagram, instance.listen.peer).unwrap();
         }
     }
-    pass_marker(&fleet, &[0, 1], 1).unwrap();
+    complete_marker(&fleet, &[0, 1], 1).unwrap();
     for instance in &mut fleet.instances {
         assert!(instance.process.is_running() && instance.is_ready());
         let events = |event: &str| {
--- a/crates/foxledge-proofs/tests/cut_centres.rs
+++ b/crates/foxledge-proofs/tests/cut_centres.rs
@@ -13,12 +13,13 @@
     harness::{LinkBook, LinkMode, TestFleet, wait_until_ok},
 };
 use foxledge_proofs::{
-    gate::GatedFleet,
-    lasting::{
-        OTHER_CENTRE, centres_seen, ensure_clean, open_connections, peers_seen, plan_two_centres,
-        start_bids, start_feeds, stop_load, wait_alive, wait_heartbeats, wait_more_runs,
+    fleet_helpers::{
+        OTHER_CENTRE, ensure_clean, open_connections, peers_in_states, plan_two_centres,
+        reachable_centres, start_bids, start_feeds, stop_load, wait_alive, wait_heartbeats,
+        wait_more_runs,
     },
-    once::{CENTRE, DESK, HandCaller, MEMBER, WIDE_LIMIT, plan_fleet},
+    fleet_limit::LimitedFleet,
+    request_helpers::{CENTRE, DESK, MEMBER, ManualCaller, WIDE_LIMIT, plan_fleet},
 };
 use foxledge_wire::{
     decode_packet, encode_packet,
@@ -57,7 +58,7 @@
 fn wait_centres(fleet: &TestFleet, count: usize) -> Result<()> {
     for instance in &fleet.instances {
         wait_until_ok("reachable data centres", WIDE_LIMIT, || {
-            let seen = centres_seen(instance)?;
+            let seen = reachable_centres(instance)?;
             ensure!(seen.len() == count, "{} sees {seen:?}", instance.name);
             Ok(())
         })?;
@@ -86,7 +87,7 @@
 /// Cause: a decision that needs the other data centre.
 #[test]
 fn centres_cut_twice() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_two_centres(2, 2))?;
+    let mut fleet = LimitedFleet::start(plan_two_centres(2, 2))?;
     wait_centres(&fleet, 2)?;
     let mut loads = Vec::new();
     for centre in [CENTRE, OTHER_CENTRE] {
@@ -147,16 +148,16 @@
 /// between the cut and its detection.
 #[test]
 fn unreachable_centre_told() -> Result<()> {
-    let fleet = GatedFleet::start(plan_two_centres(1, 1))?;
+    let fleet = LimitedFleet::start(plan_two_centres(1, 1))?;
     wait_centres(&fleet, 2)?;
     for backend in &fleet.backends {
         backend.order(&BackendOrder::Slow { factor: 10_000.0 })?;
     }
-    let mut caller = HandCaller::new(&fleet, DESK, 1)?;
+    let mut caller = ManualCaller::new(&fleet, DESK, 1)?;
     let ticket = caller.obtain_ticket()?;
     let mut bid = caller.next_request(&ticket);
     bid.time_left_ms = 120_000;
-    let token = caller.ask(&bid, |reply| reply.kind() == PacketKind::Ack)?.token;
+    let token = caller.send_until(&bid, |reply| reply.kind() == PacketKind::Ack)?.token;
     let poll = caller.poll(bid.request, &token);
     let roaming = RoamingCaller { fleet: &fleet, poll, socket: UdpSocket::bind("127.0.0.1:0")? };
     roaming.wait_kind(PacketKind::Ack)?;
@@ -184,7 +185,7 @@
 #[test]
 fn halves_cut() -> Result<()> {
     let plan = plan_fleet(4, 2).link_mode(LinkMode::Routed);
-    let mut fleet = GatedFleet::start(plan)?;
+    let mut fleet = LimitedFleet::start(plan)?;
     let all = ["toledo-1", "toledo-2", "toledo-3", "toledo-4"];
     for index in 0..4 {
         wait_alive(&fleet, index, &all)?;
@@ -230,7 +231,7 @@
 #[test]
 fn one_way_cut() -> Result<()> {
     let plan = plan_fleet(3, 2).link_mode(LinkMode::Routed);
-    let mut fleet = GatedFleet::start(plan)?;
+    let mut fleet = LimitedFleet::start(plan)?;
     let all = ["toledo-1", "toledo-2", "toledo-3"];
     for index in 0..3 {
         wait_alive(&fleet, index, &all)?;
@@ -244,7 +245,7 @@
     ensure!(report.served * 100 >= report.offered * 99, "{:?}", report.refused);
     ensure_clean(&fleet.judge(&[report])?)?;
     for index in 0..3 {
-        let dead = peers_seen(&fleet.instances[index], &["alive", "suspect"])?;
+        let dead = peers_in_states(&fleet.instances[index], &["alive", "suspect"])?;
         ensure!(dead == all, "{} sees {dead:?}", all[index]);
     }
     links(&fleet).client().heal_links("toledo-1", "toledo-2")?;
@@ -259,7 +260,7 @@
 /// Cause: something between the two ends, or an end itself, has lost track of open connections.
 #[test]
 fn open_feeds_silent() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(2, 2))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let feeds = start_feeds(&mut fleet, CENTRE, FEEDS)?;
     let held = fleet.backends[0].stats()?.connections;
     ensure!(held > 0, "no feed is on the backend server");
@@ -286,7 +287,7 @@
 /// Cause: items sent into the silence are gone, and nobody asks for them.
 #[test]
 fn flows_silent() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(2, 2))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let feeds = start_feeds(&mut fleet, CENTRE, FEEDS)?;
     let fabric = fleet.fabric(CENTRE)?.client.clone();
     let share = 0.5;
--- a/crates/foxledge-proofs/tests/draining_target.rs
+++ b/crates/foxledge-proofs/tests/draining_target.rs
@@ -8,9 +8,9 @@
     harness::{TestFleet, wait_until_ok},
 };
 use foxledge_proofs::{
-    gate::GatedFleet,
-    lasting::{ensure_clean, start_bids, stop_load, wait_more_runs, wait_revision},
-    once::{CENTRE, DESK, WIDE_LIMIT, plan_fleet},
+    fleet_helpers::{ensure_clean, start_bids, stop_load, wait_more_runs, wait_revision},
+    fleet_limit::LimitedFleet,
+    request_helpers::{CENTRE, DESK, WIDE_LIMIT, plan_fleet},
 };
 
 /// "A few seconds", wide.
@@ -54,7 +54,7 @@
 /// Cause: a home that places work by an older list.
 #[test]
 fn published() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(2, 3))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 3))?;
     let bids = start_bids(&fleet, CENTRE, RATE)?;
     wait_more_runs(&mut fleet, SOME_RUNS)?;
     ensure_working(&mut fleet, 0)?;
@@ -86,7 +86,7 @@
 /// Cause: a home that goes by the list only.
 #[test]
 fn reported_only() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(2, 2))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let bids = start_bids(&fleet, CENTRE, RATE)?;
     fleet.backends[0].order(&BackendOrder::Lie { say: LoadSaying::HealthyIdle })?;
     fleet.backends[0].order(&BackendOrder::Drain { go_away_ms: 120_000 })?;
@@ -112,7 +112,7 @@
 /// Cause: reports believed against what the answers themselves say.
 #[test]
 fn lies_healthy() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(2, 3))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 3))?;
     fleet.backends[0].order(&BackendOrder::Lie { say: LoadSaying::HealthyIdle })?;
     fleet.backends[0].order(&BackendOrder::Shed { on: true })?;
     let bids = start_bids(&fleet, CENTRE, RATE)?;
@@ -134,7 +134,7 @@
 /// Cause: reports believed against what the answers themselves say.
 #[test]
 fn lies_unhealthy() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(2, 2))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     for backend in &fleet.backends {
         backend.order(&BackendOrder::Lie { say: LoadSaying::Unhealthy })?;
     }
@@ -155,7 +155,7 @@
 /// Cause: a newcomer, being idle, gets more work than any other.
 #[test]
 fn cold_start() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(2, 2))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let bids = start_bids(&fleet, CENTRE, RATE)?;
     wait_more_runs(&mut fleet, SOME_RUNS)?;
     let added = fleet.add_backend(DESK.0, CENTRE, "auction-desk-toledo-cold")?;
--- a/crates/foxledge-proofs/tests/lasting_feeds.rs
+++ b/crates/foxledge-proofs/tests/lasting_feeds.rs
@@ -8,12 +8,12 @@
     report::LoadReport,
 };
 use foxledge_proofs::{
-    gate::GatedFleet,
-    lasting::{
-        ensure_clean, open_connections, start_feeds, status_of, stop_load, sum_event, wait_audit,
+    fleet_helpers::{
+        ensure_clean, open_connections, read_status, start_feeds, stop_load, sum_event, wait_audit,
         wait_heartbeats, wait_revision,
     },
-    once::{CENTRE, DESK, WIDE_LIMIT, plan_fleet},
+    fleet_limit::LimitedFleet,
+    request_helpers::{CENTRE, DESK, WIDE_LIMIT, plan_fleet},
 };
 use serde_json::Value;
 
@@ -50,7 +50,7 @@
 /// Cause: the way to a feed's backend server was known to the instance that opened it only.
 #[test]
 fn instances_replaced() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(2, 2))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let feeds = start_feeds(&mut fleet, CENTRE, FEEDS)?;
     fleet.add_instance(CENTRE)?;
     for index in 0..2 {
@@ -66,7 +66,7 @@
 /// Cause: as above.
 #[test]
 fn instances_killed() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(2, 2))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let feeds = start_feeds(&mut fleet, CENTRE, FEEDS)?;
     fleet.add_instance(CENTRE)?;
     fleet.add_instance(CENTRE)?;
@@ -89,7 +89,7 @@
 /// Cause: callers who aren't sent away notice only by a silence of seconds.
 #[test]
 fn backend_server_leaves() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(2, 2))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let feeds = start_feeds(&mut fleet, CENTRE, FEEDS)?;
     let new_name = "auction-desk-toledo-new";
     let added = fleet.add_backend(DESK.0, CENTRE, new_name)?;
@@ -137,7 +137,7 @@
 fn targets_seen(fleet: &TestFleet) -> Result<Vec<Value>> {
     let mut targets = Vec::new();
     for instance in &fleet.instances {
-        let status = status_of(instance)?;
+        let status = read_status(instance)?;
         let desks = status["engine"]["desks"].as_array().cloned().unwrap_or_default();
         let of_desk = |desk: &Value| desk["desk"]["targets"].as_array().cloned();
         targets.extend(desks.iter().filter_map(of_desk).flatten());
@@ -150,7 +150,7 @@
 /// Cause: the way of an open feed was decided by the list of the moment.
 #[test]
 fn backend_server_unlisted() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(2, 2))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let feeds = start_feeds(&mut fleet, CENTRE, FEEDS)?;
     let removed = fleet.backends[0].name.clone();
     let service = fleet.list.service_mut(DESK.0).unwrap();
@@ -170,7 +170,7 @@
 /// Cause: rules decide on new flows; an open one was decided again.
 #[test]
 fn rules_changed() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(2, 2))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let feeds = start_feeds(&mut fleet, CENTRE, FEEDS)?;
     let deny = RulePlan::deny_rest("no-feeds").kinds(&["feed"]);
     fleet.list.rules.insert(0, deny);
@@ -189,7 +189,7 @@
 #[test]
 fn keys_rotated() -> Result<()> {
     // Without the rotation of two keys.
-    let mut fleet = GatedFleet::start(plan_fleet(2, 2))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let feeds = start_feeds(&mut fleet, CENTRE, FEEDS)?;
     fleet.list.keys = vec![KeyPlan::numbered(2)];
     let revision = fleet.publish()?;
@@ -201,7 +201,7 @@
     drop(fleet);
 
     // With it.
-    let mut fleet = GatedFleet::start(plan_fleet(2, 2))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let feeds = start_feeds(&mut fleet, CENTRE, FEEDS)?;
     for (old, new) in [(1, 2), (2, 3)] {
         fleet.list.keys = vec![KeyPlan::numbered(old), KeyPlan::numbered(new)];
--- a/crates/foxledge-proofs/tests/list_force.rs
+++ b/crates/foxledge-proofs/tests/list_force.rs
@@ -10,13 +10,13 @@
     publish::RulePlan,
 };
 use foxledge_proofs::{
-    gate::GatedFleet,
-    lasting::{
-        RevisionWatch, audit_entries, ensure_clean, peers_seen, plan_two_centres, revision_of,
-        start_bids, status_of, stop_load, wait_audit, wait_instance_revision, wait_more_runs,
-        wait_revision,
+    fleet_helpers::{
+        RevisionMonitor, audit_entries, current_revision, ensure_clean, peers_in_states,
+        plan_two_centres, read_status, start_bids, stop_load, wait_audit, wait_instance_revision,
+        wait_more_runs, wait_revision,
     },
-    once::{CENTRE, DESK, MEMBER, WIDE_LIMIT, plan_fleet},
+    fleet_limit::LimitedFleet,
+    request_helpers::{CENTRE, DESK, MEMBER, WIDE_LIMIT, plan_fleet},
 };
 use serde_json::Value;
 
@@ -49,7 +49,7 @@
 /// Cause: the only way to a list was the platform.
 #[test]
 fn platform_down() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(2, 1))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 1))?;
     let revision = publish_change(&mut fleet, "before-the-fault")?;
     let took = wait_revision(&fleet, revision, FORCE_LIMIT)?;
     println!("in force on 2 instances after {took:?}");
@@ -70,12 +70,12 @@
 #[test]
 fn platform_down_without_peers() -> Result<()> {
     // The first instances find each other by the platform's listing, while it is up.
-    let mut fleet = GatedFleet::start(plan_fleet(2, 1).settings("[peers]\nseeds = []\n"))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 1).settings("[peers]\nseeds = []\n"))?;
     fleet.platform.client.set_health(PlatformHealth::Down)?;
     let new = fleet.spawn_instance(CENTRE)?;
     // Longer than an instance waits for peers' and the platform's answers.
     wait_until_ok("the new instance has waited", WIDE_LIMIT, || {
-        let uptime = status_of(&fleet.instances[new])?["uptime_ms"].as_u64().unwrap_or(0);
+        let uptime = read_status(&fleet.instances[new])?["uptime_ms"].as_u64().unwrap_or(0);
         ensure!(uptime > 5000, "{uptime} ms");
         Ok(())
     })?;
@@ -88,10 +88,10 @@
 /// Sequence: a list is published and in force; the platform is restarted at an older state; an
 /// instance is added that reads that one, while it is cut off from the others; the cut ends.
 /// Cause: what was heard last was believed in place of the highest revision.
-fn restart_stale(plan: FleetPlan) -> Result<(GatedFleet, u64, RevisionWatch)> {
-    let mut fleet = GatedFleet::start(plan.link_mode(LinkMode::Routed))?;
+fn restart_stale(plan: FleetPlan) -> Result<(LimitedFleet, u64, RevisionMonitor)> {
+    let mut fleet = LimitedFleet::start(plan.link_mode(LinkMode::Routed))?;
     let stale = fleet.platform.client.report()?.revision;
-    let old = revision_of(fleet.instances[0].listen.admin)?;
+    let old = current_revision(fleet.instances[0].listen.admin)?;
     // All parts of the old list stay in the new one, so that it takes one message to go back.
     fleet.list.more.push(member_part(9, 2000));
     let revision = fleet.publish()?;
@@ -103,7 +103,7 @@
     fleet.spawn_instance(CENTRE)?;
     wait_instance_revision(&fleet.instances[2], old, WIDE_LIMIT)?;
     fleet.instances[2].wait_ready(WIDE_LIMIT)?;
-    let watch = RevisionWatch::start(&fleet);
+    let watch = RevisionMonitor::start(&fleet);
     let links = fleet.links.as_ref().expect("the fleet is routed");
     links.heal("toledo-3", "toledo-1")?;
     links.heal("toledo-3", "toledo-2")?;
@@ -153,12 +153,12 @@
 /// Cause: an instance believed its own reads of the platform only.
 #[test]
 fn readers_differ() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(3, 1))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(3, 1))?;
     let old = fleet.platform.client.report()?.revision;
     let names: Vec<_> = fleet.instances.iter().map(|instance| instance.name.clone()).collect();
     // One of the elected readers sees the platform as it is, or nobody could learn of a change.
     let is_reader = |index: usize| -> Result<bool> {
-        Ok(status_of(&fleet.instances[index])?["reads_platform"] == true)
+        Ok(read_status(&fleet.instances[index])?["reads_platform"] == true)
     };
     let seeing = wait_until_ok("a reader", WIDE_LIMIT, || {
         for index in 0..3 {
@@ -172,7 +172,7 @@
         let shown = if index == 0 { old } else { 0 };
         fleet.platform.client.hold(name, Some(shown))?;
     }
-    let watch = RevisionWatch::start(&fleet);
+    let watch = RevisionMonitor::start(&fleet);
     for change in ["first-change", "second-change"] {
         let revision = publish_change(&mut fleet, change)?;
         let took = wait_revision(&fleet, revision, FORCE_LIMIT)?;
@@ -193,7 +193,7 @@
 /// Cause: parts that were read before the ration was used up were thrown away.
 #[test]
 fn platform_rationed() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(2, 1).reads_per_second(4))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 1).reads_per_second(4))?;
     change_rules(&mut fleet, "rationed");
     for service in &mut fleet.list.services {
         service.queue_limit += 1;
@@ -213,8 +213,8 @@
 /// Cause: the order of arrival counted in place of the platform's revision.
 #[test]
 fn two_operators() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(3, 1))?;
-    let watch = RevisionWatch::start(&fleet);
+    let mut fleet = LimitedFleet::start(plan_fleet(3, 1))?;
+    let watch = RevisionMonitor::start(&fleet);
     let operators: Vec<_> = ["left", "right"]
         .into_iter()
         .map(|operator| {
@@ -239,7 +239,7 @@
     let versions = fleet
         .instances
         .iter()
-        .map(|instance| Ok(status_of(instance)?["list"].clone()))
+        .map(|instance| Ok(read_status(instance)?["list"].clone()))
         .collect::<Result<Vec<_>>>()?;
     ensure!(versions.iter().all(|version| *version == versions[0]), "{versions:?}");
     let steps_back = watch.finish()?;
@@ -255,7 +255,7 @@
 /// Cause: parts came into force as they came, before the whole list was found right.
 #[test]
 fn list_refused_midway() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(2, 2))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let good = publish_change(&mut fleet, "good")?;
     wait_revision(&fleet, good, FORCE_LIMIT)?;
     let bids = start_bids(&fleet, CENTRE, 40.0)?;
@@ -274,7 +274,7 @@
     }
     wait_more_runs(&mut fleet, 20)?;
     for instance in &fleet.instances {
-        let held = revision_of(instance.listen.admin)?;
+        let held = current_revision(instance.listen.admin)?;
         ensure!(held == good, "{} has revision {held}", instance.name);
     }
 
@@ -299,7 +299,7 @@
 /// Cause: a bound on messages between instances that a whole part doesn't fit.
 #[test]
 fn large_lists() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(2, 1))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 1))?;
     for members in [80, 29_000] {
         let part = member_part(1, members);
         println!("a part of {} bytes", part.text.len());
@@ -324,19 +324,19 @@
 /// Cause: lists that spread inside a data centre only.
 #[test]
 fn centres_cut_and_stale() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_two_centres(2, 1))?;
-    let old = revision_of(fleet.instances[0].listen.admin)?;
+    let mut fleet = LimitedFleet::start(plan_two_centres(2, 1))?;
+    let old = current_revision(fleet.instances[0].listen.admin)?;
     for instance in &fleet.instances[2..] {
         fleet.platform.client.hold(&instance.name, Some(old))?;
     }
     fleet.links.as_ref().expect("the fleet is routed").cut("toledo*", "erie*")?;
-    let watch = RevisionWatch::start(&fleet);
+    let watch = RevisionMonitor::start(&fleet);
     let revision = publish_change(&mut fleet, "while-cut")?;
     for instance in &fleet.instances[..2] {
         wait_instance_revision(instance, revision, FORCE_LIMIT)?;
     }
     for instance in &fleet.instances[2..] {
-        let held = revision_of(instance.listen.admin)?;
+        let held = current_revision(instance.listen.admin)?;
         ensure!(held == old, "{} has revision {held} across the cut", instance.name);
     }
     fleet.links.as_ref().expect("the fleet is routed").heal("toledo*", "erie*")?;
@@ -355,7 +355,7 @@
 #[test]
 fn instance_isolated() -> Result<()> {
     let plan = plan_fleet(3, 2).link_mode(LinkMode::Routed);
-    let mut fleet = GatedFleet::start(plan)?;
+    let mut fleet = LimitedFleet::start(plan)?;
     let alone = fleet.instances[0].name.clone();
     let others: Vec<_> = fleet.instances[1..].iter().map(|other| other.name.clone()).collect();
     fleet.platform.client.hold(&alone, Some(0))?;
@@ -364,7 +364,7 @@
         links.cut(&alone, other)?;
     }
     wait_until_ok("others count as dead", WIDE_LIMIT, || {
-        let seen = peers_seen(&fleet.instances[0], &["alive", "suspect"])?;
+        let seen = peers_in_states(&fleet.instances[0], &["alive", "suspect"])?;
         ensure!(seen == [alone.clone()], "{seen:?}");
         Ok(())
     })?;
@@ -375,12 +375,12 @@
     ensure!(report.served * 10 >= report.offered * 9, "{report:?}");
     ensure_clean(&fleet.judge(&[report])?)?;
 
-    let before = revision_of(listen_admin(&fleet))?;
+    let before = current_revision(listen_admin(&fleet))?;
     let revision = publish_change(&mut fleet, "while-cut")?;
     for other in &fleet.instances[1..] {
         wait_instance_revision(other, revision, FORCE_LIMIT)?;
     }
-    ensure!(revision_of(listen_admin(&fleet))? == before, "the cut is none");
+    ensure!(current_revision(listen_admin(&fleet))? == before, "the cut is none");
     let links = fleet.links.as_ref().expect("the fleet is routed");
     for other in &others {
         links.heal(&alone, other)?;
--- a/crates/foxledge-proofs/tests/not_run.rs
+++ b/crates/foxledge-proofs/tests/not_run.rs
@@ -10,11 +10,11 @@
     publish::{KeyPlan, RulePlan},
 };
 use foxledge_proofs::{
-    gate::GatedFleet,
-    once::{
-        CENTRE, DESK, FinalWord, HandCaller, MEMBER, WIDE_LIMIT, count_runs, home_of, others,
-        pass_marker, plan_fleet, resend_until_runs, slow_down, start_fleet, steer, wait_revision,
-        wait_runs,
+    fleet_limit::LimitedFleet,
+    request_helpers::{
+        CENTRE, DESK, MEMBER, ManualCaller, RequestOutcome, WIDE_LIMIT, complete_marker,
+        count_runs, other_running, plan_fleet, resend_until_runs, scale_service_time,
+        set_fabric_instances, start_fleet, ticket_home, wait_revision, wait_runs,
     },
 };
 use foxledge_wire::flow::{Packet, PacketKind, RefusalReason};
@@ -52,12 +52,12 @@
 
 /// Refuses a bid in that way, takes the cause away and sends copies; returns the word and the runs.
 fn refuse_then_copy(
-    fleet: &mut GatedFleet,
+    fleet: &mut LimitedFleet,
     refusing: Refusing,
     number: u64,
     memory: RefusalMemory,
-) -> (FinalWord, u32) {
-    let mut caller = HandCaller::new(fleet, DESK, number).unwrap();
+) -> (RequestOutcome, u32) {
+    let mut caller = ManualCaller::new(fleet, DESK, number).unwrap();
     let ticket = caller.obtain_ticket().unwrap();
     let mut bid = caller.next_request(&ticket);
     let mut holders = Vec::new();
@@ -75,9 +75,9 @@
             caller.send(&bid).unwrap();
             let cancel =
                 Packet { kind: PacketKind::Cancel.into(), payload: Vec::new(), ..bid.clone() };
-            caller.insist(&cancel).unwrap()
+            caller.resend_until_final(&cancel).unwrap()
         }
-        _ => caller.insist(&bid).unwrap(),
+        _ => caller.resend_until_final(&bid).unwrap(),
     };
     match refusing {
         Refusing::Rule => allow_bids(fleet),
@@ -90,31 +90,31 @@
     }
     for _ in 0..4 {
         caller.send(&bid).unwrap();
-        let again = caller.overhear(1, Duration::from_millis(300));
-        let is_answered = again == Some(FinalWord::Answered);
+        let again = caller.receive_final(1, Duration::from_millis(300));
+        let is_answered = again == Some(RequestOutcome::Answered);
         assert!(memory == RefusalMemory::Off || !is_answered, "{refusing:?} is answered later");
     }
-    pass_marker(fleet, &[0, 1], number).unwrap();
-    steer(fleet, &[0, 1]).unwrap();
-    (word, count_runs(fleet, caller.id(1)).unwrap())
+    complete_marker(fleet, &[0, 1], number).unwrap();
+    set_fabric_instances(fleet, &[0, 1]).unwrap();
+    (word, count_runs(fleet, caller.request_id(1)).unwrap())
 }
 
-fn deny_bids(fleet: &mut GatedFleet) {
+fn deny_bids(fleet: &mut LimitedFleet) {
     fleet.list.rules.insert(0, RulePlan::deny_rest(NO_BIDS).members(&[MEMBER]));
     publish_list(fleet);
 }
 
-fn allow_bids(fleet: &mut GatedFleet) {
+fn allow_bids(fleet: &mut LimitedFleet) {
     fleet.list.rules.retain(|rule| rule.name != NO_BIDS);
     publish_list(fleet);
 }
 
-fn publish_list(fleet: &mut GatedFleet) {
+fn publish_list(fleet: &mut LimitedFleet) {
     let revision = fleet.publish().unwrap();
     wait_revision(fleet, &[0, 1], revision).unwrap();
 }
 
-fn shed(fleet: &GatedFleet, on: bool) {
+fn shed(fleet: &LimitedFleet, on: bool) {
     for backend in &fleet.backends {
         backend.order(&BackendOrder::Shed { on }).unwrap();
     }
@@ -122,7 +122,7 @@
 
 /// `HeldSlot` is a bid that runs until it is cancelled.
 struct HeldSlot {
-    caller: HandCaller,
+    caller: ManualCaller,
     bid: Packet,
 }
 
@@ -130,31 +130,34 @@
     fn free(&self) {
         let cancel =
             Packet { kind: PacketKind::Cancel.into(), payload: Vec::new(), ..self.bid.clone() };
-        let word = self.caller.insist(&cancel).unwrap();
-        assert!(matches!(word, FinalWord::Unknown(_)), "a cancelled run is told {word:?}");
+        let word = self.caller.resend_until_final(&cancel).unwrap();
+        assert!(matches!(word, RequestOutcome::Unknown(_)), "a cancelled run is told {word:?}");
     }
 }
 
 /// Takes every slot of the desk by bids that don't end.
-fn hold_slots(fleet: &mut GatedFleet, number: u64) -> Vec<HeldSlot> {
+fn hold_slots(fleet: &mut LimitedFleet, number: u64) -> Vec<HeldSlot> {
     let slots: u32 =
         2 * fleet.backends.iter().filter(|backend| backend.service == DESK.0).count() as u32;
-    slow_down(fleet, LONG_RUN).unwrap();
+    scale_service_time(fleet, LONG_RUN).unwrap();
     let mut held = Vec::new();
     for slot in 0..u64::from(slots) {
-        let mut caller = HandCaller::new(fleet, DESK, 0x4000 + number * 64 + slot).unwrap();
+        let mut caller = ManualCaller::new(fleet, DESK, 0x4000 + number * 64 + slot).unwrap();
         let mut bid = caller.next_request(&caller.obtain_ticket().unwrap());
         bid.time_left_ms = 60_000;
         caller.send(&bid).unwrap();
-        wait_runs(fleet, caller.id(1), 1).unwrap();
+        wait_runs(fleet, caller.request_id(1), 1).unwrap();
         held.push(HeldSlot { caller, bid });
     }
-    slow_down(fleet, 1.0).unwrap();
+    scale_service_time(fleet, 1.0).unwrap();
     held
 }
 
 /// These ways of refusing in turn on one fleet; returns words and runs.
-fn refuse_in_ways(ways: &[Refusing], memory: RefusalMemory) -> Vec<(Refusing, FinalWord, u32)> {
+fn refuse_in_ways(
+    ways: &[Refusing],
+    memory: RefusalMemory,
+) -> Vec<(Refusing, RequestOutcome, u32)> {
     let is_on = memory == RefusalMemory::On;
     let settings = format!("{LASTING}[trial]\nremember_refusals = {is_on}\n");
     let mut fleet = start_fleet(plan_fleet(2, 1).settings(&settings)).unwrap();
@@ -173,10 +176,10 @@
     //   caller's cancel; the cause goes away; a late copy arrives.
     // Cause: the home decides on the copy anew.
     let expected = [
-        (Refusing::Rule, FinalWord::NotRun(RefusalReason::Denied)),
-        (Refusing::Shed, FinalWord::NotRun(RefusalReason::TargetShed)),
-        (Refusing::Deadline, FinalWord::NotRun(RefusalReason::DeadlinePassed)),
-        (Refusing::Cancel, FinalWord::NotRun(RefusalReason::Cancelled)),
+        (Refusing::Rule, RequestOutcome::NotRun(RefusalReason::Denied)),
+        (Refusing::Shed, RequestOutcome::NotRun(RefusalReason::TargetShed)),
+        (Refusing::Deadline, RequestOutcome::NotRun(RefusalReason::DeadlinePassed)),
+        (Refusing::Cancel, RequestOutcome::NotRun(RefusalReason::Cancelled)),
     ];
     // What was queued or dispatched stays known as such, so only the rule shows the switch.
     let (rule, told) = expected[0];
@@ -195,22 +198,22 @@
     // Cause: for the others a bid that waits looks like one that runs.
     let mut fleet = start_fleet(plan_fleet(3, 1).settings(LASTING)).unwrap();
     let _held = hold_slots(&mut fleet, 1);
-    let mut caller = HandCaller::new(&fleet, DESK, 1).unwrap();
+    let mut caller = ManualCaller::new(&fleet, DESK, 1).unwrap();
     let ticket = caller.obtain_ticket().unwrap();
     let bid = caller.next_request(&ticket);
-    let mut home = home_of(&fleet, &ticket).unwrap();
+    let mut home = ticket_home(&fleet, &ticket).unwrap();
     caller.send(&bid).unwrap();
-    assert_eq!(caller.overhear(1, Duration::from_millis(500)), None, "it waits in the queue");
+    assert_eq!(caller.receive_final(1, Duration::from_millis(500)), None, "it waits in the queue");
     for _ in 0..2 {
         fleet.kill_instance(home).unwrap();
-        let rest = others(&mut fleet, home);
-        steer(&fleet, &rest).unwrap();
-        let word = caller.insist(&bid).unwrap();
-        assert_eq!(word, FinalWord::Unknown(RefusalReason::HomeLost));
-        let fresh = HandCaller::new(&fleet, DESK, 2).unwrap();
-        home = home_of(&fleet, &fresh.obtain_ticket().unwrap()).unwrap();
+        let rest = other_running(&mut fleet, home);
+        set_fabric_instances(&fleet, &rest).unwrap();
+        let word = caller.resend_until_final(&bid).unwrap();
+        assert_eq!(word, RequestOutcome::Unknown(RefusalReason::HomeLost));
+        let fresh = ManualCaller::new(&fleet, DESK, 2).unwrap();
+        home = ticket_home(&fleet, &fresh.obtain_ticket().unwrap()).unwrap();
     }
-    assert_eq!(count_runs(&mut fleet, caller.id(1)).unwrap(), 0);
+    assert_eq!(count_runs(&mut fleet, caller.request_id(1)).unwrap(), 0);
 }
 
 #[test]
@@ -221,9 +224,9 @@
     // Cause: the instance with the new list can't open the ticket, and takes it for a forged one.
     let plan = plan_fleet(2, 1).link_mode(LinkMode::Routed).settings(LASTING);
     let mut fleet = start_fleet(plan).unwrap();
-    let mut caller = HandCaller::new(&fleet, DESK, 1).unwrap();
+    let mut caller = ManualCaller::new(&fleet, DESK, 1).unwrap();
     let ticket = caller.obtain_ticket().unwrap();
-    let home = home_of(&fleet, &ticket).unwrap();
+    let home = ticket_home(&fleet, &ticket).unwrap();
     let names = [fleet.instances[home].name.clone(), fleet.instances[1 - home].name.clone()];
     fleet.links.as_ref().unwrap().cut(&names[0], &names[1]).unwrap();
     let old = fleet.platform.client.report().unwrap().revision;
@@ -233,18 +236,18 @@
     wait_revision(&fleet, &[1 - home], revision).unwrap();
 
     let bid = caller.next_request(&ticket);
-    steer(&fleet, &[1 - home]).unwrap();
-    let word = caller.insist(&bid).unwrap();
-    assert_eq!(word, FinalWord::Unknown(RefusalReason::BadTicket));
-    steer(&fleet, &[home]).unwrap();
-    assert_eq!(caller.insist(&bid).unwrap(), FinalWord::Answered);
-    assert_eq!(count_runs(&mut fleet, caller.id(1)).unwrap(), 1);
+    set_fabric_instances(&fleet, &[1 - home]).unwrap();
+    let word = caller.resend_until_final(&bid).unwrap();
+    assert_eq!(word, RequestOutcome::Unknown(RefusalReason::BadTicket));
+    set_fabric_instances(&fleet, &[home]).unwrap();
+    assert_eq!(caller.resend_until_final(&bid).unwrap(), RequestOutcome::Answered);
+    assert_eq!(count_runs(&mut fleet, caller.request_id(1)).unwrap(), 1);
 }
 
 /// A bid whose backend servers are frozen before they read it; returns its word and runs.
-fn freeze_targets(idempotent: bool) -> (FinalWord, u32) {
+fn freeze_targets(idempotent: bool) -> (RequestOutcome, u32) {
     let mut fleet = start_fleet(plan_fleet(2, 2)).unwrap();
-    let mut caller = HandCaller::new(&fleet, DESK, 1).unwrap();
+    let mut caller = ManualCaller::new(&fleet, DESK, 1).unwrap();
     caller.identity.idempotent = idempotent;
     let ticket = if idempotent { Vec::new() } else { caller.obtain_ticket().unwrap() };
     let bid = caller.next_request(&ticket);
@@ -252,18 +255,18 @@
         backend.process.freeze().unwrap();
     }
     caller.send(&bid).unwrap();
-    let word = caller.overhear(1, WIDE_LIMIT).unwrap();
+    let word = caller.receive_final(1, WIDE_LIMIT).unwrap();
     for backend in fleet.backends.iter_mut().filter(|backend| backend.service == DESK.0) {
         backend.process.wake().unwrap();
     }
     let expected = if idempotent { 2 } else { 1 };
-    wait_runs(&mut fleet, caller.id(1), expected).unwrap();
+    wait_runs(&mut fleet, caller.request_id(1), expected).unwrap();
     for _ in 0..3 {
         caller.send(&bid).unwrap();
-        caller.overhear(1, Duration::from_millis(200));
+        caller.receive_final(1, Duration::from_millis(200));
     }
-    pass_marker(&fleet, &[0, 1], 1).unwrap();
-    (word, count_runs(&mut fleet, caller.id(1)).unwrap())
+    complete_marker(&fleet, &[0, 1], 1).unwrap();
+    (word, count_runs(&mut fleet, caller.request_id(1)).unwrap())
 }
 
 #[test]
@@ -275,7 +278,7 @@
     //   the bid does wait in the sockets.
     assert!(freeze_targets(true).1 >= 2, "idempotent work runs at both");
     let (word, runs) = freeze_targets(false);
-    assert_eq!(word, FinalWord::Unknown(RefusalReason::TargetLost));
+    assert_eq!(word, RequestOutcome::Unknown(RefusalReason::TargetLost));
     assert_eq!(runs, 1);
 }
 
@@ -286,11 +289,11 @@
     //   and answers the home's question and the caller's copies by "not run, wrong target".
     // Cause: the word of a process that can't know is believed.
     let mut fleet = start_fleet(plan_fleet(2, 2).settings(LASTING)).unwrap();
-    slow_down(&mut fleet, LONG_RUN).unwrap();
-    let mut caller = HandCaller::new(&fleet, DESK, 1).unwrap();
+    scale_service_time(&mut fleet, LONG_RUN).unwrap();
+    let mut caller = ManualCaller::new(&fleet, DESK, 1).unwrap();
     let bid = caller.next_request(&caller.obtain_ticket().unwrap());
     caller.send(&bid).unwrap();
-    wait_runs(&mut fleet, caller.id(1), 1).unwrap();
+    wait_runs(&mut fleet, caller.request_id(1), 1).unwrap();
     let stats = fleet.backend_stats().unwrap();
     let at = stats.iter().position(|stats| stats.total_runs == 1).unwrap();
     let old = &mut fleet.backends[at];
@@ -307,19 +310,19 @@
     };
     let new = fleet.start_backend(&plan).unwrap();
 
-    slow_down(&mut fleet, 1.0).unwrap();
-    let word = caller.insist(&bid).unwrap();
-    assert_eq!(word, FinalWord::Unknown(RefusalReason::TargetLost));
+    scale_service_time(&mut fleet, 1.0).unwrap();
+    let word = caller.resend_until_final(&bid).unwrap();
+    assert_eq!(word, RequestOutcome::Unknown(RefusalReason::TargetLost));
     assert!(fleet.backends[new].stats().unwrap().wrong_target > 0, "the new process was asked");
     fleet.list.target_mut(&name).unwrap().incarnation = 2;
     let revision = fleet.publish().unwrap();
     wait_revision(&fleet, &[0, 1], revision).unwrap();
     for _ in 0..3 {
         caller.send(&bid).unwrap();
-        caller.overhear(1, Duration::from_millis(200));
+        caller.receive_final(1, Duration::from_millis(200));
     }
-    pass_marker(&fleet, &[0, 1], 1).unwrap();
-    assert_eq!(count_runs(&mut fleet, caller.id(1)).unwrap(), 1);
+    complete_marker(&fleet, &[0, 1], 1).unwrap();
+    assert_eq!(count_runs(&mut fleet, caller.request_id(1)).unwrap(), 1);
 }
 
 #[test]
@@ -354,8 +357,8 @@
     let caller = fleet.start_caller(CENTRE, &plan.argument("--deadline-ms=700")).unwrap();
     for kill in 0..2 {
         std::thread::sleep(Duration::from_millis(2000));
-        let probe = HandCaller::new(&fleet, DESK, 0x7000 + kill).unwrap();
-        let home = home_of(&fleet, &probe.obtain_ticket().unwrap()).unwrap();
+        let probe = ManualCaller::new(&fleet, DESK, 0x7000 + kill).unwrap();
+        let home = ticket_home(&fleet, &probe.obtain_ticket().unwrap()).unwrap();
         fleet.kill_instance(home).unwrap();
     }
     let report = caller.finish(WIDE_LIMIT).unwrap();
--- a/crates/foxledge-proofs/tests/own_answer.rs
+++ b/crates/foxledge-proofs/tests/own_answer.rs
@@ -8,10 +8,11 @@
     report::LoadReport,
 };
 use foxledge_proofs::{
-    gate::GatedFleet,
-    once::{
-        CENTRE, DESK, FinalWord, HandCaller, INTAKE, MEMBER, WIDE_LIMIT, count_runs, home_of,
-        others, plan_fleet, slow_down, start_fleet, steer,
+    fleet_limit::LimitedFleet,
+    request_helpers::{
+        CENTRE, DESK, INTAKE, MEMBER, ManualCaller, RequestOutcome, WIDE_LIMIT, count_runs,
+        other_running, plan_fleet, scale_service_time, set_fabric_instances, start_fleet,
+        ticket_home,
     },
 };
 use foxledge_wire::flow::{Packet, PacketKind, RefusalReason};
@@ -28,7 +29,7 @@
     seed: u64,
 }
 
-fn start_load(fleet: &GatedFleet, shape: &LoadShape<'_>) -> TestCaller {
+fn start_load(fleet: &LimitedFleet, shape: &LoadShape<'_>) -> TestCaller {
     let plan = fleet.plan_caller(shape.service.0, MEMBER, shape.kind).unwrap();
     let plan = plan
         .name(&format!("{}-{}", shape.kind, shape.seed))
@@ -157,8 +158,8 @@
 }
 
 /// A caller whose first bid gets an answer of three parts.
-fn long_winded(fleet: &GatedFleet, from: u64) -> HandCaller {
-    let callers = (from..).map(|number| HandCaller::new(fleet, DESK, number).unwrap());
+fn long_winded(fleet: &LimitedFleet, from: u64) -> ManualCaller {
+    let callers = (from..).map(|number| ManualCaller::new(fleet, DESK, number).unwrap());
     callers.into_iter().find(|c| answer_part_count(c.identity.flow, 1) == 3).unwrap()
 }
 
@@ -170,25 +171,25 @@
     // Cause: only the home knew where the bid runs. With the flow token that came with the first
     //   sign, any instance finds the backend server; without it nobody does.
     let mut fleet = start_fleet(plan_fleet(3, 2).settings(PATIENT)).unwrap();
-    slow_down(&mut fleet, 100.0).unwrap();
+    scale_service_time(&mut fleet, 100.0).unwrap();
     let mut caller = long_winded(&fleet, 1);
     let ticket = caller.obtain_ticket().unwrap();
     let bid = caller.next_request(&ticket);
-    let first = caller.ask(&bid, |reply| !reply.token.is_empty()).unwrap();
+    let first = caller.send_until(&bid, |reply| !reply.token.is_empty()).unwrap();
     assert_eq!(first.kind(), PacketKind::Ack);
-    let home = home_of(&fleet, &ticket).unwrap();
+    let home = ticket_home(&fleet, &ticket).unwrap();
     fleet.kill_instance(home).unwrap();
-    let rest = others(&mut fleet, home);
-    steer(&fleet, &rest).unwrap();
+    let rest = other_running(&mut fleet, home);
+    set_fabric_instances(&fleet, &rest).unwrap();
 
     // The same caller from another socket, so that what it is told stays apart.
-    let mut forgetful = HandCaller::new(&fleet, DESK, 1).unwrap();
+    let mut forgetful = ManualCaller::new(&fleet, DESK, 1).unwrap();
     forgetful.identity = caller.identity.clone();
-    let without = forgetful.insist(&bid).unwrap();
-    assert_eq!(without, FinalWord::Unknown(RefusalReason::HomeLost), "by ticket nobody knows");
-    let with = caller.follow(&caller.poll(1, &first.token), DESK.0).unwrap();
-    assert_eq!(with, FinalWord::Answered, "by token the whole answer comes");
-    assert_eq!(count_runs(&mut fleet, caller.id(1)).unwrap(), 1);
+    let without = forgetful.resend_until_final(&bid).unwrap();
+    assert_eq!(without, RequestOutcome::Unknown(RefusalReason::HomeLost), "by ticket nobody knows");
+    let with = caller.complete_request(&caller.poll(1, &first.token), DESK.0).unwrap();
+    assert_eq!(with, RequestOutcome::Answered, "by token the whole answer comes");
+    assert_eq!(count_runs(&mut fleet, caller.request_id(1)).unwrap(), 1);
 }
 
 #[test]
@@ -198,18 +199,18 @@
     //   an instance that hasn't seen the flow.
     // Cause: the answer's way is kept from the first packet.
     let mut fleet = start_fleet(plan_fleet(2, 2).settings(PATIENT)).unwrap();
-    slow_down(&mut fleet, 50.0).unwrap();
+    scale_service_time(&mut fleet, 50.0).unwrap();
     let mut caller = long_winded(&fleet, 1);
     let ticket = caller.obtain_ticket().unwrap();
-    let home = home_of(&fleet, &ticket).unwrap();
+    let home = ticket_home(&fleet, &ticket).unwrap();
     let bid = caller.next_request(&ticket);
-    let first = caller.ask(&bid, |reply| !reply.token.is_empty()).unwrap();
-    let mut moved = HandCaller::new(&fleet, DESK, 1).unwrap();
+    let first = caller.send_until(&bid, |reply| !reply.token.is_empty()).unwrap();
+    let mut moved = ManualCaller::new(&fleet, DESK, 1).unwrap();
     moved.identity = caller.identity.clone();
-    steer(&fleet, &[1 - home]).unwrap();
-    let word = moved.follow(&moved.poll(1, &first.token), DESK.0).unwrap();
-    assert_eq!(word, FinalWord::Answered);
-    assert_eq!(count_runs(&mut fleet, caller.id(1)).unwrap(), 1);
+    set_fabric_instances(&fleet, &[1 - home]).unwrap();
+    let word = moved.complete_request(&moved.poll(1, &first.token), DESK.0).unwrap();
+    assert_eq!(word, RequestOutcome::Answered);
+    assert_eq!(count_runs(&mut fleet, caller.request_id(1)).unwrap(), 1);
 }
 
 #[test]
@@ -219,21 +220,21 @@
     //   token and by the other's.
     // Cause: the token is taken for the flow's and not for the request's.
     let mut fleet = start_fleet(plan_fleet(2, 2).settings(PATIENT)).unwrap();
-    slow_down(&mut fleet, 50.0).unwrap();
+    scale_service_time(&mut fleet, 50.0).unwrap();
     let faults = PacketFaults { reorder: 0.5, reorder_ms: 300, ..PacketFaults::default() };
     fleet.fabrics[0].client.set_faults(FaultWays::Back, faults).unwrap();
-    let mut caller = HandCaller::new(&fleet, DESK, 1).unwrap();
+    let mut caller = ManualCaller::new(&fleet, DESK, 1).unwrap();
     let ticket = caller.obtain_ticket().unwrap();
     let bids = [caller.next_request(&ticket), caller.next_request(&ticket)];
     let tokens = bids.clone().map(|bid| {
         let request = bid.request;
         let told = |reply: &Packet| reply.request == request && !reply.token.is_empty();
-        caller.ask(&bid, told).unwrap().token
+        caller.send_until(&bid, told).unwrap().token
     });
-    let crossed = caller.insist(&caller.poll(1, &tokens[1])).unwrap();
-    assert_eq!(crossed, FinalWord::Unknown(RefusalReason::BadToken));
+    let crossed = caller.resend_until_final(&caller.poll(1, &tokens[1])).unwrap();
+    assert_eq!(crossed, RequestOutcome::Unknown(RefusalReason::BadToken));
     for (bid, token) in bids.iter().zip(&tokens) {
         let poll = caller.poll(bid.request, token);
-        assert_eq!(caller.follow(&poll, DESK.0).unwrap(), FinalWord::Answered);
+        assert_eq!(caller.complete_request(&poll, DESK.0).unwrap(), RequestOutcome::Answered);
     }
 }
--- a/crates/foxledge-proofs/tests/paired_faults.rs
+++ b/crates/foxledge-proofs/tests/paired_faults.rs
@@ -8,40 +8,41 @@
     harness::LinkMode,
     report::Verdict,
 };
-use foxledge_proofs::once::{
-    CENTRE, DESK, FinalWord, HandCaller, LONG_RUN, MEMBER, OpenBid, QUICK, RunOnce, WIDE_LIMIT,
-    count_after_copies, count_runs, home_of, pass_marker, plan_fleet, prepare_bid,
-    resend_until_runs, slow_down, start_fleet, steer, wait_living, wait_revision, wait_runs,
+use foxledge_proofs::request_helpers::{
+    CENTRE, DESK, FAST_DETECTION_SETTINGS, LONG_RUN_FACTOR, MEMBER, ManualCaller, PreparedBid,
+    RequestOutcome, RunOnce, WIDE_LIMIT, complete_marker, count_after_retransmission, count_runs,
+    plan_fleet, prepare_bid, resend_until_runs, scale_service_time, set_fabric_instances,
+    start_fleet, ticket_home, wait_alive_count, wait_revision, wait_runs,
 };
 
 /// The home freezes while the bid runs and wakes up when it has long ended; returns the runs.
 fn freeze_after_dispatch(run_once: RunOnce) -> u32 {
-    let plan = plan_fleet(2, 3).settings(&run_once.settings(QUICK));
+    let plan = plan_fleet(2, 3).settings(&run_once.settings(FAST_DETECTION_SETTINGS));
     let mut fleet = start_fleet(plan).unwrap();
-    slow_down(&mut fleet, 25.0).unwrap();
-    let OpenBid { caller, bid, home } = prepare_bid(&fleet, 1).unwrap();
-    steer(&fleet, &[home]).unwrap();
+    scale_service_time(&mut fleet, 25.0).unwrap();
+    let PreparedBid { caller, bid, home } = prepare_bid(&fleet, 1).unwrap();
+    set_fabric_instances(&fleet, &[home]).unwrap();
     caller.send(&bid).unwrap();
-    wait_runs(&mut fleet, caller.id(1), 1).unwrap();
+    wait_runs(&mut fleet, caller.request_id(1), 1).unwrap();
     fleet.instances[home].process.freeze().unwrap();
-    steer(&fleet, &[1 - home]).unwrap();
+    set_fabric_instances(&fleet, &[1 - home]).unwrap();
     match run_once {
         RunOnce::Off => resend_until_runs(&mut fleet, &caller, &bid, 2).unwrap(),
         RunOnce::On => {
-            let word = caller.insist(&bid).unwrap();
-            assert!(!matches!(word, FinalWord::NotRun(_)), "told {word:?} of a bid that ran");
+            let word = caller.resend_until_final(&bid).unwrap();
+            assert!(!matches!(word, RequestOutcome::NotRun(_)), "told {word:?} of a bid that ran");
         }
     }
-    wait_living(&fleet, 1 - home, 1).unwrap();
+    wait_alive_count(&fleet, 1 - home, 1).unwrap();
     fleet.instances[home].process.wake().unwrap();
     fleet.instances[home].wait_ready(WIDE_LIMIT).unwrap();
-    steer(&fleet, &[home]).unwrap();
+    set_fabric_instances(&fleet, &[home]).unwrap();
     for _ in 0..3 {
         caller.send(&bid).unwrap();
-        caller.overhear(1, Duration::from_millis(300));
+        caller.receive_final(1, Duration::from_millis(300));
     }
-    pass_marker(&fleet, &[0, 1], 1).unwrap();
-    count_runs(&mut fleet, caller.id(1)).unwrap()
+    complete_marker(&fleet, &[0, 1], 1).unwrap();
+    count_runs(&mut fleet, caller.request_id(1)).unwrap()
 }
 
 #[test]
@@ -56,12 +57,12 @@
 
 /// Home and backend server die while the bid runs; returns the runs.
 fn kill_home_and_target(run_once: RunOnce) -> u32 {
-    let plan = plan_fleet(2, 3).settings(&run_once.settings(QUICK));
+    let plan = plan_fleet(2, 3).settings(&run_once.settings(FAST_DETECTION_SETTINGS));
     let mut fleet = start_fleet(plan).unwrap();
-    slow_down(&mut fleet, LONG_RUN).unwrap();
-    let OpenBid { caller, bid, home } = prepare_bid(&fleet, 1).unwrap();
+    scale_service_time(&mut fleet, LONG_RUN_FACTOR).unwrap();
+    let PreparedBid { caller, bid, home } = prepare_bid(&fleet, 1).unwrap();
     caller.send(&bid).unwrap();
-    wait_runs(&mut fleet, caller.id(1), 1).unwrap();
+    wait_runs(&mut fleet, caller.request_id(1), 1).unwrap();
     let stats = fleet.backend_stats().unwrap();
     let at = stats.iter().position(|stats| stats.total_runs == 1).unwrap();
     let dead = &mut fleet.backends[at];
@@ -72,8 +73,8 @@
     fleet.list.service_mut(DESK.0).unwrap().targets.retain(|target| target.name != name);
     let revision = fleet.publish().unwrap();
     wait_revision(&fleet, &[1 - home], revision).unwrap();
-    steer(&fleet, &[1 - home]).unwrap();
-    count_after_copies(run_once, &mut fleet, &caller, &bid, &[1 - home]).unwrap()
+    set_fabric_instances(&fleet, &[1 - home]).unwrap();
+    count_after_retransmission(run_once, &mut fleet, &caller, &bid, &[1 - home]).unwrap()
 }
 
 #[test]
@@ -87,25 +88,30 @@
 
 /// What the home sends the other instance is cut; returns the runs.
 fn cut_acks(run_once: RunOnce) -> u32 {
-    let plan = plan_fleet(2, 2).link_mode(LinkMode::Routed).settings(&run_once.settings(QUICK));
+    let plan = plan_fleet(2, 2)
+        .link_mode(LinkMode::Routed)
+        .settings(&run_once.settings(FAST_DETECTION_SETTINGS));
     let mut fleet = start_fleet(plan).unwrap();
-    let mut caller = HandCaller::new(&fleet, DESK, 1).unwrap();
+    let mut caller = ManualCaller::new(&fleet, DESK, 1).unwrap();
     let ticket = caller.obtain_ticket().unwrap();
-    let home = home_of(&fleet, &ticket).unwrap();
+    let home = ticket_home(&fleet, &ticket).unwrap();
     let names = [fleet.instances[home].name.clone(), fleet.instances[1 - home].name.clone()];
     fleet.links.as_ref().unwrap().client().cut_links(&names[0], &names[1]).unwrap();
-    steer(&fleet, &[1 - home]).unwrap();
+    set_fabric_instances(&fleet, &[1 - home]).unwrap();
     let bid = caller.next_request(&ticket);
     caller.send(&bid).unwrap();
     let expected = if run_once == RunOnce::On { 1 } else { 2 };
-    wait_runs(&mut fleet, caller.id(1), expected).unwrap();
+    wait_runs(&mut fleet, caller.request_id(1), expected).unwrap();
     for _ in 0..5 {
         caller.send(&bid).unwrap();
-        let word = caller.overhear(1, Duration::from_millis(300));
-        assert!(!matches!(word, Some(FinalWord::NotRun(_))), "told {word:?} of a bid that ran");
+        let word = caller.receive_final(1, Duration::from_millis(300));
+        assert!(
+            !matches!(word, Some(RequestOutcome::NotRun(_))),
+            "told {word:?} of a bid that ran"
+        );
     }
-    pass_marker(&fleet, &[0, 1], 1).unwrap();
-    count_runs(&mut fleet, caller.id(1)).unwrap()
+    complete_marker(&fleet, &[0, 1], 1).unwrap();
+    count_runs(&mut fleet, caller.request_id(1)).unwrap()
 }
 
 #[test]
@@ -139,8 +145,8 @@
     let caller = fleet.start_caller(CENTRE, &load.argument("--deadline-ms=3000")).unwrap();
     for round in 0..2 {
         std::thread::sleep(Duration::from_millis(1000));
-        let probe = HandCaller::new(&fleet, DESK, 0x7000 + round).unwrap();
-        let home = home_of(&fleet, &probe.obtain_ticket().unwrap()).unwrap();
+        let probe = ManualCaller::new(&fleet, DESK, 0x7000 + round).unwrap();
+        let home = ticket_home(&fleet, &probe.obtain_ticket().unwrap()).unwrap();
         if round == 0 {
             fleet.instances[home].process.freeze().unwrap();
             std::thread::sleep(Duration::from_millis(2600));
--- a/crates/foxledge-proofs/tests/peer_views.rs
+++ b/crates/foxledge-proofs/tests/peer_views.rs
@@ -9,12 +9,12 @@
     platform::orders::{ListedMember, ListedState},
 };
 use foxledge_proofs::{
-    gate::GatedFleet,
-    lasting::{
-        ensure_clean, peers_seen, start_bids, stop_load, total_runs, wait_alive, wait_audit,
+    fleet_helpers::{
+        ensure_clean, peers_in_states, start_bids, stop_load, total_runs, wait_alive, wait_audit,
         wait_more_runs,
     },
-    once::{CENTRE, DESK, HandCaller, MEMBER, WIDE_LIMIT, home_of, plan_fleet},
+    fleet_limit::LimitedFleet,
+    request_helpers::{CENTRE, DESK, MEMBER, ManualCaller, WIDE_LIMIT, plan_fleet, ticket_home},
 };
 
 /// Wide limit for admission to be back after a home's death; a second is aimed at.
@@ -30,7 +30,7 @@
 fn wait_living(fleet: &TestFleet, index: usize, expected: &[&str]) -> Result<()> {
     let instance = &fleet.instances[index];
     wait_until_ok(&format!("peers of {}", instance.name), WIDE_LIMIT, || {
-        let seen = peers_seen(instance, &["alive", "suspect"])?;
+        let seen = peers_in_states(instance, &["alive", "suspect"])?;
         ensure!(seen == expected, "{seen:?}");
         Ok(())
     })
@@ -49,7 +49,7 @@
 /// Cause: a listing believed against the answers of those it leaves out.
 #[test]
 fn listing_emptied() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(3, 2))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(3, 2))?;
     let all = ALL;
     wait_until_ok("an instance has read the whole listing", WIDE_LIMIT, || {
         let reads = fleet.platform.client.report()?.total().calls;
@@ -65,8 +65,10 @@
         fleet.platform.client.publish_members(Vec::new())?;
         emptied = true;
         let noticed = (0..3).any(|index| {
-            let entries =
-                foxledge_proofs::lasting::audit_entries(&fleet.instances[index], "member_changed");
+            let entries = foxledge_proofs::fleet_helpers::audit_entries(
+                &fleet.instances[index],
+                "member_changed",
+            );
             entries.is_ok_and(|entries| {
                 entries.iter().any(|entry| entry["subject"] == "platform listing")
             })
@@ -86,7 +88,7 @@
 /// Cause: a listing believed without an answer.
 #[test]
 fn listing_of_the_gone() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(2, 2))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let mut members = Vec::new();
     for number in 1..=6 {
         members.push(ListedMember {
@@ -114,7 +116,7 @@
 /// Cause: a listing believed against what answers.
 #[test]
 fn listing_lags() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(2, 2))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let third = fleet.spawn_instance(CENTRE)?;
     fleet.instances[third].wait_ready(WIDE_LIMIT)?;
     fleet.update_fabrics()?;
@@ -132,12 +134,12 @@
     for index in 0..3 {
         wait_alive(fleet, index, &ALL)?;
     }
-    let ticket = HandCaller::new(fleet, DESK, 1)?.obtain_ticket()?;
-    home_of(fleet, &ticket)
+    let ticket = ManualCaller::new(fleet, DESK, 1)?.obtain_ticket()?;
+    ticket_home(fleet, &ticket)
 }
 
 /// Kills the home of the auction desk under load; how long until bids run again.
-fn kill_home(fleet: &mut GatedFleet) -> Result<Duration> {
+fn kill_home(fleet: &mut LimitedFleet) -> Result<Duration> {
     let home = find_home(fleet)?;
     let bids = start_bids(fleet, CENTRE, RATE)?;
     wait_more_runs(fleet, 40)?;
@@ -164,7 +166,7 @@
 /// Cause: instances that wait until the home counts as dead.
 #[test]
 fn home_killed() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(3, 2))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(3, 2))?;
     let took = kill_home(&mut fleet)?;
     ensure!(took < BACK_LIMIT, "{took:?}");
     Ok(())
@@ -175,7 +177,7 @@
 fn home_not_passed_over() -> Result<()> {
     let settings = "[trial]\npass_over_homes = false\n[peers]\ndead_after_ms = 6000\n";
     let plan: FleetPlan = plan_fleet(3, 2).settings(settings);
-    let mut fleet = GatedFleet::start(plan)?;
+    let mut fleet = LimitedFleet::start(plan)?;
     let took = kill_home(&mut fleet)?;
     ensure!(took > BACK_LIMIT, "back after {took:?}, so the mechanism wasn't what mattered");
     Ok(())
@@ -188,7 +190,7 @@
 /// Cause: a process that wakes late believes what was true before.
 #[test]
 fn home_frozen_twice() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(3, 2))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(3, 2))?;
     let all = ALL;
     let home = find_home(&fleet)?;
     let others: Vec<_> =
--- a/crates/foxledge-proofs/tests/planned_stop.rs
+++ b/crates/foxledge-proofs/tests/planned_stop.rs
@@ -11,13 +11,13 @@
     report::LoadReport,
 };
 use foxledge_proofs::{
-    gate::GatedFleet,
-    lasting::{
-        ensure_clean, start_bids, start_uploads, status_of, stop_load, total_runs, wait_more_runs,
+    fleet_helpers::{
+        ensure_clean, read_status, start_bids, start_uploads, stop_load, total_runs, wait_more_runs,
     },
-    once::{
-        CENTRE, DESK, FinalWord, HandCaller, INTAKE, MEMBER, WIDE_LIMIT, home_of, others,
-        plan_fleet, steer,
+    fleet_limit::LimitedFleet,
+    request_helpers::{
+        CENTRE, DESK, INTAKE, MEMBER, ManualCaller, RequestOutcome, WIDE_LIMIT, other_running,
+        plan_fleet, set_fabric_instances, ticket_home,
     },
 };
 
@@ -36,7 +36,7 @@
 }
 
 /// Replaces both instances of a fleet while bids run and wait, and returns the callers' report.
-fn replace_loaded(fleet: &mut GatedFleet) -> Result<LoadReport> {
+fn replace_loaded(fleet: &mut LimitedFleet) -> Result<LoadReport> {
     let plan = fleet.plan_caller(DESK.0, MEMBER, TrafficKind::Bid)?;
     let plan = plan.rate(QUEUED_RATE).seconds(60.0).argument("--deadline-ms").argument(PATIENCE_MS);
     let bids = fleet.start_caller(CENTRE, &plan)?;
@@ -53,7 +53,7 @@
 /// Cause: a home that ended took the bids along that waited there.
 #[test]
 fn queued_bids_finish() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_slow(2))?;
+    let mut fleet = LimitedFleet::start(plan_slow(2))?;
     let report = replace_loaded(&mut fleet)?;
     println!("{} offered, {} served, {:?}", report.offered, report.served, report.refused);
     ensure!(report.unknown == 0, "{} unknown: {:?}", report.unknown, report.refused);
@@ -65,7 +65,7 @@
 #[test]
 fn stop_cuts_bids() -> Result<()> {
     let plan = plan_slow(2).settings("[trial]\ngraceful_stop = false\n");
-    let mut fleet = GatedFleet::start(plan)?;
+    let mut fleet = LimitedFleet::start(plan)?;
     let report = replace_loaded(&mut fleet)?;
     println!("{} offered, {} unknown, {:?}", report.offered, report.unknown, report.refused);
     ensure!(report.unknown > 0, "nothing was cut: {report:?}");
@@ -78,7 +78,7 @@
 /// Cause: an upload's way was known to an instance that has left.
 #[test]
 fn uploads_finish() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(2, 2))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let loads = [start_bids(&fleet, CENTRE, 40.0)?, start_uploads(&fleet, CENTRE, 4.0)?];
     wait_more_runs(&mut fleet, 20)?;
     for index in 0..2 {
@@ -100,7 +100,7 @@
 /// Cause: what one leaver knew of the other went with it.
 #[test]
 fn both_leave() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(2, 3))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 3))?;
     let loads = [start_bids(&fleet, CENTRE, 40.0)?, start_uploads(&fleet, CENTRE, 4.0)?];
     wait_more_runs(&mut fleet, 20)?;
     let leaving = fleet.backends[0].name.clone();
@@ -128,7 +128,7 @@
 /// out.
 #[test]
 fn stop_during_cut() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(3, 2).link_mode(LinkMode::Routed))?;
+    let mut fleet = LimitedFleet::start(plan_fleet(3, 2).link_mode(LinkMode::Routed))?;
     let bids = start_bids(&fleet, CENTRE, 40.0)?;
     wait_more_runs(&mut fleet, 20)?;
     fleet.links.as_ref().expect("the fleet is routed").cut("toledo-1", "toledo-2")?;
@@ -149,30 +149,30 @@
 /// Cause: a leaving instance that still admits.
 #[test]
 fn nothing_new_issued() -> Result<()> {
-    let mut fleet = GatedFleet::start(plan_fleet(2, 2).settings("[stop]\nlimit_ms = 20000\n"))?;
-    let mut holder = HandCaller::new(&fleet, DESK, 1)?;
+    let mut fleet = LimitedFleet::start(plan_fleet(2, 2).settings("[stop]\nlimit_ms = 20000\n"))?;
+    let mut holder = ManualCaller::new(&fleet, DESK, 1)?;
     let ticket = holder.obtain_ticket()?;
-    let home = home_of(&fleet, &ticket)?;
-    let stayer = others(&mut fleet, home)[0];
-    steer(&fleet, &[home])?;
+    let home = ticket_home(&fleet, &ticket)?;
+    let stayer = other_running(&mut fleet, home)[0];
+    set_fabric_instances(&fleet, &[home])?;
     fleet.instances[home].process.terminate()?;
     fleet.instances[home].process.wait_log("\"serving\" to \"leaving\"", WIDE_LIMIT)?;
     fleet.instances[home].process.terminate()?;
 
     // Its own ticket is still good.
     let bid = holder.next_request(&ticket);
-    let word = holder.follow(&bid, DESK.0)?;
-    ensure!(word == FinalWord::Answered, "the bid was told {word:?}");
+    let word = holder.complete_request(&bid, DESK.0)?;
+    ensure!(word == RequestOutcome::Answered, "the bid was told {word:?}");
 
     // New tickets come from the instance that stays, though asked for at the one that leaves.
     let mut asked = 0;
-    while status_of(&fleet.instances[home]).is_ok() && asked < 20 {
+    while read_status(&fleet.instances[home]).is_ok() && asked < 20 {
         asked += 1;
-        let caller = HandCaller::new(&fleet, DESK, 100 + asked)?;
+        let caller = ManualCaller::new(&fleet, DESK, 100 + asked)?;
         let grants = |packet: &foxledge_wire::flow::Packet| !packet.ticket.is_empty();
         caller.send(&caller.ticket_request())?;
         let Some(grant) = caller.receive(Duration::from_millis(500), grants) else { continue };
-        let issuer = home_of(&fleet, &grant.ticket)?;
+        let issuer = ticket_home(&fleet, &grant.ticket)?;
         ensure!(issuer == stayer, "a leaving instance issued a ticket");
     }
     ensure!(asked > 0, "it ended before it could be asked");
@@ -190,12 +190,12 @@
 #[test]
 fn limit_audited() -> Result<()> {
     let plan = plan_fleet(2, 1).settings("[flow]\nticket_ms = 500\n[stop]\nlimit_ms = 2000\n");
-    let mut fleet = GatedFleet::start(plan)?;
+    let mut fleet = LimitedFleet::start(plan)?;
     let slow = fleet.backends.iter().position(|backend| backend.service == INTAKE.0).unwrap();
     fleet.backends[slow].order(&BackendOrder::Slow { factor: 10_000.0 })?;
-    let mut caller = HandCaller::new(&fleet, INTAKE, 1)?;
+    let mut caller = ManualCaller::new(&fleet, INTAKE, 1)?;
     let ticket = caller.obtain_ticket()?;
-    let home = home_of(&fleet, &ticket)?;
+    let home = ticket_home(&fleet, &ticket)?;
     let request = caller.next_request(&ticket);
     let before = total_runs(&mut fleet)?;
     caller.send(&request)?;
--- a/crates/foxledge-proofs/tests/right_service.rs
+++ b/crates/foxledge-proofs/tests/right_service.rs
@@ -8,10 +8,10 @@
     report::{LoadReport, RequestId},
 };
 use foxledge_proofs::{
-    gate::GatedFleet,
-    once::{
-        CENTRE, DESK, FinalWord, HandCaller, INTAKE, MEMBER, WIDE_LIMIT, pass_marker, plan_fleet,
-        start_fleet, steer, wait_revision,
+    fleet_limit::LimitedFleet,
+    request_helpers::{
+        CENTRE, DESK, INTAKE, MEMBER, ManualCaller, RequestOutcome, WIDE_LIMIT, complete_marker,
+        plan_fleet, set_fabric_instances, start_fleet, wait_revision,
     },
 };
 use foxledge_wire::flow::{Packet, PacketKind, RefusalReason};
@@ -21,7 +21,7 @@
 /// Kills the newest backend server of that name and starts one of `service` at its address, then
 /// publishes both; returns the revision and the new one's index.
 fn reuse_address(
-    fleet: &mut GatedFleet,
+    fleet: &mut LimitedFleet,
     old: &str,
     service: (&str, &str),
     name: &str,
@@ -48,15 +48,15 @@
 }
 
 /// A bid that is answered by the backend server of that name, and the token of the answer.
-fn bid_at(fleet: &GatedFleet, target: &str) -> (HandCaller, Vec<u8>) {
+fn bid_at(fleet: &LimitedFleet, target: &str) -> (ManualCaller, Vec<u8>) {
     let address = fleet.backends.iter().find(|known| known.name == target).unwrap().address;
     for number in 0..200 {
-        let mut caller = HandCaller::new(fleet, DESK, number).unwrap();
+        let mut caller = ManualCaller::new(fleet, DESK, number).unwrap();
         let bid = caller.next_request(&caller.obtain_ticket().unwrap());
-        let answer = caller.ask(&bid, |reply| reply.kind() == PacketKind::Answer).unwrap();
+        let answer = caller.send_until(&bid, |reply| reply.kind() == PacketKind::Answer).unwrap();
         if token_names(fleet, &answer, &address.to_string()) {
             // From a new socket, which nothing of this answer reaches any more.
-            let mut fresh = HandCaller::new(fleet, DESK, number).unwrap();
+            let mut fresh = ManualCaller::new(fleet, DESK, number).unwrap();
             fresh.identity = caller.identity;
             return (fresh, answer.token);
         }
@@ -64,21 +64,26 @@
     panic!("no bid went to {target}");
 }
 
-fn token_names(fleet: &GatedFleet, answer: &Packet, address: &str) -> bool {
-    let ring = foxledge_proofs::once::published_ring(fleet);
+fn token_names(fleet: &LimitedFleet, answer: &Packet, address: &str) -> bool {
+    let ring = foxledge_proofs::request_helpers::published_keys(fleet);
     let token = foxledge_seal::seals::open_token(&ring, &answer.token).unwrap();
     token.target_address == address
 }
 
 /// Polls by an old token through each instance; returns how many packets the new owner of the
 /// address got that named another.
-fn poll_old_token(fleet: &mut GatedFleet, caller: &HandCaller, token: &[u8], owner: usize) -> u64 {
-    pass_marker(fleet, &[0, 1], 1).unwrap();
+fn poll_old_token(
+    fleet: &mut LimitedFleet,
+    caller: &ManualCaller,
+    token: &[u8],
+    owner: usize,
+) -> u64 {
+    complete_marker(fleet, &[0, 1], 1).unwrap();
     let before = fleet.backends[owner].stats().unwrap().wrong_target;
     for index in [0, 1] {
-        steer(fleet, &[index]).unwrap();
-        let word = caller.insist(&caller.poll(1, token)).unwrap();
-        assert_eq!(word, FinalWord::Unknown(RefusalReason::WrongTarget));
+        set_fabric_instances(fleet, &[index]).unwrap();
+        let word = caller.resend_until_final(&caller.poll(1, token)).unwrap();
+        assert_eq!(word, RequestOutcome::Unknown(RefusalReason::WrongTarget));
     }
     fleet.backends[owner].stats().unwrap().wrong_target - before
 }
@@ -119,7 +124,7 @@
 }
 
 fn load(
-    fleet: &GatedFleet,
+    fleet: &LimitedFleet,
     service: &str,
     name: &str,
     rate: f64,
@@ -136,7 +141,7 @@
 }
 
 /// Asserts that no backend server ran a request that was meant for the other service.
-fn assert_no_strangers(fleet: &mut GatedFleet, desk: &LoadReport, intake: &LoadReport) {
+fn assert_no_strangers(fleet: &mut LimitedFleet, desk: &LoadReport, intake: &LoadReport) {
     let (desk_ids, intake_ids) = (ids_of(desk), ids_of(intake));
     for stats in fleet.backend_stats().unwrap() {
         let strangers = if stats.service == DESK.0 { &intake_ids } else { &desk_ids };
@@ -181,8 +186,8 @@
     let intake = load(&fleet, INTAKE.0, "lots", 30.0);
     for _ in 0..10 {
         // A resend reaches the stale instance sooner or later.
-        let word = caller.insist(&caller.poll(1, &token)).unwrap();
-        assert_eq!(word, FinalWord::Unknown(RefusalReason::WrongTarget));
+        let word = caller.resend_until_final(&caller.poll(1, &token)).unwrap();
+        assert_eq!(word, RequestOutcome::Unknown(RefusalReason::WrongTarget));
     }
     let desk = desk.finish(WIDE_LIMIT).unwrap();
     let intake = intake.finish(WIDE_LIMIT).unwrap();
