--- a/crates/foxledge-soak/src/backends.rs
+++ b/crates/foxledge-soak/src/backends.rs
@@ -1,4 +1,4 @@
-//! Backend servers, as stand-ins over UDP.
+//! Stand-ins for backend servers, over UDP.
 
 use std::{
     collections::HashMap,
@@ -22,49 +22,49 @@
     store::StandInStore,
 };
 
-/// Time that a request takes.
+/// The duration of a request at a backend server without a limit of concurrent requests.
 const REQUEST_TIME: Duration = Duration::from_millis(8);
-/// Time that a request takes at a backend server whose slots are counted.
+/// The duration of a request at a backend server whose slots are counted.
 const SLOT_REQUEST_TIME: Duration = Duration::from_millis(60);
-/// Requests that a backend server runs at once, as its entry tells.
+/// The number of slots of a backend server, as published in its entry.
 const SLOT_COUNT: usize = 2;
-/// Longest wait for a slot; requests that would wait for longer aren't run.
+/// The maximum wait for a slot. Requests that would wait for longer are rejected.
 const MAX_QUEUE_WAIT: Duration = Duration::from_millis(240);
-/// Time after which a request that isn't run is answered.
+/// The time after which a rejected request is answered.
 const REJECTION_DELAY: Duration = Duration::from_millis(150);
-/// Size of the answer to it.
+/// The size of the response to a rejected request, in bytes.
 pub(crate) const REJECTION_SIZE_BYTES: usize = 9;
 
-/// `BackendSpec` is where a backend server runs and what it belongs to.
+/// The identity, address and kind of a backend server.
 #[derive(Clone, Debug)]
 pub struct BackendSpec {
-    /// The number by which packets name it.
+    /// The number by which packets address the backend server.
     pub number: u64,
-    /// Its service.
+    /// The name of its service.
     pub service: String,
-    /// Where it takes packets.
+    /// The address at which it receives packets.
     pub address: SocketAddrV4,
-    /// Its data centre.
+    /// The name of its data centre.
     pub data_centre: String,
-    /// The port at which callers listen.
+    /// The port to which responses are sent at every caller's address.
     pub caller_port: u16,
-    /// Which start of it this is, as its entry tells; 0 when it doesn't.
+    /// The start time in its entry, in milliseconds of Unix time; 0 if the entry has none.
     pub started_unix_ms: u64,
-    /// How it works on requests.
+    /// The limit of concurrent requests.
     pub work_kind: WorkKind,
 }
 
-/// `WorkKind` is how a backend server works on requests.
+/// The limit of concurrent requests at a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkKind {
-    /// Any number at once.
+    /// Any number of requests at once.
     Unbounded,
-    /// As many at once as it has slots; some more wait.
+    /// As many requests at once as there are slots; some more are queued.
     LimitedBySlots,
 }
 
 impl BackendSpec {
-    /// Its entry in a state.
+    /// Returns the backend server's entry with the given state.
     pub fn entry(&self, state: &str) -> Value {
         let mut entry = json!({
             "service": self.service, "address": self.address.to_string(),
@@ -77,17 +77,17 @@
         entry
     }
 
-    /// The key of its entry.
+    /// Returns the key of the backend server's entry.
     pub fn key(&self) -> String {
         format!("servers/i-{:x}", self.number)
     }
 }
 
-/// `StandInBackend` is one running process of a backend server.
+/// A running backend server.
 pub struct StandInBackend {
-    /// Where it runs.
+    /// The identity of the backend server.
     pub spec: BackendSpec,
-    /// True while it answers nothing.
+    /// Whether the backend server ignores all packets.
     pub is_silent: Arc<AtomicBool>,
     task: JoinHandle<()>,
     ledger: Arc<PromiseLedger>,
@@ -96,7 +96,7 @@
 struct BackendFlow {
     sequence: u32,
     is_open: bool,
-    /// Sequence number of the next byte that hasn't come yet.
+    /// The sequence number of the next expected byte.
     next_sequence: u32,
 }
 
@@ -107,16 +107,16 @@
     ///
     /// When its address can't be bound.
     pub async fn start(
-        place: BackendSpec,
+        spec: BackendSpec,
         store: &StandInStore,
         ledger: Arc<PromiseLedger>,
         loss: PacketLoss,
     ) -> Result<StandInBackend> {
-        let socket = Arc::new(UdpSocket::bind(place.address).await?);
-        ledger.backend_started(place.number, &place.service, &place.data_centre, SLOT_COUNT);
+        let socket = Arc::new(UdpSocket::bind(spec.address).await?);
+        ledger.backend_started(spec.number, &spec.service, &spec.data_centre, SLOT_COUNT);
         let is_silent = Arc::new(AtomicBool::new(false));
-        let server = BackendLoop {
-            spec: place.clone(),
+        let backend_loop = BackendLoop {
+            spec: spec.clone(),
             socket,
             ledger: ledger.clone(),
             is_silent: is_silent.clone(),
@@ -124,8 +124,8 @@
             flows: HashMap::new(),
             slots_free_at: [Instant::now(); SLOT_COUNT],
         };
-        let task = tokio::spawn(server.run());
-        let backend = StandInBackend { spec: place, is_silent, task, ledger };
+        let task = tokio::spawn(backend_loop.run());
+        let backend = StandInBackend { spec, is_silent, task, ledger };
         backend.register(store, "ready");
         Ok(backend)
     }
@@ -138,22 +138,22 @@
         }
     }
 
-    /// Reports that it leaves.
+    /// Writes the backend server's entry as draining.
     pub fn drain(&self, store: &StandInStore) {
         self.register(store, "draining");
         self.ledger.backend_draining(self.spec.number);
     }
 
-    /// The key of its entry.
+    /// Returns the key of the backend server's entry.
     pub fn key(&self) -> String {
         self.spec.key()
     }
 
-    /// Ends it; its address is free afterwards.
+    /// Ends the backend server; its address is free afterwards.
     pub async fn terminate(self) {
         self.ledger.backend_ended(self.spec.number);
         self.task.abort();
-        // The task was ended on purpose; nothing else is told by its result.
+        // The task was aborted on purpose, so that its result says nothing else.
         let _ = self.task.await;
     }
 }
@@ -165,7 +165,7 @@
     is_silent: Arc<AtomicBool>,
     loss: PacketLoss,
     flows: HashMap<FlowKey, BackendFlow>,
-    /// When each slot is free, the requests that wait included.
+    /// The time at which each slot is free, after its queued requests.
     slots_free_at: [Instant; SLOT_COUNT],
 }
 
@@ -177,9 +177,9 @@
             if self.is_silent.load(Ordering::Relaxed) || size < 8 || self.loss.drops_packet() {
                 continue;
             }
-            let intended = u64::from_be_bytes(buffer[..8].try_into().unwrap_or_default());
-            // What is meant for another backend server gets no answer.
-            if intended != self.spec.number {
+            let target_number = u64::from_be_bytes(buffer[..8].try_into().unwrap_or_default());
+            // Packets for another backend server get no response.
+            if target_number != self.spec.number {
                 continue;
             }
             if let Some(packet) = WirePacket::decode(&buffer[8..size]) {
@@ -193,21 +193,21 @@
         if packet.flags & SYN != 0 {
             return self.open(&packet, flow, instance);
         }
-        let Some(known) = self.flows.get_mut(&flow) else {
+        let Some(backend_flow) = self.flows.get_mut(&flow) else {
             if packet.flags & RST == 0 {
                 self.ledger.check_stray_packet(flow, self.spec.number);
                 self.reply(&packet, RST, 0, Vec::new(), Duration::ZERO);
             }
             return;
         };
-        if !known.is_open {
-            if packet.acknowledged != known.sequence.wrapping_add(1) {
+        if !backend_flow.is_open {
+            if packet.acknowledged != backend_flow.sequence.wrapping_add(1) {
                 return;
             }
-            known.is_open = true;
+            backend_flow.is_open = true;
             self.ledger.handshake_ended(flow, self.spec.number);
         }
-        let sequence = known.sequence.wrapping_add(1);
+        let sequence = backend_flow.sequence.wrapping_add(1);
         if packet.flags & (FIN | RST) != 0 {
             self.flows.remove(&flow);
             return;
@@ -217,12 +217,12 @@
         }
         let id = u64::from_be_bytes(packet.data[..8].try_into().unwrap_or_default());
         let end = packet.sequence.wrapping_add(packet.data.len() as u32);
-        if packet.sequence == known.next_sequence {
-            known.next_sequence = end;
+        if packet.sequence == backend_flow.next_sequence {
+            backend_flow.next_sequence = end;
             self.ledger.record_run(id, packet.data[8] == 1);
-        } else if end != known.next_sequence {
-            // A copy of an earlier request, which waited in a paused instance. Only
-            // the last request's answer may still be missing.
+        } else if end != backend_flow.next_sequence {
+            // A retransmission of an earlier request, delayed in a paused instance. Only the
+            // last request may still lack a response.
             return;
         } else if self.spec.work_kind == WorkKind::LimitedBySlots {
             return self.reply(&packet, ACK, sequence, Vec::new(), Duration::ZERO);
@@ -234,7 +234,7 @@
         }
     }
 
-    /// Runs a request in the first slot that is free, unless too many wait.
+    /// Runs a request in the slot that is free first, or rejects it if the wait is too long.
     fn run_request(&mut self, packet: &WirePacket, sequence: u32, answer: Vec<u8>) {
         self.reply(packet, ACK, sequence, Vec::new(), Duration::ZERO);
         let now = Instant::now();
@@ -250,22 +250,22 @@
             );
         }
         *slot = begin + SLOT_REQUEST_TIME;
-        let left = *slot - now;
+        let remaining = *slot - now;
         let (ledger, number) = (self.ledger.clone(), self.spec.number);
         ledger.work_begun(number);
         tokio::spawn(async move {
-            tokio::time::sleep(left).await;
+            tokio::time::sleep(remaining).await;
             ledger.work_ended(number);
         });
-        self.reply(packet, ACK, sequence, answer, left);
+        self.reply(packet, ACK, sequence, answer, remaining);
     }
 
     fn open(&mut self, packet: &WirePacket, flow: FlowKey, instance: usize) {
         self.ledger.check_opening(flow, self.spec.number, &self.spec.service, instance);
         let expected = packet.sequence;
-        let fresh =
+        let new_flow =
             BackendFlow { sequence: rand::random(), is_open: false, next_sequence: expected };
-        let sequence = self.flows.entry(flow).or_insert(fresh).sequence;
+        let sequence = self.flows.entry(flow).or_insert(new_flow).sequence;
         self.reply(packet, SYN | ACK, sequence, Vec::new(), Duration::ZERO);
     }
 
@@ -279,13 +279,14 @@
         let caller = SocketAddrV4::new(*to.from.ip(), self.spec.caller_port);
         tokio::spawn(async move {
             tokio::time::sleep(delay).await;
-            // The caller sends again if this is lost.
+            // The caller retransmits its request if the response is lost.
             let _ = socket.send_to(&reply.encode(), SocketAddr::V4(caller)).await;
         });
     }
 }
 
-/// Instances have the addresses x.x.1.1 and up.
+/// Returns the index of the instance that sent a packet: instances have the addresses x.x.1.1 and
+/// up.
 fn instance_of(from: SocketAddr) -> usize {
     match from {
         SocketAddr::V4(from) => usize::from(from.ip().octets()[3].saturating_sub(1)),
--- a/crates/foxledge-soak/src/callers.rs
+++ b/crates/foxledge-soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers, as stand-ins over UDP.
+//! Stand-ins for callers, over UDP.
 
 use std::{
     collections::HashMap,
@@ -27,32 +27,32 @@
     router::PacketRouter,
 };
 
-/// Waits of an opening packet before its first copy, its second and the end.
+/// The times to wait for a response to an opening packet and to each of its retransmissions.
 const OPENING_TIMEOUTS: [Duration; 3] =
     [Duration::from_millis(200), Duration::from_millis(400), Duration::from_millis(800)];
-/// First wait before data is sent again; doubles with each.
+/// The time until the first retransmission of data; doubles with each retransmission.
 const INITIAL_RESEND_DELAY: Duration = Duration::from_millis(200);
-/// Pause of a caller whose flow couldn't be opened.
+/// The pause of a caller whose flow couldn't be opened.
 const REFUSAL_BACKOFF: Duration = Duration::from_millis(100);
-/// Size of an answer.
+/// The size of the response to a request, in bytes.
 const RESPONSE_SIZE_BYTES: u32 = 8;
-/// Openings that a caller tries for one request.
+/// The maximum number of flows that a caller tries to open for one request.
 const MAX_OPEN_ATTEMPTS: u32 = 3;
-/// Time for a request.
+/// The time after which a request counts as failed.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// `RequestPattern` is how a caller uses its flow.
+/// The kind and pace of the requests in a caller's flow.
 #[derive(Clone, Copy, Debug)]
 struct RequestPattern {
     is_idempotent: bool,
-    /// Longest pause between two requests, in milliseconds.
+    /// The maximum pause between two requests, in milliseconds.
     pause_ms: u64,
 }
 
-/// Callers that keep a flow for requests that may not be repeated.
+/// The pattern of callers with a persistent flow for non-idempotent requests.
 const PERSISTENT_PATTERN: RequestPattern = RequestPattern { is_idempotent: false, pause_ms: 2_500 };
 
-/// `CallerHost` is one caller's address with all its flows.
+/// A caller address with all its flows.
 pub struct CallerHost {
     ip: Ipv4Addr,
     socket: UdpSocket,
@@ -61,28 +61,28 @@
     router: Arc<PacketRouter>,
     ledger: Arc<PromiseLedger>,
     loss: PacketLoss,
-    /// Its data centre, whose instances its packets go to; any instance when none. Callers of a
-    /// data centre acknowledge answers.
+    /// The data centre whose instances receive the caller's packets; all data centres if none.
+    /// Callers of a data centre acknowledge responses.
     centre: Option<usize>,
-    /// Callers begin nothing new once it is set.
+    /// Whether callers stop making new requests.
     pub is_stopping: AtomicBool,
 }
 
-/// `CallerFlow` is one open flow of a caller.
+/// A caller's flow.
 struct CallerFlow {
     host: Arc<CallerHost>,
     key: FlowKey,
-    /// The instance that all packets go to; the router's choice when none.
+    /// The instance that receives all packets; the router's choice if none.
     instance: Option<usize>,
     packets: UnboundedReceiver<WirePacket>,
     echo: u32,
     acknowledged: u32,
     sequence: u32,
-    /// The requests so far, by the sequence number after their last byte.
+    /// The ids of the requests sent so far, by the sequence number after their last byte.
     sent_requests: HashMap<u32, u64>,
 }
 
-/// `OpenResult` is how an opening ended.
+/// The result of an attempt to open a flow.
 enum OpenResult {
     Opened(CallerFlow),
     Refused,
@@ -90,7 +90,8 @@
 }
 
 impl CallerHost {
-    /// Starts a caller's address; callers listen at the port at which packets reach instances.
+    /// Starts a caller address. The port of `address` is the one to which instances and backend
+    /// servers send responses, not that of a flow.
     ///
     /// # Errors
     ///
@@ -117,7 +118,8 @@
         Ok(host)
     }
 
-    /// Makes requests until the host stops: feeds that stay open, bids with a flow each.
+    /// Makes requests until the host stops: several in each flow if they are idempotent, otherwise
+    /// one.
     pub async fn run(self: Arc<CallerHost>, ports: Vec<(u16, bool)>, seed: u64) {
         let mut rng = StdRng::seed_from_u64(seed);
         while !self.is_stopping.load(Ordering::Relaxed) {
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Keeps a flow open for requests that may not be repeated, with pauses between them.
+    /// Makes non-idempotent requests in persistent flows, with pauses between them.
     pub async fn run_persistent(self: Arc<CallerHost>, port: u16, seed: u64) {
         let mut rng = StdRng::seed_from_u64(seed);
         while !self.is_stopping.load(Ordering::Relaxed) {
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Makes requests with a flow each, so many a second, until the host stops or until `end`.
+    /// Makes `per_s` requests a second with a flow each, until the host stops or until `end`.
     pub async fn run_rate(self: Arc<CallerHost>, port: u16, per_s: u64, end: Option<Instant>) {
         let is_over = || end.is_some_and(|end| Instant::now() > end);
         while !self.is_stopping.load(Ordering::Relaxed) && !is_over() {
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Makes one request; a refused caller tries again from another port.
+    /// Makes one request, and tries again from another port if the flow can't be opened.
     async fn send_request(self: Arc<CallerHost>, port: u16) {
         let mut is_served = false;
         for _ in 0..MAX_OPEN_ATTEMPTS {
@@ -164,7 +166,7 @@
         self.ledger.record_route_request_end(port, is_served);
     }
 
-    /// Opens a flow to a route at one instance, and tells whether it was answered.
+    /// Opens a flow to a route through one instance, and returns whether it was accepted.
     pub async fn probe(self: Arc<CallerHost>, port: u16, instance: usize) -> bool {
         let key = self.next_flow_key(port);
         match self.open(key, Some(instance)).await {
@@ -190,8 +192,8 @@
         };
         let Some(mut flow) = opened else {
             self.ledger.record_request_end(false);
-            // Callers that come back at once use up the ports of their address, and take
-            // one that another flow still has.
+            // Without a pause, callers would use up the ports of their address and reuse one
+            // that another flow still has.
             return sleep(REFUSAL_BACKOFF).await;
         };
         for _ in 0..count {
@@ -229,14 +231,14 @@
             sequence,
             sent_requests: HashMap::new(),
         };
-        for (copy, wait) in OPENING_TIMEOUTS.into_iter().enumerate() {
-            flow.acknowledged = copy as u32;
-            let asked = flow.send(SYN, Vec::new()).await;
+        for (attempt, wait) in OPENING_TIMEOUTS.into_iter().enumerate() {
+            flow.acknowledged = attempt as u32;
+            let instance_index = flow.send(SYN, Vec::new()).await;
             let until = Instant::now() + wait;
             while let Ok(Some(packet)) = timeout_at(until, flow.packets.recv()).await {
                 if packet.flags & RST != 0 {
                     if packet.checksum == 0 {
-                        self.ledger.check_refusal(key, asked);
+                        self.ledger.check_refusal(key, instance_index);
                     }
                     return OpenResult::Refused;
                 }
@@ -259,14 +261,14 @@
             if self.loss.drops_packet() {
                 continue;
             }
-            // Checked as it comes: a flow at rest is read only with its next request.
+            // Checked on arrival, since an idle flow reads its packets only with its next request.
             if packet.flags & RST != 0 && packet.checksum == 0 {
                 self.ledger.check_reset(FlowKey { caller: packet.to, service: packet.from });
             }
             let port = packet.to.port();
             let sender = self.flows().get(&port).cloned();
             if let Some(sender) = sender {
-                // A flow that has ended takes no more.
+                // The channel is closed if the flow has ended.
                 let _ = sender.send(packet);
             }
         }
@@ -278,7 +280,7 @@
 }
 
 impl CallerFlow {
-    /// Makes one request; true when its own answer came in time.
+    /// Makes one request, and returns whether the response to it arrived in time.
     async fn request(&mut self, id: u64, is_idempotent: bool) -> bool {
         let mut data = id.to_be_bytes().to_vec();
         data.push(u8::from(is_idempotent));
@@ -293,7 +295,7 @@
                 if packet.flags & RST != 0 || packet.data.len() == REJECTION_SIZE_BYTES {
                     return false;
                 }
-                // Data that was received isn't sent again, however long its answer takes.
+                // Acknowledged data isn't retransmitted, however long the response takes.
                 if packet.flags == ACK && packet.data.is_empty() {
                     until = deadline;
                 }
@@ -307,7 +309,7 @@
         false
     }
 
-    /// Tells that an answer came, by which instances learn when a request has ended.
+    /// Acknowledges a response, from which instances learn that the request has ended.
     async fn acknowledge(&mut self) {
         if self.host.centre.is_some() {
             self.acknowledged = self.acknowledged.wrapping_add(RESPONSE_SIZE_BYTES);
@@ -315,26 +317,28 @@
         }
     }
 
-    /// True for the answer to the request `id`, false for a copy of an earlier answer.
+    /// Returns true for the response to the request `id`, and false for a retransmission of an
+    /// earlier response.
     ///
-    /// An answer tells by what it acknowledges which request it belongs to; one that
-    /// holds another's breaks a promise, and so does one to nothing that was asked.
+    /// The acknowledged sequence number of a response says which request it belongs to. A response
+    /// with the id of another request is a breach, and so is one without a request.
     fn accept_response(&mut self, packet: &WirePacket, id: u64) -> bool {
         if packet.data.len() != 8 {
             return false;
         }
         self.echo = packet.echo;
-        let answered = u64::from_be_bytes(packet.data[..].try_into().unwrap_or_default());
-        let asked = self.sent_requests.get(&packet.acknowledged).copied();
-        if asked != Some(answered) {
-            let asked = asked.map_or("nothing".to_owned(), |asked| format!("{asked:x}"));
-            let text = format!("{} got the answer to {answered:x} for {asked}", self.key);
+        let response_id = u64::from_be_bytes(packet.data[..].try_into().unwrap_or_default());
+        let request_id = self.sent_requests.get(&packet.acknowledged).copied();
+        if request_id != Some(response_id) {
+            let request_id =
+                request_id.map_or("nothing".to_owned(), |request_id| format!("{request_id:x}"));
+            let text = format!("{} got the answer to {response_id:x} for {request_id}", self.key);
             self.host.ledger.record_breach(text);
         }
-        asked == Some(id)
+        request_id == Some(id)
     }
 
-    /// Sends a packet; returns the instance it went to.
+    /// Sends a packet and returns the index of the instance that it was sent to.
     async fn send(&mut self, flags: u8, data: Vec<u8>) -> usize {
         let mut packet = WirePacket::new(self.key.caller, self.key.service, flags);
         packet.echo = if flags & SYN != 0 { 0 } else { self.echo };
@@ -345,7 +349,7 @@
             Some(index) => (index, self.host.router.address(index)),
             None => self.host.router.select_instance(&self.key, self.host.centre),
         };
-        // What a dead instance doesn't take is sent again.
+        // A packet that a dead instance doesn't receive is retransmitted.
         let _ = self.host.socket.send_to(&packet.encode(), SocketAddr::V4(address)).await;
         index
     }
--- a/crates/foxledge-soak/src/faults.rs
+++ b/crates/foxledge-soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults carried out.
+//! Injects the faults of a plan into a run.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -17,22 +17,22 @@
     world::{BID_PORT, FEED_PORT, SoakWorld, centre_of, evacuation_key},
 };
 
-/// Time in which a planned stop of a backend server goes on after its report.
+/// The time for which a draining backend server continues to run.
 const DRAIN_TIME: Duration = Duration::from_millis(3_500);
-/// Time from the store's return until lapsed entries are back.
+/// The time from the return of the store until lapsed or lost entries are written again.
 const ENTRY_RETURN_DELAY: Duration = Duration::from_millis(1_500);
-/// Time from the store's return until operators have written again what it lost.
+/// The time from the return of the store until operators have written lost keys again.
 const OPERATOR_REWRITE_DELAY: Duration = Duration::from_millis(50);
-/// Time after a death until the entry lapses.
+/// The time after the death of a backend server until its entry lapses.
 const ENTRY_TTL: Duration = Duration::from_millis(3_600);
-/// Time after a death until its address is given to another.
+/// The time after the death of a backend server until its address is reused.
 const ADDRESS_REUSE_DELAY: Duration = Duration::from_millis(2_000);
-/// Number of a backend server that never starts.
+/// The number of a backend server that never starts.
 const UNUSED_NUMBER: u64 = 0xfff_ffff;
-/// Time between two lists of a series.
+/// The time between two lists or stop signals of a series.
 const SERIES_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Carries out a fault from its begin to its end.
+/// Injects a fault and returns when it has ended.
 pub async fn apply_fault(world: Arc<SoakWorld>, fault: SoakFault) {
     match fault {
         SoakFault::Kill { instance, down_ms } => kill(&world, instance, down_ms).await,
@@ -76,8 +76,8 @@
         SoakFault::PacketLoss { per_mille, for_ms } => {
             packet_loss(&world, per_mille, for_ms).await;
         }
-        SoakFault::BackendRestarts { backend, down_ms, place } => {
-            backend_restarts(&world, backend, down_ms, place).await;
+        SoakFault::BackendRestarts { backend, down_ms, restart } => {
+            backend_restarts(&world, backend, down_ms, restart).await;
         }
         SoakFault::EntryCorrupted { backend, value, for_ms } => {
             corrupt_entry(&world, backend, value, for_ms).await;
@@ -96,8 +96,8 @@
     }
 }
 
-/// Adds requests to the usual ones: all of a data centre 3.2 times, the less urgent 5 times, or
-/// those of one address 16 times as many.
+/// Adds requests to the base load: 3.2 times the load of a data centre, 5 times the less urgent
+/// requests, or 16 times the requests of one address.
 async fn burst(world: &Arc<SoakWorld>, source: BurstSource, for_ms: u64) {
     let end = Instant::now() + Duration::from_millis(for_ms);
     let added: &[(u16, u64)] = match source {
@@ -126,7 +126,7 @@
     world.start_instance(instance);
 }
 
-/// Evacuates a data centre unless it is, and takes it back.
+/// Evacuates a data centre for some time, unless it is evacuated already.
 async fn evacuate(world: &Arc<SoakWorld>, centre: usize, for_ms: u64) {
     let data_centre = centre_of(centre);
     let key = evacuation_key(data_centre);
@@ -145,13 +145,13 @@
         world.signal(instance, Signal::SIGTERM);
         sleep(SERIES_INTERVAL).await;
     }
-    // The watch over processes starts it anew when it has ended.
+    // `monitor_processes` restarts the instance when it has exited.
 }
 
 async fn pause(world: &Arc<SoakWorld>, instance: usize, for_ms: u64) {
     world.signal(instance, Signal::SIGSTOP);
     let is_stopping = world.with_instance(instance, |running| running.is_stopping());
-    // A stop that is paused would count as too slow.
+    // A longer pause would make the planned stop exceed its time limit.
     let for_ms = if is_stopping { for_ms.min(100) } else { for_ms };
     for _ in 0..for_ms.div_ceil(100) {
         world.ledger.record_instance_fault(instance);
@@ -166,7 +166,7 @@
     resume_store(world);
 }
 
-/// Holds the store in a mode that is a disturbance as long as it lasts.
+/// Sets the store's mode and records a store fault for the given time.
 async fn keep_store_mode(world: &Arc<SoakWorld>, mode: StoreMode, for_ms: u64) {
     world.store.set_mode(mode);
     for _ in 0..for_ms.div_ceil(100) {
@@ -192,13 +192,13 @@
     world.register_live();
 }
 
-/// Brings the store back from a copy; operators write again at once, backend servers with their
-/// next heartbeats. Entries of those that are dead lapse.
+/// Restores the store from a snapshot. Operators write their keys again at once, backend servers
+/// with their next heartbeats; the entries of dead backend servers lapse.
 async fn restore_snapshot(world: &Arc<SoakWorld>, age_ms: u64, away_ms: u64) {
-    let copy = world.store.snapshot();
+    let snapshot = world.store.snapshot();
     sleep(Duration::from_millis(age_ms)).await;
     keep_store_mode(world, StoreMode::Silent, away_ms).await;
-    world.store.restore(&copy);
+    world.store.restore(&snapshot);
     resume_store(world);
     sleep(OPERATOR_REWRITE_DELAY).await;
     world.restore_operator_keys();
@@ -277,23 +277,23 @@
 
 async fn backend_dies(world: &Arc<SoakWorld>, backend: usize) {
     let Some(dead) = world.remove_backend(backend) else { return };
-    let (key, place) = (dead.key(), dead.spec.clone());
+    let (key, spec) = (dead.key(), dead.spec.clone());
     dead.terminate().await;
     sleep(ENTRY_TTL).await;
     world.store.remove(&key);
-    world.start_backend(&place.service, None).await;
+    world.start_backend(&spec.service, None).await;
 }
 
 async fn backend_reused(world: &Arc<SoakWorld>, backend: usize) {
     let Some(dead) = world.remove_backend(backend) else { return };
-    let (key, place) = (dead.key(), dead.spec.clone());
+    let (key, spec) = (dead.key(), dead.spec.clone());
     dead.terminate().await;
     sleep(ADDRESS_REUSE_DELAY).await;
-    let other = world.other_service(&place.service);
-    world.start_backend(&other, Some(place.address)).await;
+    let other = world.other_service(&spec.service);
+    world.start_backend(&other, Some(spec.address)).await;
     sleep(ENTRY_TTL - ADDRESS_REUSE_DELAY).await;
     world.store.remove(&key);
-    world.start_backend(&place.service, None).await;
+    world.start_backend(&spec.service, None).await;
 }
 
 async fn backend_replaced(world: &Arc<SoakWorld>, backend: usize) {
@@ -311,25 +311,25 @@
     world: &Arc<SoakWorld>,
     backend: usize,
     down_ms: u64,
-    place: RestartAddress,
+    restart: RestartAddress,
 ) {
     let Some(crashed) = world.remove_backend(backend) else { return };
     let former = crashed.spec.clone();
     crashed.terminate().await;
     sleep(Duration::from_millis(down_ms)).await;
-    world.restart_backend(former, place).await;
+    world.restart_backend(former, restart).await;
 }
 
 async fn corrupt_entry(world: &Arc<SoakWorld>, backend: usize, value: CorruptEntry, for_ms: u64) {
-    let Some(place) = world.backend_spec(backend) else { return };
-    // A whole entry at another address can be told from the backend server's own only by
-    // instances that knew that one.
+    let Some(spec) = world.backend_spec(backend) else { return };
+    // A valid entry with another address can be recognized as foreign only by instances that know
+    // the backend server's own entry.
     let value =
         if value == CorruptEntry::OtherAddress { CorruptEntry::MissingState } else { value };
-    world.store.put_bytes(&place.key(), &corrupt_value(world, &place, value));
-    world.ledger.backend_draining(place.number);
+    world.store.put_bytes(&spec.key(), &corrupt_value(world, &spec, value));
+    world.ledger.backend_draining(spec.number);
     sleep(Duration::from_millis(for_ms)).await;
-    world.register_backend(place.number);
+    world.register_backend(spec.number);
 }
 
 async fn add_entry(
@@ -338,25 +338,25 @@
     value: CorruptEntry,
     for_ms: u64,
 ) {
-    let Some(mut place) = world.backend_spec(backend.unwrap_or_default()) else { return };
-    let mut key = format!("servers/other-0{:x}", place.number);
+    let Some(mut spec) = world.backend_spec(backend.unwrap_or_default()) else { return };
+    let mut key = format!("servers/other-0{:x}", spec.number);
     if backend.is_none() {
-        place.number = UNUSED_NUMBER;
-        key = place.key();
+        spec.number = UNUSED_NUMBER;
+        key = spec.key();
     }
-    // A whole entry of a new backend server is no fault but a backend server.
+    // A valid entry with an unused number would be a new backend server rather than a fault.
     let value = match (backend, value) {
         (None, CorruptEntry::OtherAddress) => CorruptEntry::InvalidJson,
         (_, value) => value,
     };
-    world.store.put_bytes(&key, &corrupt_value(world, &place, value));
+    world.store.put_bytes(&key, &corrupt_value(world, &spec, value));
     sleep(Duration::from_millis(for_ms)).await;
     world.store.remove(&key);
 }
 
-/// An entry as another writer leaves it. No flow's packet may reach the address in it.
-fn corrupt_value(world: &SoakWorld, place: &BackendSpec, value: CorruptEntry) -> Vec<u8> {
-    let mut entry = place.entry("ready");
+/// Returns the value of a corrupt entry. No flow's packets may reach the address in it.
+fn corrupt_value(world: &SoakWorld, spec: &BackendSpec, value: CorruptEntry) -> Vec<u8> {
+    let mut entry = spec.entry("ready");
     entry["address"] = world.unused_address().to_string().into();
     match value {
         CorruptEntry::InvalidJson => return b"{\"state\":".to_vec(),
--- a/crates/foxledge-soak/src/instances.rs
+++ b/crates/foxledge-soak/src/instances.rs
@@ -1,4 +1,4 @@
-//! Real instances as processes.
+//! Instances as real processes.
 
 use std::{
     fs::{self, File},
@@ -15,52 +15,52 @@
     unistd::Pid,
 };
 
-/// Time in which a planned stop must end.
+/// The time in which a planned stop must end.
 pub const STOP_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Time in which a planned stop must end after a pause.
+/// The time in which a planned stop must end after the end of a pause.
 const MIN_STOP_TIME_AFTER_PAUSE: Duration = Duration::from_millis(1_500);
-/// Time after the start in which a program may not have begun.
+/// The time after a start in which the process may not yet handle signals.
 const SIGNAL_SETUP_TIME: Duration = Duration::from_millis(20);
-/// Settings of instances that share load.
+/// The settings of instances that report load.
 const LOAD_SETTINGS: &str = "[load]\nenabled = true\n\n[admission]\nenabled = true\n";
-/// Number of the signal of a planned stop.
+/// The number of the signal for a planned stop.
 const SIGTERM: i32 = Signal::SIGTERM as i32;
 
-/// `InstanceSpec` is where an instance listens and whom it knows.
+/// The name, addresses and settings of an instance.
 #[derive(Clone, Debug)]
 pub struct InstanceSpec {
-    /// Its name.
+    /// The name of the instance.
     pub name: String,
-    /// Its data centre.
+    /// The name of its data centre.
     pub data_centre: String,
-    /// Packets of callers.
+    /// The address for packets of callers.
     pub data: SocketAddrV4,
-    /// Messages of instances, bound.
+    /// The bound address for messages of other instances.
     pub peer: SocketAddrV4,
-    /// Messages of instances, as others are told.
+    /// The address for messages that other instances are given.
     pub public: SocketAddrV4,
-    /// HTTP.
+    /// The address of the HTTP server for administration.
     pub admin: SocketAddrV4,
-    /// Its way to the store.
+    /// The address of its link to the store.
     pub store: SocketAddrV4,
-    /// Instances that it asks first.
+    /// The addresses of the instances that it contacts first.
     pub seeds: Vec<SocketAddrV4>,
-    /// True when it reports its load and refuses new flows under shortage.
+    /// Whether it reports its load and refuses new flows when no capacity is free.
     pub shares_load: bool,
 }
 
-/// `BuildSet` is the daemons that instances run, in turns from start to start.
+/// The builds of the daemon, which alternate from start to start.
 #[derive(Clone, Debug)]
 pub struct BuildSet(Vec<PathBuf>);
 
 impl BuildSet {
-    /// The same daemon at each start.
+    /// Creates a set of one build.
     pub fn single(binary: PathBuf) -> BuildSet {
         BuildSet(vec![binary])
     }
 
-    /// Another daemon beside.
+    /// Adds another build.
     pub fn with_binary(mut self, binary: PathBuf) -> BuildSet {
         self.0.push(binary);
         self
@@ -71,39 +71,39 @@
     }
 }
 
-/// `RunningInstance` is an instance that may be running.
+/// An instance and its process, if it is running.
 pub struct RunningInstance {
     spec: InstanceSpec,
     builds: BuildSet,
-    /// Counts starts; instances begin at different counts.
+    /// The number of starts; instances begin at different numbers.
     start_count: usize,
     settings: PathBuf,
     log: PathBuf,
     child: Option<Child>,
     started_at: Instant,
-    /// When the planned stop must have ended.
+    /// The time at which the planned stop must have ended.
     stop_deadline: Option<Instant>,
-    /// The planned stop began before the process could have done anything.
+    /// Whether the planned stop began before the process could have set up signal handling.
     is_before_signal_setup: bool,
 }
 
 impl RunningInstance {
-    /// Writes the settings; nothing runs yet.
+    /// Writes the settings file without starting a process.
     ///
     /// # Errors
     ///
     /// When the folder can't be written.
     pub fn prepare(
-        place: InstanceSpec,
+        spec: InstanceSpec,
         builds: &BuildSet,
         turn: usize,
         folder: &Path,
     ) -> Result<RunningInstance> {
-        let settings = folder.join(format!("{}.toml", place.name));
-        let log = folder.join(format!("{}.log", place.name));
-        fs::write(&settings, settings_text(&place))?;
+        let settings = folder.join(format!("{}.toml", spec.name));
+        let log = folder.join(format!("{}.log", spec.name));
+        fs::write(&settings, settings_text(&spec))?;
         Ok(RunningInstance {
-            spec: place,
+            spec,
             builds: builds.clone(),
             start_count: turn,
             settings,
@@ -115,7 +115,7 @@
         })
     }
 
-    /// Starts the process; its log goes on where the last one's ended.
+    /// Starts the process, which appends to the log of the previous one.
     ///
     /// # Errors
     ///
@@ -139,12 +139,12 @@
         Ok(())
     }
 
-    /// True while a process is there.
+    /// Returns whether there is a process.
     pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
 
-    /// True while a planned stop goes on.
+    /// Returns whether a planned stop is in progress.
     pub fn is_stopping(&self) -> bool {
         self.stop_deadline.is_some()
     }
@@ -157,27 +157,28 @@
             self.stop_deadline = Some(now + STOP_TIMEOUT);
             self.is_before_signal_setup = now - self.started_at < SIGNAL_SETUP_TIME;
         }
-        // Seeds 605 and 707: a process that stands still can't stop. What is left of
-        // the time when it goes on may be next to nothing.
+        // A paused process can't stop, and hardly any time may remain when it resumes (seeds 605
+        // and 707).
         if signal == Signal::SIGCONT {
             self.stop_deadline =
-                self.stop_deadline.map(|by| by.max(now + MIN_STOP_TIME_AFTER_PAUSE));
+                self.stop_deadline.map(|deadline| deadline.max(now + MIN_STOP_TIME_AFTER_PAUSE));
         }
-        // A process that has ended in between takes no signal.
+        // The signal fails if the process has ended in the meantime.
         let _ = kill(Pid::from_raw(child.id() as i32), signal);
     }
 
     /// Ends the process at once.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // A process that has ended in between needs no signal; waiting frees its number.
+            // The signal fails if the process has ended in the meantime; waiting releases its id.
             let _ = child.kill();
             let _ = child.wait();
         }
         self.stop_deadline = None;
     }
 
-    /// Looks whether the process has ended; what is wrong, if it has ended by itself or too late.
+    /// Checks whether the process has ended. Returns a description of the fault if it ended by
+    /// itself, failed, or takes too long to stop.
     pub fn check_exit(&mut self) -> Option<String> {
         let name = &self.spec.name;
         let status = match self.child.as_mut()?.try_wait() {
@@ -185,14 +186,14 @@
             Err(error) => return Some(format!("{name} can't be looked at: {error}")),
         };
         let Some(status) = status else {
-            let is_late = self.stop_deadline.is_some_and(|by| Instant::now() > by);
+            let is_late = self.stop_deadline.is_some_and(|deadline| Instant::now() > deadline);
             return is_late.then(|| format!("{name} takes longer to stop than {STOP_TIMEOUT:?}"));
         };
         self.child = None;
         match self.stop_deadline.take() {
             Some(_) if status.success() => None,
-            // Seed 702: the signal came before the program's first instruction, as its
-            // log shows, which lacks even the line of its start.
+            // The signal arrived before the program's first instruction: its log lacks even the
+            // line of its start (seed 702).
             Some(_) if self.is_before_signal_setup && status.signal() == Some(SIGTERM) => None,
             Some(_) => Some(format!("{name} stopped with {status}")),
             None => Some(format!("{name} ended by itself with {status}")),
@@ -206,20 +207,20 @@
     }
 }
 
-fn settings_text(place: &InstanceSpec) -> String {
-    let seeds: Vec<_> = place.seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
+fn settings_text(spec: &InstanceSpec) -> String {
+    let seeds: Vec<_> = spec.seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
     format!(
         "[instance]\nname = \"{}\"\ndata_centre = \"{}\"\n\n\
          [listen]\ndata = \"{}\"\npeer = \"{}\"\npeer_public = \"{}\"\nadmin = \"{}\"\n\n\
          [store]\naddress = \"{}\"\n\n[peers]\nseeds = [{}]\n\n[stop]\nlimit_s = 6\n{}",
-        place.name,
-        place.data_centre,
-        place.data,
-        place.peer,
-        place.public,
-        place.admin,
-        place.store,
+        spec.name,
+        spec.data_centre,
+        spec.data,
+        spec.peer,
+        spec.public,
+        spec.admin,
+        spec.store,
         seeds.join(", "),
-        if place.shares_load { LOAD_SETTINGS } else { "" },
+        if spec.shares_load { LOAD_SETTINGS } else { "" },
     )
 }
--- a/crates/foxledge-soak/src/lib.rs
+++ b/crates/foxledge-soak/src/lib.rs
@@ -1,9 +1,8 @@
-//! A soak: real instances of foxledge among stand-ins, with faults from outside.
+//! A soak test: runs real instances of foxledge with injected faults.
 //!
-//! The instances are processes of their own; the store, backend servers, callers
-//! and the links between them are stand-ins in this process. A seed decides which
-//! faults come and when. What callers and backend servers see is held against the
-//! promises while it happens.
+//! The instances are separate processes; the store, backend servers, callers and the links between
+//! them are stand-ins in this process. A seed determines the faults and their times. What callers
+//! and backend servers observe is checked against the promises of the system during the run.
 
 pub mod backends;
 pub mod callers;
--- a/crates/foxledge-soak/src/links.rs
+++ b/crates/foxledge-soak/src/links.rs
@@ -1,4 +1,4 @@
-//! Links that faults are done to: instances to the store, and to each other.
+//! Links with injected faults: between instances and the store, and among instances.
 
 use std::{
     collections::HashMap,
@@ -22,24 +22,24 @@
     time::sleep,
 };
 
-/// `LinkFault` is what is done to a link.
+/// The fault of a link to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkFault {
-    /// Nothing.
+    /// The link works.
     None,
-    /// Nothing passes, in neither direction.
+    /// Data is dropped in both directions.
     Cut,
-    /// Answers don't pass.
+    /// Responses are dropped.
     CutResponses,
-    /// What passes waits this many milliseconds.
+    /// Data is delayed by this number of milliseconds.
     Delay(u64),
-    /// Connections are closed.
+    /// Open connections are closed.
     Reset,
-    /// Connections that are open now pass nothing for good; new ones work.
+    /// Connections that are open now drop all data from now on; new connections work.
     Silence,
 }
 
-/// `StoreLink` is the way of one instance to the store.
+/// The link between an instance and the store.
 #[derive(Clone)]
 pub struct StoreLink {
     fault: watch::Sender<LinkFault>,
@@ -56,7 +56,7 @@
         let (fault, faults) = watch::channel(LinkFault::None);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                // What began before the connection doesn't silence or reset it.
+                // A silence or reset that began earlier doesn't affect a new connection.
                 let mut faults = faults.clone();
                 faults.mark_unchanged();
                 tokio::spawn(proxy_connection(stream, store, faults));
@@ -65,25 +65,25 @@
         Ok(StoreLink { fault })
     }
 
-    /// Changes what is done to the link.
+    /// Sets the fault of the link.
     pub fn set(&self, fault: LinkFault) {
         self.fault.send_replace(fault);
     }
 }
 
 async fn proxy_connection(
-    near: TcpStream,
+    client: TcpStream,
     store: SocketAddrV4,
     faults: watch::Receiver<LinkFault>,
 ) {
-    let Ok(far) = TcpStream::connect(store).await else { return };
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let there = proxy_bytes(near_read, far_write, faults.clone(), LinkDirection::ToStore);
-    let back = proxy_bytes(far_read, near_write, faults, LinkDirection::FromStore);
+    let Ok(server) = TcpStream::connect(store).await else { return };
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let to_store = proxy_bytes(client_read, server_write, faults.clone(), LinkDirection::ToStore);
+    let from_store = proxy_bytes(server_read, client_write, faults, LinkDirection::FromStore);
     tokio::select! {
-        () = there => {}
-        () = back => {}
+        () = to_store => {}
+        () = from_store => {}
     }
 }
 
@@ -122,7 +122,7 @@
             _ if is_silenced => continue,
             LinkFault::Cut => continue,
             LinkFault::CutResponses if direction == LinkDirection::FromStore => continue,
-            LinkFault::Delay(millis) => sleep(Duration::from_millis(millis)).await,
+            LinkFault::Delay(delay_ms) => sleep(Duration::from_millis(delay_ms)).await,
             _ => {}
         }
         if to.write_all(&buffer[..size]).await.is_err() {
@@ -131,68 +131,69 @@
     }
 }
 
-/// `PacketLoss` is the share of packets that are lost on the way between callers,
-/// instances and backend servers.
+/// The share of packets that are lost between callers, instances and backend servers.
 #[derive(Clone, Debug, Default)]
 pub struct PacketLoss {
     per_mille: Arc<AtomicU32>,
 }
 
 impl PacketLoss {
-    /// Sets how many of a thousand are lost.
+    /// Sets the number of lost packets in a thousand.
     pub fn set(&self, per_mille: u32) {
         self.per_mille.store(per_mille, Ordering::Relaxed);
     }
 
-    /// True when the packet that has just come is one of them.
+    /// Decides at random whether the packet received last is lost.
     pub fn drops_packet(&self) -> bool {
         let per_mille = self.per_mille.load(Ordering::Relaxed);
         per_mille > 0 && rand::rng().random_range(0..1_000) < per_mille
     }
 }
 
-/// `PeerFault` is what is done to messages from one instance to another.
+/// The fault of the messages from one instance to another.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerFault {
-    /// Share of messages that are lost.
+    /// The share of lost messages, from 0 to 1.
     pub loss: f64,
-    /// Time that messages wait, in milliseconds.
+    /// The delay of messages, in milliseconds.
     pub delay_ms: u64,
 }
 
-/// `PeerLinks` carries messages between instances: each sends to the others' public addresses.
+/// The links between instances, each of which sends to the public addresses of the others.
 pub struct PeerLinks {
     faults: Mutex<HashMap<(usize, usize), PeerFault>>,
 }
 
 impl PeerLinks {
-    /// Starts a proxy for each instance: what reaches `public` goes to `own`.
+    /// Starts a proxy for each instance, which forwards messages from its address in `public` to
+    /// the one in `bound`.
     ///
     /// # Errors
     ///
     /// When an address can't be bound.
-    pub async fn start(public: &[SocketAddrV4], own: &[SocketAddrV4]) -> Result<Arc<PeerLinks>> {
+    pub async fn start(public: &[SocketAddrV4], bound: &[SocketAddrV4]) -> Result<Arc<PeerLinks>> {
         let links = Arc::new(PeerLinks { faults: Mutex::default() });
         let mut sockets = Vec::new();
         for address in public {
             sockets.push(Arc::new(UdpSocket::bind(address).await?));
         }
-        let index_of: HashMap<_, _> = own.iter().enumerate().map(|(i, own)| (*own, i)).collect();
+        let index_of: HashMap<_, _> =
+            bound.iter().enumerate().map(|(i, bound)| (*bound, i)).collect();
         let index_of = Arc::new(index_of);
-        for (to, own) in own.iter().enumerate() {
-            let carrier = PeerProxy {
+        for (to, bound) in bound.iter().enumerate() {
+            let proxy = PeerProxy {
                 links: links.clone(),
                 sockets: sockets.clone(),
                 index_of: index_of.clone(),
                 to,
-                own: *own,
+                bound: *bound,
             };
-            tokio::spawn(carrier.run());
+            tokio::spawn(proxy.run());
         }
         Ok(links)
     }
 
-    /// Changes what is done to messages of one instance to another; none ends it.
+    /// Sets or removes the fault of the messages from one instance to another.
     pub fn set(&self, from: usize, to: usize, fault: Option<PeerFault>) {
         match fault {
             Some(fault) => self.lock().insert((from, to), fault),
@@ -210,11 +211,12 @@
     sockets: Vec<Arc<UdpSocket>>,
     index_of: Arc<HashMap<SocketAddrV4, usize>>,
     to: usize,
-    own: SocketAddrV4,
+    bound: SocketAddrV4,
 }
 
 impl PeerProxy {
-    /// Passes messages on from the sender's public address, so that answers come back here.
+    /// Forwards messages from the sender's public address, so that responses return through the
+    /// proxies.
     async fn run(self) {
         let mut buffer = vec![0; 4_096];
         loop {
@@ -223,10 +225,10 @@
             let Some(from) = self.index_of.get(&sender).copied() else { continue };
             let fault = self.links.lock().get(&(from, self.to)).copied();
             let socket = self.sockets[from].clone();
-            let (own, bytes) = (self.own, buffer[..size].to_vec());
+            let (bound, bytes) = (self.bound, buffer[..size].to_vec());
             let Some(fault) = fault else {
-                // Messages are repeated; a lost one is a fault like others.
-                let _ = socket.send_to(&bytes, own).await;
+                // Instances repeat messages, so that one that can't be sent is just a lost one.
+                let _ = socket.send_to(&bytes, bound).await;
                 continue;
             };
             if rand::rng().random_bool(fault.loss) {
@@ -234,7 +236,7 @@
             }
             tokio::spawn(async move {
                 sleep(Duration::from_millis(fault.delay_ms)).await;
-                let _ = socket.send_to(&bytes, own).await;
+                let _ = socket.send_to(&bytes, bound).await;
             });
         }
     }
--- a/crates/foxledge-soak/src/main.rs
+++ b/crates/foxledge-soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `foxledge-soak`: runs seeds one after the other and tells which broke a promise.
+//! `foxledge-soak`: runs seeds one after the other and reports which broke a promise.
 
 use std::{path::PathBuf, process::ExitCode};
 
--- a/crates/foxledge-soak/src/monitors.rs
+++ b/crates/foxledge-soak/src/monitors.rs
@@ -1,4 +1,4 @@
-//! What looks after a run while faults come.
+//! Tasks that monitor a run while faults are injected.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -12,16 +12,16 @@
     world::{DYNAMIC_ROUTE_COUNT, FIRST_DYNAMIC_PORT, SoakWorld},
 };
 
-/// Starts instances anew that were stopped, and tells of those that ended by themselves.
+/// Restarts instances that have ended, and records a breach for those that ended by themselves.
 pub(crate) async fn monitor_processes(world: Arc<SoakWorld>) {
     while !world.is_ending.load(Ordering::Relaxed) {
         for index in 0..world.size() {
-            let (found, has_ended) = world.with_instance(index, |running| {
+            let (breach, has_ended) = world.with_instance(index, |running| {
                 let was_running = running.is_running();
                 (running.check_exit(), was_running && !running.is_running())
             });
-            if let Some(found) = found {
-                world.ledger.record_breach(found);
+            if let Some(breach) = breach {
+                world.ledger.record_breach(breach);
             }
             if has_ended {
                 world.ledger.record_instance_fault(index);
@@ -32,7 +32,7 @@
     }
 }
 
-/// Tells of packets that reach an address which only another writer's entries name.
+/// Records a breach for each packet that reaches the address in corrupt entries.
 pub(crate) async fn monitor_unused_address(world: Arc<SoakWorld>) {
     let Ok(socket) = tokio::net::UdpSocket::bind(world.unused_address()).await else {
         return world
@@ -47,7 +47,7 @@
     }
 }
 
-/// Opens flows to the moving routes at each instance.
+/// Opens flows to the dynamic routes through each instance.
 pub(crate) async fn probe_routes(world: Arc<SoakWorld>, host: Arc<CallerHost>) {
     while !world.is_ending.load(Ordering::Relaxed) {
         for instance in 0..world.size() {
--- a/crates/foxledge-soak/src/packets.rs
+++ b/crates/foxledge-soak/src/packets.rs
@@ -1,44 +1,44 @@
-//! Packets as callers and backend servers write them.
+//! The format of packets, as callers and backend servers encode them.
 
 use std::net::SocketAddrV4;
 
 use foxledge_flows::FlowKey;
 
-/// Opens a flow.
+/// The flag of packets that open a flow.
 pub const SYN: u8 = 32;
-/// Ends a flow at once.
+/// The flag of packets that reset a flow.
 pub const RST: u8 = 16;
-/// Acknowledges.
+/// The flag of packets that acknowledge data.
 pub const ACK: u8 = 4;
-/// Ends a flow in order.
+/// The flag of packets that close a flow.
 pub const FIN: u8 = 2;
 
-/// Sum of packets that their ends wrote; an instance doesn't know how to make it.
+/// The checksum of packets written by callers and backend servers, which instances can't compute.
 pub const ENDPOINT_CHECKSUM: u32 = 0x5eed_5eed;
 
-/// `WirePacket` is one packet in full.
+/// A packet with its header and data.
 #[derive(Clone, Debug)]
 pub struct WirePacket {
-    /// Sender's end.
+    /// The address of the sender.
     pub from: SocketAddrV4,
-    /// Receiver's end.
+    /// The address of the receiver.
     pub to: SocketAddrV4,
-    /// Handed back by both ends.
+    /// The echo value, which both ends return unchanged.
     pub echo: u32,
-    /// Sum over the packet; 0 in an instance's own refusals.
+    /// The checksum of the packet; 0 in packets that an instance itself wrote.
     pub checksum: u32,
-    /// Flags.
+    /// The flags.
     pub flags: u8,
-    /// Sequence number.
+    /// The sequence number.
     pub sequence: u32,
-    /// Acknowledged sequence number, or the copy of an opening packet.
+    /// The acknowledged sequence number, or the attempt number in an opening packet.
     pub acknowledged: u32,
-    /// Data.
+    /// The data.
     pub data: Vec<u8>,
 }
 
 impl WirePacket {
-    /// A packet without data.
+    /// Creates a packet without data.
     pub fn new(from: SocketAddrV4, to: SocketAddrV4, flags: u8) -> WirePacket {
         let (echo, sequence, acknowledged) = (0, 0, 0);
         WirePacket {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The bytes.
+    /// Encodes the packet.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![0; 32];
         bytes[..4].copy_from_slice(&self.echo.to_be_bytes());
@@ -70,13 +70,15 @@
         bytes
     }
 
-    /// Reads a packet; none when the bytes hold none.
+    /// Decodes a packet; returns none if the bytes are too short for a header.
     pub fn decode(bytes: &[u8]) -> Option<WirePacket> {
         if bytes.len() < 32 {
             return None;
         }
-        let word = |at: usize| u32::from_be_bytes(bytes[at..at + 4].try_into().unwrap_or_default());
-        let port = |at: usize| u16::from_be_bytes([bytes[at], bytes[at + 1]]);
+        let word = |offset: usize| {
+            u32::from_be_bytes(bytes[offset..offset + 4].try_into().unwrap_or_default())
+        };
+        let port = |offset: usize| u16::from_be_bytes([bytes[offset], bytes[offset + 1]]);
         Some(WirePacket {
             echo: word(0),
             to: SocketAddrV4::new(word(12).into(), port(4)),
@@ -89,7 +91,7 @@
         })
     }
 
-    /// The flow, for a packet of a caller.
+    /// Returns the key of the flow of a packet sent by a caller.
     pub fn flow_key(&self) -> FlowKey {
         FlowKey { caller: self.from, service: self.to }
     }
--- a/crates/foxledge-soak/src/plan.rs
+++ b/crates/foxledge-soak/src/plan.rs
@@ -1,58 +1,62 @@
-//! Which faults come when: a pure function of the seed.
+//! The plan of faults and their times: a pure function of the options and their seed.
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// `SoakOptions` is how large and long a run is.
+/// The size, duration and faults of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct SoakOptions {
-    /// Decides everything that is left to chance.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// Time with faults, in seconds.
+    /// The time during which faults occur, in seconds.
     pub seconds: u64,
-    /// Instances in each of the two data centres.
+    /// The number of instances in each of the two data centres.
     pub instances: usize,
-    /// Callers' addresses in each data centre.
+    /// The number of caller addresses in each data centre.
     pub callers: usize,
-    /// Mean time between two faults, in milliseconds; 0 for a calm run.
+    /// The mean time between two faults, in milliseconds; 0 for a run without faults.
     pub fault_every_ms: u64,
-    /// Which faults come.
+    /// The range of faults.
     pub range: FaultRange,
 }
 
-/// `FaultRange` is which faults come. A seed means the same faults for ever, so that one
-/// that failed stays as it was: new kinds of faults make a new range.
+/// The kinds of faults in a run.
+///
+/// A seed must always produce the same faults, so that failed seeds stay reproducible: new kinds
+/// of faults are added in a new range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultRange {
-    /// Faults of instances, of what they learn from, and of whole backend servers.
+    /// Faults of instances, of the store and the links that they use, and of whole backend
+    /// servers.
     Control,
-    /// These, and faults on the way of callers' packets.
+    /// The faults above, and faults on the path of callers' packets.
     Packets,
-    /// These, and faults of backend servers' entries; some callers keep flows for requests
-    /// that may not be repeated.
+    /// The faults above, and faults of backend servers' entries. Some callers use persistent flows
+    /// for non-idempotent requests.
     Entries,
-    /// These, and evacuations of data centres.
+    /// The faults above, and evacuations of data centres.
     Evacuations,
-    /// These, and a store that comes back from older copies.
+    /// The faults above, and a store that is restored from older snapshots.
     Restores,
-    /// Bursts of load, and instances that are killed or cut off meanwhile. Backend servers have
-    /// slots, callers belong to a data centre, and instances share load and refuse new flows.
+    /// Bursts of load, with instances that are killed or isolated at the same time. Backend
+    /// servers have slots, callers belong to a data centre, and instances report load and refuse
+    /// new flows.
     Bursts,
 }
 
 impl FaultRange {
-    /// True when backend servers tell in their entries when they started.
+    /// Returns whether backend servers' entries include their start times.
     pub fn includes_start_times(self) -> bool {
         matches!(self, FaultRange::Entries | FaultRange::Evacuations | FaultRange::Restores)
     }
 
-    /// True when backend servers have slots, and instances share load.
+    /// Returns whether backend servers have slots and instances report load.
     pub fn shares_load(self) -> bool {
         self == FaultRange::Bursts
     }
 }
 
 impl SoakOptions {
-    /// Options of a run of usual size.
+    /// Creates the options of a run of the default size.
     pub fn new(seed: u64) -> SoakOptions {
         SoakOptions {
             seed,
@@ -64,13 +68,13 @@
         }
     }
 
-    /// Sets which faults come.
+    /// Sets the range of faults.
     pub fn range(mut self, range: FaultRange) -> SoakOptions {
         self.range = range;
         self
     }
 
-    /// Sets the time with faults, in seconds.
+    /// Sets the time during which faults occur, in seconds.
     pub fn seconds(mut self, seconds: u64) -> SoakOptions {
         self.seconds = seconds;
         self
@@ -82,204 +86,205 @@
         self
     }
 
-    /// Sets the mean time between two faults, in milliseconds; 0 for a calm run.
+    /// Sets the mean time between two faults, in milliseconds; 0 for a run without faults.
     pub fn fault_every_ms(mut self, millis: u64) -> SoakOptions {
         self.fault_every_ms = millis;
         self
     }
 }
 
-/// `SoakFault` is one thing done to the system.
+/// A fault that is injected into the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SoakFault {
-    /// SIGKILL, and a start after some time.
+    /// An instance is killed with SIGKILL and restarted after a delay.
     Kill {
-        /// Which instance.
+        /// The index of the instance.
         instance: usize,
-        /// Time until the start, in milliseconds.
+        /// The time until the restart, in milliseconds.
         down_ms: u64,
     },
-    /// SIGKILL to all, and a start of each after some time.
+    /// All instances are killed with SIGKILL and restarted after a delay.
     KillAll {
-        /// Time until the start, in milliseconds.
+        /// The time until the restart, in milliseconds.
         down_ms: u64,
     },
-    /// SIGTERM, perhaps twice, and a start after the end.
+    /// An instance gets SIGTERM, perhaps more than once, and is restarted when it has exited.
     Stop {
-        /// Which instance.
+        /// The index of the instance.
         instance: usize,
-        /// Signals.
+        /// The number of signals.
         times: u32,
     },
-    /// SIGSTOP, and SIGCONT after some time.
+    /// An instance is paused with SIGSTOP and resumed with SIGCONT.
     Pause {
-        /// Which instance.
+        /// The index of the instance.
         instance: usize,
-        /// Time in milliseconds.
+        /// The duration of the fault, in milliseconds.
         for_ms: u64,
     },
-    /// SIGHUP.
+    /// An instance reloads its settings on SIGHUP.
     Reload {
-        /// Which instance.
+        /// The index of the instance.
         instance: usize,
     },
-    /// The store answers nobody, or with 503, or slowly.
+    /// The store doesn't respond, responds with 503, or responds slowly.
     StoreDown {
-        /// 0 refuses, 1 is silent, 2 is slow.
+        /// 0 for status 503, 1 for no response, 2 for slow responses.
         how: u32,
-        /// Time in milliseconds.
+        /// The duration of the fault, in milliseconds.
         for_ms: u64,
     },
-    /// The store drops its history.
+    /// The store discards its history.
     StoreCompact,
-    /// Entries lapse while the store is away, and come back.
+    /// Entries lapse while the store is unavailable, and are registered again later.
     StoreLapse {
-        /// Time in milliseconds that the store is away.
+        /// The time during which the store is unavailable, in milliseconds.
         for_ms: u64,
     },
-    /// The store comes back from an older copy, and what was lost is written again.
+    /// The store is restored from an older snapshot, and lost items are written again.
     StoreRestored {
-        /// Age of the copy when the store goes away, in milliseconds.
+        /// The age of the snapshot when the store becomes unavailable, in milliseconds.
         age_ms: u64,
-        /// Time in milliseconds that the store is away.
+        /// The time during which the store is unavailable, in milliseconds.
         away_ms: u64,
     },
-    /// An instance's way to the store is harmed.
+    /// An instance's link to the store is faulty.
     StoreLink {
-        /// Which instance.
+        /// The index of the instance.
         instance: usize,
-        /// 0 cut, 1 cut one way, 2 delayed, 3 reset, 4 silenced.
+        /// 0 cut, 1 cut for responses, 2 delayed, 3 reset, 4 silent on open connections.
         how: u32,
-        /// Time in milliseconds.
+        /// The duration of the fault, in milliseconds.
         for_ms: u64,
     },
-    /// Messages between instances are harmed.
+    /// Messages between an instance and all others are lost or delayed.
     PeerLink {
-        /// From which instance; to all others.
+        /// The instance whose messages to all others are affected.
         instance: usize,
-        /// 0 cut both ways, 1 cut one way, 2 delayed, 3 lossy.
+        /// 0 cut in both directions, 1 cut in one direction, 2 delayed, 3 lossy.
         how: u32,
-        /// Time in milliseconds.
+        /// The duration of the fault, in milliseconds.
         for_ms: u64,
     },
-    /// A backend server falls silent and doesn't come back.
+    /// A backend server dies, and another takes its place when its entry has lapsed.
     BackendDies {
-        /// Which, of all.
+        /// The index of the backend server, modulo the number of those that run.
         backend: usize,
     },
-    /// A backend server dies and its address goes to one of the other service.
+    /// A backend server dies, and its address is reused by one of the other service.
     BackendReused {
-        /// Which, of all.
+        /// The index of the backend server, modulo the number of those that run.
         backend: usize,
     },
-    /// A backend server is replaced in order.
+    /// A backend server is drained and replaced.
     BackendReplaced {
-        /// Which, of all.
+        /// The index of the backend server, modulo the number of those that run.
         backend: usize,
     },
-    /// A backend server answers nothing for some time, and lives on.
+    /// A backend server doesn't respond for some time, but keeps its state.
     BackendSilent {
-        /// Which, of all.
+        /// The index of the backend server, modulo the number of those that run.
         backend: usize,
-        /// Time in milliseconds.
+        /// The duration of the fault, in milliseconds.
         for_ms: u64,
     },
-    /// Packets of callers, and answers to them, are lost.
+    /// Callers' packets and the responses to them are lost.
     PacketLoss {
-        /// How many of a thousand, each way.
+        /// The number of lost packets in a thousand, in each direction.
         per_mille: u32,
-        /// Time in milliseconds.
+        /// The duration of the fault, in milliseconds.
         for_ms: u64,
     },
-    /// A backend server crashes and starts again under its id.
+    /// A backend server crashes and restarts under the same id.
     BackendRestarts {
-        /// Which, of all.
+        /// The index of the backend server, modulo the number of those that run.
         backend: usize,
-        /// Time between, in milliseconds.
+        /// The time until the restart, in milliseconds.
         down_ms: u64,
-        /// Where it starts.
-        place: RestartAddress,
+        /// The address at which it restarts.
+        restart: RestartAddress,
     },
-    /// Another writer overwrites a backend server's entry, which its own next one mends.
+    /// Another writer overwrites a backend server's entry, until the backend server writes its own
+    /// entry again.
     EntryCorrupted {
-        /// Which, of all.
+        /// The index of the backend server, modulo the number of those that run.
         backend: usize,
-        /// What is written.
+        /// The kind of the value that is written.
         value: CorruptEntry,
-        /// Time until it is mended, in milliseconds.
+        /// The time until the own entry is written again, in milliseconds.
         for_ms: u64,
     },
-    /// Another writer adds an entry, and takes it away.
+    /// Another writer adds an entry, and removes it later.
     EntryAdded {
-        /// Of a new backend server, or with the number of this one.
+        /// The backend server whose number the entry has; none for an unused number.
         backend: Option<usize>,
-        /// What is written.
+        /// The kind of the value that is written.
         value: CorruptEntry,
-        /// Time in milliseconds.
+        /// The duration of the fault, in milliseconds.
         for_ms: u64,
     },
-    /// A data centre is evacuated, and taken back after some time.
+    /// A data centre is evacuated for some time.
     Evacuate {
-        /// Which of the two.
+        /// The index of the data centre, 0 or 1.
         centre: usize,
-        /// Time in milliseconds.
+        /// The duration of the fault, in milliseconds.
         for_ms: u64,
     },
     /// New lists are published.
     Publish {
-        /// How many, one each 300 ms.
+        /// The number of lists, published at intervals of 300 ms.
         times: u32,
     },
-    /// More requests come than usual.
+    /// The rate of requests rises above the base load.
     Burst {
-        /// Whose.
+        /// The callers that send more requests.
         source: BurstSource,
-        /// Time in milliseconds.
+        /// The duration of the fault, in milliseconds.
         for_ms: u64,
     },
 }
 
-/// `BurstSource` is whose requests become more.
+/// The callers whose rate of requests rises in a burst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BurstSource {
-    /// All callers of one of the two data centres.
+    /// All callers of the data centre with this index.
     Centre(usize),
-    /// The less urgent kind, of all callers.
+    /// All callers, with requests of the less urgent kind.
     Kind,
-    /// One caller's address, in the less urgent kind.
+    /// The caller address with this index, with requests of the less urgent kind.
     Caller(usize),
 }
 
-/// `RestartAddress` is where a backend server starts again.
+/// The address at which a backend server restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RestartAddress {
-    /// At the address that it had.
+    /// The same address as before.
     Same,
-    /// At another.
+    /// Another address.
     Other,
 }
 
-/// `CorruptEntry` is an entry as another writer leaves it.
+/// The kind of a corrupt entry that another writer leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CorruptEntry {
-    /// No JSON.
+    /// Truncated JSON.
     InvalidJson,
-    /// Without a state.
+    /// The state is null.
     MissingState,
-    /// In a state that nobody knows.
+    /// The state is unknown.
     UnknownState,
-    /// With an address of another form.
+    /// The address is a host name.
     BadAddress,
-    /// With fewer than no slots.
+    /// The number of slots is negative.
     BadSlots,
-    /// With a fraction for the time of its start.
+    /// The start time is a fraction.
     BadStart,
-    /// Whole, at an address where no backend server is.
+    /// A valid entry with an address where no backend server runs.
     OtherAddress,
 }
 
 impl CorruptEntry {
-    /// Every one.
+    /// All kinds.
     pub const ALL: [CorruptEntry; 7] = [
         CorruptEntry::InvalidJson,
         CorruptEntry::MissingState,
@@ -291,15 +296,15 @@
     ];
 }
 
-/// `FaultPlan` is the faults of a run with their times in milliseconds.
+/// The faults of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FaultPlan {
-    /// Times and faults, in order.
+    /// The faults with their times since the start in milliseconds, in order.
     pub faults: Vec<(u64, SoakFault)>,
 }
 
 impl FaultPlan {
-    /// Makes the plan of a run.
+    /// Creates the plan of a run.
     pub fn new(options: &SoakOptions) -> FaultPlan {
         let mut rng = StdRng::seed_from_u64(options.seed);
         let mut faults = Vec::new();
@@ -310,7 +315,7 @@
         let mut at = 500;
         while at < end {
             faults.push((at, random_fault(&mut rng, options)));
-            // Some come together, others with a pause.
+            // A quarter of the faults follow the one before almost at once.
             let is_together = rng.random_bool(0.25);
             let pause = rng.random_range(0..options.fault_every_ms * 2);
             at += if is_together { 5 } else { pause };
@@ -349,7 +354,11 @@
         25..30 => SoakFault::BackendRestarts {
             backend,
             down_ms: rng.random_range(5..3_000),
-            place: if rng.random_bool(0.6) { RestartAddress::Same } else { RestartAddress::Other },
+            restart: if rng.random_bool(0.6) {
+                RestartAddress::Same
+            } else {
+                RestartAddress::Other
+            },
         },
         30..32 => SoakFault::EntryCorrupted { backend, value: random_value(rng), for_ms },
         40.. => SoakFault::StoreRestored {
--- a/crates/foxledge-soak/src/soak.rs
+++ b/crates/foxledge-soak/src/soak.rs
@@ -1,4 +1,4 @@
-//! One run from its start to its report.
+//! A run from its start to its report.
 
 use std::{
     fmt,
@@ -21,40 +21,40 @@
     world::{BID_PORT, DATA_PORT, FEED_PORT, PERSISTENT_FLOWS, SoakWorld, UPLOAD_PORT},
 };
 
-/// Time for the start, and for the calm after the faults.
+/// The time in which all instances must become ready.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time after the last fault until requests are counted again.
+/// The time after the last fault until requests are counted again.
 const RECOVERY_WAIT: Duration = Duration::from_secs(7);
-/// Time that requests are counted for at the end.
+/// The time for which requests are counted after the recovery.
 const MEASUREMENT_TIME: Duration = Duration::from_secs(3);
-/// Share of requests that must be served in the calm at the end.
+/// The share of requests that must be served after the recovery.
 const MIN_SERVED_SHARE: f64 = 0.98;
-/// Requests a second of each caller's address where slots are counted, by kind.
+/// The requests a second of each caller address if slots are counted, by kind.
 const BASE_BIDS_PER_S: u64 = 4;
 const BASE_FEEDS_PER_S: u64 = 6;
 
-/// `SoakReport` is what a run showed.
+/// The results of a run.
 #[derive(Clone, Debug)]
 pub struct SoakReport {
-    /// Its seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// Faults that were carried out.
+    /// The number of injected faults.
     pub faults: usize,
-    /// Requests served and failed while faults came.
+    /// The numbers of served and failed requests while faults were injected.
     pub during: (u64, u64),
-    /// Requests served and failed in the calm at the end.
+    /// The numbers of served and failed requests after the recovery.
     pub after: (u64, u64),
-    /// Urgent requests served and failed where slots are counted.
+    /// The numbers of served and failed urgent requests, counted by route if slots are counted.
     pub urgent: (u64, u64),
-    /// Less urgent ones.
+    /// The numbers of served and failed less urgent requests, counted likewise.
     pub others: (u64, u64),
-    /// Openings that instances refused.
+    /// The number of opening packets that instances refused.
     pub refused: u64,
-    /// Calls of the store.
+    /// The number of requests to the store.
     pub store_calls: u64,
-    /// Promises that were broken.
+    /// The broken promises.
     pub breaches: Vec<String>,
-    /// Where logs and settings lie.
+    /// The folder of logs and settings.
     pub folder: PathBuf,
 }
 
@@ -85,20 +85,21 @@
     }
 }
 
-/// Runs one seed with `builds` as the daemons.
+/// Runs one seed with the daemons of `builds`.
 ///
 /// # Errors
 ///
-/// When something couldn't be started; a broken promise is no error but in the report.
+/// When a part of the run couldn't be started. A broken promise isn't an error; the report lists
+/// it.
 pub fn run_soak(options: SoakOptions, builds: &BuildSet) -> Result<SoakReport> {
     let runtime = runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
-    // Several runs of a process may have the same seed, but not the same network.
-    let (net, hold) = reserve_network()?;
+    // Several runs of a process may have the same seed, but each has its own network.
+    let (net, network_lock) = reserve_network()?;
     let name = format!("foxledge-soak-{}-{}-{net}", std::process::id(), options.seed);
     let folder = std::env::temp_dir().join(name);
     std::fs::create_dir_all(&folder)?;
     let report = runtime.block_on(run(options, net, builds, &folder))?;
-    drop(hold);
+    drop(network_lock);
     if report.breaches.is_empty() {
         std::fs::remove_dir_all(&folder)?;
     }
@@ -116,7 +117,7 @@
     world.lock_hosts().clone_from(&hosts);
     wait_ready(&world).await?;
     tokio::spawn(monitor_processes(world.clone()));
-    // Where slots are counted, probes that ask for nothing would be load without requests.
+    // If slots are counted, probes would occupy capacity without making requests.
     if !world.options.range.shares_load() {
         tokio::spawn(probe_routes(world.clone(), hosts[0].clone()));
     }
@@ -149,14 +150,15 @@
     })
 }
 
-/// Carries the plan out; faults overlap, and all have ended when it returns.
+/// Injects the faults of the plan, which may overlap, and returns their number when all have
+/// ended.
 async fn run_plan(world: &Arc<SoakWorld>) -> usize {
     let plan = FaultPlan::new(&world.options);
     let start = Instant::now();
     let mut tasks = Vec::new();
     for (at, fault) in &plan.faults {
-        let due = start + Duration::from_millis(*at);
-        sleep(due.saturating_duration_since(Instant::now())).await;
+        let starts_at = start + Duration::from_millis(*at);
+        sleep(starts_at.saturating_duration_since(Instant::now())).await;
         tasks.push(tokio::spawn(apply_fault(world.clone(), *fault)));
     }
     let end = start + Duration::from_secs(world.options.seconds);
@@ -202,7 +204,8 @@
     Ok(hosts)
 }
 
-/// Starts the requests that take half of the slots: flows of one request, and some kept ones.
+/// Starts the base load, which takes half of the slots: flows of one request, and some persistent
+/// flows.
 fn start_base_load(host: &Arc<CallerHost>, rng: &mut StdRng) {
     tokio::spawn(host.clone().run_rate(BID_PORT, BASE_BIDS_PER_S, None));
     tokio::spawn(host.clone().run_rate(FEED_PORT, BASE_FEEDS_PER_S, None));
--- a/crates/foxledge-soak/src/store.rs
+++ b/crates/foxledge-soak/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store, as a stand-in over HTTP.
+//! A stand-in for the platform's store, over HTTP.
 
 use std::{
     collections::BTreeMap,
@@ -21,16 +21,16 @@
 use serde_json::{Value, json};
 use tokio::{net::TcpListener, sync::Notify, time::timeout};
 
-/// `StoreMode` is how the store answers.
+/// How the store responds to requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreMode {
-    /// As it should.
+    /// Responds normally.
     Serving,
-    /// With status 503.
+    /// Responds with status 503.
     Refusing,
-    /// Not at all.
+    /// Doesn't respond.
     Silent,
-    /// After this many milliseconds more.
+    /// Responds after an additional delay, in milliseconds.
     Slow(u64),
 }
 
@@ -39,20 +39,20 @@
     history: Vec<(u64, Value)>,
     revision: u64,
     compacted_revision: u64,
-    /// Rises each time the store comes back from a copy.
+    /// Incremented each time the store is restored from a snapshot.
     epoch: u64,
     mode: StoreMode,
     calls: u64,
 }
 
-/// `StoreSnapshot` is what a store held at one moment.
+/// The contents of a store at one point in time.
 #[derive(Clone)]
 pub struct StoreSnapshot {
     items: BTreeMap<String, Value>,
     revision: u64,
 }
 
-/// `StandInStore` holds items under revisions, and their history.
+/// A key-value store with revisions and a history of changes.
 #[derive(Clone)]
 pub struct StandInStore {
     state: Arc<Mutex<StoreState>>,
@@ -75,11 +75,11 @@
     wait_ms: u64,
 }
 
-/// Items of one page; few, so that even small lists have several pages.
+/// The maximum number of items in a page; small, so that even short lists have several pages.
 const PAGE_SIZE: usize = 12;
 
 impl StandInStore {
-    /// Starts to serve.
+    /// Starts the store's HTTP server.
     ///
     /// # Errors
     ///
@@ -110,27 +110,27 @@
         self.put_bytes(key, value.to_string().as_bytes());
     }
 
-    /// Writes an item unless it lies there as it is.
+    /// Writes an item unless the store holds the same value already.
     pub fn put_if_changed(&self, key: &str, value: &Value) {
-        let text = BASE64_STANDARD.encode(value.to_string());
-        let is_there = self.lock().items.get(key).is_some_and(|item| item["value"] == text);
+        let encoded = BASE64_STANDARD.encode(value.to_string());
+        let is_there = self.lock().items.get(key).is_some_and(|item| item["value"] == encoded);
         if !is_there {
             self.put(key, value);
         }
     }
 
-    /// Writes an item of any bytes.
+    /// Writes an item with an arbitrary value.
     pub fn put_bytes(&self, key: &str, value: &[u8]) {
         let mut state = self.lock();
         state.revision += 1;
         let revision = state.revision;
-        let text = BASE64_STANDARD.encode(value);
+        let encoded = BASE64_STANDARD.encode(value);
         let created = match state.items.get(key) {
             Some(known) => known["created"].clone(),
             None => revision.into(),
         };
         let item = json!({
-            "key": key, "value": text, "revision": revision, "created": created, "lease": 0,
+            "key": key, "value": encoded, "revision": revision, "created": created, "lease": 0,
         });
         state.items.insert(key.to_owned(), item.clone());
         state.history.push((revision, item));
@@ -153,21 +153,20 @@
         self.changed.notify_waiters();
     }
 
-    /// Drops the history.
+    /// Discards the history of changes.
     pub fn compact(&self) {
         let mut state = self.lock();
         state.compacted_revision = state.revision;
         state.history.clear();
     }
 
-    /// Copies what the store holds now.
+    /// Returns a copy of the current contents.
     pub fn snapshot(&self) -> StoreSnapshot {
         let state = self.lock();
         StoreSnapshot { items: state.items.clone(), revision: state.revision }
     }
 
-    /// Comes back from a copy: what was written since is gone, and its revisions are given out
-    /// again.
+    /// Restores a snapshot: later changes are lost, and their revisions are assigned again.
     pub fn restore(&self, copy: &StoreSnapshot) {
         let mut state = self.lock();
         state.items.clone_from(&copy.items);
@@ -178,24 +177,25 @@
         self.changed.notify_waiters();
     }
 
-    /// Keys of the items whose keys begin so.
+    /// Returns the keys that begin with `prefix`.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let state = self.lock();
         state.items.keys().filter(|key| key.starts_with(prefix)).cloned().collect()
     }
 
-    /// Changes how the store answers.
+    /// Sets how the store responds to requests.
     pub fn set_mode(&self, mode: StoreMode) {
         self.lock().mode = mode;
         self.changed.notify_waiters();
     }
 
-    /// Calls so far.
+    /// Returns the number of requests so far.
     pub fn call_count(&self) -> u64 {
         self.lock().calls
     }
 
-    /// Waits as the mode asks; an answer when the call is turned away.
+    /// Counts a request and applies the mode: waits, and returns a response if the request is
+    /// refused.
     async fn admit(&self) -> Option<Response> {
         let mode = {
             let mut state = self.lock();
--- a/crates/foxledge-soak/src/world.rs
+++ b/crates/foxledge-soak/src/world.rs
@@ -1,4 +1,4 @@
-//! Everything that runs in a soak: instances, backend servers, store and links.
+//! The environment of a run: instances, backend servers, store, links and callers.
 
 use std::{
     net::{Ipv4Addr, SocketAddrV4},
@@ -26,32 +26,32 @@
     store::StandInStore,
 };
 
-/// Services, the first for feeds and bids.
+/// The names of the services: the first for feeds and bids, the second for uploads.
 pub(crate) const SERVICES: [&str; 2] = ["desk", "intake"];
-/// Backend servers of each service and data centre.
+/// The number of backend servers of each service in each data centre.
 pub(crate) const BACKENDS_PER_CENTRE: usize = 3;
-/// Ports of routes: feeds, bids, uploads.
+/// The ports of the fixed routes: feeds, bids, uploads.
 pub(crate) const FEED_PORT: u16 = 8_443;
 pub(crate) const BID_PORT: u16 = 8_080;
 pub(crate) const UPLOAD_PORT: u16 = 9_443;
-/// Flows that each caller's address keeps for requests that may not be repeated.
+/// The number of persistent flows for non-idempotent requests at each caller address.
 pub(crate) const PERSISTENT_FLOWS: usize = 6;
-/// First port of the routes that come, move and go.
+/// The first port of the routes that are added, changed and removed during a run.
 pub(crate) const FIRST_DYNAMIC_PORT: u16 = 500;
-/// Number of those routes.
+/// The number of routes that are added, changed and removed during a run.
 pub(crate) const DYNAMIC_ROUTE_COUNT: u16 = 6;
-/// Ports of instances, store and backend servers.
+/// The ports of instances, store and backend servers.
 pub(crate) const DATA_PORT: u16 = 7_100;
 const PEER_PORT: u16 = 7_101;
 const ADMIN_PORT: u16 = 7_102;
 const STORE_PORT: u16 = 7_103;
 const BACKEND_PORT: u16 = 7_104;
 
-/// `SoakWorld` is everything that runs.
+/// All parts of a run, with the methods by which faults act on them.
 pub struct SoakWorld {
     pub(crate) options: SoakOptions,
     net: u8,
-    /// What was seen.
+    /// The recorded events and breaches.
     pub ledger: Arc<PromiseLedger>,
     /// The store.
     pub store: StandInStore,
@@ -59,18 +59,18 @@
     pub peers: Arc<PeerLinks>,
     pub(crate) router: Arc<PacketRouter>,
     store_links: Vec<StoreLink>,
-    /// How many of a thousand packets are lost at callers and at backend servers.
+    /// The loss of packets at callers and at backend servers.
     pub packet_loss: PacketLoss,
     instances: Mutex<Vec<RunningInstance>>,
     backends: Mutex<Vec<StandInBackend>>,
     next_backend: AtomicU64,
     version: AtomicU64,
     dynamic_routes: Mutex<Vec<Option<usize>>>,
-    /// The operators' newest list.
+    /// The list that operators published last.
     newest_list: Mutex<Value>,
-    /// Backend servers that have said that they leave, and run on.
+    /// Backend servers that are draining but still run.
     draining: Mutex<Vec<BackendSpec>>,
-    /// Callers' addresses, of the two data centres in turns.
+    /// The caller addresses, alternating between the two data centres.
     hosts: Mutex<Vec<Arc<CallerHost>>>,
     pub(crate) is_ending: AtomicBool,
 }
@@ -92,26 +92,26 @@
         let store_address = address(6, 0, STORE_PORT);
         let store = StandInStore::start(store_address).await.context("the store")?;
         let mut store_links = Vec::new();
-        for own in all(5, STORE_PORT) {
-            store_links.push(StoreLink::start(own, store_address).await?);
+        for bound in all(5, STORE_PORT) {
+            store_links.push(StoreLink::start(bound, store_address).await?);
         }
-        let (own, public) = (all(1, PEER_PORT), all(2, PEER_PORT));
-        let peers = PeerLinks::start(&public, &own).await?;
+        let (bound, public) = (all(1, PEER_PORT), all(2, PEER_PORT));
+        let peers = PeerLinks::start(&public, &bound).await?;
         let router = PacketRouter::start(all(1, DATA_PORT), all(1, ADMIN_PORT));
         let mut instances = Vec::new();
         for index in 0..size {
-            let place = InstanceSpec {
+            let spec = InstanceSpec {
                 name: format!("instance-{index}"),
                 data_centre: centre_of(index).to_owned(),
                 data: address(1, index, DATA_PORT),
-                peer: own[index],
+                peer: bound[index],
                 public: public[index],
                 admin: address(1, index, ADMIN_PORT),
                 store: address(5, index, STORE_PORT),
                 seeds: public.iter().take(3).copied().collect(),
                 shares_load: options.range.shares_load(),
             };
-            instances.push(RunningInstance::prepare(place, builds, index, folder)?);
+            instances.push(RunningInstance::prepare(spec, builds, index, folder)?);
         }
         let world = Arc::new(SoakWorld {
             options,
@@ -144,17 +144,17 @@
         Ok(world)
     }
 
-    /// Number of instances.
+    /// Returns the number of instances.
     pub fn size(&self) -> usize {
         self.options.instances * 2
     }
 
-    /// An instance's way to the store.
+    /// Returns the link between an instance and the store.
     pub fn store_link(&self, instance: usize) -> &StoreLink {
         &self.store_links[instance]
     }
 
-    /// Does something with an instance.
+    /// Runs `action` on an instance while the instances are locked.
     pub fn with_instance<T>(
         &self,
         index: usize,
@@ -168,7 +168,7 @@
         self.with_instance(index, |running| running.signal(signal));
     }
 
-    /// Starts an instance that isn't running.
+    /// Starts an instance if it isn't running and the run isn't ending.
     pub fn start_instance(&self, index: usize) {
         self.ledger.record_instance_fault(index);
         if self.is_ending.load(Ordering::Relaxed) {
@@ -183,21 +183,21 @@
         }
     }
 
-    /// Waits for a task of this run; its panic is a fault of the run.
+    /// Waits for a task of this run and records a breach if it panicked.
     pub async fn join_task(&self, task: JoinHandle<()>) {
         if let Err(error) = task.await {
             self.ledger.record_breach(format!("the soak itself failed: {error}"));
         }
     }
 
-    /// Starts a backend server, at a given address or a new one.
+    /// Starts a backend server at a given address, or at a new one if there is none.
     pub async fn start_backend(&self, service: &str, address: Option<SocketAddrV4>) {
         let count = self.next_backend.fetch_add(1, Ordering::Relaxed);
-        let own = self.backend_address(count);
-        let place = BackendSpec {
+        let new_address = self.backend_address(count);
+        let spec = BackendSpec {
             number: 0x1_0000 + count,
             service: service.to_owned(),
-            address: address.unwrap_or(own),
+            address: address.unwrap_or(new_address),
             data_centre: centre_of(count as usize).to_owned(),
             caller_port: DATA_PORT,
             started_unix_ms: self.start_time_ms(),
@@ -206,10 +206,10 @@
                 false => WorkKind::Unbounded,
             },
         };
-        self.start_backend_at(place).await;
+        self.start_backend_at(spec).await;
     }
 
-    /// The time of a start, as an entry tells it; older runs have platforms without.
+    /// Returns the current time for an entry's start time, or 0 in ranges whose entries have none.
     fn start_time_ms(&self) -> u64 {
         if !self.options.range.includes_start_times() {
             return 0;
@@ -218,11 +218,11 @@
         since.map_or(1, |span| span.as_millis() as u64)
     }
 
-    /// Starts a backend server again under its id.
-    pub async fn restart_backend(&self, former: BackendSpec, place: RestartAddress) {
+    /// Restarts a backend server under the same id.
+    pub async fn restart_backend(&self, former: BackendSpec, restart: RestartAddress) {
         let count = self.next_backend.fetch_add(1, Ordering::Relaxed);
         let other = self.backend_address(count);
-        let address = if place == RestartAddress::Same { former.address } else { other };
+        let address = if restart == RestartAddress::Same { former.address } else { other };
         self.start_backend_at(BackendSpec {
             address,
             started_unix_ms: self.start_time_ms(),
@@ -231,9 +231,9 @@
         .await;
     }
 
-    async fn start_backend_at(&self, place: BackendSpec) {
+    async fn start_backend_at(&self, spec: BackendSpec) {
         let (ledger, loss) = (self.ledger.clone(), self.packet_loss.clone());
-        match StandInBackend::start(place, &self.store, ledger, loss).await {
+        match StandInBackend::start(spec, &self.store, ledger, loss).await {
             Ok(backend) => self.lock_backends().push(backend),
             Err(error) => self.ledger.record_breach(format!("the soak itself failed: {error:#}")),
         }
@@ -243,18 +243,18 @@
         self.address(10 + (count / 200) as u8, (count % 200) as usize, BACKEND_PORT)
     }
 
-    /// An address where no backend server ever is.
+    /// Returns an address where no backend server ever runs.
     pub fn unused_address(&self) -> SocketAddrV4 {
         self.address(7, 0, BACKEND_PORT)
     }
 
-    /// The place of a running backend server.
+    /// Returns the identity of a running backend server.
     pub fn backend_spec(&self, choice: usize) -> Option<BackendSpec> {
         let backends = self.lock_backends();
         Some(backends.get(choice % backends.len().max(1))?.spec.clone())
     }
 
-    /// Writes the own entry of a backend server that runs.
+    /// Writes the entry of a backend server if it is running.
     pub fn register_backend(&self, number: u64) {
         let backends = self.lock_backends();
         if let Some(backend) = backends.iter().find(|one| one.spec.number == number) {
@@ -262,7 +262,8 @@
         }
     }
 
-    /// Takes a running backend server out, unless too few would be left of its service.
+    /// Removes a running backend server and returns it, unless too few of its service would
+    /// remain.
     pub fn remove_backend(&self, choice: usize) -> Option<StandInBackend> {
         let mut backends = self.lock_backends();
         let index = choice % backends.len().max(1);
@@ -271,28 +272,29 @@
         (left > BACKENDS_PER_CENTRE).then(|| backends.swap_remove(index))
     }
 
-    /// The number of a running backend server, and what silences it.
+    /// Returns the number of a running backend server and the switch that stops its responses.
     pub fn silence_switch(&self, choice: usize) -> Option<(u64, Arc<AtomicBool>)> {
         let backends = self.lock_backends();
         let backend = backends.get(choice % backends.len().max(1))?;
         Some((backend.spec.number, backend.is_silent.clone()))
     }
 
-    /// Keys of the entries of all running backend servers.
+    /// Returns the keys of the entries of all running backend servers, except draining ones.
     pub fn live_keys(&self) -> Vec<String> {
         self.lock_backends().iter().map(StandInBackend::key).collect()
     }
 
-    /// Writes the entries of all running backend servers.
+    /// Writes the entries of all running backend servers, except draining ones.
     pub fn register_live(&self) {
         for backend in self.lock_backends().iter() {
             backend.register(&self.store, "ready");
         }
     }
 
-    /// Writes again what operators want: the newest list, and which data centres are evacuated.
+    /// Writes the operators' keys again as they were published: the newest list, and the
+    /// evacuated data centres.
     pub fn restore_operator_keys(&self) {
-        let _moving = self.lock_dynamic_routes();
+        let _routes = self.lock_dynamic_routes();
         self.store.put_if_changed("op/config", &lock(&self.newest_list));
         for centre in (0..2).map(centre_of) {
             let key = evacuation_key(centre);
@@ -303,55 +305,55 @@
         }
     }
 
-    /// Writes again the entries of all backend servers that run, where the store lost them.
+    /// Writes the entries of all running backend servers again, where the store lost them.
     pub fn restore_entries(&self) {
         for backend in self.lock_backends().iter() {
             self.store.put_if_changed(&backend.key(), &backend.spec.entry("ready"));
             self.ledger.backend_ready(backend.spec.number);
         }
-        for place in lock(&self.draining).iter() {
-            self.store.put_if_changed(&place.key(), &place.entry("draining"));
+        for spec in lock(&self.draining).iter() {
+            self.store.put_if_changed(&spec.key(), &spec.entry("draining"));
         }
     }
 
-    /// Notes that a backend server has said that it leaves.
-    pub fn record_draining(&self, place: &BackendSpec) {
-        lock(&self.draining).push(place.clone());
+    /// Records that a backend server is draining.
+    pub fn record_draining(&self, spec: &BackendSpec) {
+        lock(&self.draining).push(spec.clone());
     }
 
-    /// Notes that it is about to end.
-    pub fn remove_draining(&self, place: &BackendSpec) {
-        lock(&self.draining).retain(|other| other.number != place.number);
+    /// Records that a draining backend server is about to end.
+    pub fn remove_draining(&self, spec: &BackendSpec) {
+        lock(&self.draining).retain(|other| other.number != spec.number);
     }
 
-    /// Keys of the entries of all backend servers that run, those that leave included.
+    /// Returns the keys of the entries of all running backend servers, draining ones included.
     pub fn registered_keys(&self) -> Vec<String> {
         let mut keys = self.live_keys();
         keys.extend(lock(&self.draining).iter().map(BackendSpec::key));
         keys
     }
 
-    /// The service that isn't `service`.
+    /// Returns the service other than `service`.
     pub fn other_service(&self, service: &str) -> String {
         let other = SERVICES.iter().find(|name| **name != service);
         other.copied().unwrap_or(SERVICES[0]).to_owned()
     }
 
-    /// Publishes a list in which one route has moved, gone or come.
+    /// Publishes a list in which one route is added, removed or leads to another service.
     pub fn publish_next_list(&self) {
-        let mut moving = self.lock_dynamic_routes();
-        let place = self.version.load(Ordering::Relaxed) as usize * 7 % moving.len();
-        moving[place] = match moving[place] {
+        let mut routes = self.lock_dynamic_routes();
+        let index = self.version.load(Ordering::Relaxed) as usize * 7 % routes.len();
+        routes[index] = match routes[index] {
             Some(0) => Some(1),
             Some(_) => None,
             None => Some(0),
         };
-        self.publish_list(&moving);
+        self.publish_list(&routes);
     }
 
-    /// Publishes the list; `moving` stays locked meanwhile, so that lists that are
-    /// published at the same time come one after the other, as operators' do.
-    fn publish_list(&self, moving: &[Option<usize>]) {
+    /// Publishes the list. The caller holds the lock of the dynamic routes, so that concurrent
+    /// publications are serialized, as they are with operators.
+    fn publish_list(&self, dynamic_routes: &[Option<usize>]) {
         let version = self.version.fetch_add(3, Ordering::Relaxed) + 3;
         let fixed = [
             ("feed", FEED_PORT, SERVICES[0], "idempotent"),
@@ -362,9 +364,9 @@
             .iter()
             .map(|(name, port, service, kind)| route_json(name, *port, service, kind))
             .collect();
-        // Less urgent than the others.
+        // Feeds are less urgent than bids and uploads.
         routes[0]["priority"] = 2.into();
-        for (index, service) in moving.iter().enumerate() {
+        for (index, service) in dynamic_routes.iter().enumerate() {
             let port = FIRST_DYNAMIC_PORT + index as u16;
             if let Some(service) = service.map(|index| SERVICES[index]) {
                 routes.push(route_json(&format!("moving-{index}"), port, service, "idempotent"));
@@ -381,7 +383,7 @@
                 self.ledger.route_published(port, Some(service.to_owned()));
             }
         }
-        for (index, service) in moving.iter().enumerate() {
+        for (index, service) in dynamic_routes.iter().enumerate() {
             let service = service.map(|index| SERVICES[index].to_owned());
             self.ledger.route_published(FIRST_DYNAMIC_PORT + index as u16, service);
         }
@@ -408,17 +410,17 @@
     }
 }
 
-/// Locks what is whole between two statements, so that a panic elsewhere can't have spoilt it.
+/// Locks a mutex even if it is poisoned: its value is consistent between any two statements.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The key of the wish that a data centre be evacuated.
+/// Returns the key by which operators evacuate a data centre.
 pub(crate) fn evacuation_key(data_centre: &str) -> String {
     format!("op/evacuate/{data_centre}")
 }
 
-/// The data centre of an instance or a backend server.
+/// Returns the data centre of the instance or backend server with this index.
 pub(crate) fn centre_of(index: usize) -> &'static str {
     ["toledo", "erie"][index % 2]
 }
--- a/crates/foxledge-soak/tests/late_answers.rs
+++ b/crates/foxledge-soak/tests/late_answers.rs
@@ -1,4 +1,4 @@
-//! Answers that reach a caller late, or that are another's.
+//! Responses that reach a caller late, or that belong to another request.
 
 use std::{
     net::{Ipv4Addr, SocketAddrV4},
@@ -17,20 +17,22 @@
 
 const PORT: u16 = 7_100;
 
-/// What a backend server does with the third request of a flow.
+/// The response of a backend server to the third request of a flow.
 #[derive(Clone, Copy)]
 enum ThirdAnswer {
-    /// It sends the answer to the first once more, and then the right one.
+    /// The response to the first request again, and then the right one.
     FirstAgain,
-    /// It sends the answer to the first as if it were that to the third.
+    /// The response to the first request, sent as the one to the third.
     FirstAsThird,
 }
 
-/// Answers a caller's flows at `net` until a flow has had four requests; what was found.
+/// Responds to a caller's flows in the network `net` until a flow has made four requests, and
+/// returns the breaches.
 async fn breaches(net: u8, third: ThirdAnswer) -> Vec<String> {
-    let place = SocketAddrV4::new(Ipv4Addr::new(127, net, 1, 1), PORT);
-    let instance = UdpSocket::bind(place).await.expect("is free");
-    let router = PacketRouter::start(vec![place], vec![SocketAddrV4::new(*place.ip(), 1)]);
+    let data_address = SocketAddrV4::new(Ipv4Addr::new(127, net, 1, 1), PORT);
+    let instance = UdpSocket::bind(data_address).await.expect("is free");
+    let router =
+        PacketRouter::start(vec![data_address], vec![SocketAddrV4::new(*data_address.ip(), 1)]);
     let ledger: Arc<PromiseLedger> = Arc::default();
     let caller = SocketAddrV4::new(Ipv4Addr::new(127, net, 4, 1), PORT);
     let host = CallerHost::start(caller, router, ledger.clone(), PacketLoss::default(), None);
@@ -71,18 +73,16 @@
     timeout(Duration::from_secs(20), breaches(net, third)).await.expect("gets so far")
 }
 
-// Symptom: a seed fails beside load: a caller got the answer to an earlier request.
-// Sequence: a request is sent again, both copies are answered; the second answer comes
-//   when the caller has asked twice more.
-// Cause: only a copy of the last answer was known as one. What it acknowledges tells the
-//   caller which request it answers, and callers pass it over.
+// Guards against a false breach under load: a retransmitted request gets two responses, and the
+// second arrives after the caller has made two more requests. Callers must recognize it by the
+// acknowledged sequence number, also if it isn't a copy of the last response.
 #[tokio::test]
-async fn old_copies_allowed() {
+async fn repeated_responses_to_earlier_requests_are_ignored() {
     assert_eq!(found(241, ThirdAnswer::FirstAgain).await, Vec::<String>::new());
 }
 
 #[tokio::test]
-async fn wrong_answers_found() {
+async fn response_to_another_request_is_a_breach() {
     let found = found(242, ThirdAnswer::FirstAsThird).await;
     assert!(found[0].contains("got the answer to"), "{found:?}");
 }
--- a/crates/foxledge-soak/tests/store_client.rs
+++ b/crates/foxledge-soak/tests/store_client.rs
@@ -1,4 +1,4 @@
-//! The store's client against the stand-in of the store.
+//! The client of the store against the stand-in for the store.
 
 use std::{
     net::{Ipv4Addr, SocketAddrV4},
@@ -19,23 +19,23 @@
 use serde_json::json;
 use tokio::{runtime, time::sleep};
 
-/// Addresses of the tests: one port each, on a network of their own.
+/// Returns an unused address: each has its own port, in a network of this process.
 fn next_address() -> SocketAddrV4 {
     static NEXT: AtomicU16 = AtomicU16::new(7_300);
-    let low = (std::process::id() % 250) as u8;
-    SocketAddrV4::new(Ipv4Addr::new(127, 250, low, 1), NEXT.fetch_add(1, Ordering::Relaxed))
+    let octet = (std::process::id() % 250) as u8;
+    SocketAddrV4::new(Ipv4Addr::new(127, 250, octet, 1), NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
 fn run<F: Future<Output = ()>>(test: F) {
     runtime::Builder::new_current_thread().enable_all().build().expect("runs").block_on(test);
 }
 
-/// A store, a link to it, and a client that has read through the link.
+/// Starts a store, a link to it, and a client that has read the store through the link.
 async fn linked_client() -> (StandInStore, StoreLink, StoreClient) {
     let (store, address) = store_with_entries(1).await;
-    let near = next_address();
-    let link = StoreLink::start(near, address).await.expect("starts");
-    let mut client = StoreClient::new(near);
+    let link_address = next_address();
+    let link = StoreLink::start(link_address, address).await.expect("starts");
+    let mut client = StoreClient::new(link_address);
     assert!(client.read_all(ReadMode::Linearizable).await.is_ok());
     (store, link, client)
 }
@@ -63,9 +63,9 @@
 }
 
 #[test]
-fn reads_all_pages() {
+fn all_pages_are_read() {
     run(async {
-        // The stand-in's pages hold twelve items.
+        // A page of the stand-in has at most 12 items.
         let (_store, address) = store_with_entries(40).await;
         let mut client = StoreClient::new(address);
         for mode in [ReadMode::Linearizable, ReadMode::Serializable] {
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn first_page_alone() {
+fn first_page_is_read_alone() {
     run(async {
         for (entries, items, is_part) in [(11, 12, false), (40, 12, true)] {
             let (_store, address) = store_with_entries(entries).await;
@@ -89,13 +89,13 @@
 }
 
 #[test]
-fn watch_brings_changes() {
+fn watch_returns_changes() {
     run(async {
         let (store, address) = store_with_entries(2).await;
         let mut client = StoreClient::new(address);
         let head = client.read_all(ReadMode::Linearizable).await.expect("is read").head;
-        let quiet = client.watch(head, 20).await.expect("is answered");
-        assert_eq!((quiet.items.len(), quiet.head), (0, head));
+        let unchanged = client.watch(head, 20).await.expect("is answered");
+        assert_eq!((unchanged.items.len(), unchanged.head), (0, head));
         store.put("servers/i-00000001", &server(1, "draining"));
         store.remove("servers/i-00000002");
         let reading = client.watch(head, 1_000).await.expect("is answered");
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn dropped_history_told() {
+fn watch_before_compacted_revision_fails() {
     run(async {
         let (store, address) = store_with_entries(2).await;
         let mut client = StoreClient::new(address);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn epoch_told() {
+fn readings_include_the_epoch() {
     run(async {
         let (store, address) = store_with_entries(2).await;
         store.restore(&store.snapshot());
@@ -136,9 +136,9 @@
     });
 }
 
-// Guards against changes of a restored store under revisions that were given out before.
+// Guards against missed changes after a restore, when the store assigns the same revisions again.
 #[test]
-fn restored_store_watched() {
+fn watch_across_a_restore_fails_until_read_again() {
     run(async {
         let (store, address) = store_with_entries(2).await;
         let mut client = StoreClient::new(address);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn refusals_told() {
+fn refused_call_returns_the_status() {
     run(async {
         let (store, address) = store_with_entries(1).await;
         let mut client = StoreClient::new(address);
@@ -172,11 +172,10 @@
     });
 }
 
-// Symptom: an instance stays on its old list although the store is back.
-// Sequence: the connection goes silent for good; new connections work.
-// Cause: the call waits on the silent connection without a limit.
+// Guards against an instance that keeps its old list although the store is available: a connection
+// goes silent for good, and the call waits on it without a timeout.
 #[test]
-fn silent_connection_left() {
+fn silent_connection_is_replaced() {
     run(async {
         let (_store, link, mut client) = linked_client().await;
         link.set(LinkFault::Silence);
@@ -187,13 +186,13 @@
 }
 
 #[test]
-fn reset_connection_left() {
+fn reset_connection_is_replaced() {
     run(async {
         let (_store, link, mut client) = linked_client().await;
         link.set(LinkFault::Reset);
         sleep(Duration::from_millis(50)).await;
         link.set(LinkFault::None);
-        // The first call may meet the closed connection; the next is on a new one.
+        // The first call may fail on the closed connection; the next uses a new one.
         let first = client.watch(101, 20).await;
         assert!(first.is_ok() || matches!(first, Err(SourceError::Connection(_))), "{first:?}");
         assert!(client.watch(101, 20).await.is_ok());
@@ -201,7 +200,7 @@
 }
 
 #[test]
-fn nobody_there() {
+fn missing_store_is_a_connection_error() {
     run(async {
         let mut client = StoreClient::new(next_address());
         let answer = client.read_all(ReadMode::Linearizable).await;
@@ -209,12 +208,11 @@
     });
 }
 
-// Symptom: after an outage of power and store, instances serve a second later than the store.
-// Sequence: an instance starts and calls the store, which is silent; the store comes back 0.2 s
-//   later and serves new calls, but never that one.
-// Cause: the call is given the time that a megabyte takes, though not a byte has come.
+// Guards against instances that start to serve a second later than the store after a power outage:
+// an instance calls the silent store, which 0.2 s later responds to new calls but never to that
+// one. The timeout of the call must not allow for a megabyte before the first byte has arrived.
 #[test]
-fn silent_call_given_up() {
+fn call_without_first_byte_times_out_early() {
     run(async {
         let (store, address) = store_with_entries(2).await;
         let mut client = StoreClient::new(address);
@@ -227,11 +225,10 @@
     });
 }
 
-// Symptom: a store that is slow is never read.
-// Sequence: its answers take longer than the time for a first byte, each time.
-// Cause: each call is given up as early as the one before.
+// Guards against a slow store that is never read: its responses take longer than the timeout for
+// the first byte, which must therefore grow after each timeout.
 #[test]
-fn slow_store_read() {
+fn slow_store_is_read_with_growing_timeouts() {
     run(async {
         let (store, address) = store_with_entries(2).await;
         let mut client = StoreClient::new(address);
@@ -243,9 +240,9 @@
     });
 }
 
-// Guards against changes that are asked for again and again, as their answer is too large.
+// Guards against endless retries of a watch whose response is too large.
 #[test]
-fn too_large_told() {
+fn oversized_watch_response_is_an_error() {
     run(async {
         let (store, address) = store_with_entries(1).await;
         let mut client = StoreClient::new(address);
