--- a/crates/foxledge-proofs/src/fleet_helpers.rs
+++ b/crates/foxledge-proofs/src/fleet_helpers.rs
@@ -1,4 +1,4 @@
-//! Helpers for proofs about feeds, rule lists and planned stops.
+//! Helpers for tests of feeds, rule lists and planned stops.
 
 use std::{
     net::SocketAddr,
@@ -25,16 +25,16 @@
 
 use crate::request_helpers::{CENTRE, DESK, INTAKE, MEMBER, WIDE_LIMIT};
 
-/// The other data centre of fleets that have two.
+/// The second data centre of fleets that have two.
 pub const OTHER_CENTRE: &str = "erie";
-/// Load that lasts until its test ends it, in seconds.
+/// The duration of loads that tests stop earlier, in seconds.
 const LOAD_DURATION_S: f64 = 120.0;
-/// Time between two looks at revisions.
+/// The time between two checks of the instances' revisions.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Entries of an audit trail that are read.
+/// The maximum number of audit entries that are read.
 const AUDIT_LIMIT: u32 = 1000;
 
-/// A fleet of two data centres with both services, whose links can be cut.
+/// Returns the plan of a fleet of two data centres with both services, whose links can be cut.
 pub fn plan_two_centres(instances: usize, targets: usize) -> FleetPlan {
     FleetPlan::new()
         .centre(CENTRE, instances)
@@ -46,7 +46,7 @@
         .link_mode(foxledge_fakes::harness::LinkMode::Routed)
 }
 
-/// Starts feeds that last until they are stopped, and waits until all are open.
+/// Starts feeds that last until they are stopped, and waits until all of them are open.
 pub fn start_feeds(fleet: &mut TestFleet, centre: &str, feeds: u32) -> anyhow::Result<TestCaller> {
     let before = open_connections(fleet, DESK.0)?;
     let plan = fleet.plan_caller(DESK.0, MEMBER, TrafficKind::Feed)?;
@@ -78,7 +78,7 @@
     fleet.start_caller(centre, &plan)
 }
 
-/// Loads in two data centres must not draw the same flow ids.
+/// Returns a seed for each data centre, so that loads in both have different flow ids.
 fn centre_seed(centre: &str) -> u64 {
     if centre == CENTRE { 1 } else { 2 }
 }
@@ -88,18 +88,18 @@
     caller.stop(WIDE_LIMIT)
 }
 
-/// Connections that are open at the backend servers of a service.
+/// Returns the number of open connections at the backend servers of a service.
 pub fn open_connections(fleet: &mut TestFleet, service: &str) -> anyhow::Result<u32> {
     let stats = fleet.backend_stats()?;
     Ok(stats.iter().filter(|stat| stat.service == service).map(|stat| stat.connections).sum())
 }
 
-/// Runs that all backend servers have started.
+/// Returns the number of runs that all backend servers have started.
 pub fn total_runs(fleet: &mut TestFleet) -> anyhow::Result<u64> {
     Ok(fleet.backend_stats()?.iter().map(|stat| stat.total_runs).sum())
 }
 
-/// Waits until so many runs more have been started.
+/// Waits until `more` further runs have started.
 pub fn wait_more_runs(fleet: &mut TestFleet, more: u64) -> anyhow::Result<()> {
     let goal = total_runs(fleet)? + more;
     wait_until_ok("more requests run", WIDE_LIMIT, || {
@@ -109,7 +109,7 @@
     })
 }
 
-/// Fails unless nothing happened that must never happen.
+/// Fails if the verdict contains a violation of a promise.
 pub fn ensure_clean(verdict: &Verdict) -> anyhow::Result<()> {
     let some = |ids: &[RequestId]| format!("{}, such as {:?}", ids.len(), ids.first());
     ensure!(
@@ -127,13 +127,13 @@
     Ok(())
 }
 
-/// Revision of the list in force at an instance; 0 without one.
+/// Returns the revision of the list in force at an instance, or 0 if there is none.
 pub fn current_revision(admin: SocketAddr) -> anyhow::Result<u64> {
     let text = http::get(admin, "/metrics")?.body;
     Ok(sum_metric(&text, "foxledge_list_revision", "") as u64)
 }
 
-/// Waits until a revision is in force at every instance that is listed.
+/// Waits until a revision is in force at every listed instance, and returns the time until then.
 pub fn wait_revision(
     fleet: &TestFleet,
     revision: u64,
@@ -153,13 +153,13 @@
     limit: Duration,
 ) -> anyhow::Result<()> {
     wait_until_ok(&format!("revision {revision} at {}", instance.name), limit, || {
-        let held = current_revision(instance.listen.admin)?;
-        ensure!(held == revision, "revision {held}");
+        let current = current_revision(instance.listen.admin)?;
+        ensure!(current == revision, "revision {current}");
         Ok(())
     })
 }
 
-/// Waits until an event was counted at an instance.
+/// Waits until an instance has counted an event.
 pub fn wait_event(instance: &TestInstance, event: &str) -> anyhow::Result<()> {
     let label = format!("event=\"{event}\"");
     wait_until(&format!("{event} at {}", instance.name), WIDE_LIMIT, || {
@@ -167,7 +167,7 @@
     })
 }
 
-/// Sum of an event's counts over all instances that run.
+/// Returns the sum of an event's counts over all listed instances.
 pub fn sum_event(fleet: &mut TestFleet, event: &str) -> f64 {
     let label = format!("event=\"{event}\"");
     let running = fleet.instances.iter_mut().filter(|instance| instance.listed.is_some());
@@ -176,7 +176,7 @@
         .sum()
 }
 
-/// Waits until so many feeds have polled about twice each since now.
+/// Waits until `feeds` feeds have polled about twice each from now on.
 pub fn wait_heartbeats(fleet: &mut TestFleet, feeds: u32) -> anyhow::Result<()> {
     let goal = sum_event(fleet, "by_token") + 2.0 * f64::from(feeds);
     wait_until_ok("heartbeats of the feeds", WIDE_LIMIT, || {
@@ -186,39 +186,39 @@
     })
 }
 
-/// `RevisionMonitor` looks at the revisions in force, and notes each that goes back.
+/// Reads the revisions in force repeatedly, and records each step back to an older revision.
 pub struct RevisionMonitor {
-    ended: Arc<AtomicBool>,
+    is_stopped: Arc<AtomicBool>,
     thread: JoinHandle<Vec<String>>,
 }
 
 impl RevisionMonitor {
-    /// Begins to watch every instance there is now.
+    /// Starts to monitor all instances that exist now.
     pub fn start(fleet: &TestFleet) -> RevisionMonitor {
         let watched: Vec<_> = fleet
             .instances
             .iter()
             .map(|instance| (instance.name.clone(), instance.listen.admin))
             .collect();
-        let ended = Arc::new(AtomicBool::new(false));
-        let is_ended = ended.clone();
-        let thread = thread::spawn(move || monitor_revisions(&watched, &is_ended));
-        RevisionMonitor { ended, thread }
+        let is_stopped = Arc::new(AtomicBool::new(false));
+        let thread_stop = is_stopped.clone();
+        let thread = thread::spawn(move || monitor_revisions(&watched, &thread_stop));
+        RevisionMonitor { is_stopped, thread }
     }
 
-    /// Ends the watch; returns the steps back that were seen.
+    /// Stops the monitor and returns the observed steps back.
     pub fn finish(self) -> anyhow::Result<Vec<String>> {
-        self.ended.store(true, Ordering::Relaxed);
-        self.thread.join().map_err(|_| anyhow::anyhow!("the watch panicked"))
+        self.is_stopped.store(true, Ordering::Relaxed);
+        self.thread.join().map_err(|_| anyhow::anyhow!("the revision monitor panicked"))
     }
 }
 
-fn monitor_revisions(watched: &[(String, SocketAddr)], ended: &AtomicBool) -> Vec<String> {
+fn monitor_revisions(watched: &[(String, SocketAddr)], is_stopped: &AtomicBool) -> Vec<String> {
     let mut newest = vec![0; watched.len()];
     let mut steps_back = Vec::new();
-    while !ended.load(Ordering::Relaxed) {
+    while !is_stopped.load(Ordering::Relaxed) {
         for (index, (name, admin)) in watched.iter().enumerate() {
-            // An instance that has ended or is frozen says nothing.
+            // An instance that has ended or is frozen doesn't respond.
             let Ok(revision) = current_revision(*admin) else { continue };
             if revision < newest[index] {
                 steps_back.push(format!("{name}: {} to {revision}", newest[index]));
@@ -230,7 +230,7 @@
     steps_back
 }
 
-/// The audit trail of an instance.
+/// Reads the audit trail of an instance.
 pub fn read_audit(instance: &TestInstance) -> anyhow::Result<Vec<Value>> {
     let address = instance.listen.control;
     let text = call_admin(async move {
@@ -241,28 +241,29 @@
     serde_json::from_str(&text).context("audit trail")
 }
 
-/// The entries of one kind in the audit trail of an instance.
+/// Reads the entries of one kind in the audit trail of an instance.
 pub fn audit_entries(instance: &TestInstance, kind: &str) -> anyhow::Result<Vec<Value>> {
     let entries = read_audit(instance)?;
     Ok(entries.into_iter().filter(|entry| entry["kind"] == kind).collect())
 }
 
-/// Waits until an entry of a kind tells `text` in its cause or new value.
+/// Waits until an entry of the given kind contains `text` in its cause, new value or subject, and
+/// returns the entry.
 pub fn wait_audit(instance: &TestInstance, kind: &str, text: &str) -> anyhow::Result<Value> {
-    let what = format!("{kind} with \"{text}\" in the audit trail of {}", instance.name);
-    wait_until_ok(&what, WIDE_LIMIT, || {
+    let description = format!("{kind} with \"{text}\" in the audit trail of {}", instance.name);
+    wait_until_ok(&description, WIDE_LIMIT, || {
         let entries = audit_entries(instance, kind)?;
-        let tells = |entry: &&Value| {
+        let contains_text = |entry: &&Value| {
             ["cause", "new", "subject"]
                 .iter()
                 .any(|key| entry[*key].as_str().is_some_and(|value| value.contains(text)))
         };
-        let entry = entries.iter().find(tells).cloned();
+        let entry = entries.iter().find(contains_text).cloned();
         entry.with_context(|| format!("{entries:?}"))
     })
 }
 
-/// The status report of an instance.
+/// Reads the status report of an instance.
 pub fn read_status(instance: &TestInstance) -> anyhow::Result<Value> {
     let address = instance.listen.control;
     let text = call_admin(async move {
@@ -272,7 +273,7 @@
     serde_json::from_str(&text).context("status")
 }
 
-/// Names of the peers that an instance sees in one of `states`.
+/// Returns the names of the peers that are in one of `states` in an instance's view.
 pub fn peers_in_states(instance: &TestInstance, states: &[&str]) -> anyhow::Result<Vec<String>> {
     let status = read_status(instance)?;
     let peers = status["view"]["peers"].as_array().cloned().unwrap_or_default();
@@ -282,7 +283,7 @@
     Ok(names.map(str::to_owned).collect())
 }
 
-/// Waits until an instance sees just these peers alive, itself included.
+/// Waits until an instance sees exactly these peers alive, including itself.
 pub fn wait_alive(fleet: &TestFleet, index: usize, expected: &[&str]) -> anyhow::Result<()> {
     let instance = &fleet.instances[index];
     wait_until_ok(&format!("peers of {}", instance.name), WIDE_LIMIT, || {
@@ -292,14 +293,14 @@
     })
 }
 
-/// The data centres that an instance holds for reachable.
+/// Returns the data centres that an instance takes for reachable.
 pub fn reachable_centres(instance: &TestInstance) -> anyhow::Result<Vec<String>> {
     let status = read_status(instance)?;
     let centres = status["view"]["reachable_centres"].as_array().cloned().unwrap_or_default();
     Ok(centres.iter().filter_map(|centre| centre.as_str().map(str::to_owned)).collect())
 }
 
-fn call_admin<T>(question: impl Future<Output = anyhow::Result<T>>) -> anyhow::Result<T> {
+fn call_admin<T>(request: impl Future<Output = anyhow::Result<T>>) -> anyhow::Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    runtime.block_on(async { tokio::time::timeout(Duration::from_secs(5), question).await? })
+    runtime.block_on(async { tokio::time::timeout(Duration::from_secs(5), request).await? })
 }
--- a/crates/foxledge-proofs/src/fleet_limit.rs
+++ b/crates/foxledge-proofs/src/fleet_limit.rs
@@ -1,4 +1,4 @@
-//! Fleets that don't all run at once.
+//! A limit of the fleets that run at the same time.
 
 use std::{
     ops::{Deref, DerefMut},
@@ -7,24 +7,24 @@
 
 use foxledge_fakes::harness::{FleetPlan, TestFleet};
 
-/// Fleets of one test binary that run at once.
+/// The maximum number of fleets of a test binary that run at the same time.
 const MAX_RUNNING_FLEETS: usize = 3;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
 static FLEET_ENDED: Condvar = Condvar::new();
 
-/// `LimitedFleet` is a fleet that counts among those running at once.
+/// A fleet that counts towards the limit.
 ///
-/// A dozen fleets on one machine would starve each other; one would notice tests that fail only
-/// when they run together.
+/// A dozen fleets on one machine would starve each other, and tests would fail only when they run
+/// together.
 pub struct LimitedFleet {
     fleet: TestFleet,
-    // Dropped after the fleet, whose processes have then ended.
+    // Fields are dropped in order, so that the fleet's processes end before the permit is released.
     _permit: FleetPermit,
 }
 
 impl LimitedFleet {
-    /// Waits for its turn, then starts a fleet whose instances are all ready.
+    /// Waits for a permit, then starts a fleet and waits until all its instances are ready.
     pub fn start(plan: FleetPlan) -> anyhow::Result<LimitedFleet> {
         let permit = FleetPermit::acquire();
         Ok(LimitedFleet { fleet: TestFleet::start(plan)?, _permit: permit })
--- a/crates/foxledge-proofs/src/lib.rs
+++ b/crates/foxledge-proofs/src/lib.rs
@@ -1,7 +1,8 @@
-//! Scenario helpers of the proofs with real processes; the proofs are in `tests`.
+//! Helpers for tests with real processes, which are in `tests`.
 //!
-//! [`once`] serves the promises that a request runs once, that "not run" is true and that answers
-//! come from the right service; [`lasting`] those that feeds, rule lists and planned stops last.
+//! [`request_helpers`] serves the tests of single requests: that a request runs once, that "not
+//! run" is true, and that answers come from the right service. [`fleet_helpers`] serves the tests of
+//! feeds, rule lists and planned stops.
 
 pub mod fleet_helpers;
 pub mod fleet_limit;
--- a/crates/foxledge-proofs/src/manual_caller.rs
+++ b/crates/foxledge-proofs/src/manual_caller.rs
@@ -1,4 +1,4 @@
-//! A caller whose packets are made one by one.
+//! A caller whose packets are sent one by one.
 
 use std::{
     net::{SocketAddr, UdpSocket},
@@ -22,20 +22,20 @@
 
 use crate::request_helpers::{MEMBER, SEND_PERIOD, WIDE_LIMIT};
 
-/// `RequestOutcome` is what a caller was told last of a request.
+/// The final outcome of a request, as its caller was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The whole answer came.
+    /// The whole answer was received.
     Answered,
-    /// It didn't run and never will.
+    /// The request didn't run and never will.
     NotRun(RefusalReason),
-    /// It may have run.
+    /// The request may have run.
     Unknown(RefusalReason),
 }
 
-/// `ManualCaller` is a caller whose packets are made one by one.
+/// A caller whose packets are sent one by one.
 pub struct ManualCaller {
-    /// Who it is.
+    /// The identity of the caller and its flow.
     pub identity: FlowIdentity,
     socket: UdpSocket,
     fabric: SocketAddr,
@@ -43,7 +43,7 @@
 }
 
 impl ManualCaller {
-    /// Makes a caller of `service` behind the first fabric; `number` sets its ids.
+    /// Creates a caller of `service` behind the first fabric; `number` determines its ids.
     pub fn new(
         fleet: &TestFleet,
         service: (&str, &str),
@@ -69,41 +69,42 @@
         self.send_bytes(&encode_packet(packet))
     }
 
-    /// Sends any bytes to the fabric.
+    /// Sends arbitrary bytes to the fabric.
     pub fn send_bytes(&self, bytes: &[u8]) -> anyhow::Result<()> {
         self.socket.send_to(bytes, self.fabric)?;
         Ok(())
     }
 
-    /// Waits for a packet that `fits` and drops others; none when none comes within `limit`.
-    pub fn receive(&self, limit: Duration, fits: impl Fn(&Packet) -> bool) -> Option<Packet> {
+    /// Waits for a matching packet and drops all others. Returns none if no matching packet arrives
+    /// within `limit`.
+    pub fn receive(&self, limit: Duration, is_match: impl Fn(&Packet) -> bool) -> Option<Packet> {
         let deadline = Instant::now() + limit;
         let mut buffer = [0; 2048];
         loop {
-            let left = deadline.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return None;
             }
-            self.socket.set_read_timeout(Some(left)).ok()?;
+            self.socket.set_read_timeout(Some(remaining)).ok()?;
             let Ok((size, _)) = self.socket.recv_from(&mut buffer) else { continue };
             match decode_packet(&buffer[..size]) {
-                Ok(packet) if fits(&packet) => return Some(packet),
+                Ok(packet) if is_match(&packet) => return Some(packet),
                 _ => continue,
             }
         }
     }
 
-    /// Sends a packet again and again until one that `fits` comes.
+    /// Sends a packet repeatedly until a matching reply arrives, and returns the reply.
     pub fn send_until(
         &self,
         packet: &Packet,
-        fits: impl Fn(&Packet) -> bool,
+        is_match: impl Fn(&Packet) -> bool,
     ) -> anyhow::Result<Packet> {
         let deadline = Instant::now() + WIDE_LIMIT;
         let mut packet = packet.clone();
         loop {
             self.send(&packet)?;
-            if let Some(reply) = self.receive(SEND_PERIOD, &fits) {
+            if let Some(reply) = self.receive(SEND_PERIOD, &is_match) {
                 return Ok(reply);
             }
             ensure!(Instant::now() < deadline, "no fitting answer within {WIDE_LIMIT:?}");
@@ -111,20 +112,20 @@
         }
     }
 
-    /// A request for a ticket.
+    /// Creates a request for a ticket.
     pub fn ticket_request(&self) -> Packet {
         let mut packet = self.identity.packet(PacketKind::TicketRequest, 0);
         packet.payload = vec![0; TICKET_PADDING];
         packet
     }
 
-    /// Asks until it gets a ticket.
+    /// Requests a ticket until one is granted.
     pub fn obtain_ticket(&self) -> anyhow::Result<Vec<u8>> {
-        let grants = |packet: &Packet| packet.kind() == PacketKind::TicketGrant;
-        Ok(self.send_until(&self.ticket_request(), grants)?.ticket)
+        let is_grant = |packet: &Packet| packet.kind() == PacketKind::TicketGrant;
+        Ok(self.send_until(&self.ticket_request(), is_grant)?.ticket)
     }
 
-    /// The opening packet of its next request, of one part.
+    /// Creates the opening packet of the next request, which has one part.
     pub fn next_request(&mut self, ticket: &[u8]) -> Packet {
         self.last_request += 1;
         let mut packet = self.identity.packet(PacketKind::Work, self.last_request);
@@ -135,7 +136,7 @@
         packet
     }
 
-    /// A poll for the answer to a request that `token` leads to.
+    /// Creates a poll by `token` for the answer to a request.
     pub fn poll(&self, request: u64, token: &[u8]) -> Packet {
         let mut packet = self.identity.packet(PacketKind::Poll, request);
         packet.token = token.to_vec();
@@ -143,7 +144,7 @@
         packet
     }
 
-    /// Sends a packet again and again as it is until its request has a final answer.
+    /// Sends the same packet repeatedly until its request has a final outcome.
     pub fn resend_until_final(&self, packet: &Packet) -> anyhow::Result<RequestOutcome> {
         let request = packet.request;
         let is_final = |reply: &Packet| {
@@ -153,7 +154,8 @@
         Ok(outcome_of(&self.send_until(packet, is_final)?))
     }
 
-    /// The refusal or answer to a request that comes within `limit`, without sending anything.
+    /// Waits for the answer to a request or its refusal without sending anything. Returns none if
+    /// neither arrives within `limit`.
     pub fn receive_final(&self, request: u64, limit: Duration) -> Option<RequestOutcome> {
         let reply = self.receive(limit, |reply| {
             let ends = matches!(reply.kind(), PacketKind::Answer | PacketKind::Refusal);
@@ -162,9 +164,13 @@
         Some(outcome_of(&reply))
     }
 
-    /// Follows a request as callers do, by token once one is known, to its whole answer or refusal.
+    /// Sends a request and polls, by token as soon as one is known, until the whole answer or a
+    /// refusal arrives.
     ///
-    /// Every part must be of `service` and of this request.
+    /// # Errors
+    ///
+    /// When a part of the answer is of another service than `service` or of another request, or
+    /// when there is no final outcome within [`WIDE_LIMIT`].
     pub fn complete_request(
         &self,
         opening: &Packet,
@@ -203,7 +209,7 @@
         }
     }
 
-    /// The id of a request.
+    /// Returns the id of a request.
     pub fn request_id(&self, request: u64) -> RequestId {
         RequestId { flow: self.identity.flow, request }
     }
--- a/crates/foxledge-proofs/src/request_helpers.rs
+++ b/crates/foxledge-proofs/src/request_helpers.rs
@@ -1,4 +1,4 @@
-//! Helpers for proofs about single requests and their answers.
+//! Helpers for tests of single requests and their answers.
 
 use std::time::Duration;
 
@@ -16,20 +16,21 @@
 use crate::fleet_limit::LimitedFleet;
 pub use crate::manual_caller::{ManualCaller, RequestOutcome};
 
-/// Time between two sendings of a packet that finds no answer.
+/// The time between two transmissions of a packet that gets no response.
 pub const SEND_PERIOD: Duration = Duration::from_millis(200);
-/// The data centre of fleets that have one.
+/// The data centre of fleets that have only one.
 pub const CENTRE: &str = "toledo";
-/// The service that bids go to, and its address.
+/// The name and address of the service for bids.
 pub const DESK: (&str, &str) = ("auction-desk", "auction.lakeshore");
-/// Another service, and its address.
+/// The name and address of another service, for uploads.
 pub const INTAKE: (&str, &str) = ("lot-intake", "lots.lakeshore");
-/// The member that callers belong to.
+/// The member to which callers belong.
 pub const MEMBER: &str = "bricks-and-co";
-/// Wide limit for anything that takes seconds at most.
+/// The generous limit for anything that takes seconds at most.
 pub const WIDE_LIMIT: Duration = Duration::from_secs(40);
 
-/// A fleet of one data centre with both services, `targets` backend servers each.
+/// Returns the plan of a fleet of one data centre with both services: `targets` backend servers for
+/// bids and one for uploads.
 pub fn plan_fleet(instances: usize, targets: usize) -> FleetPlan {
     FleetPlan::new()
         .centre(CENTRE, instances)
@@ -39,25 +40,25 @@
         .member(MemberPlan::open("harbor-sets"))
 }
 
-/// Settings of tickets that outlast a test, membership that finds out quickly, and patience with
-/// backend servers on a busy machine.
+/// Settings with tickets that are valid for a whole test, fast failure detection, and a longer
+/// acknowledgement timeout for backend servers on a busy machine.
 pub const FAST_DETECTION_SETTINGS: &str = "[flow]\nticket_ms = 20000\n[stop]\nlimit_ms = 30000\n\
                          [peers]\nheartbeat_ms = 150\nsuspect_after_ms = 600\ndead_after_ms = 1200\n\
                          [desk]\nack_ms = 1500\n";
-/// Factor of service times so long that a run is still going when its home dies.
+/// The factor of service times with which a run outlasts its home.
 pub const LONG_RUN_FACTOR: f64 = 500.0;
 
-/// `RunOnce` is whether non-idempotent work runs through its ticket's home only.
+/// Whether non-idempotent work runs only through the home that issued its ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOnce {
-    /// As it is served.
+    /// Enabled, as in production.
     On,
-    /// Only to show that the fault is there.
+    /// Disabled, to show that the fault occurs without it.
     Off,
 }
 
 impl RunOnce {
-    /// Settings with the switch after `more`.
+    /// Returns the settings in `more` with this one appended.
     pub fn settings(self, more: &str) -> String {
         format!("{more}[trial]\nrun_once = {}\n", self == RunOnce::On)
     }
@@ -74,10 +75,10 @@
         .try_for_each(|backend| backend.order(&BackendOrder::Slow { factor }).map(drop))
 }
 
-/// Starts a fleet whose instances all hold each other for alive.
+/// Starts a fleet and waits until all instances see each other alive.
 ///
-/// Before that two instances may both be the home of a service, and a test that kills "the" home
-/// kills the wrong one.
+/// Until then two instances may both be the home of a service, and a test that kills the home could
+/// kill the wrong one.
 pub fn start_fleet(plan: FleetPlan) -> anyhow::Result<LimitedFleet> {
     let fleet = LimitedFleet::start(plan)?;
     let count = fleet.instances.len() as f64;
@@ -90,13 +91,13 @@
     Ok(fleet)
 }
 
-/// Lets the first fabric spray over these instances only, listed or not.
+/// Makes the first fabric send packets to these instances only, whether they are listed or not.
 pub fn set_fabric_instances(fleet: &TestFleet, indexes: &[usize]) -> anyhow::Result<()> {
     let addresses = indexes.iter().map(|index| fleet.instances[*index].listen.data);
     fleet.fabrics[0].client.set_instances(addresses.collect())
 }
 
-/// The published keys of a fleet.
+/// Returns the published keys of a fleet.
 pub fn published_keys(fleet: &TestFleet) -> KeyRing {
     let keys =
         fleet.list.keys.iter().map(|key| KeySpec { id: key.id, secret: decode_hex(&key.secret) });
@@ -108,19 +109,19 @@
     (0..hex.len()).step_by(2).map(digit).collect()
 }
 
-/// What a ticket says.
+/// Opens a ticket with the published keys and returns its contents.
 pub fn read_ticket(fleet: &TestFleet, ticket: &[u8]) -> anyhow::Result<Ticket> {
     open_ticket(&published_keys(fleet), ticket).context("a ticket under a published key")
 }
 
-/// Index of the instance that issued a ticket.
+/// Returns the index of the instance that issued a ticket.
 pub fn ticket_home(fleet: &TestFleet, ticket: &[u8]) -> anyhow::Result<usize> {
     let home = read_ticket(fleet, ticket)?.home;
     let mut instances = fleet.instances.iter();
     instances.position(|instance| instance.name == home).context("the ticket's home")
 }
 
-/// Indexes of the running instances but `index`.
+/// Returns the indexes of the running instances other than `index`.
 pub fn other_running(fleet: &mut TestFleet, index: usize) -> Vec<usize> {
     let mut instances = fleet.instances.iter_mut().enumerate();
     let running = instances.by_ref().filter_map(|(other, instance)| {
@@ -129,17 +130,17 @@
     running.collect()
 }
 
-/// `PreparedBid` is a caller's first bid, by ticket.
+/// A caller's first bid, with its ticket.
 pub struct PreparedBid {
     /// The caller.
     pub caller: ManualCaller,
-    /// The opening packet, not sent yet.
+    /// The opening packet, which hasn't been sent.
     pub bid: Packet,
     /// Index of the instance that issued the ticket.
     pub home: usize,
 }
 
-/// Gets a ticket and makes the bid that is to be sent by it; `number` sets the caller's ids.
+/// Obtains a ticket and creates a bid with it; `number` determines the caller's ids.
 pub fn prepare_bid(fleet: &TestFleet, number: u64) -> anyhow::Result<PreparedBid> {
     let mut caller = ManualCaller::new(fleet, DESK, number)?;
     let ticket = caller.obtain_ticket()?;
@@ -148,10 +149,10 @@
     Ok(PreparedBid { caller, bid, home })
 }
 
-/// Sends copies of a bid that runs and whose home is lost; returns the runs.
+/// Sends a running bid again after its home is lost, and returns the number of its runs.
 ///
-/// Without the mechanism a copy must run a second time. With it the caller must hear that nobody
-/// knows. The markers go through these instances.
+/// If `run_once` is off, the bid must run a second time; otherwise the caller must be told that the
+/// outcome is unknown. Marker bids then go through `instances`.
 pub fn count_after_retransmission(
     run_once: RunOnce,
     fleet: &mut TestFleet,
@@ -162,9 +163,9 @@
     match run_once {
         RunOnce::Off => resend_until_runs(fleet, caller, bid, 2)?,
         RunOnce::On => {
-            let word = caller.resend_until_final(bid)?;
+            let outcome = caller.resend_until_final(bid)?;
             let expected = RequestOutcome::Unknown(RefusalReason::HomeLost);
-            ensure!(word == expected, "told {word:?} of a bid whose home is lost");
+            ensure!(outcome == expected, "told {outcome:?} of a bid whose home is lost");
         }
     }
     scale_service_time(fleet, 1.0)?;
@@ -172,43 +173,43 @@
     count_runs(fleet, caller.request_id(bid.request))
 }
 
-/// How often a request was started, on all backend servers.
+/// Returns the number of runs of a request on all backend servers.
 pub fn count_runs(fleet: &mut TestFleet, id: RequestId) -> anyhow::Result<u32> {
     let stats = fleet.backend_stats()?;
     let records = stats.iter().flat_map(|stat| &stat.runs).filter(|record| record.id == id);
     Ok(records.map(|record| record.runs).sum())
 }
 
-/// Waits until a request was started so often.
+/// Waits until a request has the given number of runs.
 pub fn wait_runs(fleet: &mut TestFleet, id: RequestId, runs: u32) -> anyhow::Result<()> {
     wait_until(&format!("{runs} runs"), WIDE_LIMIT, || {
         count_runs(fleet, id).is_ok_and(|count| count >= runs)
     })
 }
 
-/// Sends a packet again and again until its request was started so often.
+/// Sends a packet repeatedly until its request has the given number of runs.
 pub fn resend_until_runs(
     fleet: &mut TestFleet,
     caller: &ManualCaller,
     packet: &Packet,
     runs: u32,
 ) -> anyhow::Result<()> {
-    let mut words = Vec::new();
+    let mut outcomes = Vec::new();
     wait_until_ok("copies that run", WIDE_LIMIT, || {
         caller.send(packet)?;
-        words.extend(caller.receive_final(packet.request, SEND_PERIOD));
-        words.dedup();
+        outcomes.extend(caller.receive_final(packet.request, SEND_PERIOD));
+        outcomes.dedup();
         let count = count_runs(fleet, caller.request_id(packet.request))?;
         ensure!(
             count >= runs,
-            "{count} runs of {runs}, told {words:?}, {}",
+            "{count} runs of {runs}, told {outcomes:?}, {}",
             describe_loads(fleet)?
         );
         Ok(())
     })
 }
 
-/// What every backend server has at hand, for messages.
+/// Describes the load of every backend server for error messages.
 fn describe_loads(fleet: &mut TestFleet) -> anyhow::Result<String> {
     let stats = fleet.backend_stats()?;
     let loads = stats.iter().map(|stat| {
@@ -219,7 +220,7 @@
     Ok(loads.collect::<Vec<_>>().join("; "))
 }
 
-/// Kills an instance and starts it anew under the same name, addresses and settings.
+/// Kills an instance and restarts it with the same name, addresses and settings.
 pub fn restart_instance(fleet: &mut TestFleet, index: usize) -> anyhow::Result<()> {
     let directory = fleet.directory().to_owned();
     let instance = &mut fleet.instances[index];
@@ -229,15 +230,17 @@
     instance.wait_ready(WIDE_LIMIT)
 }
 
-/// Waits until an instance holds so many instances for living, itself included.
+/// Waits until an instance sees `count` instances alive or suspect, including itself.
 pub fn wait_alive_count(fleet: &TestFleet, index: usize, count: u32) -> anyhow::Result<()> {
     let instance = &fleet.instances[index];
     wait_until(&format!("{} sees {count} living", instance.name), WIDE_LIMIT, || {
-        instance.metric("foxledge_peers", "").is_ok_and(|living| living == f64::from(count))
+        instance
+            .metric("foxledge_peers", "")
+            .is_ok_and(|count_alive| count_alive == f64::from(count))
     })
 }
 
-/// Waits until these instances have a list of at least this revision in force.
+/// Waits until a list of at least the given revision is in force at these instances.
 pub fn wait_revision(fleet: &TestFleet, indexes: &[usize], revision: u64) -> anyhow::Result<()> {
     for index in indexes {
         let instance = &fleet.instances[*index];
@@ -249,16 +252,16 @@
     Ok(())
 }
 
-/// Makes sure that what was sent before has been worked off: a bid that is sent later, through
-/// each of these instances in turn, is answered.
+/// Sends a bid through each of these instances in turn and waits for its answer, so that earlier
+/// packets have been processed.
 pub fn complete_marker(fleet: &TestFleet, indexes: &[usize], number: u64) -> anyhow::Result<()> {
     for index in indexes {
         set_fabric_instances(fleet, &[*index])?;
         let mut caller = ManualCaller::new(fleet, DESK, 0x8000 + number * 16 + *index as u64)?;
         let ticket = caller.obtain_ticket()?;
         let bid = caller.next_request(&ticket);
-        let word = caller.complete_request(&bid, DESK.0)?;
-        ensure!(word == RequestOutcome::Answered, "the marker was told {word:?}");
+        let outcome = caller.complete_request(&bid, DESK.0)?;
+        ensure!(outcome == RequestOutcome::Answered, "the marker was told {outcome:?}");
     }
     Ok(())
 }
--- a/crates/foxledge-proofs/tests/bad_callers.rs
+++ b/crates/foxledge-proofs/tests/bad_callers.rs
@@ -1,4 +1,4 @@
-//! Forged, replayed and outdated tickets and tokens, and datagrams from anybody.
+//! Forged, replayed and expired tickets and tokens, and datagrams from unknown senders.
 
 use std::{net::UdpSocket, time::Duration};
 
@@ -23,7 +23,7 @@
     },
 };
 
-/// A ring whose key has a published number but another secret.
+/// Returns a key ring whose key has the given id but a secret that isn't published.
 fn forged_ring(id: u32) -> KeyRing {
     KeyRing::from_keys(&[KeySpec { id, secret: vec![0x66; 32] }])
 }
@@ -31,18 +31,17 @@
 fn served_bid(caller: &mut ManualCaller, ticket: &[u8]) -> (Packet, Vec<u8>) {
     let bid = caller.next_request(ticket);
     let request = bid.request;
-    // Parts of earlier answers may still be on their way.
-    let is_own = |reply: &Packet| reply.kind() == PacketKind::Answer && reply.request == request;
-    let answer = caller.send_until(&bid, is_own).unwrap();
+    // Parts of earlier answers may still arrive.
+    let is_answer = |reply: &Packet| reply.kind() == PacketKind::Answer && reply.request == request;
+    let answer = caller.send_until(&bid, is_answer).unwrap();
     (bid, answer.token)
 }
 
 #[test]
-fn bad_tickets() {
-    // Symptom: a bid runs under an admission that nobody gave its caller.
-    // Sequence: tickets that are forged, altered, another's, for another service, used up or run
-    //   out come with new bids.
-    // Cause: what the ticket says isn't held against the packet, the count or the clock.
+fn bad_tickets_admit_no_bid() {
+    // Guards against bids that run by a ticket which wasn't issued to their caller. Tickets that
+    // are forged, altered, for another caller or service, used up or expired must be checked
+    // against the packet, the count and the clock.
     let settings = "[flow]\nticket_ms = 2000\nticket_count = 2\n";
     let mut fleet = start_fleet(plan_fleet(2, 1).settings(settings)).unwrap();
     let owner = ManualCaller::new(&fleet, DESK, 1).unwrap();
@@ -104,11 +103,10 @@
 }
 
 #[test]
-fn bad_tokens() {
-    // Symptom: a caller reads another's answer, or sends to a backend server of its choice.
-    // Sequence: a token is replayed by another caller, for another flow, request or service, or is
-    //   made up with an address of the sender's choice.
-    // Cause: whoever holds a token is taken for its owner.
+fn bad_tokens_reach_no_backend_server() {
+    // Guards against callers that read answers to others, or reach a backend server of their
+    // choice. A token is replayed by another caller, for another request or service, or is forged
+    // with an address that the sender chose; holding a token must not prove ownership.
     let fleet = start_fleet(plan_fleet(2, 1)).unwrap();
     let mut owner = ManualCaller::new(&fleet, DESK, 1).unwrap();
     let ticket = owner.obtain_ticket().unwrap();
@@ -116,9 +114,9 @@
     let whole = owner.complete_request(&owner.poll(1, &token), DESK.0).unwrap();
     assert_eq!(whole, RequestOutcome::Answered, "the owner's token is good");
 
-    let trap = UdpSocket::bind("127.0.0.1:0").unwrap();
+    let forged_target = UdpSocket::bind("127.0.0.1:0").unwrap();
     let mut body = open_token(&published_keys(&fleet), &token).unwrap();
-    body.target_address = trap.local_addr().unwrap().to_string();
+    body.target_address = forged_target.local_addr().unwrap().to_string();
     let forged = seal_token(&forged_ring(1), &body).unwrap();
     let cases = [
         ("another caller", 2, DESK, 1, token.clone()),
@@ -130,20 +128,19 @@
     ];
     for (what, number, service, request, token) in cases {
         let caller = ManualCaller::new(&fleet, service, number).unwrap();
-        let word = caller.resend_until_final(&caller.poll(request, &token)).unwrap();
-        assert_eq!(word, RequestOutcome::Unknown(RefusalReason::BadToken), "{what}");
+        let outcome = caller.resend_until_final(&caller.poll(request, &token)).unwrap();
+        assert_eq!(outcome, RequestOutcome::Unknown(RefusalReason::BadToken), "{what}");
     }
     complete_marker(&fleet, &[0, 1], 1).unwrap();
-    trap.set_nonblocking(true).unwrap();
-    assert!(trap.recv(&mut [0; 100]).is_err(), "nothing was sent to the forged address");
+    forged_target.set_nonblocking(true).unwrap();
+    assert!(forged_target.recv(&mut [0; 100]).is_err(), "nothing was sent to the forged address");
 }
 
 #[test]
-fn bad_credentials() {
-    // Symptom: anybody bids at a member's priority.
-    // Sequence: a caller names a member that has a secret, without a credential or with one made
-    //   for another caller or by a wrong secret.
-    // Cause: the member's name is taken on trust.
+fn bad_credentials_get_no_ticket() {
+    // Guards against bids at a member's priority by others. A caller gives the name of a member
+    // that has a secret, with no credential, with one made for another caller, or with one made by
+    // a wrong secret.
     let member = MemberPlan { name: "pier-nine".to_owned(), secret: Some("0badcafe".repeat(4)) };
     let fleet = start_fleet(plan_fleet(2, 1).member(member)).unwrap();
     let secret: Vec<u8> = [0x0b, 0xad, 0xca, 0xfe].repeat(4);
@@ -167,12 +164,10 @@
 }
 
 #[test]
-fn keys_rotated() {
-    // Symptom: at a rotation admitted bids are refused and open flows break, or a withdrawn key
-    //   still admits.
-    // Sequence: a ticket and a token are out under key 1; the keys become 1 and 2, then 2, then 2
-    //   and 3; the flow goes on by the token that each answer brings.
-    // Cause: keys change at once, or what was sealed isn't sealed anew.
+fn key_rotation_keeps_tickets_and_flows() {
+    // Guards against refused bids and broken flows during a key rotation, and against a withdrawn
+    // key that still admits bids. A ticket and a token exist under key 1; the keys become 1 and 2,
+    // then 2, then 2 and 3. The flow continues by the token in each answer, which must be resealed.
     let settings = "[flow]\nticket_ms = 30000\n[stop]\nlimit_ms = 40000\n";
     let mut fleet = start_fleet(plan_fleet(2, 1).settings(settings)).unwrap();
     let mut caller = ManualCaller::new(&fleet, DESK, 1).unwrap();
@@ -186,18 +181,22 @@
         caller.send_until(&poll, |reply| reply.request == 1 && !reply.token.is_empty()).unwrap();
 
     publish_keys(&mut fleet, &[2]);
-    let word = caller.resend_until_final(&caller.poll(1, &old_token)).unwrap();
-    assert_eq!(word, RequestOutcome::Unknown(RefusalReason::BadToken), "the old key is withdrawn");
-    let word = caller.complete_request(&caller.poll(1, &answer.token), DESK.0).unwrap();
-    assert_eq!(word, RequestOutcome::Answered, "the resealed token goes on");
+    let outcome = caller.resend_until_final(&caller.poll(1, &old_token)).unwrap();
+    assert_eq!(
+        outcome,
+        RequestOutcome::Unknown(RefusalReason::BadToken),
+        "the old key is withdrawn"
+    );
+    let outcome = caller.complete_request(&caller.poll(1, &answer.token), DESK.0).unwrap();
+    assert_eq!(outcome, RequestOutcome::Answered, "the resealed token goes on");
     let late = caller.next_request(&ticket);
-    let word = caller.resend_until_final(&late).unwrap();
-    assert_eq!(word, RequestOutcome::Unknown(RefusalReason::BadTicket));
+    let outcome = caller.resend_until_final(&late).unwrap();
+    assert_eq!(outcome, RequestOutcome::Unknown(RefusalReason::BadTicket));
     assert_eq!(count_runs(&mut fleet, caller.request_id(late.request)).unwrap(), 0);
 
     publish_keys(&mut fleet, &[2, 3]);
-    let word = caller.complete_request(&caller.poll(1, &answer.token), DESK.0).unwrap();
-    assert_eq!(word, RequestOutcome::Answered);
+    let outcome = caller.complete_request(&caller.poll(1, &answer.token), DESK.0).unwrap();
+    assert_eq!(outcome, RequestOutcome::Answered);
     let ticket = caller.obtain_ticket().unwrap();
     served_bid(&mut caller, &ticket);
 }
@@ -209,11 +208,10 @@
 }
 
 #[test]
-fn bad_datagrams() {
-    // Symptom: an instance stops, or sends to whom a stranger names.
-    // Sequence: garbage, cut and oversized datagrams, answers with a made-up return path and
-    //   forwardings under a made-up seal arrive at both sockets of every instance.
-    // Cause: a datagram's contents are trusted before they are checked.
+fn bad_datagrams_are_ignored() {
+    // Guards against instances that stop, or send packets to an address in a forged datagram.
+    // Garbage, truncated and oversized datagrams, answers with a forged return path and forwarded
+    // packets under a forged seal arrive at both sockets of every instance.
     let mut fleet = start_fleet(plan_fleet(2, 1)).unwrap();
     let victim = UdpSocket::bind("127.0.0.1:0").unwrap();
     let victim_address = victim.local_addr().unwrap().to_string();
--- a/crates/foxledge-proofs/tests/cut_centres.rs
+++ b/crates/foxledge-proofs/tests/cut_centres.rs
@@ -1,4 +1,4 @@
-//! Each part of a cut network goes on serving, and all is well again after the cut.
+//! Each part of a partitioned network continues to serve, and all parts recover after the cut.
 
 use std::{
     net::UdpSocket,
@@ -26,16 +26,16 @@
     flow::{Packet, PacketKind, RefusalReason, RunOutcome},
 };
 
-/// Feeds of one caller process.
+/// The number of feeds of a caller process.
 const FEEDS: u32 = 20;
-/// Wide limit for "at once".
-const AT_ONCE: Duration = Duration::from_secs(2);
+/// The generous limit for a refusal that must arrive at once.
+const REFUSAL_LIMIT: Duration = Duration::from_secs(2);
 
 fn links(fleet: &TestFleet) -> &LinkBook {
     fleet.links.as_ref().expect("the fleet is routed")
 }
 
-/// The pairs of ends between which the two data centres reach each other.
+/// The pairs of link ends that connect the two data centres.
 const CENTRE_PAIRS: [(&str, &str); 5] = [
     ("toledo*", "erie*"),
     ("toledo*", "auction-desk-erie*"),
@@ -54,8 +54,8 @@
     CENTRE_PAIRS.iter().try_for_each(|(left, right)| links(fleet).heal(left, right))
 }
 
-/// Waits until every instance holds so many data centres for reachable, its own included.
-fn wait_centres(fleet: &TestFleet, count: usize) -> Result<()> {
+/// Waits until every instance takes `count` data centres for reachable, including its own.
+fn wait_reachable_centres(fleet: &TestFleet, count: usize) -> Result<()> {
     for instance in &fleet.instances {
         wait_until_ok("reachable data centres", WIDE_LIMIT, || {
             let seen = reachable_centres(instance)?;
@@ -66,12 +66,12 @@
     Ok(())
 }
 
-/// Waits until the backend servers of a data centre have started so many runs more.
+/// Waits until the backend servers of a data centre have started `more` further runs.
 fn wait_runs_in(fleet: &mut TestFleet, centre: &str, more: u64) -> Result<()> {
     let runs = |fleet: &mut TestFleet| -> Result<u64> {
         let stats = fleet.backend_stats()?;
-        let own = stats.iter().filter(|stat| stat.data_centre == centre);
-        Ok(own.map(|stat| stat.total_runs).sum())
+        let in_centre = stats.iter().filter(|stat| stat.data_centre == centre);
+        Ok(in_centre.map(|stat| stat.total_runs).sum())
     };
     let goal = runs(fleet)? + more;
     wait_until_ok(&format!("runs in {centre}"), WIDE_LIMIT, || {
@@ -81,14 +81,13 @@
     })
 }
 
-/// Symptom: bids and feeds fail in both data centres while the network between them is cut.
-/// Sequence: feeds and bids in both; the network between them is cut until every instance has
-/// noticed, and healed until every instance has noticed; and the same again.
-/// Cause: a decision that needs the other data centre.
+/// Guards against bids and feeds that fail in both data centres while the network between them is
+/// cut, because a decision needs the other one. The network is cut until every instance has
+/// noticed, and healed until every instance has noticed, twice.
 #[test]
-fn centres_cut_twice() -> Result<()> {
+fn both_centres_serve_during_two_cuts() -> Result<()> {
     let mut fleet = LimitedFleet::start(plan_two_centres(2, 2))?;
-    wait_centres(&fleet, 2)?;
+    wait_reachable_centres(&fleet, 2)?;
     let mut loads = Vec::new();
     for centre in [CENTRE, OTHER_CENTRE] {
         loads.push(start_feeds(&mut fleet, centre, FEEDS)?);
@@ -96,12 +95,12 @@
     }
     for _ in 0..2 {
         cut_centres(&fleet)?;
-        wait_centres(&fleet, 1)?;
+        wait_reachable_centres(&fleet, 1)?;
         for centre in [CENTRE, OTHER_CENTRE] {
             wait_runs_in(&mut fleet, centre, 20)?;
         }
         heal_centres(&fleet)?;
-        wait_centres(&fleet, 2)?;
+        wait_reachable_centres(&fleet, 2)?;
     }
     let reports = loads.into_iter().map(stop_load).collect::<Result<Vec<_>>>()?;
     for report in &reports {
@@ -111,7 +110,7 @@
     ensure_clean(&fleet.judge(&reports)?)
 }
 
-/// `RoamingCaller` polls for a request through another data centre than it was opened in.
+/// A caller that polls for a request through another data centre than the one that admitted it.
 struct RoamingCaller<'a> {
     fleet: &'a TestFleet,
     poll: Packet,
@@ -119,18 +118,18 @@
 }
 
 impl RoamingCaller<'_> {
-    /// Polls once; the answer, if one comes at once, and how long it took.
+    /// Polls once, and returns the response and its delay if one arrives within the limit.
     fn poll(&self) -> Result<Option<(Packet, Duration)>> {
         let fabric = self.fleet.fabric(OTHER_CENTRE)?.address;
         let started = Instant::now();
         self.socket.send_to(&encode_packet(&self.poll), fabric)?;
-        self.socket.set_read_timeout(Some(AT_ONCE))?;
+        self.socket.set_read_timeout(Some(REFUSAL_LIMIT))?;
         let mut buffer = [0; 2048];
         let Ok((size, _)) = self.socket.recv_from(&mut buffer) else { return Ok(None) };
         Ok(Some((decode_packet(&buffer[..size])?, started.elapsed())))
     }
 
-    /// Polls until an answer of this kind comes.
+    /// Polls until a response of the given kind arrives.
     fn wait_kind(&self, kind: PacketKind) -> Result<(Packet, Duration)> {
         wait_until_ok(&format!("{kind:?} by way of erie"), WIDE_LIMIT, || {
             let reply = self.poll()?;
@@ -141,15 +140,14 @@
     }
 }
 
-/// Symptom: a caller whose request runs in a data centre that is cut off waits until it gives up.
-/// Sequence: a bid runs in Toledo; its caller's packets reach Erie from now on; the network between
-/// the two is cut; it heals.
-/// Cause: packets for what can't be reached are dropped without a word. That is what is seen
-/// between the cut and its detection.
+/// Guards against a caller that waits for its timeout because its request runs in a data centre
+/// that is cut off. A bid runs in Toledo, and its caller's packets reach Erie from then on. Between
+/// the cut and its detection packets are dropped without a response; afterwards the caller must get
+/// a refusal.
 #[test]
-fn unreachable_centre_told() -> Result<()> {
+fn caller_is_told_of_an_unreachable_centre() -> Result<()> {
     let fleet = LimitedFleet::start(plan_two_centres(1, 1))?;
-    wait_centres(&fleet, 2)?;
+    wait_reachable_centres(&fleet, 2)?;
     for backend in &fleet.backends {
         backend.order(&BackendOrder::Slow { factor: 10_000.0 })?;
     }
@@ -163,27 +161,25 @@
     roaming.wait_kind(PacketKind::Ack)?;
 
     cut_centres(&fleet)?;
-    // The mechanism doesn't know of the cut yet.
+    // The instances haven't detected the cut yet.
     ensure!(roaming.poll()?.is_none(), "the cut is none");
-    wait_centres(&fleet, 1)?;
+    wait_reachable_centres(&fleet, 1)?;
     let (reply, took) = roaming.wait_kind(PacketKind::Refusal)?;
     let refusal = reply.refusal.unwrap_or_default();
     ensure!(refusal.outcome() == RunOutcome::Unknown, "{refusal:?}");
     ensure!(refusal.reason() == RefusalReason::CentreUnreachable, "{refusal:?}");
     println!("told after {took:?}");
-    ensure!(took < AT_ONCE, "told after {took:?}");
+    ensure!(took < REFUSAL_LIMIT, "told after {took:?}");
 
     heal_centres(&fleet)?;
     roaming.wait_kind(PacketKind::Ack).map(drop)
 }
 
-/// Symptom: a request runs twice, or one that ran is told "not run", while each half of the
-/// instances takes the other for dead.
-/// Sequence: under load, two of four instances are cut off from the other two, while the fabric
-/// sprays over all; the cut heals.
-/// Cause: a request admitted by both halves.
+/// Guards against a request that runs twice, or one that ran but is told "not run", because both
+/// halves of a fleet admit it. Under load, two of four instances are cut off from the other two
+/// while the fabric sends packets to all; the cut heals.
 #[test]
-fn halves_cut() -> Result<()> {
+fn two_partitions_run_no_request_twice() -> Result<()> {
     let plan = plan_fleet(4, 2).link_mode(LinkMode::Routed);
     let mut fleet = LimitedFleet::start(plan)?;
     let all = ["toledo-1", "toledo-2", "toledo-3", "toledo-4"];
@@ -225,11 +221,11 @@
     ensure_clean(&fleet.judge(&[report])?)
 }
 
-/// Symptom: an instance that all but one reach is taken for dead, and bids end unknown.
-/// Sequence: what one instance sends to another is lost; the way back and every other way work.
-/// Cause: one silent link counted as a dead instance.
+/// Guards against an instance that counts as dead, with bids that end unknown, although only one
+/// other can't be reached from it. The messages from one instance to another are lost; the opposite
+/// direction and all other links work.
 #[test]
-fn one_way_cut() -> Result<()> {
+fn one_failed_link_does_not_mark_an_instance_dead() -> Result<()> {
     let plan = plan_fleet(3, 2).link_mode(LinkMode::Routed);
     let mut fleet = LimitedFleet::start(plan)?;
     let all = ["toledo-1", "toledo-2", "toledo-3"];
@@ -237,7 +233,7 @@
         wait_alive(&fleet, index, &all)?;
     }
     links(&fleet).client().cut_links("toledo-1", "toledo-2")?;
-    // Twice as long as a silent instance lives.
+    // Twice the time after which an unresponsive instance counts as dead.
     let plan = fleet.plan_caller(DESK.0, MEMBER, TrafficKind::Bid)?.rate(30.0).seconds(6.0);
     let report = fleet.run_caller(CENTRE, &plan, WIDE_LIMIT)?;
     println!("{} offered, {} served, {:?}", report.offered, report.served, report.refused);
@@ -255,38 +251,36 @@
     Ok(())
 }
 
-/// Symptom: feeds stay open and get no more items, for good.
-/// Sequence: a backend server goes silent for the feeds that it has, while new ones work.
-/// Cause: something between the two ends, or an end itself, has lost track of open connections.
+/// Guards against feeds that stay open but never get items again. A backend server stops responding
+/// to its open feeds, as if one end had lost track of the connections, while new feeds work.
 #[test]
-fn open_feeds_silent() -> Result<()> {
+fn feeds_on_a_silent_connection_are_reopened() -> Result<()> {
     let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let feeds = start_feeds(&mut fleet, CENTRE, FEEDS)?;
-    let held = fleet.backends[0].stats()?.connections;
-    ensure!(held > 0, "no feed is on the backend server");
+    let open_before = fleet.backends[0].stats()?.connections;
+    ensure!(open_before > 0, "no feed is on the backend server");
     fleet.backends[0].order(&BackendOrder::MuteOld)?;
     wait_until_ok("silent feeds are open elsewhere", WIDE_LIMIT, || {
         let open = open_connections(&mut fleet, DESK.0)?;
-        // The silent ones still count at their backend server until it drops them.
-        let new = open - fleet.backends[0].stats()?.connections.min(held);
+        // The backend server still counts the silent connections until it drops them.
+        let new = open - fleet.backends[0].stats()?.connections.min(open_before);
         ensure!(new >= FEEDS, "{new} of {FEEDS}");
         Ok(())
     })?;
     let report = stop_load(feeds)?;
     println!(
-        "{held} silenced, {} reopened, longest silence {} ms",
+        "{open_before} silenced, {} reopened, longest silence {} ms",
         report.reopened_feeds, report.longest_silence_ms
     );
-    ensure!(report.reopened_feeds >= u64::from(held), "{} reopened", report.reopened_feeds);
+    ensure!(report.reopened_feeds >= u64::from(open_before), "{} reopened", report.reopened_feeds);
     ensure_clean(&fleet.judge(&[report])?)
 }
 
-/// Symptom: feeds that were silent for some seconds lack items afterwards, or end.
-/// Sequence: the fabric swallows all packets of about half the flows until their callers have
-/// polled into the silence, and then none any more.
-/// Cause: items sent into the silence are gone, and nobody asks for them.
+/// Guards against feeds that miss items or end after a silence of some seconds. The fabric drops
+/// all packets of about half the flows until their callers have polled without an answer; the lost
+/// items must be requested again.
 #[test]
-fn flows_silent() -> Result<()> {
+fn feeds_recover_items_lost_during_a_silence() -> Result<()> {
     let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let feeds = start_feeds(&mut fleet, CENTRE, FEEDS)?;
     let fabric = fleet.fabric(CENTRE)?.client.clone();
--- a/crates/foxledge-proofs/tests/lasting_feeds.rs
+++ b/crates/foxledge-proofs/tests/lasting_feeds.rs
@@ -1,4 +1,4 @@
-//! A feed survives every planned change of instances, backend servers, rules and keys.
+//! A feed survives all planned changes of instances, backend servers, rules and keys.
 
 use anyhow::{Result, ensure};
 use foxledge_fakes::{
@@ -17,15 +17,15 @@
 };
 use serde_json::Value;
 
-/// Feeds of one caller process.
+/// The number of feeds of a caller process.
 const FEEDS: u32 = 20;
-/// Longest silence of a feed that counts as unnoticed, in milliseconds.
+/// The maximum silence of a feed that counts as uninterrupted, in milliseconds.
 ///
 /// A lost item is repaired with the next heartbeat, which a caller sends every second.
-const UNNOTICED_MS: u64 = 3000;
+const MAX_SILENCE_MS: u64 = 3000;
 
-/// Stops the feeds and fails unless they lasted.
-fn end_feeds(
+/// Stops the feeds and fails unless all of them received items until then.
+fn stop_feeds(
     fleet: &mut TestFleet,
     feeds: foxledge_fakes::harness::TestCaller,
 ) -> Result<LoadReport> {
@@ -37,19 +37,18 @@
     Ok(report)
 }
 
-/// Fails unless no feed had to be opened again.
-fn ensure_unmoved(report: &LoadReport) -> Result<()> {
+/// Fails if a feed was reopened or was silent for too long.
+fn ensure_not_reopened(report: &LoadReport) -> Result<()> {
     ensure!(report.reopened_feeds == 0, "{} reopened, {:?}", report.reopened_feeds, report.refused);
-    ensure!(report.longest_silence_ms < UNNOTICED_MS, "silent {} ms", report.longest_silence_ms);
+    ensure!(report.longest_silence_ms < MAX_SILENCE_MS, "silent {} ms", report.longest_silence_ms);
     Ok(())
 }
 
-/// Symptom: price feeds break, or are all opened anew, while instances are replaced.
-/// Sequence: an instance is added, then all that were there are replaced one by one; none of those
-/// that opened the feeds is left.
-/// Cause: the way to a feed's backend server was known to the instance that opened it only.
+/// Guards against feeds that break or are all opened again while instances are replaced, because
+/// only the instance that opened a feed knew its backend server. An instance is added, then all
+/// earlier ones are replaced one by one.
 #[test]
-fn instances_replaced() -> Result<()> {
+fn feeds_last_while_instances_are_replaced() -> Result<()> {
     let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let feeds = start_feeds(&mut fleet, CENTRE, FEEDS)?;
     fleet.add_instance(CENTRE)?;
@@ -57,15 +56,14 @@
         fleet.replace_instance(index, WIDE_LIMIT)?;
     }
     ensure!(open_connections(&mut fleet, DESK.0)? == FEEDS, "feeds were opened twice");
-    let report = end_feeds(&mut fleet, feeds)?;
-    ensure_unmoved(&report)
+    let report = stop_feeds(&mut fleet, feeds)?;
+    ensure_not_reopened(&report)
 }
 
-/// Symptom: every feed is opened anew after all instances that knew it died at once.
-/// Sequence: as many instances are added as there were; those are killed at the same time.
-/// Cause: as above.
+/// Guards against the same failure when all instances that opened the feeds are killed at once,
+/// after as many were added.
 #[test]
-fn instances_killed() -> Result<()> {
+fn feeds_last_when_their_instances_are_killed() -> Result<()> {
     let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let feeds = start_feeds(&mut fleet, CENTRE, FEEDS)?;
     fleet.add_instance(CENTRE)?;
@@ -79,24 +77,24 @@
     wait_heartbeats(&mut fleet, FEEDS)?;
     wait_heartbeats(&mut fleet, FEEDS)?;
     ensure!(open_connections(&mut fleet, DESK.0)? == FEEDS, "feeds were opened twice");
-    let report = end_feeds(&mut fleet, feeds)?;
-    ensure_unmoved(&report)
+    let report = stop_feeds(&mut fleet, feeds)?;
+    ensure_not_reopened(&report)
 }
 
-/// Symptom: feeds go silent when the backend server they are on is taken out of service.
-/// Sequence: a backend server is added and gets warm; another is published as draining, says so
-/// too, sends its feeds away, is taken off the list and stops.
-/// Cause: callers who aren't sent away notice only by a silence of seconds.
+/// Guards against feeds that go silent for seconds when their backend server is taken out of
+/// service, because callers aren't told to reconnect. A backend server is added and gets warm;
+/// another is published as draining, reports it too, sends its feeds away, is removed from the list
+/// and stops.
 #[test]
-fn backend_server_leaves() -> Result<()> {
+fn feeds_move_when_a_backend_server_drains() -> Result<()> {
     let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let feeds = start_feeds(&mut fleet, CENTRE, FEEDS)?;
     let new_name = "auction-desk-toledo-new";
     let added = fleet.add_backend(DESK.0, CENTRE, new_name)?;
     fleet.publish()?;
-    // Until then new feeds rather go to others: it may be cold.
+    // While it is cold, new feeds would go to others.
     wait_until_ok("the new backend server is warm", WIDE_LIMIT, || {
-        let targets = targets_seen(&fleet)?;
+        let targets = read_targets(&fleet)?;
         let is_new = |target: &&Value| target["name"] == new_name;
         let warmth = targets.iter().filter(is_new).filter_map(|target| target["warmth"].as_f64());
         ensure!(warmth.fold(0.0, f64::max) >= 1.0, "{targets:?}");
@@ -106,8 +104,8 @@
     fleet.list.target_mut(&leaving).unwrap().draining = true;
     let revision = fleet.publish()?;
     wait_revision(&fleet, revision, WIDE_LIMIT)?;
-    let held = fleet.backends[0].stats()?.connections;
-    ensure!(held > 0, "no feed is on the backend server that leaves");
+    let open_before = fleet.backends[0].stats()?.connections;
+    ensure!(open_before > 0, "no feed is on the backend server that leaves");
 
     fleet.backends[0].order(&BackendOrder::StopGracefully { ms: 30_000 })?;
     wait_until_ok("feeds have left", WIDE_LIMIT, || {
@@ -127,14 +125,14 @@
         ensure!(open > 0, "it has none");
         Ok(())
     })?;
-    let report = end_feeds(&mut fleet, feeds)?;
-    ensure!(report.reopened_feeds >= u64::from(held), "{} reopened", report.reopened_feeds);
-    ensure!(report.longest_silence_ms < UNNOTICED_MS, "silent {} ms", report.longest_silence_ms);
+    let report = stop_feeds(&mut fleet, feeds)?;
+    ensure!(report.reopened_feeds >= u64::from(open_before), "{} reopened", report.reopened_feeds);
+    ensure!(report.longest_silence_ms < MAX_SILENCE_MS, "silent {} ms", report.longest_silence_ms);
     Ok(())
 }
 
-/// What the homes believe of backend servers.
-fn targets_seen(fleet: &TestFleet) -> Result<Vec<Value>> {
+/// Returns the backend servers in the status reports of all homes.
+fn read_targets(fleet: &TestFleet) -> Result<Vec<Value>> {
     let mut targets = Vec::new();
     for instance in &fleet.instances {
         let status = read_status(instance)?;
@@ -145,11 +143,10 @@
     Ok(targets)
 }
 
-/// Symptom: feeds break when the backend server they are on is taken off the list at once.
-/// Sequence: a backend server is taken off the list while feeds are on it; it runs on.
-/// Cause: the way of an open feed was decided by the list of the moment.
+/// Guards against feeds that break because the route of an open feed is decided by the current
+/// list. A backend server is removed from the list while it has feeds, and continues to run.
 #[test]
-fn backend_server_unlisted() -> Result<()> {
+fn feeds_last_when_their_backend_server_is_unlisted() -> Result<()> {
     let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let feeds = start_feeds(&mut fleet, CENTRE, FEEDS)?;
     let removed = fleet.backends[0].name.clone();
@@ -157,19 +154,18 @@
     service.targets.retain(|target| target.name != removed);
     let revision = fleet.publish()?;
     wait_revision(&fleet, revision, WIDE_LIMIT)?;
-    let held = fleet.backends[0].stats()?.connections;
-    ensure!(held > 0, "no feed is on the backend server");
+    let open_before = fleet.backends[0].stats()?.connections;
+    ensure!(open_before > 0, "no feed is on the backend server");
     wait_heartbeats(&mut fleet, FEEDS)?;
-    ensure!(fleet.backends[0].stats()?.connections == held, "feeds have left");
-    let report = end_feeds(&mut fleet, feeds)?;
-    ensure_unmoved(&report)
+    ensure!(fleet.backends[0].stats()?.connections == open_before, "feeds have left");
+    let report = stop_feeds(&mut fleet, feeds)?;
+    ensure_not_reopened(&report)
 }
 
-/// Symptom: shift boards break when an operator changes the rules.
-/// Sequence: feeds are open; a rule that refuses every new one comes before the others.
-/// Cause: rules decide on new flows; an open one was decided again.
+/// Guards against feeds that break because new rules are applied to open flows. While feeds are
+/// open, a rule that refuses every new feed is put before the others.
 #[test]
-fn rules_changed() -> Result<()> {
+fn feeds_last_when_rules_change() -> Result<()> {
     let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let feeds = start_feeds(&mut fleet, CENTRE, FEEDS)?;
     let deny = RulePlan::deny_rest("no-feeds").kinds(&["feed"]);
@@ -178,17 +174,16 @@
     wait_revision(&fleet, revision, WIDE_LIMIT)?;
     wait_heartbeats(&mut fleet, FEEDS)?;
     ensure!(open_connections(&mut fleet, DESK.0)? == FEEDS, "feeds have closed");
-    let report = end_feeds(&mut fleet, feeds)?;
-    ensure_unmoved(&report)
+    let report = stop_feeds(&mut fleet, feeds)?;
+    ensure_not_reopened(&report)
 }
 
-/// Symptom: every feed of the fleet is refused and opened anew when token keys change.
-/// Sequence: first a new key replaces the old one at once. Then, in another fleet, it is published
-/// beside the old one, and the old one goes only after the feeds' tokens were sealed anew, twice.
-/// Cause: a flow token that no published key opens is worth nothing.
+/// Guards against feeds that are all refused and opened again when token keys change. First a new
+/// key replaces the old one at once, which breaks the feeds. Then, in another fleet, the new key is
+/// published beside the old one, which is removed only when the feeds' tokens are resealed; twice.
 #[test]
-fn keys_rotated() -> Result<()> {
-    // Without the rotation of two keys.
+fn feeds_last_through_a_key_rotation() -> Result<()> {
+    // One key replaces the other at once.
     let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let feeds = start_feeds(&mut fleet, CENTRE, FEEDS)?;
     fleet.list.keys = vec![KeyPlan::numbered(2)];
@@ -200,7 +195,7 @@
     ensure!(report.reopened_feeds > 0, "a key that went at once was not noticed");
     drop(fleet);
 
-    // With it.
+    // Both keys are published during the rotation.
     let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let feeds = start_feeds(&mut fleet, CENTRE, FEEDS)?;
     for (old, new) in [(1, 2), (2, 3)] {
@@ -214,11 +209,11 @@
         wait_revision(&fleet, revision, WIDE_LIMIT)?;
         wait_heartbeats(&mut fleet, FEEDS)?;
     }
-    let report = end_feeds(&mut fleet, feeds)?;
-    ensure_unmoved(&report)
+    let report = stop_feeds(&mut fleet, feeds)?;
+    ensure_not_reopened(&report)
 }
 
-/// Waits until the feeds' tokens have been sealed anew and no heartbeat carries an old one.
+/// Waits until the feeds' tokens are resealed and no heartbeat carries an old one.
 fn wait_resealed(fleet: &mut TestFleet) -> Result<()> {
     wait_until_ok("tokens sealed anew", WIDE_LIMIT, || {
         let before = sum_event(fleet, "tokens_resealed");
--- a/crates/foxledge-proofs/tests/not_run.rs
+++ b/crates/foxledge-proofs/tests/not_run.rs
@@ -1,4 +1,4 @@
-//! Promise 4: what was refused as "not run" did not run and never will.
+//! Promise 4: a request that is refused as "not run" hasn't run and never will.
 
 use std::time::Duration;
 
@@ -19,59 +19,61 @@
 };
 use foxledge_wire::flow::{Packet, PacketKind, RefusalReason};
 
-/// Tickets that last a whole test, and patience with backend servers on a busy machine.
-const LASTING: &str =
+/// Settings with tickets that are valid for a whole test, and a longer acknowledgement timeout for
+/// backend servers on a busy machine.
+const LONG_TICKET_SETTINGS: &str =
     "[flow]\nticket_ms = 30000\n[stop]\nlimit_ms = 40000\n[desk]\nack_ms = 1500\n";
-/// Service time so long that a run lasts until it is cancelled.
-const LONG_RUN: f64 = 5000.0;
+/// The factor of service times with which a run lasts until it is cancelled.
+const ENDLESS_RUN_FACTOR: f64 = 5000.0;
 
-/// Name of the rule that denies bids.
-const NO_BIDS: &str = "no-more-bids";
+/// The name of the rule that denies bids.
+const DENY_RULE: &str = "no-more-bids";
 
-/// `Refusing` is what makes the home refuse a bid that can't have been started.
+/// The cause for which the home refuses a bid that can't have been started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Refusing {
-    /// A rule denies the member.
+enum RefusalCause {
+    /// A rule denies the bid.
     Rule,
-    /// Every backend server sheds.
+    /// Every backend server sheds load.
     Shed,
-    /// The deadline passes in the queue.
+    /// The deadline passes while the bid is queued.
     Deadline,
-    /// The caller cancels it in the queue.
+    /// The caller cancels the bid while it is queued.
     Cancel,
 }
 
-/// `RefusalMemory` is whether a home remembers what it refused.
+/// Whether a home remembers the bids that it refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RefusalMemory {
-    /// As it is served.
+    /// Enabled, as in production.
     On,
-    /// Only to show that the fault is there.
+    /// Disabled, to show that the fault occurs without it.
     Off,
 }
 
-/// Refuses a bid in that way, takes the cause away and sends copies; returns the word and the runs.
-fn refuse_then_copy(
+/// Makes the home refuse a bid, ends the cause and sends copies of the bid. Returns the outcome and
+/// the runs.
+fn refuse_then_resend(
     fleet: &mut LimitedFleet,
-    refusing: Refusing,
+    cause: RefusalCause,
     number: u64,
     memory: RefusalMemory,
 ) -> (RequestOutcome, u32) {
     let mut caller = ManualCaller::new(fleet, DESK, number).unwrap();
     let ticket = caller.obtain_ticket().unwrap();
     let mut bid = caller.next_request(&ticket);
-    let mut holders = Vec::new();
-    match refusing {
-        Refusing::Rule => deny_bids(fleet),
-        Refusing::Shed => shed(fleet, true),
-        Refusing::Deadline => {
-            holders = hold_slots(fleet, number);
+    let mut occupied_slots = Vec::new();
+    match cause {
+        RefusalCause::Rule => deny_bids(fleet),
+        RefusalCause::Shed => shed(fleet, true),
+        RefusalCause::Deadline => {
+            occupied_slots = occupy_slots(fleet, number);
             bid.time_left_ms = 700;
         }
-        Refusing::Cancel => holders = hold_slots(fleet, number),
+        RefusalCause::Cancel => occupied_slots = occupy_slots(fleet, number),
     }
-    let word = match refusing {
-        Refusing::Cancel => {
+    let outcome = match cause {
+        RefusalCause::Cancel => {
             caller.send(&bid).unwrap();
             let cancel =
                 Packet { kind: PacketKind::Cancel.into(), payload: Vec::new(), ..bid.clone() };
@@ -79,10 +81,12 @@
         }
         _ => caller.resend_until_final(&bid).unwrap(),
     };
-    match refusing {
-        Refusing::Rule => allow_bids(fleet),
-        Refusing::Shed => shed(fleet, false),
-        Refusing::Deadline | Refusing::Cancel => holders.iter().for_each(HeldSlot::free),
+    match cause {
+        RefusalCause::Rule => allow_bids(fleet),
+        RefusalCause::Shed => shed(fleet, false),
+        RefusalCause::Deadline | RefusalCause::Cancel => {
+            occupied_slots.iter().for_each(OccupiedSlot::release)
+        }
     }
     bid.time_left_ms = 20_000;
     if memory == RefusalMemory::Off {
@@ -90,22 +94,22 @@
     }
     for _ in 0..4 {
         caller.send(&bid).unwrap();
-        let again = caller.receive_final(1, Duration::from_millis(300));
-        let is_answered = again == Some(RequestOutcome::Answered);
-        assert!(memory == RefusalMemory::Off || !is_answered, "{refusing:?} is answered later");
+        let later_outcome = caller.receive_final(1, Duration::from_millis(300));
+        let is_answered = later_outcome == Some(RequestOutcome::Answered);
+        assert!(memory == RefusalMemory::Off || !is_answered, "{cause:?} is answered later");
     }
     complete_marker(fleet, &[0, 1], number).unwrap();
     set_fabric_instances(fleet, &[0, 1]).unwrap();
-    (word, count_runs(fleet, caller.request_id(1)).unwrap())
+    (outcome, count_runs(fleet, caller.request_id(1)).unwrap())
 }
 
 fn deny_bids(fleet: &mut LimitedFleet) {
-    fleet.list.rules.insert(0, RulePlan::deny_rest(NO_BIDS).members(&[MEMBER]));
+    fleet.list.rules.insert(0, RulePlan::deny_rest(DENY_RULE).members(&[MEMBER]));
     publish_list(fleet);
 }
 
 fn allow_bids(fleet: &mut LimitedFleet) {
-    fleet.list.rules.retain(|rule| rule.name != NO_BIDS);
+    fleet.list.rules.retain(|rule| rule.name != DENY_RULE);
     publish_list(fleet);
 }
 
@@ -120,84 +124,86 @@
     }
 }
 
-/// `HeldSlot` is a bid that runs until it is cancelled.
-struct HeldSlot {
+/// A slot that is occupied by a bid until the bid is cancelled.
+struct OccupiedSlot {
     caller: ManualCaller,
     bid: Packet,
 }
 
-impl HeldSlot {
-    fn free(&self) {
+impl OccupiedSlot {
+    fn release(&self) {
         let cancel =
             Packet { kind: PacketKind::Cancel.into(), payload: Vec::new(), ..self.bid.clone() };
-        let word = self.caller.resend_until_final(&cancel).unwrap();
-        assert!(matches!(word, RequestOutcome::Unknown(_)), "a cancelled run is told {word:?}");
+        let outcome = self.caller.resend_until_final(&cancel).unwrap();
+        assert!(
+            matches!(outcome, RequestOutcome::Unknown(_)),
+            "a cancelled run is told {outcome:?}"
+        );
     }
 }
 
-/// Takes every slot of the desk by bids that don't end.
-fn hold_slots(fleet: &mut LimitedFleet, number: u64) -> Vec<HeldSlot> {
+/// Occupies every slot of the desk with bids that don't end.
+fn occupy_slots(fleet: &mut LimitedFleet, number: u64) -> Vec<OccupiedSlot> {
     let slots: u32 =
         2 * fleet.backends.iter().filter(|backend| backend.service == DESK.0).count() as u32;
-    scale_service_time(fleet, LONG_RUN).unwrap();
-    let mut held = Vec::new();
+    scale_service_time(fleet, ENDLESS_RUN_FACTOR).unwrap();
+    let mut occupied = Vec::new();
     for slot in 0..u64::from(slots) {
         let mut caller = ManualCaller::new(fleet, DESK, 0x4000 + number * 64 + slot).unwrap();
         let mut bid = caller.next_request(&caller.obtain_ticket().unwrap());
         bid.time_left_ms = 60_000;
         caller.send(&bid).unwrap();
         wait_runs(fleet, caller.request_id(1), 1).unwrap();
-        held.push(HeldSlot { caller, bid });
+        occupied.push(OccupiedSlot { caller, bid });
     }
     scale_service_time(fleet, 1.0).unwrap();
-    held
+    occupied
 }
 
-/// These ways of refusing in turn on one fleet; returns words and runs.
-fn refuse_in_ways(
-    ways: &[Refusing],
+/// Refuses a bid by each cause in turn on one fleet, and returns the outcomes and runs.
+fn refuse_by_causes(
+    causes: &[RefusalCause],
     memory: RefusalMemory,
-) -> Vec<(Refusing, RequestOutcome, u32)> {
+) -> Vec<(RefusalCause, RequestOutcome, u32)> {
     let is_on = memory == RefusalMemory::On;
-    let settings = format!("{LASTING}[trial]\nremember_refusals = {is_on}\n");
+    let settings = format!("{LONG_TICKET_SETTINGS}[trial]\nremember_refusals = {is_on}\n");
     let mut fleet = start_fleet(plan_fleet(2, 1).settings(&settings)).unwrap();
     let mut results = Vec::new();
-    for (number, &refusing) in (1..).zip(ways) {
-        let (word, runs) = refuse_then_copy(&mut fleet, refusing, number, memory);
-        results.push((refusing, word, runs));
+    for (number, &cause) in (1..).zip(causes) {
+        let (outcome, runs) = refuse_then_resend(&mut fleet, cause, number, memory);
+        results.push((cause, outcome, runs));
     }
     results
 }
 
 #[test]
-fn refusals_stand() {
-    // Symptom: a bid that was called "not run" runs a moment later.
-    // Sequence: it is refused by a rule, by shedding backend servers, by its deadline or by its
-    //   caller's cancel; the cause goes away; a late copy arrives.
-    // Cause: the home decides on the copy anew.
+fn refused_bids_never_run() {
+    // Guards against a bid that was refused as "not run" but runs later because the home decides
+    // again on a retransmission. It is refused by a rule, by shedding backend servers, by its
+    // deadline or by its caller's cancellation; then the cause ends and a late copy arrives.
     let expected = [
-        (Refusing::Rule, RequestOutcome::NotRun(RefusalReason::Denied)),
-        (Refusing::Shed, RequestOutcome::NotRun(RefusalReason::TargetShed)),
-        (Refusing::Deadline, RequestOutcome::NotRun(RefusalReason::DeadlinePassed)),
-        (Refusing::Cancel, RequestOutcome::NotRun(RefusalReason::Cancelled)),
+        (RefusalCause::Rule, RequestOutcome::NotRun(RefusalReason::Denied)),
+        (RefusalCause::Shed, RequestOutcome::NotRun(RefusalReason::TargetShed)),
+        (RefusalCause::Deadline, RequestOutcome::NotRun(RefusalReason::DeadlinePassed)),
+        (RefusalCause::Cancel, RequestOutcome::NotRun(RefusalReason::Cancelled)),
     ];
-    // What was queued or dispatched stays known as such, so only the rule shows the switch.
-    let (rule, told) = expected[0];
-    let without = refuse_in_ways(&[rule], RefusalMemory::Off);
-    assert_eq!(without, [(rule, told, 1)], "without the mechanism the fault shows");
-    let ways = expected.map(|(refusing, _)| refusing);
-    let with = expected.map(|(refusing, word)| (refusing, word, 0));
-    assert_eq!(refuse_in_ways(&ways, RefusalMemory::On), with);
+    // Queued and dispatched bids are remembered anyway, so that only the rule shows the effect of
+    // the setting.
+    let (rule, refused_outcome) = expected[0];
+    let without = refuse_by_causes(&[rule], RefusalMemory::Off);
+    assert_eq!(without, [(rule, refused_outcome, 1)], "without the mechanism the fault shows");
+    let causes = expected.map(|(cause, _)| cause);
+    let with = expected.map(|(cause, outcome)| (cause, outcome, 0));
+    assert_eq!(refuse_by_causes(&causes, RefusalMemory::On), with);
 }
 
 #[test]
-fn queued_at_killed_home() {
-    // Symptom: a bid is called "not run" by an instance that can't know.
-    // Sequence: it waits in the home's queue; the home is killed; the caller sends it again, and
-    //   again after the next home is killed too.
-    // Cause: for the others a bid that waits looks like one that runs.
-    let mut fleet = start_fleet(plan_fleet(3, 1).settings(LASTING)).unwrap();
-    let _held = hold_slots(&mut fleet, 1);
+fn bid_queued_at_a_killed_home_is_unknown() {
+    // Guards against a bid that is told "not run" by an instance that can't know. It waits in the
+    // home's queue, which looks like a run to other instances; the home is killed, and the caller
+    // sends it again, and once more after the next home is killed.
+    let mut fleet = start_fleet(plan_fleet(3, 1).settings(LONG_TICKET_SETTINGS)).unwrap();
+    let _occupied = occupy_slots(&mut fleet, 1);
     let mut caller = ManualCaller::new(&fleet, DESK, 1).unwrap();
     let ticket = caller.obtain_ticket().unwrap();
     let bid = caller.next_request(&ticket);
@@ -208,21 +214,21 @@
         fleet.kill_instance(home).unwrap();
         let rest = other_running(&mut fleet, home);
         set_fabric_instances(&fleet, &rest).unwrap();
-        let word = caller.resend_until_final(&bid).unwrap();
-        assert_eq!(word, RequestOutcome::Unknown(RefusalReason::HomeLost));
-        let fresh = ManualCaller::new(&fleet, DESK, 2).unwrap();
-        home = ticket_home(&fleet, &fresh.obtain_ticket().unwrap()).unwrap();
+        let outcome = caller.resend_until_final(&bid).unwrap();
+        assert_eq!(outcome, RequestOutcome::Unknown(RefusalReason::HomeLost));
+        let new_caller = ManualCaller::new(&fleet, DESK, 2).unwrap();
+        home = ticket_home(&fleet, &new_caller.obtain_ticket().unwrap()).unwrap();
     }
     assert_eq!(count_runs(&mut fleet, caller.request_id(1)).unwrap(), 0);
 }
 
 #[test]
-fn withdrawn_key() {
-    // Symptom: a bid is called "not run" by one instance and runs through another.
-    // Sequence: the keys are replaced; the ticket's home is cut off and keeps the old list; the
-    //   fabric hands a copy to each instance.
-    // Cause: the instance with the new list can't open the ticket, and takes it for a forged one.
-    let plan = plan_fleet(2, 1).link_mode(LinkMode::Routed).settings(LASTING);
+fn ticket_under_a_withdrawn_key_is_unknown() {
+    // Guards against a bid that is told "not run" by one instance and runs through another. The
+    // keys are replaced, but the ticket's home is cut off and keeps the old list; the fabric sends
+    // a copy to each instance. The instance with the new list can't open the ticket and must not
+    // take it for a forged one.
+    let plan = plan_fleet(2, 1).link_mode(LinkMode::Routed).settings(LONG_TICKET_SETTINGS);
     let mut fleet = start_fleet(plan).unwrap();
     let mut caller = ManualCaller::new(&fleet, DESK, 1).unwrap();
     let ticket = caller.obtain_ticket().unwrap();
@@ -237,14 +243,14 @@
 
     let bid = caller.next_request(&ticket);
     set_fabric_instances(&fleet, &[1 - home]).unwrap();
-    let word = caller.resend_until_final(&bid).unwrap();
-    assert_eq!(word, RequestOutcome::Unknown(RefusalReason::BadTicket));
+    let outcome = caller.resend_until_final(&bid).unwrap();
+    assert_eq!(outcome, RequestOutcome::Unknown(RefusalReason::BadTicket));
     set_fabric_instances(&fleet, &[home]).unwrap();
     assert_eq!(caller.resend_until_final(&bid).unwrap(), RequestOutcome::Answered);
     assert_eq!(count_runs(&mut fleet, caller.request_id(1)).unwrap(), 1);
 }
 
-/// A bid whose backend servers are frozen before they read it; returns its word and runs.
+/// Freezes the backend servers before they read a bid, and returns its outcome and runs.
 fn freeze_targets(idempotent: bool) -> (RequestOutcome, u32) {
     let mut fleet = start_fleet(plan_fleet(2, 2)).unwrap();
     let mut caller = ManualCaller::new(&fleet, DESK, 1).unwrap();
@@ -255,7 +261,7 @@
         backend.process.freeze().unwrap();
     }
     caller.send(&bid).unwrap();
-    let word = caller.receive_final(1, WIDE_LIMIT).unwrap();
+    let outcome = caller.receive_final(1, WIDE_LIMIT).unwrap();
     for backend in fleet.backends.iter_mut().filter(|backend| backend.service == DESK.0) {
         backend.process.wake().unwrap();
     }
@@ -266,37 +272,36 @@
         caller.receive_final(1, Duration::from_millis(200));
     }
     complete_marker(&fleet, &[0, 1], 1).unwrap();
-    (word, count_runs(&mut fleet, caller.request_id(1)).unwrap())
+    (outcome, count_runs(&mut fleet, caller.request_id(1)).unwrap())
 }
 
 #[test]
-fn frozen_targets() {
-    // Symptom: a bid that is called "not run" runs when its backend server wakes up, or runs at
-    //   the next one too.
-    // Sequence: the backend servers freeze with the bid in their sockets; the home gives up.
-    // Cause: silence is taken for "not run". Idempotent work is tried elsewhere, so it shows that
-    //   the bid does wait in the sockets.
+fn bid_at_a_frozen_backend_server_is_unknown() {
+    // Guards against a bid that is told "not run" but runs when its backend server resumes, or that
+    // also runs at another one. The backend servers freeze with the bid in their socket buffers,
+    // and the home gives up. Idempotent work is tried elsewhere, which shows that the bid does wait
+    // in the buffers.
     assert!(freeze_targets(true).1 >= 2, "idempotent work runs at both");
-    let (word, runs) = freeze_targets(false);
-    assert_eq!(word, RequestOutcome::Unknown(RefusalReason::TargetLost));
+    let (outcome, runs) = freeze_targets(false);
+    assert_eq!(outcome, RequestOutcome::Unknown(RefusalReason::TargetLost));
     assert_eq!(runs, 1);
 }
 
 #[test]
-fn target_replaced_midway() {
-    // Symptom: a bid that ran is called "not run", or runs again elsewhere.
-    // Sequence: the backend server that runs it is killed; another process starts at its address
-    //   and answers the home's question and the caller's copies by "not run, wrong target".
-    // Cause: the word of a process that can't know is believed.
-    let mut fleet = start_fleet(plan_fleet(2, 2).settings(LASTING)).unwrap();
-    scale_service_time(&mut fleet, LONG_RUN).unwrap();
+fn run_at_a_replaced_backend_server_is_unknown() {
+    // Guards against a bid that ran but is told "not run", or that runs again elsewhere. The
+    // backend server that runs it is killed; another process starts at its address and answers the
+    // home's check and the caller's retransmissions with "not run, wrong target", although it can't
+    // know.
+    let mut fleet = start_fleet(plan_fleet(2, 2).settings(LONG_TICKET_SETTINGS)).unwrap();
+    scale_service_time(&mut fleet, ENDLESS_RUN_FACTOR).unwrap();
     let mut caller = ManualCaller::new(&fleet, DESK, 1).unwrap();
     let bid = caller.next_request(&caller.obtain_ticket().unwrap());
     caller.send(&bid).unwrap();
     wait_runs(&mut fleet, caller.request_id(1), 1).unwrap();
     let stats = fleet.backend_stats().unwrap();
-    let at = stats.iter().position(|stats| stats.total_runs == 1).unwrap();
-    let old = &mut fleet.backends[at];
+    let index = stats.iter().position(|stats| stats.total_runs == 1).unwrap();
+    let old = &mut fleet.backends[index];
     old.kill().unwrap();
     let (name, address) = (old.name.clone(), old.address);
     let plan = BackendPlan {
@@ -311,8 +316,8 @@
     let new = fleet.start_backend(&plan).unwrap();
 
     scale_service_time(&mut fleet, 1.0).unwrap();
-    let word = caller.resend_until_final(&bid).unwrap();
-    assert_eq!(word, RequestOutcome::Unknown(RefusalReason::TargetLost));
+    let outcome = caller.resend_until_final(&bid).unwrap();
+    assert_eq!(outcome, RequestOutcome::Unknown(RefusalReason::TargetLost));
     assert!(fleet.backends[new].stats().unwrap().wrong_target > 0, "the new process was asked");
     fleet.list.target_mut(&name).unwrap().incarnation = 2;
     let revision = fleet.publish().unwrap();
@@ -326,12 +331,11 @@
 }
 
 #[test]
-fn overload_and_faults() {
-    // Symptom: bids refused as "not run" ran, or bids ran twice.
-    // Sequence: more bids than the desk serves, while packets are lost, doubled to two instances
-    //   and late, one backend server sheds and says it is idle, one says it is unhealthy, and two
-    //   homes are killed one after the other.
-    // Cause: any refusal that isn't final, and any copy that is taken for new work.
+fn refusals_stay_true_under_overload_and_faults() {
+    // Guards against bids that ran but were refused as "not run", and bids that ran twice. More
+    // bids arrive than the desk can serve while packets are lost, duplicated to two instances and
+    // delayed, one backend server sheds and reports that it is idle, one reports that it is
+    // unhealthy, and two homes are killed one after the other.
     let mut fleet = start_fleet(plan_fleet(3, 4)).unwrap();
     let faults = PacketFaults {
         loss: 0.05,
--- a/crates/foxledge-proofs/tests/own_answer.rs
+++ b/crates/foxledge-proofs/tests/own_answer.rs
@@ -1,4 +1,5 @@
-//! Promise 3: each caller gets the whole answer to their own request, late, crossed, in many packets.
+//! Promise 3: each caller gets the whole answer to its own request, even if packets are late or
+//! reordered and the answer has many parts.
 
 use foxledge_core::traffic::TrafficKind;
 use foxledge_fakes::{
@@ -17,9 +18,9 @@
 };
 use foxledge_wire::flow::{Packet, PacketKind, RefusalReason};
 
-const PATIENT: &str = "[flow]\nticket_ms = 1500\n[desk]\nack_ms = 1000\n";
+const SHORT_TICKET_SETTINGS: &str = "[flow]\nticket_ms = 1500\n[desk]\nack_ms = 1000\n";
 
-/// `LoadShape` is one caller process.
+/// The load of one caller process.
 struct LoadShape<'a> {
     service: (&'a str, &'a str),
     kind: TrafficKind,
@@ -70,18 +71,18 @@
     );
 }
 
-/// `ScrambleCase` is faults under which a short load runs.
-struct ScrambleCase {
+/// The packet faults of a short load.
+struct FaultCase {
     what: &'static str,
     deadline_ms: u64,
     faults: PacketFaults,
 }
 
-/// Runs bids and uploads under each case in turn and judges them together.
-fn scramble(cases: Vec<ScrambleCase>) {
-    let mut fleet = start_fleet(plan_fleet(3, 3).settings(PATIENT)).unwrap();
+/// Runs bids and uploads under each case in turn, and judges all reports together.
+fn run_cases(cases: Vec<FaultCase>) {
+    let mut fleet = start_fleet(plan_fleet(3, 3).settings(SHORT_TICKET_SETTINGS)).unwrap();
     let mut reports = Vec::new();
-    for (seed, ScrambleCase { what, deadline_ms, faults }) in (1..).zip(cases) {
+    for (seed, FaultCase { what, deadline_ms, faults }) in (1..).zip(cases) {
         fleet.fabrics[0].client.set_faults(FaultWays::Both, faults).unwrap();
         let callers = [bids(seed, deadline_ms), uploads(seed, deadline_ms)];
         let started = callers.map(|shape| start_load(&fleet, &shape));
@@ -100,25 +101,25 @@
 }
 
 #[test]
-fn scrambled_packets() {
-    // Symptom: a caller gets another's answer, or one put together from two.
-    // Sequence: answers of up to three parts and uploads of many are lost, doubled, overtaken and
-    //   late, some beyond their callers' deadline, one fault at a time.
-    // Cause: an answer that is matched to its request by anything but what both carry.
-    let quiet = PacketFaults::default();
-    let case = |what, deadline_ms, faults| ScrambleCase { what, deadline_ms, faults };
-    scramble(vec![
-        case("loss", 8_000, PacketFaults { loss: 0.2, ..quiet }),
-        case("copies", 8_000, PacketFaults { duplicate: 0.6, ..quiet }),
-        case("overtaking", 8_000, PacketFaults { reorder: 0.4, reorder_ms: 700, ..quiet }),
-        case("too late", 900, PacketFaults { delay_min_ms: 100, delay_max_ms: 900, ..quiet }),
+fn answers_stay_intact_under_each_packet_fault() {
+    // Guards against callers that get an answer to another request, or one assembled from two
+    // answers. Answers of up to three parts and uploads of many are lost, duplicated, reordered and
+    // delayed, some beyond their callers' deadline, one fault at a time. Answers must be matched by
+    // what both packets carry.
+    let no_faults = PacketFaults::default();
+    let case = |what, deadline_ms, faults| FaultCase { what, deadline_ms, faults };
+    run_cases(vec![
+        case("loss", 8_000, PacketFaults { loss: 0.2, ..no_faults }),
+        case("copies", 8_000, PacketFaults { duplicate: 0.6, ..no_faults }),
+        case("overtaking", 8_000, PacketFaults { reorder: 0.4, reorder_ms: 700, ..no_faults }),
+        case("too late", 900, PacketFaults { delay_min_ms: 100, delay_max_ms: 900, ..no_faults }),
     ]);
 }
 
 #[test]
-fn all_faults_together() {
-    // Symptom, cause: as for `scrambled_packets`.
-    // Sequence: loss, copies, overtaking and delay at the same time.
+fn answers_stay_intact_under_all_packet_faults() {
+    // Guards against the same failures while packets are lost, duplicated, reordered and delayed at
+    // the same time.
     let faults = PacketFaults {
         loss: 0.1,
         duplicate: 0.4,
@@ -127,16 +128,15 @@
         delay_min_ms: 0,
         delay_max_ms: 60,
     };
-    scramble(vec![ScrambleCase { what: "all", deadline_ms: 15_000, faults }]);
+    run_cases(vec![FaultCase { what: "all", deadline_ms: 15_000, faults }]);
 }
 
 #[test]
-fn replaced_one_by_one() {
-    // Symptom: an answer or an upload is cut, crossed or run twice.
-    // Sequence: while bids and uploads go on with copies and overtaking, one instance is killed
-    //   and every other one is replaced, until none of the first is left.
-    // Cause: what an instance knew of a flow went with it.
-    let mut fleet = start_fleet(plan_fleet(3, 3).settings(PATIENT)).unwrap();
+fn answers_stay_intact_while_instances_are_replaced() {
+    // Guards against answers and uploads that are truncated, mixed up or run twice. Bids and
+    // uploads continue with duplicated and reordered packets while one instance is killed and every
+    // other one is replaced, so that no instance remains that knew the flows from the start.
+    let mut fleet = start_fleet(plan_fleet(3, 3).settings(SHORT_TICKET_SETTINGS)).unwrap();
     let faults =
         PacketFaults { duplicate: 0.3, reorder: 0.2, reorder_ms: 200, ..PacketFaults::default() };
     fleet.fabrics[0].client.set_faults(FaultWays::Both, faults).unwrap();
@@ -157,22 +157,20 @@
     assert!(verdict.is_clean(), "{verdict:?}");
 }
 
-/// A caller whose first bid gets an answer of three parts.
-fn long_winded(fleet: &LimitedFleet, from: u64) -> ManualCaller {
+/// Returns a caller whose first bid gets an answer of three parts.
+fn caller_with_long_answer(fleet: &LimitedFleet, from: u64) -> ManualCaller {
     let callers = (from..).map(|number| ManualCaller::new(fleet, DESK, number).unwrap());
     callers.into_iter().find(|c| answer_part_count(c.identity.flow, 1) == 3).unwrap()
 }
 
 #[test]
-fn home_killed_before_answer() {
-    // Symptom: a bid that ran is lost to its caller.
-    // Sequence: the backend server has said that it has the bid; the home is killed; the answer is
-    //   sent to the dead home.
-    // Cause: only the home knew where the bid runs. With the flow token that came with the first
-    //   sign, any instance finds the backend server; without it nobody does.
-    let mut fleet = start_fleet(plan_fleet(3, 2).settings(PATIENT)).unwrap();
+fn answer_is_found_by_token_after_its_home_is_killed() {
+    // Guards against a bid that ran but whose answer is lost. The home is killed after the backend
+    // server has acknowledged the bid, and the answer goes to the dead home. By the flow token from
+    // the first acknowledgement any instance finds the backend server; by the ticket none does.
+    let mut fleet = start_fleet(plan_fleet(3, 2).settings(SHORT_TICKET_SETTINGS)).unwrap();
     scale_service_time(&mut fleet, 100.0).unwrap();
-    let mut caller = long_winded(&fleet, 1);
+    let mut caller = caller_with_long_answer(&fleet, 1);
     let ticket = caller.obtain_ticket().unwrap();
     let bid = caller.next_request(&ticket);
     let first = caller.send_until(&bid, |reply| !reply.token.is_empty()).unwrap();
@@ -182,25 +180,28 @@
     let rest = other_running(&mut fleet, home);
     set_fabric_instances(&fleet, &rest).unwrap();
 
-    // The same caller from another socket, so that what it is told stays apart.
-    let mut forgetful = ManualCaller::new(&fleet, DESK, 1).unwrap();
-    forgetful.identity = caller.identity.clone();
-    let without = forgetful.resend_until_final(&bid).unwrap();
-    assert_eq!(without, RequestOutcome::Unknown(RefusalReason::HomeLost), "by ticket nobody knows");
-    let with = caller.complete_request(&caller.poll(1, &first.token), DESK.0).unwrap();
-    assert_eq!(with, RequestOutcome::Answered, "by token the whole answer comes");
+    // The same caller at another socket, which gets separate responses.
+    let mut without_token = ManualCaller::new(&fleet, DESK, 1).unwrap();
+    without_token.identity = caller.identity.clone();
+    let ticket_outcome = without_token.resend_until_final(&bid).unwrap();
+    assert_eq!(
+        ticket_outcome,
+        RequestOutcome::Unknown(RefusalReason::HomeLost),
+        "by ticket nobody knows"
+    );
+    let token_outcome = caller.complete_request(&caller.poll(1, &first.token), DESK.0).unwrap();
+    assert_eq!(token_outcome, RequestOutcome::Answered, "by token the whole answer comes");
     assert_eq!(count_runs(&mut fleet, caller.request_id(1)).unwrap(), 1);
 }
 
 #[test]
-fn caller_moved() {
-    // Symptom: an answer goes where its caller isn't any more.
-    // Sequence: a caller's address changes while its bid runs; it polls from the new one, through
-    //   an instance that hasn't seen the flow.
-    // Cause: the answer's way is kept from the first packet.
-    let mut fleet = start_fleet(plan_fleet(2, 2).settings(PATIENT)).unwrap();
+fn answer_reaches_a_caller_at_its_new_address() {
+    // Guards against an answer that goes to an old address of its caller. The address changes while
+    // a bid runs, and the caller polls from the new one through an instance that hasn't seen the
+    // flow; the return path of the first packet must not be kept.
+    let mut fleet = start_fleet(plan_fleet(2, 2).settings(SHORT_TICKET_SETTINGS)).unwrap();
     scale_service_time(&mut fleet, 50.0).unwrap();
-    let mut caller = long_winded(&fleet, 1);
+    let mut caller = caller_with_long_answer(&fleet, 1);
     let ticket = caller.obtain_ticket().unwrap();
     let home = ticket_home(&fleet, &ticket).unwrap();
     let bid = caller.next_request(&ticket);
@@ -208,18 +209,16 @@
     let mut moved = ManualCaller::new(&fleet, DESK, 1).unwrap();
     moved.identity = caller.identity.clone();
     set_fabric_instances(&fleet, &[1 - home]).unwrap();
-    let word = moved.complete_request(&moved.poll(1, &first.token), DESK.0).unwrap();
-    assert_eq!(word, RequestOutcome::Answered);
+    let outcome = moved.complete_request(&moved.poll(1, &first.token), DESK.0).unwrap();
+    assert_eq!(outcome, RequestOutcome::Answered);
     assert_eq!(count_runs(&mut fleet, caller.request_id(1)).unwrap(), 1);
 }
 
 #[test]
-fn two_requests_crossed() {
-    // Symptom: of two bids of one flow, each gets the other's answer.
-    // Sequence: both run at once; their answers overtake each other, and each is polled by its own
-    //   token and by the other's.
-    // Cause: the token is taken for the flow's and not for the request's.
-    let mut fleet = start_fleet(plan_fleet(2, 2).settings(PATIENT)).unwrap();
+fn tokens_belong_to_one_request_of_a_flow() {
+    // Guards against two bids of one flow whose answers are exchanged. Both run at once, their
+    // answers are reordered, and each is polled by its own token and by that of the other.
+    let mut fleet = start_fleet(plan_fleet(2, 2).settings(SHORT_TICKET_SETTINGS)).unwrap();
     scale_service_time(&mut fleet, 50.0).unwrap();
     let faults = PacketFaults { reorder: 0.5, reorder_ms: 300, ..PacketFaults::default() };
     fleet.fabrics[0].client.set_faults(FaultWays::Back, faults).unwrap();
@@ -228,8 +227,8 @@
     let bids = [caller.next_request(&ticket), caller.next_request(&ticket)];
     let tokens = bids.clone().map(|bid| {
         let request = bid.request;
-        let told = |reply: &Packet| reply.request == request && !reply.token.is_empty();
-        caller.send_until(&bid, told).unwrap().token
+        let has_token = |reply: &Packet| reply.request == request && !reply.token.is_empty();
+        caller.send_until(&bid, has_token).unwrap().token
     });
     let crossed = caller.resend_until_final(&caller.poll(1, &tokens[1])).unwrap();
     assert_eq!(crossed, RequestOutcome::Unknown(RefusalReason::BadToken));
--- a/crates/foxledge-proofs/tests/paired_faults.rs
+++ b/crates/foxledge-proofs/tests/paired_faults.rs
@@ -1,4 +1,4 @@
-//! Promises 5 and 4 under faults in pairs, with the cut of one direction and bad links.
+//! Promises 5 and 4 under pairs of faults, including cuts in one direction and bad links.
 
 use std::time::Duration;
 
@@ -15,7 +15,8 @@
     start_fleet, ticket_home, wait_alive_count, wait_revision, wait_runs,
 };
 
-/// The home freezes while the bid runs and wakes up when it has long ended; returns the runs.
+/// Freezes the home while a bid runs, resumes it long after the end of the run, and returns the
+/// runs of the bid.
 fn freeze_after_dispatch(run_once: RunOnce) -> u32 {
     let plan = plan_fleet(2, 3).settings(&run_once.settings(FAST_DETECTION_SETTINGS));
     let mut fleet = start_fleet(plan).unwrap();
@@ -29,8 +30,11 @@
     match run_once {
         RunOnce::Off => resend_until_runs(&mut fleet, &caller, &bid, 2).unwrap(),
         RunOnce::On => {
-            let word = caller.resend_until_final(&bid).unwrap();
-            assert!(!matches!(word, RequestOutcome::NotRun(_)), "told {word:?} of a bid that ran");
+            let outcome = caller.resend_until_final(&bid).unwrap();
+            assert!(
+                !matches!(outcome, RequestOutcome::NotRun(_)),
+                "told {outcome:?} of a bid that ran"
+            );
         }
     }
     wait_alive_count(&fleet, 1 - home, 1).unwrap();
@@ -46,16 +50,15 @@
 }
 
 #[test]
-fn home_frozen_after_dispatch() {
-    // Symptom: a bid runs twice.
-    // Sequence: the home dispatches it and freezes; the caller sends it through the other
-    //   instance; the home wakes up, finds its dispatch overdue and gets a copy.
-    // Cause: the other instance places it anew, or the woken home does.
+fn bid_runs_once_when_its_home_freezes_after_dispatch() {
+    // Guards against a bid that runs twice. The home dispatches it and freezes; the caller sends it
+    // through the other instance; the home resumes, finds its dispatch overdue and gets a copy.
+    // Neither instance may place the bid again.
     assert_eq!(freeze_after_dispatch(RunOnce::Off), 2, "without the mechanism the fault shows");
     assert_eq!(freeze_after_dispatch(RunOnce::On), 1);
 }
 
-/// Home and backend server die while the bid runs; returns the runs.
+/// Kills the home and the backend server while a bid runs, and returns the runs of the bid.
 fn kill_home_and_target(run_once: RunOnce) -> u32 {
     let plan = plan_fleet(2, 3).settings(&run_once.settings(FAST_DETECTION_SETTINGS));
     let mut fleet = start_fleet(plan).unwrap();
@@ -64,12 +67,12 @@
     caller.send(&bid).unwrap();
     wait_runs(&mut fleet, caller.request_id(1), 1).unwrap();
     let stats = fleet.backend_stats().unwrap();
-    let at = stats.iter().position(|stats| stats.total_runs == 1).unwrap();
-    let dead = &mut fleet.backends[at];
+    let index = stats.iter().position(|stats| stats.total_runs == 1).unwrap();
+    let dead = &mut fleet.backends[index];
     dead.kill().unwrap();
     let name = dead.name.clone();
     fleet.kill_instance(home).unwrap();
-    // Its operators take the dead one off the list, so that the next home doesn't try it.
+    // Operators remove the dead backend server from the list, so that the next home doesn't try it.
     fleet.list.service_mut(DESK.0).unwrap().targets.retain(|target| target.name != name);
     let revision = fleet.publish().unwrap();
     wait_revision(&fleet, &[1 - home], revision).unwrap();
@@ -78,15 +81,15 @@
 }
 
 #[test]
-fn home_and_target_killed() {
-    // Symptom: a bid runs again at another backend server.
-    // Sequence: the backend server that runs it and the home are killed; the caller sends it again.
-    // Cause: nobody is left who could say that it ran.
+fn bid_runs_once_when_home_and_backend_server_are_killed() {
+    // Guards against a bid that runs again at another backend server. The backend server that runs
+    // it and the home are killed, so that no process remains that knows of the run; the caller
+    // sends the bid again.
     assert_eq!(kill_home_and_target(RunOnce::Off), 2, "without the mechanism the fault shows");
     assert_eq!(kill_home_and_target(RunOnce::On), 1);
 }
 
-/// What the home sends the other instance is cut; returns the runs.
+/// Cuts the link from the home to the other instance, and returns the runs of a bid.
 fn cut_acks(run_once: RunOnce) -> u32 {
     let plan = plan_fleet(2, 2)
         .link_mode(LinkMode::Routed)
@@ -104,10 +107,10 @@
     wait_runs(&mut fleet, caller.request_id(1), expected).unwrap();
     for _ in 0..5 {
         caller.send(&bid).unwrap();
-        let word = caller.receive_final(1, Duration::from_millis(300));
+        let outcome = caller.receive_final(1, Duration::from_millis(300));
         assert!(
-            !matches!(word, Some(RequestOutcome::NotRun(_))),
-            "told {word:?} of a bid that ran"
+            !matches!(outcome, Some(RequestOutcome::NotRun(_))),
+            "told {outcome:?} of a bid that ran"
         );
     }
     complete_marker(&fleet, &[0, 1], 1).unwrap();
@@ -116,15 +119,16 @@
 
 #[test]
 fn cut_one_way() {
-    // Symptom: a bid runs twice.
-    // Sequence: what the home sends the entry instance is cut, the other direction is open: the
-    //   bid arrives at the home, its ack doesn't come back.
-    // Cause: the entry instance takes the silence for a lost packet and admits the bid itself.
+    // Guards against a bid that runs twice. Packets from the home to the entry instance are cut
+    // while the opposite direction works: the bid arrives at the home, but its acknowledgement
+    // doesn't return. The entry instance must not take the silence for a lost packet and admit the
+    // bid itself.
     assert_eq!(cut_acks(RunOnce::Off), 2, "without the mechanism the fault shows");
     assert_eq!(cut_acks(RunOnce::On), 1);
 }
 
-/// Load over bad links while a home freezes and another dies; returns the verdict.
+/// Runs a load over bad links while one home freezes and another is killed, and returns the
+/// verdict.
 fn load_over_bad_links(run_once: RunOnce) -> Verdict {
     let settings = run_once.settings("[flow]\nticket_ms = 2000\n");
     let plan = plan_fleet(4, 3).link_mode(LinkMode::Routed).settings(&settings);
@@ -137,9 +141,9 @@
         delay_max_ms: 30,
         ..PacketFaults::default()
     };
-    let copies = PacketFaults { duplicate: 0.5, ..PacketFaults::default() };
+    let duplicates = PacketFaults { duplicate: 0.5, ..PacketFaults::default() };
     fleet.links.as_ref().unwrap().client().set_link_faults("toledo*", "toledo*", bad).unwrap();
-    fleet.fabrics[0].client.set_faults(FaultWays::Forward, copies).unwrap();
+    fleet.fabrics[0].client.set_faults(FaultWays::Forward, duplicates).unwrap();
     let load =
         fleet.plan_caller(DESK.0, MEMBER, TrafficKind::Bid).unwrap().rate(100.0).seconds(7.0);
     let caller = fleet.start_caller(CENTRE, &load.argument("--deadline-ms=3000")).unwrap();
@@ -165,13 +169,13 @@
 }
 
 #[test]
-fn bad_links_under_load() {
-    // Symptom: bids run twice, or ran though they were refused as "not run".
-    // Sequence: under load, packets between instances are lost, doubled and late, those of callers
-    //   are doubled; then a home freezes and wakes up, and the next one is killed.
-    // Cause: any copy or late forwarding that is taken for new work.
-    let without = load_over_bad_links(RunOnce::Off);
-    assert!(!without.doubled.is_empty(), "without the mechanism the fault shows");
-    let with = load_over_bad_links(RunOnce::On);
-    assert!(with.is_clean(), "{with:?}");
+fn bids_run_once_over_bad_links_under_load() {
+    // Guards against bids that run twice, or that ran but were refused as "not run". Under load,
+    // packets between instances are lost, duplicated and delayed, and those of callers are
+    // duplicated; then a home freezes and resumes, and the next one is killed. Copies and late
+    // forwarded packets must not be taken for new work.
+    let unprotected = load_over_bad_links(RunOnce::Off);
+    assert!(!unprotected.doubled.is_empty(), "without the mechanism the fault shows");
+    let protected = load_over_bad_links(RunOnce::On);
+    assert!(protected.is_clean(), "{protected:?}");
 }
--- a/crates/foxledge-proofs/tests/peer_views.rs
+++ b/crates/foxledge-proofs/tests/peer_views.rs
@@ -1,4 +1,4 @@
-//! What instances believe of each other, against a listing that misleads, deaths and freezes.
+//! The instances' views of each other with misleading listings, killed and frozen instances.
 
 use std::time::{Duration, Instant};
 
@@ -17,17 +17,19 @@
     request_helpers::{CENTRE, DESK, MEMBER, ManualCaller, WIDE_LIMIT, plan_fleet, ticket_home},
 };
 
-/// Wide limit for admission to be back after a home's death; a second is aimed at.
-const BACK_LIMIT: Duration = Duration::from_secs(3);
-/// Runs after which admission counts as back: more than what was on its way to backend servers.
-const BACK_RUNS: u64 = 15;
-/// The instances of a fleet of three.
-const ALL: [&str; 3] = ["toledo-1", "toledo-2", "toledo-3"];
-/// Bids a second.
-const RATE: f64 = 80.0;
+/// The generous limit until bids are admitted again after the death of a home; the target is one
+/// second.
+const RECOVERY_LIMIT: Duration = Duration::from_secs(3);
+/// The number of runs that shows that bids are admitted again; it exceeds the number of bids on
+/// their way to backend servers.
+const RECOVERY_RUNS: u64 = 15;
+/// The names of the instances of a fleet of three.
+const ALL_INSTANCES: [&str; 3] = ["toledo-1", "toledo-2", "toledo-3"];
+/// The rate of bids, per second.
+const BIDS_PER_S: f64 = 80.0;
 
-/// Waits until an instance takes just these peers for living, itself included.
-fn wait_living(fleet: &TestFleet, index: usize, expected: &[&str]) -> Result<()> {
+/// Waits until an instance takes exactly these peers for alive or suspect, including itself.
+fn wait_not_dead(fleet: &TestFleet, index: usize, expected: &[&str]) -> Result<()> {
     let instance = &fleet.instances[index];
     wait_until_ok(&format!("peers of {}", instance.name), WIDE_LIMIT, || {
         let seen = peers_in_states(instance, &["alive", "suspect"])?;
@@ -36,7 +38,7 @@
     })
 }
 
-/// Fails unless bids are all served.
+/// Fails unless all bids of a short load are served.
 fn ensure_served(fleet: &mut TestFleet, name: &str) -> Result<()> {
     let plan = fleet.plan_caller(DESK.0, MEMBER, TrafficKind::Bid)?.name(name).seconds(2.0);
     let report = fleet.run_caller(CENTRE, &plan, WIDE_LIMIT)?;
@@ -44,19 +46,18 @@
     ensure_clean(&fleet.judge(&[report])?)
 }
 
-/// Symptom: all instances are dropped at once because the platform lists none.
-/// Sequence: the listing becomes empty; an instance that reads it says so in its audit trail.
-/// Cause: a listing believed against the answers of those it leaves out.
+/// Guards against the removal of all instances at once because the platform's listing is empty,
+/// although they respond. An instance that reads the empty listing records it in its audit trail.
 #[test]
-fn listing_emptied() -> Result<()> {
+fn empty_listing_removes_no_live_instance() -> Result<()> {
     let mut fleet = LimitedFleet::start(plan_fleet(3, 2))?;
-    let all = ALL;
+    let all = ALL_INSTANCES;
     wait_until_ok("an instance has read the whole listing", WIDE_LIMIT, || {
         let reads = fleet.platform.client.report()?.total().calls;
         ensure!(reads > 0, "no reads");
         (0..3).try_for_each(|index| wait_alive(&fleet, index, &all))
     })?;
-    // A reader that hasn't seen the listing before can't see it shrink.
+    // An instance must have read the whole listing before it can notice that it has shrunk.
     let mut emptied = false;
     wait_until_ok("the shrinking is noticed", WIDE_LIMIT, || {
         if emptied {
@@ -82,12 +83,10 @@
     ensure_served(&mut fleet, "after-emptying")
 }
 
-/// Symptom: bids are sent to instances that are long gone.
-/// Sequence: before the instances start, the platform lists six more that don't exist, and goes on
-/// to do so; one of the real ones isn't listed at all.
-/// Cause: a listing believed without an answer.
+/// Guards against bids that are sent to instances which no longer exist. Before an instance starts,
+/// the platform lists six that don't exist and none of the real ones, and continues to do so.
 #[test]
-fn listing_of_the_gone() -> Result<()> {
+fn listed_instances_that_do_not_exist_get_no_bids() -> Result<()> {
     let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let mut members = Vec::new();
     for number in 1..=6 {
@@ -101,7 +100,7 @@
         });
     }
     fleet.platform.client.publish_members(members)?;
-    // The third instance reads that listing, which names none of the others.
+    // The third instance reads this listing, which names none of the real instances.
     let third = fleet.spawn_instance(CENTRE)?;
     fleet.instances[third].wait_ready(WIDE_LIMIT)?;
     fleet.update_fabrics()?;
@@ -111,11 +110,10 @@
     ensure_served(&mut fleet, "beside-the-gone")
 }
 
-/// Symptom: a listing that lags leads to instances that have died, or away from new ones.
-/// Sequence: the listing stays as it was while an instance is killed and another one starts.
-/// Cause: a listing believed against what answers.
+/// Guards against an outdated listing that leads to dead instances or hides new ones. The listing
+/// stays the same while an instance is killed and another one starts.
 #[test]
-fn listing_lags() -> Result<()> {
+fn outdated_listing_does_not_mislead() -> Result<()> {
     let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let third = fleet.spawn_instance(CENTRE)?;
     fleet.instances[third].wait_ready(WIDE_LIMIT)?;
@@ -129,23 +127,23 @@
     ensure_served(&mut fleet, "after-the-death")
 }
 
-/// Index of the auction desk's home, once all three instances agree on who lives.
+/// Returns the index of the auction desk's home when all three instances see each other alive.
 fn find_home(fleet: &TestFleet) -> Result<usize> {
     for index in 0..3 {
-        wait_alive(fleet, index, &ALL)?;
+        wait_alive(fleet, index, &ALL_INSTANCES)?;
     }
     let ticket = ManualCaller::new(fleet, DESK, 1)?.obtain_ticket()?;
     ticket_home(fleet, &ticket)
 }
 
-/// Kills the home of the auction desk under load; how long until bids run again.
+/// Kills the home of the auction desk under load, and returns the time until bids run again.
 fn kill_home(fleet: &mut LimitedFleet) -> Result<Duration> {
     let home = find_home(fleet)?;
-    let bids = start_bids(fleet, CENTRE, RATE)?;
+    let bids = start_bids(fleet, CENTRE, BIDS_PER_S)?;
     wait_more_runs(fleet, 40)?;
     fleet.kill_instance(home)?;
     let died_at = Instant::now();
-    let goal = total_runs(fleet)? + BACK_RUNS;
+    let goal = total_runs(fleet)? + RECOVERY_RUNS;
     wait_until_ok("bids run again", WIDE_LIMIT, || {
         let runs = total_runs(fleet)?;
         ensure!(runs >= goal, "{runs} of {goal}");
@@ -161,51 +159,48 @@
     Ok(took)
 }
 
-/// Symptom: nobody can bid for seconds after one instance died.
-/// Sequence: the home of the auction desk is killed under load.
-/// Cause: instances that wait until the home counts as dead.
+/// Guards against bids that fail for seconds because instances wait until the killed home counts as
+/// dead. The home of the auction desk is killed under load.
 #[test]
-fn home_killed() -> Result<()> {
+fn bids_resume_soon_after_a_home_is_killed() -> Result<()> {
     let mut fleet = LimitedFleet::start(plan_fleet(3, 2))?;
     let took = kill_home(&mut fleet)?;
-    ensure!(took < BACK_LIMIT, "{took:?}");
+    ensure!(took < RECOVERY_LIMIT, "{took:?}");
     Ok(())
 }
 
-/// As above, with the passing over of silent homes switched off.
+/// Shows that bids resume late if skipping unresponsive homes is disabled.
 #[test]
-fn home_not_passed_over() -> Result<()> {
+fn bids_wait_for_the_death_of_a_home_that_is_not_skipped() -> Result<()> {
     let settings = "[trial]\npass_over_homes = false\n[peers]\ndead_after_ms = 6000\n";
     let plan: FleetPlan = plan_fleet(3, 2).settings(settings);
     let mut fleet = LimitedFleet::start(plan)?;
     let took = kill_home(&mut fleet)?;
-    ensure!(took > BACK_LIMIT, "back after {took:?}, so the mechanism wasn't what mattered");
+    ensure!(took > RECOVERY_LIMIT, "back after {took:?}, so the mechanism wasn't what mattered");
     Ok(())
 }
 
-/// Symptom: nobody can bid while one instance is frozen, or all take each other for dead when it
-/// wakes.
-/// Sequence: the home of the auction desk is frozen under load until it counts as dead, and woken.
-/// The same again.
-/// Cause: a process that wakes late believes what was true before.
+/// Guards against bids that fail while one instance is frozen, and instances that take each other
+/// for dead when it resumes with outdated state. The home of the auction desk is frozen under load
+/// until it counts as dead, and resumed, twice.
 #[test]
-fn home_frozen_twice() -> Result<()> {
+fn bids_resume_while_a_home_is_frozen() -> Result<()> {
     let mut fleet = LimitedFleet::start(plan_fleet(3, 2))?;
-    let all = ALL;
+    let all = ALL_INSTANCES;
     let home = find_home(&fleet)?;
     let others: Vec<_> =
         all.iter().copied().filter(|name| *name != fleet.instances[home].name).collect();
-    let bids = start_bids(&fleet, CENTRE, RATE)?;
+    let bids = start_bids(&fleet, CENTRE, BIDS_PER_S)?;
     for _ in 0..2 {
         wait_more_runs(&mut fleet, 40)?;
         fleet.instances[home].process.freeze()?;
         let frozen_at = Instant::now();
-        wait_more_runs(&mut fleet, BACK_RUNS)?;
+        wait_more_runs(&mut fleet, RECOVERY_RUNS)?;
         let took = frozen_at.elapsed();
         println!("back after {took:?}");
-        ensure!(took < BACK_LIMIT, "back after {took:?}");
+        ensure!(took < RECOVERY_LIMIT, "back after {took:?}");
         for index in (0..3).filter(|index| *index != home) {
-            wait_living(&fleet, index, &others)?;
+            wait_not_dead(&fleet, index, &others)?;
         }
         fleet.instances[home].process.wake()?;
         for index in 0..3 {
--- a/crates/foxledge-proofs/tests/planned_stop.rs
+++ b/crates/foxledge-proofs/tests/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts no bid, claim or upload, and issues nothing new.
+//! A planned stop interrupts no bid, claim or upload, and issues no new tickets.
 
 use std::time::Duration;
 
@@ -21,12 +21,12 @@
     },
 };
 
-/// Bids a second of which some wait at their home: it has slots for ten.
-const QUEUED_RATE: f64 = 14.0;
-/// How long a caller waits for the end of a queued bid, in milliseconds.
-const PATIENCE_MS: &str = "8000";
+/// The rate of bids, per second, at which some are queued at their home: there are slots for ten.
+const QUEUED_BIDS_PER_S: f64 = 14.0;
+/// The deadline of a queued bid, in milliseconds.
+const BID_DEADLINE_MS: &str = "8000";
 
-/// A fleet whose auction desk is so slow that bids wait at their home.
+/// Returns the plan of a fleet whose auction desk is so slow that bids are queued at their home.
 fn plan_slow(instances: usize) -> FleetPlan {
     let size = ServiceSize { work_ms: 200, ..ServiceSize::targets(1) };
     FleetPlan::new()
@@ -35,10 +35,14 @@
         .member(MemberPlan::open(MEMBER))
 }
 
-/// Replaces both instances of a fleet while bids run and wait, and returns the callers' report.
-fn replace_loaded(fleet: &mut LimitedFleet) -> Result<LoadReport> {
+/// Replaces both instances of a fleet while bids run and are queued, and returns the load report.
+fn replace_under_load(fleet: &mut LimitedFleet) -> Result<LoadReport> {
     let plan = fleet.plan_caller(DESK.0, MEMBER, TrafficKind::Bid)?;
-    let plan = plan.rate(QUEUED_RATE).seconds(60.0).argument("--deadline-ms").argument(PATIENCE_MS);
+    let plan = plan
+        .rate(QUEUED_BIDS_PER_S)
+        .seconds(60.0)
+        .argument("--deadline-ms")
+        .argument(BID_DEADLINE_MS);
     let bids = fleet.start_caller(CENTRE, &plan)?;
     wait_more_runs(fleet, 20)?;
     for index in 0..2 {
@@ -48,36 +52,34 @@
     stop_load(bids)
 }
 
-/// Symptom: each time an instance is replaced, callers are told of bids that nobody knows of.
-/// Sequence: under a load that keeps bids waiting at their home, both instances are replaced.
-/// Cause: a home that ended took the bids along that waited there.
+/// Guards against queued bids whose outcome is unknown because their home has stopped. Under a load
+/// that keeps bids queued, both instances are replaced.
 #[test]
-fn queued_bids_finish() -> Result<()> {
+fn queued_bids_finish_when_their_home_stops() -> Result<()> {
     let mut fleet = LimitedFleet::start(plan_slow(2))?;
-    let report = replace_loaded(&mut fleet)?;
+    let report = replace_under_load(&mut fleet)?;
     println!("{} offered, {} served, {:?}", report.offered, report.served, report.refused);
     ensure!(report.unknown == 0, "{} unknown: {:?}", report.unknown, report.refused);
     ensure!(report.served > 0, "{report:?}");
     ensure_clean(&fleet.judge(&[report])?)
 }
 
-/// As above, with the graceful stop switched off.
+/// Shows that bids are lost in the same situation if the graceful stop is disabled.
 #[test]
-fn stop_cuts_bids() -> Result<()> {
+fn bids_are_lost_without_the_graceful_stop() -> Result<()> {
     let plan = plan_slow(2).settings("[trial]\ngraceful_stop = false\n");
     let mut fleet = LimitedFleet::start(plan)?;
-    let report = replace_loaded(&mut fleet)?;
+    let report = replace_under_load(&mut fleet)?;
     println!("{} offered, {} unknown, {:?}", report.offered, report.unknown, report.refused);
     ensure!(report.unknown > 0, "nothing was cut: {report:?}");
     Ok(())
 }
 
-/// Symptom: uploads and bids fail while a fleet is replaced, one instance after the other.
-/// Sequence: bids and uploads arrive all the time; an instance is added; all that were there are
+/// Guards against uploads and bids that fail while instances are replaced, because only an instance
+/// that has stopped knew the route of an upload. Bids and uploads arrive while all instances are
 /// replaced one by one.
-/// Cause: an upload's way was known to an instance that has left.
 #[test]
-fn uploads_finish() -> Result<()> {
+fn uploads_finish_while_instances_are_replaced() -> Result<()> {
     let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
     let loads = [start_bids(&fleet, CENTRE, 40.0)?, start_uploads(&fleet, CENTRE, 4.0)?];
     wait_more_runs(&mut fleet, 20)?;
@@ -94,12 +96,11 @@
     ensure_clean(&fleet.judge(&reports)?)
 }
 
-/// Symptom: bids end unknown when an instance and a backend server leave at the same time.
-/// Sequence: under load a backend server is published as draining and stops as planned, while both
-/// instances are replaced.
-/// Cause: what one leaver knew of the other went with it.
+/// Guards against bids whose outcome is unknown because an instance and a backend server stop at
+/// the same time, each with state about the other. Under load a backend server is published as
+/// draining and stops as planned, while both instances are replaced.
 #[test]
-fn both_leave() -> Result<()> {
+fn bids_finish_when_instance_and_backend_server_stop() -> Result<()> {
     let mut fleet = LimitedFleet::start(plan_fleet(2, 3))?;
     let loads = [start_bids(&fleet, CENTRE, 40.0)?, start_uploads(&fleet, CENTRE, 4.0)?];
     wait_more_runs(&mut fleet, 20)?;
@@ -121,13 +122,11 @@
     Ok(())
 }
 
-/// Symptom: bids end unknown when an instance stops that another one can't reach.
-/// Sequence: under load the network between two of three instances is cut, then each of the two is
-/// replaced.
-/// Cause: a leaving home whose word doesn't reach all, and that stops before its tickets have run
-/// out.
+/// Guards against bids whose outcome is unknown because a home stops before its tickets have
+/// expired while its announcements don't reach all instances. Under load the network between two of
+/// three instances is cut, and each of the two is replaced.
 #[test]
-fn stop_during_cut() -> Result<()> {
+fn bids_finish_when_an_unreachable_instance_stops() -> Result<()> {
     let mut fleet = LimitedFleet::start(plan_fleet(3, 2).link_mode(LinkMode::Routed))?;
     let bids = start_bids(&fleet, CENTRE, 40.0)?;
     wait_more_runs(&mut fleet, 20)?;
@@ -143,28 +142,28 @@
     ensure_clean(&fleet.judge(&[report])?)
 }
 
-/// Symptom: an instance that was asked to stop goes on for ever, as it gets new tickets out.
-/// Sequence: an instance that has issued a ticket is asked to stop, twice; the fabric sprays only
-/// to it; callers ask for tickets, and one uses the ticket that it has.
-/// Cause: a leaving instance that still admits.
+/// Guards against an instance that never stops because it still issues tickets while it is leaving.
+/// An instance that has issued a ticket is told to stop, twice, while the fabric sends packets only
+/// to it; callers request tickets, and one uses the ticket that it has.
 #[test]
-fn nothing_new_issued() -> Result<()> {
+fn leaving_instance_issues_no_tickets() -> Result<()> {
     let mut fleet = LimitedFleet::start(plan_fleet(2, 2).settings("[stop]\nlimit_ms = 20000\n"))?;
-    let mut holder = ManualCaller::new(&fleet, DESK, 1)?;
-    let ticket = holder.obtain_ticket()?;
+    let mut ticket_owner = ManualCaller::new(&fleet, DESK, 1)?;
+    let ticket = ticket_owner.obtain_ticket()?;
     let home = ticket_home(&fleet, &ticket)?;
-    let stayer = other_running(&mut fleet, home)[0];
+    let remaining = other_running(&mut fleet, home)[0];
     set_fabric_instances(&fleet, &[home])?;
     fleet.instances[home].process.terminate()?;
     fleet.instances[home].process.wait_log("\"serving\" to \"leaving\"", WIDE_LIMIT)?;
     fleet.instances[home].process.terminate()?;
 
-    // Its own ticket is still good.
-    let bid = holder.next_request(&ticket);
-    let word = holder.complete_request(&bid, DESK.0)?;
-    ensure!(word == RequestOutcome::Answered, "the bid was told {word:?}");
+    // A ticket that the leaving instance issued before is still valid.
+    let bid = ticket_owner.next_request(&ticket);
+    let outcome = ticket_owner.complete_request(&bid, DESK.0)?;
+    ensure!(outcome == RequestOutcome::Answered, "the bid was told {outcome:?}");
 
-    // New tickets come from the instance that stays, though asked for at the one that leaves.
+    // New tickets come from the remaining instance, although they are requested from the leaving
+    // one.
     let mut asked = 0;
     while read_status(&fleet.instances[home]).is_ok() && asked < 20 {
         asked += 1;
@@ -173,7 +172,7 @@
         caller.send(&caller.ticket_request())?;
         let Some(grant) = caller.receive(Duration::from_millis(500), grants) else { continue };
         let issuer = ticket_home(&fleet, &grant.ticket)?;
-        ensure!(issuer == stayer, "a leaving instance issued a ticket");
+        ensure!(issuer == remaining, "a leaving instance issued a ticket");
     }
     ensure!(asked > 0, "it ended before it could be asked");
     let status = fleet.instances[home].process.wait_exit(WIDE_LIMIT)?;
@@ -183,12 +182,11 @@
     Ok(())
 }
 
-/// Symptom: a stop that takes too long ends without a word of what it left.
-/// Sequence: an upload's backend server is very slow; its home is asked to stop, and its limit
-/// passes before the end.
-/// Cause: a stop without a limit, or one that doesn't say what it gave up.
+/// Guards against a stop without a time limit, and one that doesn't record what it abandoned. The
+/// backend server of an upload is very slow, and its home reaches the limit of the stop before the
+/// upload ends.
 #[test]
-fn limit_audited() -> Result<()> {
+fn stop_at_its_limit_is_audited() -> Result<()> {
     let plan = plan_fleet(2, 1).settings("[flow]\nticket_ms = 500\n[stop]\nlimit_ms = 2000\n");
     let mut fleet = LimitedFleet::start(plan)?;
     let slow = fleet.backends.iter().position(|backend| backend.service == INTAKE.0).unwrap();
--- a/crates/foxledge-proofs/tests/right_service.rs
+++ b/crates/foxledge-proofs/tests/right_service.rs
@@ -1,4 +1,4 @@
-//! Promise 2: a packet never reaches another service, also after an address was reused.
+//! Promise 2: a packet never reaches another service, not even after an address is reused.
 
 use std::{collections::HashSet, time::Duration};
 
@@ -16,10 +16,10 @@
 };
 use foxledge_wire::flow::{Packet, PacketKind, RefusalReason};
 
-const PATIENT: &str = "[desk]\nack_ms = 1000\n";
+const ACK_TIMEOUT_SETTINGS: &str = "[desk]\nack_ms = 1000\n";
 
-/// Kills the newest backend server of that name and starts one of `service` at its address, then
-/// publishes both; returns the revision and the new one's index.
+/// Kills the newest backend server named `old`, starts one of `service` at its address and
+/// publishes both changes. Returns the revision and the index of the new backend server.
 fn reuse_address(
     fleet: &mut LimitedFleet,
     old: &str,
@@ -47,31 +47,32 @@
     (fleet.publish().unwrap(), index)
 }
 
-/// A bid that is answered by the backend server of that name, and the token of the answer.
-fn bid_at(fleet: &LimitedFleet, target: &str) -> (ManualCaller, Vec<u8>) {
+/// Makes bids until the backend server named `target` answers one. Returns a caller with the same
+/// identity, and the token of the answer.
+fn bid_served_by(fleet: &LimitedFleet, target: &str) -> (ManualCaller, Vec<u8>) {
     let address = fleet.backends.iter().find(|known| known.name == target).unwrap().address;
     for number in 0..200 {
         let mut caller = ManualCaller::new(fleet, DESK, number).unwrap();
         let bid = caller.next_request(&caller.obtain_ticket().unwrap());
         let answer = caller.send_until(&bid, |reply| reply.kind() == PacketKind::Answer).unwrap();
-        if token_names(fleet, &answer, &address.to_string()) {
-            // From a new socket, which nothing of this answer reaches any more.
-            let mut fresh = ManualCaller::new(fleet, DESK, number).unwrap();
-            fresh.identity = caller.identity;
-            return (fresh, answer.token);
+        if has_target_address(fleet, &answer, &address.to_string()) {
+            // A new socket doesn't receive remaining parts of this answer.
+            let mut new_caller = ManualCaller::new(fleet, DESK, number).unwrap();
+            new_caller.identity = caller.identity;
+            return (new_caller, answer.token);
         }
     }
     panic!("no bid went to {target}");
 }
 
-fn token_names(fleet: &LimitedFleet, answer: &Packet, address: &str) -> bool {
+fn has_target_address(fleet: &LimitedFleet, answer: &Packet, address: &str) -> bool {
     let ring = foxledge_proofs::request_helpers::published_keys(fleet);
     let token = foxledge_seal::seals::open_token(&ring, &answer.token).unwrap();
     token.target_address == address
 }
 
-/// Polls by an old token through each instance; returns how many packets the new owner of the
-/// address got that named another.
+/// Polls by an old token through each instance. Returns the number of packets for another backend
+/// server that the new owner of the address received.
 fn poll_old_token(
     fleet: &mut LimitedFleet,
     caller: &ManualCaller,
@@ -82,44 +83,48 @@
     let before = fleet.backends[owner].stats().unwrap().wrong_target;
     for index in [0, 1] {
         set_fabric_instances(fleet, &[index]).unwrap();
-        let word = caller.resend_until_final(&caller.poll(1, token)).unwrap();
-        assert_eq!(word, RequestOutcome::Unknown(RefusalReason::WrongTarget));
+        let outcome = caller.resend_until_final(&caller.poll(1, token)).unwrap();
+        assert_eq!(outcome, RequestOutcome::Unknown(RefusalReason::WrongTarget));
     }
     fleet.backends[owner].stats().unwrap().wrong_target - before
 }
 
-/// `OwnerCheck` is whether an instance asks who owns the address that a token names.
+/// Whether instances check that the address in a token still belongs to the same backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OwnerCheck {
-    /// As it is served.
+    /// Enabled, as in production.
     On,
-    /// Only to show that the fault is there.
+    /// Disabled, to show that the fault occurs without the check.
     Off,
 }
 
-/// The address goes to another service and back; returns what reached the wrong process each time.
+/// Moves an address to another service and back. Returns the number of packets that reached the
+/// wrong process after each move.
 fn reuse_twice(check: OwnerCheck) -> [u64; 2] {
     let is_on = check == OwnerCheck::On;
-    let settings = format!("{PATIENT}[trial]\ncheck_target_owner = {is_on}\n");
+    let settings = format!("{ACK_TIMEOUT_SETTINGS}[trial]\ncheck_target_owner = {is_on}\n");
     let mut fleet = start_fleet(plan_fleet(2, 2).settings(&settings)).unwrap();
-    let (caller, token) = bid_at(&fleet, "auction-desk-toledo-1");
+    let (caller, token) = bid_served_by(&fleet, "auction-desk-toledo-1");
     let (revision, owner) = reuse_address(&mut fleet, "auction-desk-toledo-1", INTAKE, "second");
     wait_revision(&fleet, &[0, 1], revision).unwrap();
     let first = poll_old_token(&mut fleet, &caller, &token, owner);
-    // The same service again, but not the process that the token names.
+    // The service is the same again, but not the process that the token names.
     let (revision, owner) = reuse_address(&mut fleet, "second", DESK, "third");
     wait_revision(&fleet, &[0, 1], revision).unwrap();
     [first, poll_old_token(&mut fleet, &caller, &token, owner)]
 }
 
 #[test]
-fn address_reused_twice() {
-    // Symptom: a bidder's packet arrives at lot intake's backend server.
-    // Sequence: the backend server that a flow token names dies; its address goes to a process of
-    //   another service, and later to a new process of the first one; the caller polls by the token.
-    // Cause: the token leads to an address, and nobody asks who owns that now.
-    let without = reuse_twice(OwnerCheck::Off);
-    assert!(without[0] >= 2 && without[1] >= 2, "without the mechanism it shows: {without:?}");
+fn token_of_a_reused_address_is_refused() {
+    // Guards against packets that reach a backend server of another service. The backend server
+    // that a flow token names dies; its address goes to a process of another service, and later to
+    // a new process of the first one. The caller then polls by the token, which leads to the
+    // address only.
+    let unprotected = reuse_twice(OwnerCheck::Off);
+    assert!(
+        unprotected[0] >= 2 && unprotected[1] >= 2,
+        "without the mechanism it shows: {unprotected:?}"
+    );
     assert_eq!(reuse_twice(OwnerCheck::On), [0, 0]);
 }
 
@@ -140,13 +145,14 @@
     lists.into_iter().flatten().copied().collect()
 }
 
-/// Asserts that no backend server ran a request that was meant for the other service.
-fn assert_no_strangers(fleet: &mut LimitedFleet, desk: &LoadReport, intake: &LoadReport) {
+/// Asserts that no backend server ran a request for the other service.
+fn assert_no_wrong_service(fleet: &mut LimitedFleet, desk: &LoadReport, intake: &LoadReport) {
     let (desk_ids, intake_ids) = (ids_of(desk), ids_of(intake));
     for stats in fleet.backend_stats().unwrap() {
         let strangers = if stats.service == DESK.0 { &intake_ids } else { &desk_ids };
-        let met: Vec<_> = stats.runs.iter().filter(|run| strangers.contains(&run.id)).collect();
-        assert!(met.is_empty(), "{} ran {met:?}", stats.name);
+        let foreign_runs: Vec<_> =
+            stats.runs.iter().filter(|run| strangers.contains(&run.id)).collect();
+        assert!(foreign_runs.is_empty(), "{} ran {foreign_runs:?}", stats.name);
     }
     let verdict = fleet.judge(&[desk.clone(), intake.clone()]).unwrap();
     assert!(verdict.is_clean(), "{verdict:?}");
@@ -165,16 +171,14 @@
 }
 
 #[test]
-fn stale_instance() {
-    // Symptom: an instance with an old list hands bids to lot intake's backend server, which
-    //   answers them.
-    // Sequence: one instance is cut off from peers and platform; a backend server of the desk
-    //   dies and its address goes to lot intake; both instances go on taking bids and lots.
-    // Cause: the cut-off instance can't know; only naming service and process in each packet
-    //   lets the new owner refuse it.
-    let plan = plan_fleet(2, 3).link_mode(LinkMode::Routed).settings(PATIENT);
+fn wrong_service_refuses_work_by_a_stale_list() {
+    // Guards against bids that are answered by a backend server of another service. One instance is
+    // cut off from peers and platform, and an address moves from one service to the other. The
+    // instance can't know of it, so that the new owner must refuse the work by the service and
+    // process that each packet names.
+    let plan = plan_fleet(2, 3).link_mode(LinkMode::Routed).settings(ACK_TIMEOUT_SETTINGS);
     let mut fleet = start_fleet(plan).unwrap();
-    let (caller, token) = bid_at(&fleet, "auction-desk-toledo-1");
+    let (caller, token) = bid_served_by(&fleet, "auction-desk-toledo-1");
     let names = [fleet.instances[0].name.clone(), fleet.instances[1].name.clone()];
     fleet.links.as_ref().unwrap().cut(&names[0], &names[1]).unwrap();
     let old = fleet.platform.client.report().unwrap().revision;
@@ -185,9 +189,9 @@
     let desk = load(&fleet, DESK.0, "bids", 60.0);
     let intake = load(&fleet, INTAKE.0, "lots", 30.0);
     for _ in 0..10 {
-        // A resend reaches the stale instance sooner or later.
-        let word = caller.resend_until_final(&caller.poll(1, &token)).unwrap();
-        assert_eq!(word, RequestOutcome::Unknown(RefusalReason::WrongTarget));
+        // One of the retransmissions reaches the stale instance.
+        let outcome = caller.resend_until_final(&caller.poll(1, &token)).unwrap();
+        assert_eq!(outcome, RequestOutcome::Unknown(RefusalReason::WrongTarget));
     }
     let desk = desk.finish(WIDE_LIMIT).unwrap();
     let intake = intake.finish(WIDE_LIMIT).unwrap();
@@ -195,17 +199,15 @@
     assert!(metric < revision as f64, "the cut-off instance kept the old list");
     let refused = fleet.backends[owner].stats().unwrap().wrong_target;
     assert!(refused > 0, "the cut-off instance did try the old address");
-    assert_no_strangers(&mut fleet, &desk, &intake);
+    assert_no_wrong_service(&mut fleet, &desk, &intake);
 }
 
 #[test]
-fn reuse_under_load() {
-    // Symptom: an answer of another service, or a run at a stranger's.
-    // Sequence: under load of both services, an instance freezes; a backend server of the desk
-    //   dies and its address goes to lot intake; another instance is killed; the frozen one wakes
-    //   up with its old list and what waits in its sockets.
-    // Cause: what was decided under the old list is carried out after the address changed hands.
-    let mut fleet = start_fleet(plan_fleet(4, 3).settings(PATIENT)).unwrap();
+fn address_reuse_under_load_reaches_no_wrong_service() {
+    // Guards against answers or runs of another service under load. An instance freezes; a backend
+    // server dies and its address goes to the other service; another instance is killed; the frozen
+    // one resumes with its old list and the packets in its socket buffers.
+    let mut fleet = start_fleet(plan_fleet(4, 3).settings(ACK_TIMEOUT_SETTINGS)).unwrap();
     let desk = load(&fleet, DESK.0, "bids", 60.0);
     let intake = load(&fleet, INTAKE.0, "lots", 20.0);
     std::thread::sleep(Duration::from_secs(1));
@@ -218,5 +220,5 @@
     wait_revision(&fleet, &[0], revision).unwrap();
     let desk = desk.finish(WIDE_LIMIT).unwrap();
     let intake = intake.finish(WIDE_LIMIT).unwrap();
-    assert_no_strangers(&mut fleet, &desk, &intake);
+    assert_no_wrong_service(&mut fleet, &desk, &intake);
 }
--- a/crates/foxledge-proofs/tests/run_once.rs
+++ b/crates/foxledge-proofs/tests/run_once.rs
@@ -15,11 +15,11 @@
 };
 use foxledge_wire::flow::RefusalReason;
 
-/// Life of a ticket that runs out while its home is frozen.
+/// The lifetime of a ticket that expires while its home is frozen.
 const SHORT_TICKET_MS: u64 = 1500;
 
-/// Two halves that hold each other for dead get a copy each; returns the runs.
-fn split_views(run_once: RunOnce) -> u32 {
+/// Sends a bid to both of two instances that take each other for dead, and returns its runs.
+fn run_with_split_views(run_once: RunOnce) -> u32 {
     let plan = plan_fleet(2, 2)
         .link_mode(LinkMode::Routed)
         .settings(&run_once.settings(FAST_DETECTION_SETTINGS));
@@ -30,16 +30,17 @@
     fleet.links.as_ref().unwrap().cut(&left, &right).unwrap();
     wait_alive_count(&fleet, 0, 1).unwrap();
     wait_alive_count(&fleet, 1, 1).unwrap();
-    let both = PacketFaults { duplicate: 1.0, ..PacketFaults::default() };
-    fleet.fabrics[0].client.set_faults(FaultWays::Forward, both).unwrap();
-    // The ticket may have run out meanwhile; with the mechanism on it would then run nowhere.
+    let duplicate_all = PacketFaults { duplicate: 1.0, ..PacketFaults::default() };
+    fleet.fabrics[0].client.set_faults(FaultWays::Forward, duplicate_all).unwrap();
+    // The ticket may have expired in the meantime, and the bid would then not run at all if
+    // the mechanism is enabled.
     let ticket = match run_once {
         RunOnce::On => {
             let home = ticket_home(&fleet, &ticket).unwrap();
             set_fabric_instances(&fleet, &[home]).unwrap();
-            let fresh = caller.obtain_ticket().unwrap();
+            let new_caller = caller.obtain_ticket().unwrap();
             set_fabric_instances(&fleet, &[0, 1]).unwrap();
-            fresh
+            new_caller
         }
         RunOnce::Off => ticket,
     };
@@ -49,10 +50,10 @@
     wait_runs(&mut fleet, caller.request_id(1), expected).unwrap();
     for _ in 0..5 {
         caller.send(&bid).unwrap();
-        let word = caller.receive_final(1, Duration::from_secs(1));
+        let outcome = caller.receive_final(1, Duration::from_secs(1));
         assert!(
-            !matches!(word, Some(RequestOutcome::NotRun(_))),
-            "told {word:?} of a bid that ran"
+            !matches!(outcome, Some(RequestOutcome::NotRun(_))),
+            "told {outcome:?} of a bid that ran"
         );
     }
     fleet.fabrics[0].client.clear().unwrap();
@@ -61,16 +62,16 @@
 }
 
 #[test]
-fn split_views_and_copies() {
-    // Symptom: a bid runs twice.
-    // Sequence: the instances are cut off from each other until each holds the other for dead;
-    //   the fabric hands the opening packet to both.
-    // Cause: each is the home in its own view and admits the copy it got.
-    assert_eq!(split_views(RunOnce::Off), 2, "without the mechanism the fault shows");
-    assert_eq!(split_views(RunOnce::On), 1);
+fn bid_runs_once_in_two_partitions() {
+    // Guards against a bid that runs twice. The instances are cut off from each other until each
+    // takes the other for dead, and the fabric sends the opening packet to both. Each is then the
+    // home in its own view and would admit the bid.
+    assert_eq!(run_with_split_views(RunOnce::Off), 2, "without the mechanism the fault shows");
+    assert_eq!(run_with_split_views(RunOnce::On), 1);
 }
 
-/// The home is killed while the bid runs, `kills` homes in a row; returns runs and final word.
+/// Kills the home while a bid runs, and then further homes until `kills` were killed. Returns the
+/// runs of the bid and its final outcome.
 fn kill_homes(run_once: RunOnce, kills: usize) -> (u32, RequestOutcome) {
     let plan = plan_fleet(kills + 1, 3).settings(&run_once.settings(FAST_DETECTION_SETTINGS));
     let mut fleet = start_fleet(plan).unwrap();
@@ -85,10 +86,10 @@
         if run_once == RunOnce::Off {
             resend_until_runs(&mut fleet, &caller, &bid, kill as u32 + 1).unwrap();
         }
-        let fresh = ManualCaller::new(&fleet, DESK, 3 + kill as u64).unwrap();
-        home = ticket_home(&fleet, &fresh.obtain_ticket().unwrap()).unwrap();
+        let new_caller = ManualCaller::new(&fleet, DESK, 3 + kill as u64).unwrap();
+        home = ticket_home(&fleet, &new_caller.obtain_ticket().unwrap()).unwrap();
     }
-    let word = match run_once {
+    let outcome = match run_once {
         RunOnce::On => caller.resend_until_final(&bid).unwrap(),
         RunOnce::Off => RequestOutcome::Answered,
     };
@@ -99,30 +100,28 @@
         caller.receive_final(1, Duration::from_millis(300));
     }
     complete_marker(&fleet, &rest, 2).unwrap();
-    (count_runs(&mut fleet, caller.request_id(1)).unwrap(), word)
+    (count_runs(&mut fleet, caller.request_id(1)).unwrap(), outcome)
 }
 
 #[test]
-fn home_killed() {
-    // Symptom: a bid runs twice.
-    // Sequence: the home dispatches it and is killed before the answer; the caller sends it again.
-    // Cause: the next home knows nothing of the first run.
+fn bid_runs_once_after_its_home_is_killed() {
+    // Guards against a bid that runs twice. The home dispatches it and is killed before the answer;
+    // the caller sends it again to the next home, which doesn't know of the first run.
     assert_eq!(kill_homes(RunOnce::Off, 1).0, 2, "without the mechanism the fault shows");
-    let (runs, word) = kill_homes(RunOnce::On, 1);
+    let (runs, outcome) = kill_homes(RunOnce::On, 1);
     assert_eq!(runs, 1);
-    assert_eq!(word, RequestOutcome::Unknown(RefusalReason::HomeLost));
+    assert_eq!(outcome, RequestOutcome::Unknown(RefusalReason::HomeLost));
 }
 
 #[test]
-fn two_homes_killed() {
-    // Symptom: a bid runs once more with every home that dies.
-    // Sequence: as above, and then the next home is killed too.
-    // Cause: no home knows of the runs at the ones before.
+fn bid_runs_once_after_two_homes_are_killed() {
+    // Guards against a bid that runs again with every home that is killed: as above, and the next
+    // home is killed too.
     assert_eq!(kill_homes(RunOnce::Off, 2).0, 3, "without the mechanism the fault shows");
     assert_eq!(kill_homes(RunOnce::On, 2).0, 1);
 }
 
-/// Home restarted under its name while the bid runs; returns the runs.
+/// Restarts the home under the same name while a bid runs, and returns the runs of the bid.
 fn restart_home(run_once: RunOnce) -> u32 {
     let mut fleet =
         start_fleet(plan_fleet(2, 3).settings(&run_once.settings(FAST_DETECTION_SETTINGS)))
@@ -137,16 +136,15 @@
 }
 
 #[test]
-fn home_restarted() {
-    // Symptom: a bid runs twice.
-    // Sequence: the home is killed while the bid runs and started anew under the same name and
-    //   addresses; the caller sends the bid again.
-    // Cause: the new process answers to the old one's name without its memory.
+fn bid_runs_once_after_its_home_is_restarted() {
+    // Guards against a bid that runs twice. The home is killed while the bid runs, and restarted
+    // with the same name and addresses but without its state; the caller sends the bid again.
     assert_eq!(restart_home(RunOnce::Off), 2, "without the mechanism the fault shows");
     assert_eq!(restart_home(RunOnce::On), 1);
 }
 
-/// The home sleeps with the bid in its socket, `times` times; returns runs and the caller's word.
+/// Freezes the home with a bid in its socket buffer, `times` times. Returns the runs of the bid and
+/// the outcome that the caller was told.
 fn freeze_home(run_once: RunOnce, ticket_ms: u64, times: usize) -> (u32, RequestOutcome) {
     let settings =
         FAST_DETECTION_SETTINGS.replace("ticket_ms = 20000", &format!("ticket_ms = {ticket_ms}"));
@@ -158,9 +156,9 @@
     let home = ticket_home(&fleet, &ticket).unwrap();
     let other = 1 - home;
     let bid = caller.next_request(&ticket);
-    let mut word = RequestOutcome::Answered;
+    let mut outcome = RequestOutcome::Answered;
     for _ in 0..times {
-        // From a new socket, so that what the woken home says of older copies stays apart.
+        // A new socket doesn't receive the resumed home's responses to earlier packets.
         let identity = caller.identity.clone();
         caller = ManualCaller::new(&fleet, DESK, 1).unwrap();
         caller.identity = identity;
@@ -168,10 +166,10 @@
         set_fabric_instances(&fleet, &[home]).unwrap();
         caller.send(&bid).unwrap();
         set_fabric_instances(&fleet, &[other]).unwrap();
-        word = caller.resend_until_final(&bid).unwrap();
+        outcome = caller.resend_until_final(&bid).unwrap();
         wait_alive_count(&fleet, other, 1).unwrap();
         if ticket_ms < SHORT_TICKET_MS * 2 {
-            // The home must not wake up before its ticket has run out.
+            // The home must not resume before its ticket has expired.
             let passed = || issued.elapsed() > Duration::from_millis(ticket_ms + 500);
             wait_until("end of the ticket", WIDE_LIMIT, passed).unwrap();
         }
@@ -179,33 +177,31 @@
         fleet.instances[home].wait_ready(WIDE_LIMIT).unwrap();
         complete_marker(&fleet, &[home], 1).unwrap();
     }
-    (count_runs(&mut fleet, caller.request_id(1)).unwrap(), word)
+    (count_runs(&mut fleet, caller.request_id(1)).unwrap(), outcome)
 }
 
 #[test]
-fn home_frozen() {
-    // Symptom: a bid runs twice.
-    // Sequence: the home freezes with the bid in its socket; the caller sends it through another
-    //   instance until it gets a final answer; the home wakes up in time for the ticket.
-    // Cause: the woken process goes on believing that it alone has the bid, which is only true
-    //   when nobody else may run it.
+fn bid_runs_once_after_its_home_is_frozen() {
+    // Guards against a bid that runs twice. The home freezes with the bid in its socket buffer, and
+    // the caller sends it through another instance until it gets a final answer. The home resumes
+    // before the ticket expires, and may run the bid only if no other instance may.
     assert_eq!(freeze_home(RunOnce::Off, 20_000, 1).0, 2, "without the mechanism the fault shows");
-    let (runs, word) = freeze_home(RunOnce::On, 20_000, 1);
-    assert_eq!((runs, word), (1, RequestOutcome::Unknown(RefusalReason::HomeLost)));
+    let (runs, outcome) = freeze_home(RunOnce::On, 20_000, 1);
+    assert_eq!((runs, outcome), (1, RequestOutcome::Unknown(RefusalReason::HomeLost)));
 }
 
 #[test]
-fn home_frozen_past_ticket() {
-    // Symptom: a bid runs long after its caller was told that nobody knows.
-    // Sequence: the home freezes with the bid in its socket, wakes up after the ticket has run
-    //   out, and freezes and wakes up again with another copy.
-    // Cause: the woken process takes what it reads for recent. `home_frozen` shows that the bid
-    //   does run when the ticket still holds.
-    let (runs, word) = freeze_home(RunOnce::On, SHORT_TICKET_MS, 2);
-    assert_eq!((runs, word), (0, RequestOutcome::Unknown(RefusalReason::HomeLost)));
+fn bid_does_not_run_after_its_ticket_has_expired() {
+    // Guards against a bid that runs long after its caller was told that its fate is unknown. The
+    // home freezes with the bid in its socket buffer, resumes after the ticket has expired, and
+    // does so again with a retransmission; it must not take buffered packets for recent.
+    // `bid_runs_once_after_its_home_is_frozen` shows that the bid does run while the ticket is
+    // valid.
+    let (runs, outcome) = freeze_home(RunOnce::On, SHORT_TICKET_MS, 2);
+    assert_eq!((runs, outcome), (0, RequestOutcome::Unknown(RefusalReason::HomeLost)));
 }
 
-/// All instances replaced while the bid runs; returns the runs.
+/// Replaces all instances while a bid runs, and returns the runs of the bid.
 fn replace_all(run_once: RunOnce) -> u32 {
     let mut fleet =
         start_fleet(plan_fleet(2, 3).settings(&run_once.settings(FAST_DETECTION_SETTINGS)))
@@ -227,10 +223,9 @@
 }
 
 #[test]
-fn all_replaced() {
-    // Symptom: a bid runs twice.
-    // Sequence: every instance is killed while the bid runs, and others take their places.
-    // Cause: nobody is left who knows of the run.
+fn bid_runs_once_after_all_instances_are_replaced() {
+    // Guards against a bid that runs twice. Every instance is killed while the bid runs, and the
+    // instances that replace them don't know of the run.
     assert_eq!(replace_all(RunOnce::Off), 2, "without the mechanism the fault shows");
     assert_eq!(replace_all(RunOnce::On), 1);
 }
--- a/crates/foxledge-soak/src/backends.rs
+++ b/crates/foxledge-soak/src/backends.rs
@@ -262,9 +262,8 @@
 
     fn open(&mut self, packet: &WirePacket, flow: FlowKey, instance: usize) {
         self.ledger.check_opening(flow, self.spec.number, &self.spec.service, instance);
-        let expected = packet.sequence;
-        let new_flow =
-            BackendFlow { sequence: rand::random(), is_open: false, next_sequence: expected };
+        let next_sequence = packet.sequence;
+        let new_flow = BackendFlow { sequence: rand::random(), is_open: false, next_sequence };
         let sequence = self.flows.entry(flow).or_insert(new_flow).sequence;
         self.reply(packet, SYN | ACK, sequence, Vec::new(), Duration::ZERO);
     }
--- a/crates/foxledge-soak/src/instances.rs
+++ b/crates/foxledge-soak/src/instances.rs
@@ -96,7 +96,7 @@
     pub fn prepare(
         spec: InstanceSpec,
         builds: &BuildSet,
-        turn: usize,
+        start_count: usize,
         folder: &Path,
     ) -> Result<RunningInstance> {
         let settings = folder.join(format!("{}.toml", spec.name));
@@ -105,7 +105,7 @@
         Ok(RunningInstance {
             spec,
             builds: builds.clone(),
-            start_count: turn,
+            start_count,
             settings,
             log,
             child: None,
--- a/crates/foxledge-soak/src/networks.rs
+++ b/crates/foxledge-soak/src/networks.rs
@@ -16,8 +16,8 @@
 /// The port that a run binds to lock its network against other runs.
 const LOCK_PORT: u16 = 7_099;
 
-fn is_unused(network: u8) -> bool {
-    let addresses = (1..=MAX_INSTANCES).map(|low| Ipv4Addr::new(127, network, 1, low));
+fn is_unused(net: u8) -> bool {
+    let addresses = (1..=MAX_INSTANCES).map(|low| Ipv4Addr::new(127, net, 1, low));
     addresses.into_iter().all(|ip| UdpSocket::bind((ip, DATA_PORT)).is_ok())
 }
 
@@ -25,12 +25,12 @@
 /// as the returned socket.
 pub(crate) fn reserve_network() -> Result<(u8, UdpSocket)> {
     let first = (std::process::id() % 200) as u8;
-    let networks = NETWORK_RANGE.skip(usize::from(first)).chain(NETWORK_RANGE);
-    for network in networks {
-        let address = SocketAddrV4::new(Ipv4Addr::new(127, network, 0, 1), LOCK_PORT);
+    let nets = NETWORK_RANGE.skip(usize::from(first)).chain(NETWORK_RANGE);
+    for net in nets {
+        let address = SocketAddrV4::new(Ipv4Addr::new(127, net, 0, 1), LOCK_PORT);
         let Ok(lock) = UdpSocket::bind(address) else { continue };
-        if is_unused(network) {
-            return Ok((network, lock));
+        if is_unused(net) {
+            return Ok((net, lock));
         }
     }
     bail!("every loopback network is in use")
