--- a/crates/foxledge-proofs/tests/bad_callers.rs
+++ b/crates/foxledge-proofs/tests/bad_callers.rs
@@ -105,8 +105,8 @@
 #[test]
 fn bad_tokens_reach_no_backend_server() {
     // Guards against callers that read answers to others, or reach a backend server of their
-    // choice. A token is replayed by another caller, for another request or service, or is forged
-    // with an address that the sender chose; holding a token must not prove ownership.
+    // choice. A token is replayed by another caller, for another flow, request or service, or is
+    // forged with an address that the sender chose; holding a token must not prove ownership.
     let fleet = start_fleet(plan_fleet(2, 1)).unwrap();
     let mut owner = ManualCaller::new(&fleet, DESK, 1).unwrap();
     let ticket = owner.obtain_ticket().unwrap();
@@ -188,7 +188,7 @@
         "the old key is withdrawn"
     );
     let outcome = caller.complete_request(&caller.poll(1, &answer.token), DESK.0).unwrap();
-    assert_eq!(outcome, RequestOutcome::Answered, "the resealed token goes on");
+    assert_eq!(outcome, RequestOutcome::Answered, "the resealed token is valid");
     let late = caller.next_request(&ticket);
     let outcome = caller.resend_until_final(&late).unwrap();
     assert_eq!(outcome, RequestOutcome::Unknown(RefusalReason::BadTicket));
--- a/crates/foxledge-proofs/tests/cut_centres.rs
+++ b/crates/foxledge-proofs/tests/cut_centres.rs
@@ -162,7 +162,7 @@
 
     cut_centres(&fleet)?;
     // The instances haven't detected the cut yet.
-    ensure!(roaming.poll()?.is_none(), "the cut is none");
+    ensure!(roaming.poll()?.is_none(), "the cut has no effect");
     wait_reachable_centres(&fleet, 1)?;
     let (reply, took) = roaming.wait_kind(PacketKind::Refusal)?;
     let refusal = reply.refusal.unwrap_or_default();
--- a/crates/foxledge-proofs/tests/draining_target.rs
+++ b/crates/foxledge-proofs/tests/draining_target.rs
@@ -89,7 +89,7 @@
     fleet.backends[0].order(&BackendOrder::Lie { say: LoadSaying::HealthyIdle })?;
     fleet.backends[0].order(&BackendOrder::Drain { go_away_ms: 120_000 })?;
     ensure_working(&mut fleet, 0)?;
-    ensure!(fleet.backends[0].stats()?.work_after_drain > 0, "the lie had no effect");
+    ensure!(fleet.backends[0].stats()?.work_after_drain > 0, "the false reports had no effect");
 
     fleet.backends[0].order(&BackendOrder::Lie { say: LoadSaying::Truth })?;
     let took = wait_no_new_work(&mut fleet, 0)?;
--- a/crates/foxledge-proofs/tests/lasting_feeds.rs
+++ b/crates/foxledge-proofs/tests/lasting_feeds.rs
@@ -192,7 +192,7 @@
     wait_heartbeats(&mut fleet, FEEDS)?;
     wait_heartbeats(&mut fleet, FEEDS)?;
     let report = stop_load(feeds)?;
-    ensure!(report.reopened_feeds > 0, "a key that went at once was not noticed");
+    ensure!(report.reopened_feeds > 0, "replacing the only key at once had no effect");
     drop(fleet);
 
     // Both keys are published during the rotation.
@@ -215,7 +215,7 @@
 
 /// Waits until the feeds' tokens are resealed and no heartbeat carries an old one.
 fn wait_resealed(fleet: &mut TestFleet) -> Result<()> {
-    wait_until_ok("tokens sealed anew", WIDE_LIMIT, || {
+    wait_until_ok("resealed tokens", WIDE_LIMIT, || {
         let before = sum_event(fleet, "tokens_resealed");
         ensure!(before >= f64::from(FEEDS), "{before} of {FEEDS}");
         wait_heartbeats(fleet, FEEDS)?;
--- a/crates/foxledge-proofs/tests/list_force.rs
+++ b/crates/foxledge-proofs/tests/list_force.rs
@@ -79,7 +79,10 @@
         ensure!(uptime > 5000, "{uptime} ms");
         Ok(())
     })?;
-    ensure!(!fleet.instances[new].is_ready(), "it has a list, from wherever");
+    ensure!(
+        !fleet.instances[new].is_ready(),
+        "it has a list, but no source of lists was reachable"
+    );
     fleet.platform.client.set_health(PlatformHealth::Up)?;
     fleet.instances[new].wait_ready(WIDE_LIMIT)
 }
@@ -374,7 +377,7 @@
     for other in &fleet.instances[1..] {
         wait_instance_revision(other, revision, ACCEPTANCE_LIMIT)?;
     }
-    ensure!(current_revision(listen_admin(&fleet))? == before, "the cut is none");
+    ensure!(current_revision(listen_admin(&fleet))? == before, "the cut has no effect");
     let links = fleet.links.as_ref().expect("the fleet is routed");
     for other in &others {
         links.heal(&isolated, other)?;
--- a/crates/foxledge-proofs/tests/peer_views.rs
+++ b/crates/foxledge-proofs/tests/peer_views.rs
@@ -83,8 +83,9 @@
     ensure_served(&mut fleet, "after-emptying")
 }
 
-/// Guards against bids that are sent to instances which no longer exist. Before an instance starts,
-/// the platform lists six that don't exist and none of the real ones, and continues to do so.
+/// Guards against bids that are sent to instances which no longer exist. Before the third instance
+/// starts, the platform lists six that don't exist and none of the real ones, and continues to do
+/// so.
 #[test]
 fn listed_instances_that_do_not_exist_get_no_bids() -> Result<()> {
     let mut fleet = LimitedFleet::start(plan_fleet(2, 2))?;
@@ -100,7 +101,7 @@
         });
     }
     fleet.platform.client.publish_members(members)?;
-    // The third instance reads this listing, which names none of the real instances.
+    // The third instance reads this listing, which names none of the other real instances.
     let third = fleet.spawn_instance(CENTRE)?;
     fleet.instances[third].wait_ready(WIDE_LIMIT)?;
     fleet.update_fabrics()?;
@@ -176,7 +177,10 @@
     let plan: FleetPlan = plan_fleet(3, 2).settings(settings);
     let mut fleet = LimitedFleet::start(plan)?;
     let took = kill_home(&mut fleet)?;
-    ensure!(took > RECOVERY_LIMIT, "back after {took:?}, so the mechanism wasn't what mattered");
+    ensure!(
+        took > RECOVERY_LIMIT,
+        "back after {took:?}, so that skipping homes made no difference"
+    );
     Ok(())
 }
 
--- a/crates/foxledge-soak/src/networks.rs
+++ b/crates/foxledge-soak/src/networks.rs
@@ -21,8 +21,7 @@
     addresses.into_iter().all(|ip| UdpSocket::bind((ip, DATA_PORT)).is_ok())
 }
 
-/// Reserves a network that no other run uses, in this process or another. The lock lasts as long
-/// as the returned socket.
+/// Reserves a network that no other run uses, of this process or another, by a bound socket.
 pub(crate) fn reserve_network() -> Result<(u8, UdpSocket)> {
     let first = (std::process::id() % 200) as u8;
     let nets = NETWORK_RANGE.skip(usize::from(first)).chain(NETWORK_RANGE);
@@ -33,5 +32,5 @@
             return Ok((net, lock));
         }
     }
-    bail!("every loopback network is in use")
+    bail!("every network of loopback is taken")
 }
