--- a/crates/foxledge-proofs/src/request_helpers.rs
+++ b/crates/foxledge-proofs/src/request_helpers.rs
@@ -29,8 +29,8 @@
 /// The generous limit for anything that takes seconds at most.
 pub const WIDE_LIMIT: Duration = Duration::from_secs(40);
 
-/// Returns the plan of a fleet of one data centre with both services: `targets` backend servers for
-/// bids and one for uploads.
+/// Returns the plan of a fleet of one data centre with both services: `targets` backend servers
+/// for bids and one for uploads.
 pub fn plan_fleet(instances: usize, targets: usize) -> FleetPlan {
     FleetPlan::new()
         .centre(CENTRE, instances)
@@ -230,13 +230,12 @@
     instance.wait_ready(WIDE_LIMIT)
 }
 
-/// Waits until an instance sees `count` instances alive or suspect, including itself.
-pub fn wait_alive_count(fleet: &TestFleet, index: usize, count: u32) -> anyhow::Result<()> {
+/// Waits until an instance's view of the fleet contains `count` instances, including itself. Dead
+/// instances aren't part of the view.
+pub fn wait_peer_count(fleet: &TestFleet, index: usize, count: u32) -> anyhow::Result<()> {
     let instance = &fleet.instances[index];
-    wait_until(&format!("{} sees {count} living", instance.name), WIDE_LIMIT, || {
-        instance
-            .metric("foxledge_peers", "")
-            .is_ok_and(|count_alive| count_alive == f64::from(count))
+    wait_until(&format!("{} sees {count} instances", instance.name), WIDE_LIMIT, || {
+        instance.metric("foxledge_peers", "").is_ok_and(|peer_count| peer_count == f64::from(count))
     })
 }
 
--- a/crates/foxledge-proofs/tests/list_force.rs
+++ b/crates/foxledge-proofs/tests/list_force.rs
@@ -347,8 +347,8 @@
 }
 
 /// Guards against an instance that refuses all callers when it is cut off from all others and the
-/// platform. Callers reach only that instance; then a list is published, and only afterwards the
-/// cut ends.
+/// platform. One of three instances is isolated, and callers reach only that one; then a list is
+/// published, and only afterwards the cut ends.
 #[test]
 fn isolated_instance_serves_and_catches_up() -> Result<()> {
     let plan = plan_fleet(3, 2).link_mode(LinkMode::Routed);
--- a/crates/foxledge-proofs/tests/paired_faults.rs
+++ b/crates/foxledge-proofs/tests/paired_faults.rs
@@ -12,7 +12,7 @@
     CENTRE, DESK, FAST_DETECTION_SETTINGS, LONG_RUN_FACTOR, MEMBER, ManualCaller, PreparedBid,
     RequestOutcome, RunOnce, WIDE_LIMIT, complete_marker, count_after_retransmission, count_runs,
     plan_fleet, prepare_bid, resend_until_runs, scale_service_time, set_fabric_instances,
-    start_fleet, ticket_home, wait_alive_count, wait_revision, wait_runs,
+    start_fleet, ticket_home, wait_peer_count, wait_revision, wait_runs,
 };
 
 /// Freezes the home while a bid runs, resumes it long after the end of the run, and returns the
@@ -37,7 +37,7 @@
             );
         }
     }
-    wait_alive_count(&fleet, 1 - home, 1).unwrap();
+    wait_peer_count(&fleet, 1 - home, 1).unwrap();
     fleet.instances[home].process.wake().unwrap();
     fleet.instances[home].wait_ready(WIDE_LIMIT).unwrap();
     set_fabric_instances(&fleet, &[home]).unwrap();
--- a/crates/foxledge-proofs/tests/run_once.rs
+++ b/crates/foxledge-proofs/tests/run_once.rs
@@ -10,8 +10,7 @@
     CENTRE, DESK, FAST_DETECTION_SETTINGS, LONG_RUN_FACTOR, ManualCaller, PreparedBid,
     RequestOutcome, RunOnce, WIDE_LIMIT, complete_marker, count_after_retransmission, count_runs,
     other_running, plan_fleet, prepare_bid, resend_until_runs, restart_instance,
-    scale_service_time, set_fabric_instances, start_fleet, ticket_home, wait_alive_count,
-    wait_runs,
+    scale_service_time, set_fabric_instances, start_fleet, ticket_home, wait_peer_count, wait_runs,
 };
 use foxledge_wire::flow::RefusalReason;
 
@@ -28,8 +27,8 @@
     let ticket = caller.obtain_ticket().unwrap();
     let (left, right) = (fleet.instances[0].name.clone(), fleet.instances[1].name.clone());
     fleet.links.as_ref().unwrap().cut(&left, &right).unwrap();
-    wait_alive_count(&fleet, 0, 1).unwrap();
-    wait_alive_count(&fleet, 1, 1).unwrap();
+    wait_peer_count(&fleet, 0, 1).unwrap();
+    wait_peer_count(&fleet, 1, 1).unwrap();
     let duplicate_all = PacketFaults { duplicate: 1.0, ..PacketFaults::default() };
     fleet.fabrics[0].client.set_faults(FaultWays::Forward, duplicate_all).unwrap();
     // The ticket may have expired in the meantime, and the bid would then not run at all if
@@ -167,7 +166,7 @@
         caller.send(&bid).unwrap();
         set_fabric_instances(&fleet, &[other]).unwrap();
         outcome = caller.resend_until_final(&bid).unwrap();
-        wait_alive_count(&fleet, other, 1).unwrap();
+        wait_peer_count(&fleet, other, 1).unwrap();
         if ticket_ms < SHORT_TICKET_MS * 2 {
             // The home must not resume before its ticket has expired.
             let passed = || issued.elapsed() > Duration::from_millis(ticket_ms + 500);
--- a/crates/foxledge-soak/src/promises.rs
+++ b/crates/foxledge-soak/src/promises.rs
@@ -12,7 +12,7 @@
 const RECOVERY_TIME: Duration = Duration::from_secs(4);
 /// The time after which a draining backend server must get no new flows, and every instance must
 /// follow a new list.
-const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(3);
+const SYNC_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The time that a service must have had a free slot before a refusal counts as a breach. An
 /// instance's view of load may be 400 ms old, and its parts are sent every 100 ms.
@@ -222,7 +222,7 @@
             return;
         }
         let leaving = state.backends.get(&backend).and_then(|record| record.draining_since);
-        if leaving.is_some_and(|since| now - since > CONVERGENCE_TIMEOUT) {
+        if leaving.is_some_and(|since| now - since > SYNC_TIMEOUT) {
             let text = format!("{flow} reached leaving backend server {backend:x} by {instance}");
             state.breaches.push(text);
         }
@@ -233,9 +233,7 @@
             state.breaches.push(text);
         }
         let route = state.routes.get(&flow.service.port()).cloned();
-        let Some(route) = route.filter(|route| now - route.since > CONVERGENCE_TIMEOUT) else {
-            return;
-        };
+        let Some(route) = route.filter(|route| now - route.since > SYNC_TIMEOUT) else { return };
         if route.service.as_deref() != Some(service) {
             let text = format!(
                 "{flow} reached {service} by {instance}, {:?} is right, {:?} was before, for {:?}",
@@ -304,9 +302,7 @@
         state.refused += 1;
         let now = Instant::now();
         let route = state.routes.get(&flow.service.port()).cloned();
-        let Some(route) = route.filter(|route| now - route.since > CONVERGENCE_TIMEOUT) else {
-            return;
-        };
+        let Some(route) = route.filter(|route| now - route.since > SYNC_TIMEOUT) else { return };
         if route.service.as_ref().is_some_and(|service| !state.has_available_backends(service, now))
         {
             return;
