--- a/crates/foxledge-proofs/src/hand_caller.rs
+++ b/crates/foxledge-proofs/src/manual_caller.rs
@@ -1,4 +1,4 @@
-//! A caller whose packets are made one by one.
+//! A caller whose packets are sent one by one.
 
 use std::{
     net::{SocketAddr, UdpSocket},
@@ -20,35 +20,35 @@
     flow::{Packet, PacketKind, RefusalReason, RunOutcome},
 };
 
-use crate::once::{MEMBER, SEND_PERIOD, WIDE_LIMIT};
+use crate::request_helpers::{MEMBER, SEND_PERIOD, WIDE_LIMIT};
 
-/// `FinalWord` is what a caller was told last of a request.
+/// The final outcome of a request, as its caller was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FinalWord {
-    /// The whole answer came.
+pub enum RequestOutcome {
+    /// The whole answer was received.
     Answered,
-    /// It didn't run and never will.
+    /// The request didn't run and never will.
     NotRun(RefusalReason),
-    /// It may have run.
+    /// The request may have run.
     Unknown(RefusalReason),
 }
 
-/// `HandCaller` is a caller whose packets are made one by one.
-pub struct HandCaller {
-    /// Who it is.
+/// A caller whose packets are sent one by one.
+pub struct ManualCaller {
+    /// The identity of the caller and its flow.
     pub identity: FlowIdentity,
     socket: UdpSocket,
     fabric: SocketAddr,
     last_request: u64,
 }
 
-impl HandCaller {
-    /// Makes a caller of `service` behind the first fabric; `number` sets its ids.
+impl ManualCaller {
+    /// Creates a caller of `service` behind the first fabric; `number` determines its ids.
     pub fn new(
         fleet: &TestFleet,
         service: (&str, &str),
         number: u64,
-    ) -> anyhow::Result<HandCaller> {
+    ) -> anyhow::Result<ManualCaller> {
         let fabric = fleet.fabrics.first().context("a fabric")?.address;
         let identity = FlowIdentity {
             flow: 0xf10f_0000 + number,
@@ -61,7 +61,7 @@
             service: None,
         };
         let socket = UdpSocket::bind("127.0.0.1:0")?;
-        Ok(HandCaller { identity, socket, fabric, last_request: 0 })
+        Ok(ManualCaller { identity, socket, fabric, last_request: 0 })
     }
 
     /// Sends a packet to the fabric.
@@ -69,37 +69,42 @@
         self.send_bytes(&encode_packet(packet))
     }
 
-    /// Sends any bytes to the fabric.
+    /// Sends arbitrary bytes to the fabric.
     pub fn send_bytes(&self, bytes: &[u8]) -> anyhow::Result<()> {
         self.socket.send_to(bytes, self.fabric)?;
         Ok(())
     }
 
-    /// Waits for a packet that `fits` and drops others; none when none comes within `limit`.
-    pub fn receive(&self, limit: Duration, fits: impl Fn(&Packet) -> bool) -> Option<Packet> {
+    /// Waits for a matching packet and drops all others. Returns none if no matching packet arrives
+    /// within `limit`.
+    pub fn receive(&self, limit: Duration, is_match: impl Fn(&Packet) -> bool) -> Option<Packet> {
         let deadline = Instant::now() + limit;
         let mut buffer = [0; 2048];
         loop {
-            let left = deadline.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return None;
             }
-            self.socket.set_read_timeout(Some(left)).ok()?;
+            self.socket.set_read_timeout(Some(remaining)).ok()?;
             let Ok((size, _)) = self.socket.recv_from(&mut buffer) else { continue };
             match decode_packet(&buffer[..size]) {
-                Ok(packet) if fits(&packet) => return Some(packet),
+                Ok(packet) if is_match(&packet) => return Some(packet),
                 _ => continue,
             }
         }
     }
 
-    /// Sends a packet again and again until one that `fits` comes.
-    pub fn ask(&self, packet: &Packet, fits: impl Fn(&Packet) -> bool) -> anyhow::Result<Packet> {
+    /// Sends a packet repeatedly until a matching reply arrives, and returns the reply.
+    pub fn send_until(
+        &self,
+        packet: &Packet,
+        is_match: impl Fn(&Packet) -> bool,
+    ) -> anyhow::Result<Packet> {
         let deadline = Instant::now() + WIDE_LIMIT;
         let mut packet = packet.clone();
         loop {
             self.send(&packet)?;
-            if let Some(reply) = self.receive(SEND_PERIOD, &fits) {
+            if let Some(reply) = self.receive(SEND_PERIOD, &is_match) {
                 return Ok(reply);
             }
             ensure!(Instant::now() < deadline, "no fitting answer within {WIDE_LIMIT:?}");
@@ -107,20 +112,20 @@
         }
     }
 
-    /// A request for a ticket.
+    /// Creates a request for a ticket.
     pub fn ticket_request(&self) -> Packet {
         let mut packet = self.identity.packet(PacketKind::TicketRequest, 0);
         packet.payload = vec![0; MIN_TICKET_PADDING_BYTES];
         packet
     }
 
-    /// Asks until it gets a ticket.
+    /// Requests a ticket until one is granted.
     pub fn obtain_ticket(&self) -> anyhow::Result<Vec<u8>> {
-        let grants = |packet: &Packet| packet.kind() == PacketKind::TicketGrant;
-        Ok(self.ask(&self.ticket_request(), grants)?.ticket)
+        let is_grant = |packet: &Packet| packet.kind() == PacketKind::TicketGrant;
+        Ok(self.send_until(&self.ticket_request(), is_grant)?.ticket)
     }
 
-    /// The opening packet of its next request, of one part.
+    /// Creates the opening packet of the next request, which has one part.
     pub fn next_request(&mut self, ticket: &[u8]) -> Packet {
         self.last_request += 1;
         let mut packet = self.identity.packet(PacketKind::Work, self.last_request);
@@ -131,7 +136,7 @@
         packet
     }
 
-    /// A poll for the answer to a request that `token` leads to.
+    /// Creates a poll by `token` for the answer to a request.
     pub fn poll(&self, request: u64, token: &[u8]) -> Packet {
         let mut packet = self.identity.packet(PacketKind::Poll, request);
         packet.token = token.to_vec();
@@ -139,29 +144,38 @@
         packet
     }
 
-    /// Sends a packet again and again as it is until its request has a final answer.
-    pub fn insist(&self, packet: &Packet) -> anyhow::Result<FinalWord> {
+    /// Sends the same packet repeatedly until its request has a final outcome.
+    pub fn resend_until_final(&self, packet: &Packet) -> anyhow::Result<RequestOutcome> {
         let request = packet.request;
         let is_final = |reply: &Packet| {
             let ends = matches!(reply.kind(), PacketKind::Answer | PacketKind::Refusal);
             reply.request == request && ends
         };
-        Ok(word_of(&self.ask(packet, is_final)?))
+        Ok(outcome_of(&self.send_until(packet, is_final)?))
     }
 
-    /// The refusal or answer to a request that comes within `limit`, without sending anything.
-    pub fn overhear(&self, request: u64, limit: Duration) -> Option<FinalWord> {
+    /// Waits for the answer to a request or its refusal without sending anything. Returns none if
+    /// neither arrives within `limit`.
+    pub fn receive_final(&self, request: u64, limit: Duration) -> Option<RequestOutcome> {
         let reply = self.receive(limit, |reply| {
             let ends = matches!(reply.kind(), PacketKind::Answer | PacketKind::Refusal);
             reply.request == request && ends
         })?;
-        Some(word_of(&reply))
+        Some(outcome_of(&reply))
     }
 
-    /// Follows a request as callers do, by token once one is known, to its whole answer or refusal.
+    /// Sends a request and polls, by token as soon as one is known, until the whole answer or a
+    /// refusal arrives.
     ///
-    /// Every part must be of `service` and of this request.
-    pub fn follow(&self, opening: &Packet, service: &str) -> anyhow::Result<FinalWord> {
+    /// # Errors
+    ///
+    /// When a part of the answer is of another service than `service` or of another request, or
+    /// when there is no final outcome within [`WIDE_LIMIT`].
+    pub fn complete_request(
+        &self,
+        opening: &Packet,
+        service: &str,
+    ) -> anyhow::Result<RequestOutcome> {
         let deadline = Instant::now() + WIDE_LIMIT;
         let mut packet = opening.clone();
         let mut answer = AnswerStore::default();
@@ -176,7 +190,7 @@
                     packet = self.poll(opening.request, &reply.token);
                 }
                 match reply.kind() {
-                    PacketKind::Refusal => return Ok(word_of(&reply)),
+                    PacketKind::Refusal => return Ok(outcome_of(&reply)),
                     PacketKind::Answer => {
                         let body = read_part(&reply, None);
                         let body = body.map_err(|fault| anyhow::anyhow!("answer {fault:?}"))?;
@@ -185,7 +199,7 @@
                         let stored = answer.store(&body);
                         ensure!(stored.is_ok(), "parts of two answers");
                         if answer.is_whole() {
-                            return Ok(FinalWord::Answered);
+                            return Ok(RequestOutcome::Answered);
                         }
                         packet.missing = answer.missing();
                     }
@@ -195,19 +209,19 @@
         }
     }
 
-    /// The id of a request.
-    pub fn id(&self, request: u64) -> RequestId {
+    /// Returns the id of a request.
+    pub fn request_id(&self, request: u64) -> RequestId {
         RequestId { flow: self.identity.flow, request }
     }
 }
 
-fn word_of(reply: &Packet) -> FinalWord {
+fn outcome_of(reply: &Packet) -> RequestOutcome {
     if reply.kind() == PacketKind::Answer {
-        return FinalWord::Answered;
+        return RequestOutcome::Answered;
     }
     let refusal = reply.refusal.unwrap_or_default();
     match refusal.outcome() {
-        RunOutcome::NotRun => FinalWord::NotRun(refusal.reason()),
-        _ => FinalWord::Unknown(refusal.reason()),
+        RunOutcome::NotRun => RequestOutcome::NotRun(refusal.reason()),
+        _ => RequestOutcome::Unknown(refusal.reason()),
     }
 }
--- a/crates/foxledge-proofs/tests/run_once.rs
+++ b/crates/foxledge-proofs/tests/run_once.rs
@@ -6,204 +6,211 @@
     fabric::faults::{FaultWays, PacketFaults},
     harness::{LinkMode, wait_until},
 };
-use foxledge_proofs::once::{
-    CENTRE, DESK, FinalWord, HandCaller, LONG_RUN, OpenBid, QUICK, RunOnce, WIDE_LIMIT,
-    count_after_copies, count_runs, home_of, others, pass_marker, plan_fleet, prepare_bid,
-    resend_until_runs, restart_instance, slow_down, start_fleet, steer, wait_living, wait_runs,
+use foxledge_proofs::request_helpers::{
+    CENTRE, DESK, FAST_DETECTION_SETTINGS, LONG_RUN_FACTOR, ManualCaller, PreparedBid,
+    RequestOutcome, RunOnce, WIDE_LIMIT, complete_marker, count_after_retransmission, count_runs,
+    other_running, plan_fleet, prepare_bid, resend_until_runs, restart_instance,
+    scale_service_time, set_fabric_instances, start_fleet, ticket_home, wait_peer_count, wait_runs,
 };
 use foxledge_wire::flow::RefusalReason;
 
-/// Life of a ticket that runs out while its home is frozen.
+/// The lifetime of a ticket that expires while its home is frozen.
 const SHORT_TICKET_MS: u64 = 1500;
 
-/// Two halves that hold each other for dead get a copy each; returns the runs.
-fn split_views(run_once: RunOnce) -> u32 {
-    let plan = plan_fleet(2, 2).link_mode(LinkMode::Routed).settings(&run_once.settings(QUICK));
+/// Sends a bid to both of two instances that take each other for dead, and returns its runs.
+fn run_with_split_views(run_once: RunOnce) -> u32 {
+    let plan = plan_fleet(2, 2)
+        .link_mode(LinkMode::Routed)
+        .settings(&run_once.settings(FAST_DETECTION_SETTINGS));
     let mut fleet = start_fleet(plan).unwrap();
-    let mut caller = HandCaller::new(&fleet, DESK, 1).unwrap();
+    let mut caller = ManualCaller::new(&fleet, DESK, 1).unwrap();
     let ticket = caller.obtain_ticket().unwrap();
     let (left, right) = (fleet.instances[0].name.clone(), fleet.instances[1].name.clone());
     fleet.links.as_ref().unwrap().cut(&left, &right).unwrap();
-    wait_living(&fleet, 0, 1).unwrap();
-    wait_living(&fleet, 1, 1).unwrap();
-    let both = PacketFaults { duplicate: 1.0, ..PacketFaults::default() };
-    fleet.fabrics[0].client.set_faults(FaultWays::Forward, both).unwrap();
-    // The ticket may have run out meanwhile; with the mechanism on it would then run nowhere.
+    wait_peer_count(&fleet, 0, 1).unwrap();
+    wait_peer_count(&fleet, 1, 1).unwrap();
+    let duplicate_all = PacketFaults { duplicate: 1.0, ..PacketFaults::default() };
+    fleet.fabrics[0].client.set_faults(FaultWays::Forward, duplicate_all).unwrap();
+    // The ticket may have expired in the meantime, and the bid would then not run at all if
+    // the mechanism is enabled.
     let ticket = match run_once {
         RunOnce::On => {
-            let home = home_of(&fleet, &ticket).unwrap();
-            steer(&fleet, &[home]).unwrap();
-            let fresh = caller.obtain_ticket().unwrap();
-            steer(&fleet, &[0, 1]).unwrap();
-            fresh
+            let home = ticket_home(&fleet, &ticket).unwrap();
+            set_fabric_instances(&fleet, &[home]).unwrap();
+            let new_caller = caller.obtain_ticket().unwrap();
+            set_fabric_instances(&fleet, &[0, 1]).unwrap();
+            new_caller
         }
         RunOnce::Off => ticket,
     };
     let bid = caller.next_request(&ticket);
     caller.send(&bid).unwrap();
     let expected = if run_once == RunOnce::On { 1 } else { 2 };
-    wait_runs(&mut fleet, caller.id(1), expected).unwrap();
+    wait_runs(&mut fleet, caller.request_id(1), expected).unwrap();
     for _ in 0..5 {
         caller.send(&bid).unwrap();
-        let word = caller.overhear(1, Duration::from_secs(1));
-        assert!(!matches!(word, Some(FinalWord::NotRun(_))), "told {word:?} of a bid that ran");
+        let outcome = caller.receive_final(1, Duration::from_secs(1));
+        assert!(
+            !matches!(outcome, Some(RequestOutcome::NotRun(_))),
+            "told {outcome:?} of a bid that ran"
+        );
     }
     fleet.fabrics[0].client.clear().unwrap();
-    pass_marker(&fleet, &[0, 1], 1).unwrap();
-    count_runs(&mut fleet, caller.id(1)).unwrap()
+    complete_marker(&fleet, &[0, 1], 1).unwrap();
+    count_runs(&mut fleet, caller.request_id(1)).unwrap()
 }
 
 #[test]
-fn split_views_and_copies() {
-    // Symptom: a bid runs twice.
-    // Sequence: the instances are cut off from each other until each holds the other for dead;
-    //   the fabric hands the opening packet to both.
-    // Cause: each is the home in its own view and admits the copy it got.
-    assert_eq!(split_views(RunOnce::Off), 2, "without the mechanism the fault shows");
-    assert_eq!(split_views(RunOnce::On), 1);
+fn bid_runs_once_in_two_partitions() {
+    // Guards against a bid that runs twice. The instances are cut off from each other until each
+    // takes the other for dead, and the fabric sends the opening packet to both. Each is then the
+    // home in its own view and would admit the bid.
+    assert_eq!(run_with_split_views(RunOnce::Off), 2, "without the mechanism the fault shows");
+    assert_eq!(run_with_split_views(RunOnce::On), 1);
 }
 
-/// The home is killed while the bid runs, `kills` homes in a row; returns runs and final word.
-fn kill_homes(run_once: RunOnce, kills: usize) -> (u32, FinalWord) {
-    let plan = plan_fleet(kills + 1, 3).settings(&run_once.settings(QUICK));
+/// Kills the home while a bid runs, and then further homes until `kills` were killed. Returns the
+/// runs of the bid and its final outcome.
+fn kill_homes(run_once: RunOnce, kills: usize) -> (u32, RequestOutcome) {
+    let plan = plan_fleet(kills + 1, 3).settings(&run_once.settings(FAST_DETECTION_SETTINGS));
     let mut fleet = start_fleet(plan).unwrap();
-    slow_down(&mut fleet, LONG_RUN).unwrap();
-    let OpenBid { caller, bid, mut home } = prepare_bid(&fleet, 2).unwrap();
+    scale_service_time(&mut fleet, LONG_RUN_FACTOR).unwrap();
+    let PreparedBid { caller, bid, mut home } = prepare_bid(&fleet, 2).unwrap();
     caller.send(&bid).unwrap();
-    wait_runs(&mut fleet, caller.id(1), 1).unwrap();
+    wait_runs(&mut fleet, caller.request_id(1), 1).unwrap();
     for kill in 1..=kills {
         fleet.kill_instance(home).unwrap();
-        let rest = others(&mut fleet, home);
-        steer(&fleet, &rest).unwrap();
+        let rest = other_running(&mut fleet, home);
+        set_fabric_instances(&fleet, &rest).unwrap();
         if run_once == RunOnce::Off {
             resend_until_runs(&mut fleet, &caller, &bid, kill as u32 + 1).unwrap();
         }
-        let fresh = HandCaller::new(&fleet, DESK, 3 + kill as u64).unwrap();
-        home = home_of(&fleet, &fresh.obtain_ticket().unwrap()).unwrap();
+        let new_caller = ManualCaller::new(&fleet, DESK, 3 + kill as u64).unwrap();
+        home = ticket_home(&fleet, &new_caller.obtain_ticket().unwrap()).unwrap();
     }
-    let word = match run_once {
-        RunOnce::On => caller.insist(&bid).unwrap(),
-        RunOnce::Off => FinalWord::Answered,
+    let outcome = match run_once {
+        RunOnce::On => caller.resend_until_final(&bid).unwrap(),
+        RunOnce::Off => RequestOutcome::Answered,
     };
-    let rest = others(&mut fleet, usize::MAX);
-    slow_down(&mut fleet, 1.0).unwrap();
+    let rest = other_running(&mut fleet, usize::MAX);
+    scale_service_time(&mut fleet, 1.0).unwrap();
     for _ in 0..3 {
         caller.send(&bid).unwrap();
-        caller.overhear(1, Duration::from_millis(300));
+        caller.receive_final(1, Duration::from_millis(300));
     }
-    pass_marker(&fleet, &rest, 2).unwrap();
-    (count_runs(&mut fleet, caller.id(1)).unwrap(), word)
+    complete_marker(&fleet, &rest, 2).unwrap();
+    (count_runs(&mut fleet, caller.request_id(1)).unwrap(), outcome)
 }
 
 #[test]
-fn home_killed() {
-    // Symptom: a bid runs twice.
-    // Sequence: the home dispatches it and is killed before the answer; the caller sends it again.
-    // Cause: the next home knows nothing of the first run.
+fn bid_runs_once_after_its_home_is_killed() {
+    // Guards against a bid that runs twice. The home dispatches it and is killed before the answer;
+    // the caller sends it again to the next home, which doesn't know of the first run.
     assert_eq!(kill_homes(RunOnce::Off, 1).0, 2, "without the mechanism the fault shows");
-    let (runs, word) = kill_homes(RunOnce::On, 1);
+    let (runs, outcome) = kill_homes(RunOnce::On, 1);
     assert_eq!(runs, 1);
-    assert_eq!(word, FinalWord::Unknown(RefusalReason::HomeLost));
+    assert_eq!(outcome, RequestOutcome::Unknown(RefusalReason::HomeLost));
 }
 
 #[test]
-fn two_homes_killed() {
-    // Symptom: a bid runs once more with every home that dies.
-    // Sequence: as above, and then the next home is killed too.
-    // Cause: no home knows of the runs at the ones before.
+fn bid_runs_once_after_two_homes_are_killed() {
+    // Guards against a bid that runs again with every home that is killed: as above, and the next
+    // home is killed too.
     assert_eq!(kill_homes(RunOnce::Off, 2).0, 3, "without the mechanism the fault shows");
     assert_eq!(kill_homes(RunOnce::On, 2).0, 1);
 }
 
-/// Home restarted under its name while the bid runs; returns the runs.
+/// Restarts the home under the same name while a bid runs, and returns the runs of the bid.
 fn restart_home(run_once: RunOnce) -> u32 {
-    let mut fleet = start_fleet(plan_fleet(2, 3).settings(&run_once.settings(QUICK))).unwrap();
-    slow_down(&mut fleet, LONG_RUN).unwrap();
-    let OpenBid { caller, bid, home } = prepare_bid(&fleet, 1).unwrap();
+    let mut fleet =
+        start_fleet(plan_fleet(2, 3).settings(&run_once.settings(FAST_DETECTION_SETTINGS)))
+            .unwrap();
+    scale_service_time(&mut fleet, LONG_RUN_FACTOR).unwrap();
+    let PreparedBid { caller, bid, home } = prepare_bid(&fleet, 1).unwrap();
     caller.send(&bid).unwrap();
-    wait_runs(&mut fleet, caller.id(1), 1).unwrap();
+    wait_runs(&mut fleet, caller.request_id(1), 1).unwrap();
     restart_instance(&mut fleet, home).unwrap();
-    steer(&fleet, &[home]).unwrap();
-    count_after_copies(run_once, &mut fleet, &caller, &bid, &[0, 1]).unwrap()
+    set_fabric_instances(&fleet, &[home]).unwrap();
+    count_after_retransmission(run_once, &mut fleet, &caller, &bid, &[0, 1]).unwrap()
 }
 
 #[test]
-fn home_restarted() {
-    // Symptom: a bid runs twice.
-    // Sequence: the home is killed while the bid runs and started anew under the same name and
-    //   addresses; the caller sends the bid again.
-    // Cause: the new process answers to the old one's name without its memory.
+fn bid_runs_once_after_its_home_is_restarted() {
+    // Guards against a bid that runs twice. The home is killed while the bid runs, and restarted
+    // with the same name and addresses but without its state; the caller sends the bid again.
     assert_eq!(restart_home(RunOnce::Off), 2, "without the mechanism the fault shows");
     assert_eq!(restart_home(RunOnce::On), 1);
 }
 
-/// The home sleeps with the bid in its socket, `times` times; returns runs and the caller's word.
-fn freeze_home(run_once: RunOnce, ticket_ms: u64, times: usize) -> (u32, FinalWord) {
-    let settings = QUICK.replace("ticket_ms = 20000", &format!("ticket_ms = {ticket_ms}"));
+/// Freezes the home with a bid in its socket buffer, `times` times. Returns the runs of the bid and
+/// the outcome that the caller was told.
+fn freeze_home(run_once: RunOnce, ticket_ms: u64, times: usize) -> (u32, RequestOutcome) {
+    let settings =
+        FAST_DETECTION_SETTINGS.replace("ticket_ms = 20000", &format!("ticket_ms = {ticket_ms}"));
     let plan = plan_fleet(2, 3).settings(&run_once.settings(&settings));
     let mut fleet = start_fleet(plan).unwrap();
-    let mut caller = HandCaller::new(&fleet, DESK, 1).unwrap();
+    let mut caller = ManualCaller::new(&fleet, DESK, 1).unwrap();
     let ticket = caller.obtain_ticket().unwrap();
     let issued = Instant::now();
-    let home = home_of(&fleet, &ticket).unwrap();
+    let home = ticket_home(&fleet, &ticket).unwrap();
     let other = 1 - home;
     let bid = caller.next_request(&ticket);
-    let mut word = FinalWord::Answered;
+    let mut outcome = RequestOutcome::Answered;
     for _ in 0..times {
-        // From a new socket, so that what the woken home says of older copies stays apart.
+        // A new socket doesn't receive the resumed home's responses to earlier packets.
         let identity = caller.identity.clone();
-        caller = HandCaller::new(&fleet, DESK, 1).unwrap();
+        caller = ManualCaller::new(&fleet, DESK, 1).unwrap();
         caller.identity = identity;
         fleet.instances[home].process.freeze().unwrap();
-        steer(&fleet, &[home]).unwrap();
+        set_fabric_instances(&fleet, &[home]).unwrap();
         caller.send(&bid).unwrap();
-        steer(&fleet, &[other]).unwrap();
-        word = caller.insist(&bid).unwrap();
-        wait_living(&fleet, other, 1).unwrap();
+        set_fabric_instances(&fleet, &[other]).unwrap();
+        outcome = caller.resend_until_final(&bid).unwrap();
+        wait_peer_count(&fleet, other, 1).unwrap();
         if ticket_ms < SHORT_TICKET_MS * 2 {
-            // The home must not wake up before its ticket has run out.
+            // The home must not resume before its ticket has expired.
             let passed = || issued.elapsed() > Duration::from_millis(ticket_ms + 500);
             wait_until("end of the ticket", WIDE_LIMIT, passed).unwrap();
         }
         fleet.instances[home].process.wake().unwrap();
         fleet.instances[home].wait_ready(WIDE_LIMIT).unwrap();
-        pass_marker(&fleet, &[home], 1).unwrap();
+        complete_marker(&fleet, &[home], 1).unwrap();
     }
-    (count_runs(&mut fleet, caller.id(1)).unwrap(), word)
+    (count_runs(&mut fleet, caller.request_id(1)).unwrap(), outcome)
 }
 
 #[test]
-fn home_frozen() {
-    // Symptom: a bid runs twice.
-    // Sequence: the home freezes with the bid in its socket; the caller sends it through another
-    //   instance until it gets a final answer; the home wakes up in time for the ticket.
-    // Cause: the woken process goes on believing that it alone has the bid, which is only true
-    //   when nobody else may run it.
+fn bid_runs_once_after_its_home_is_frozen() {
+    // Guards against a bid that runs twice. The home freezes with the bid in its socket buffer, and
+    // the caller sends it through another instance until it gets a final answer. The home resumes
+    // before the ticket expires, and may run the bid only if no other instance may.
     assert_eq!(freeze_home(RunOnce::Off, 20_000, 1).0, 2, "without the mechanism the fault shows");
-    let (runs, word) = freeze_home(RunOnce::On, 20_000, 1);
-    assert_eq!((runs, word), (1, FinalWord::Unknown(RefusalReason::HomeLost)));
+    let (runs, outcome) = freeze_home(RunOnce::On, 20_000, 1);
+    assert_eq!((runs, outcome), (1, RequestOutcome::Unknown(RefusalReason::HomeLost)));
 }
 
 #[test]
-fn home_frozen_past_ticket() {
-    // Symptom: a bid runs long after its caller was told that nobody knows.
-    // Sequence: the home freezes with the bid in its socket, wakes up after the ticket has run
-    //   out, and freezes and wakes up again with another copy.
-    // Cause: the woken process takes what it reads for recent. `home_frozen` shows that the bid
-    //   does run when the ticket still holds.
-    let (runs, word) = freeze_home(RunOnce::On, SHORT_TICKET_MS, 2);
-    assert_eq!((runs, word), (0, FinalWord::Unknown(RefusalReason::HomeLost)));
+fn bid_does_not_run_after_its_ticket_has_expired() {
+    // Guards against a bid that runs long after its caller was told that its fate is unknown. The
+    // home freezes with the bid in its socket buffer, resumes after the ticket has expired, and
+    // does so again with a retransmission; it must not take buffered packets for recent.
+    // `bid_runs_once_after_its_home_is_frozen` shows that the bid does run while the ticket is
+    // valid.
+    let (runs, outcome) = freeze_home(RunOnce::On, SHORT_TICKET_MS, 2);
+    assert_eq!((runs, outcome), (0, RequestOutcome::Unknown(RefusalReason::HomeLost)));
 }
 
-/// All instances replaced while the bid runs; returns the runs.
+/// Replaces all instances while a bid runs, and returns the runs of the bid.
 fn replace_all(run_once: RunOnce) -> u32 {
-    let mut fleet = start_fleet(plan_fleet(2, 3).settings(&run_once.settings(QUICK))).unwrap();
-    slow_down(&mut fleet, LONG_RUN).unwrap();
-    let mut caller = HandCaller::new(&fleet, DESK, 1).unwrap();
+    let mut fleet =
+        start_fleet(plan_fleet(2, 3).settings(&run_once.settings(FAST_DETECTION_SETTINGS)))
+            .unwrap();
+    scale_service_time(&mut fleet, LONG_RUN_FACTOR).unwrap();
+    let mut caller = ManualCaller::new(&fleet, DESK, 1).unwrap();
     let ticket = caller.obtain_ticket().unwrap();
     let bid = caller.next_request(&ticket);
     caller.send(&bid).unwrap();
-    wait_runs(&mut fleet, caller.id(1), 1).unwrap();
+    wait_runs(&mut fleet, caller.request_id(1), 1).unwrap();
     for index in [0, 1] {
         fleet.kill_instance(index).unwrap();
     }
@@ -211,14 +218,13 @@
         fleet.add_instance(CENTRE).unwrap();
         fleet.forget_instance(index).unwrap();
     }
-    count_after_copies(run_once, &mut fleet, &caller, &bid, &[2, 3]).unwrap()
+    count_after_retransmission(run_once, &mut fleet, &caller, &bid, &[2, 3]).unwrap()
 }
 
 #[test]
-fn all_replaced() {
-    // Symptom: a bid runs twice.
-    // Sequence: every instance is killed while the bid runs, and others take their places.
-    // Cause: nobody is left who knows of the run.
+fn bid_runs_once_after_all_instances_are_replaced() {
+    // Guards against a bid that runs twice. Every instance is killed while the bid runs, and the
+    // instances that replace them don't know of the run.
     assert_eq!(replace_all(RunOnce::Off), 2, "without the mechanism the fault shows");
     assert_eq!(replace_all(RunOnce::On), 1);
 }
--- a/crates/foxledge-soak/src/soak.rs
+++ b/crates/foxledge-soak/src/soak.rs
@@ -1,4 +1,4 @@
-//! One run from its start to its report.
+//! A run from its start to its report.
 
 use std::{
     fmt,
@@ -13,48 +13,48 @@
 
 use crate::{
     callers::CallerHost,
-    faults::carry_out,
+    faults::apply_fault,
     instances::{BuildSet, RunningInstance},
-    nets::take_net,
+    monitors::{monitor_processes, monitor_unused_address, probe_routes},
+    networks::reserve_network,
     plan::{FaultPlan, SoakOptions},
-    watches::{probe_routes, watch_empty, watch_processes},
-    world::{BID_PORT, DATA_PORT, FEED_PORT, KEPT_FLOWS, SoakWorld, UPLOAD_PORT},
+    world::{BID_PORT, DATA_PORT, FEED_PORT, PERSISTENT_FLOWS, SoakWorld, UPLOAD_PORT},
 };
 
-/// Time for the start, and for the calm after the faults.
-const SETTLE: Duration = Duration::from_secs(20);
-/// Time after the last fault until requests are counted again.
-const CALM: Duration = Duration::from_secs(7);
-/// Time that requests are counted for at the end.
-const COUNTED: Duration = Duration::from_secs(3);
-/// Share of requests that must be served in the calm at the end.
-const SERVED_SHARE: f64 = 0.98;
-/// Requests a second of each caller's address where slots are counted, by kind.
-const USUAL_BIDS: u64 = 4;
-const USUAL_FEEDS: u64 = 6;
+/// The time in which all instances must become ready.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// The time after the last fault until requests are counted again.
+const RECOVERY_WAIT: Duration = Duration::from_secs(7);
+/// The time for which requests are counted after the recovery.
+const MEASUREMENT_TIME: Duration = Duration::from_secs(3);
+/// The share of requests that must be served after the recovery.
+const MIN_SERVED_SHARE: f64 = 0.98;
+/// The requests a second of each caller address if slots are counted, by kind.
+const BASE_BIDS_PER_S: u64 = 4;
+const BASE_FEEDS_PER_S: u64 = 6;
 
-/// `SoakReport` is what a run showed.
+/// The results of a run.
 #[derive(Clone, Debug)]
 pub struct SoakReport {
-    /// Its seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// Faults that were carried out.
+    /// The number of injected faults.
     pub faults: usize,
-    /// Requests served and failed while faults came.
+    /// The numbers of served and failed requests while faults were injected.
     pub during: (u64, u64),
-    /// Requests served and failed in the calm at the end.
+    /// The numbers of served and failed requests after the recovery.
     pub after: (u64, u64),
-    /// Urgent requests served and failed where slots are counted.
+    /// The numbers of served and failed urgent requests, counted by route if slots are counted.
     pub urgent: (u64, u64),
-    /// Less urgent ones.
+    /// The numbers of served and failed less urgent requests, counted likewise.
     pub others: (u64, u64),
-    /// Openings that instances refused.
+    /// The number of opening packets that instances refused.
     pub refused: u64,
-    /// Calls of the store.
+    /// The number of requests to the store.
     pub store_calls: u64,
-    /// Promises that were broken.
+    /// The broken promises.
     pub breaches: Vec<String>,
-    /// Where logs and settings lie.
+    /// The folder of logs and settings.
     pub folder: PathBuf,
 }
 
@@ -85,20 +85,21 @@
     }
 }
 
-/// Runs one seed with `builds` as the daemons.
+/// Runs one seed with the daemons of `builds`.
 ///
 /// # Errors
 ///
-/// When something couldn't be started; a broken promise is no error but in the report.
+/// When a part of the run couldn't be started. A broken promise isn't an error; the report lists
+/// it.
 pub fn run_soak(options: SoakOptions, builds: &BuildSet) -> Result<SoakReport> {
     let runtime = runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
-    // Several runs of a process may have the same seed, but not the same network.
-    let (net, hold) = take_net()?;
+    // Several runs of a process may have the same seed, but each has its own network.
+    let (net, network_lock) = reserve_network()?;
     let name = format!("foxledge-soak-{}-{}-{net}", std::process::id(), options.seed);
     let folder = std::env::temp_dir().join(name);
     std::fs::create_dir_all(&folder)?;
     let report = runtime.block_on(run(options, net, builds, &folder))?;
-    drop(hold);
+    drop(network_lock);
     if report.breaches.is_empty() {
         std::fs::remove_dir_all(&folder)?;
     }
@@ -115,21 +116,21 @@
     let hosts = start_callers(&world).await?;
     world.lock_hosts().clone_from(&hosts);
     wait_ready(&world).await?;
-    tokio::spawn(watch_processes(world.clone()));
-    // Where slots are counted, probes that ask for nothing would be load without requests.
+    tokio::spawn(monitor_processes(world.clone()));
+    // If slots are counted, probes would occupy capacity without making requests.
     if !world.options.range.shares_load() {
         tokio::spawn(probe_routes(world.clone(), hosts[0].clone()));
     }
-    tokio::spawn(watch_empty(world.clone()));
-    world.ledger.take_counts();
-    let faults = play(&world).await;
-    let during = world.ledger.take_counts();
-    sleep(CALM).await;
-    world.ledger.take_counts();
-    sleep(COUNTED).await;
-    let after = world.ledger.take_counts();
+    tokio::spawn(monitor_unused_address(world.clone()));
+    world.ledger.drain_counts();
+    let faults = run_plan(&world).await;
+    let during = world.ledger.drain_counts();
+    sleep(RECOVERY_WAIT).await;
+    world.ledger.drain_counts();
+    sleep(MEASUREMENT_TIME).await;
+    let after = world.ledger.drain_counts();
     check_recovery(&world, after);
-    world.ledger.check_urgent(BID_PORT, FEED_PORT);
+    world.ledger.check_urgent_share(BID_PORT, FEED_PORT);
     world.is_ending.store(true, Ordering::Relaxed);
     for host in &hosts {
         host.is_stopping.store(true, Ordering::Relaxed);
@@ -140,37 +141,38 @@
         faults,
         during,
         after,
-        urgent: world.ledger.counts_at(BID_PORT),
-        others: world.ledger.counts_at(FEED_PORT),
+        urgent: world.ledger.route_counts(BID_PORT),
+        others: world.ledger.route_counts(FEED_PORT),
         refused: world.ledger.refused_count(),
-        store_calls: world.store.calls(),
+        store_calls: world.store.call_count(),
         breaches: world.ledger.breaches(),
         folder: folder.to_owned(),
     })
 }
 
-/// Carries the plan out; faults overlap, and all have ended when it returns.
-async fn play(world: &Arc<SoakWorld>) -> usize {
+/// Injects the faults of the plan, which may overlap, and returns their number when all have
+/// ended.
+async fn run_plan(world: &Arc<SoakWorld>) -> usize {
     let plan = FaultPlan::new(&world.options);
     let start = Instant::now();
     let mut tasks = Vec::new();
     for (at, fault) in &plan.faults {
-        let due = start + Duration::from_millis(*at);
-        sleep(due.saturating_duration_since(Instant::now())).await;
-        tasks.push(tokio::spawn(carry_out(world.clone(), *fault)));
+        let starts_at = start + Duration::from_millis(*at);
+        sleep(starts_at.saturating_duration_since(Instant::now())).await;
+        tasks.push(tokio::spawn(apply_fault(world.clone(), *fault)));
     }
     let end = start + Duration::from_secs(world.options.seconds);
     sleep(end.saturating_duration_since(Instant::now())).await;
     for task in tasks {
-        world.join(task).await;
+        world.join_task(task).await;
     }
     plan.faults.len()
 }
 
 fn check_recovery(world: &SoakWorld, (served, failed): (u64, u64)) {
     let share = served as f64 / (served + failed).max(1) as f64;
-    if served == 0 || share < SERVED_SHARE {
-        world.ledger.breach(format!("after the faults {served} were served, {failed} not"));
+    if served == 0 || share < MIN_SERVED_SHARE {
+        world.ledger.record_breach(format!("after the faults {served} were served, {failed} not"));
     }
 }
 
@@ -184,7 +186,7 @@
         let centre = shares_load.then_some(index % 2);
         let host = CallerHost::start(address, router, ledger, loss, centre).await?;
         if shares_load {
-            start_usual(&host, &mut rng);
+            start_base_load(&host, &mut rng);
             hosts.push(host);
             continue;
         }
@@ -192,9 +194,9 @@
         for _ in 0..3 {
             tokio::spawn(host.clone().run(ports.clone(), rng.random()));
         }
-        if world.options.range.tells_starts() {
-            for _ in 0..KEPT_FLOWS {
-                tokio::spawn(host.clone().run_kept(BID_PORT, rng.random()));
+        if world.options.range.includes_start_times() {
+            for _ in 0..PERSISTENT_FLOWS {
+                tokio::spawn(host.clone().run_persistent(BID_PORT, rng.random()));
             }
         }
         hosts.push(host);
@@ -202,17 +204,18 @@
     Ok(hosts)
 }
 
-/// Starts the requests that take half of the slots: flows of one request, and some kept ones.
-fn start_usual(host: &Arc<CallerHost>, rng: &mut StdRng) {
-    tokio::spawn(host.clone().run_rate(BID_PORT, USUAL_BIDS, None));
-    tokio::spawn(host.clone().run_rate(FEED_PORT, USUAL_FEEDS, None));
+/// Starts the base load, which takes half of the slots: flows of one request, and some persistent
+/// flows.
+fn start_base_load(host: &Arc<CallerHost>, rng: &mut StdRng) {
+    tokio::spawn(host.clone().run_rate(BID_PORT, BASE_BIDS_PER_S, None));
+    tokio::spawn(host.clone().run_rate(FEED_PORT, BASE_FEEDS_PER_S, None));
     for _ in 0..2 {
-        tokio::spawn(host.clone().run_kept(BID_PORT, rng.random()));
+        tokio::spawn(host.clone().run_persistent(BID_PORT, rng.random()));
     }
 }
 
 async fn wait_ready(world: &SoakWorld) -> Result<()> {
-    let end = Instant::now() + SETTLE;
+    let end = Instant::now() + START_TIMEOUT;
     while world.router.ready_count() < world.size() {
         if Instant::now() > end {
             bail!("{} of {} are ready", world.router.ready_count(), world.size());
--- a/crates/foxledge-soak/src/store.rs
+++ b/crates/foxledge-soak/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store, as a stand-in over HTTP.
+//! A stand-in for the platform's store, over HTTP.
 
 use std::{
     collections::BTreeMap,
@@ -21,38 +21,38 @@
 use serde_json::{Value, json};
 use tokio::{net::TcpListener, sync::Notify, time::timeout};
 
-/// `StoreMode` is how the store answers.
+/// How the store responds to requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreMode {
-    /// As it should.
+    /// Responds normally.
     Serving,
-    /// With status 503.
+    /// Responds with status 503.
     Refusing,
-    /// Not at all.
+    /// Doesn't respond.
     Silent,
-    /// After this many milliseconds more.
+    /// Responds after an additional delay, in milliseconds.
     Slow(u64),
 }
 
 struct StoreState {
     items: BTreeMap<String, Value>,
-    log: Vec<(u64, Value)>,
+    history: Vec<(u64, Value)>,
     revision: u64,
-    floor: u64,
-    /// Rises each time the store comes back from a copy.
-    era: u64,
+    compacted_revision: u64,
+    /// Incremented each time the store is restored from a snapshot.
+    epoch: u64,
     mode: StoreMode,
     calls: u64,
 }
 
-/// `StoreCopy` is what a store held at one moment.
+/// The contents of a store at one point in time.
 #[derive(Clone)]
-pub struct StoreCopy {
+pub struct StoreSnapshot {
     items: BTreeMap<String, Value>,
     revision: u64,
 }
 
-/// `StandInStore` holds items under revisions, and their history.
+/// A key-value store with revisions and a history of changes.
 #[derive(Clone)]
 pub struct StandInStore {
     state: Arc<Mutex<StoreState>>,
@@ -75,11 +75,11 @@
     wait_ms: u64,
 }
 
-/// Items of one page; few, so that even small lists have several pages.
-const PAGE: usize = 12;
+/// The maximum number of items in a page; small, so that even short lists have several pages.
+const PAGE_SIZE: usize = 12;
 
 impl StandInStore {
-    /// Starts to serve.
+    /// Starts the store's HTTP server.
     ///
     /// # Errors
     ///
@@ -87,10 +87,10 @@
     pub async fn start(address: SocketAddrV4) -> Result<StandInStore> {
         let state = StoreState {
             items: BTreeMap::new(),
-            log: Vec::new(),
+            history: Vec::new(),
             revision: 100,
-            floor: 100,
-            era: 0,
+            compacted_revision: 100,
+            epoch: 0,
             mode: StoreMode::Serving,
             calls: 0,
         };
@@ -99,7 +99,7 @@
         let router = Router::new()
             .route("/foxledge/kv-range", get(range))
             .route("/foxledge/kv-watch", get(watch))
-            .layer(middleware::from_fn_with_state(store.clone(), tell_era))
+            .layer(middleware::from_fn_with_state(store.clone(), add_epoch_header))
             .with_state(store.clone());
         tokio::spawn(async move { axum::serve(listener, router).await });
         Ok(store)
@@ -110,30 +110,30 @@
         self.put_bytes(key, value.to_string().as_bytes());
     }
 
-    /// Writes an item unless it lies there as it is.
-    pub fn put_again(&self, key: &str, value: &Value) {
-        let text = BASE64_STANDARD.encode(value.to_string());
-        let is_there = self.lock().items.get(key).is_some_and(|item| item["value"] == text);
+    /// Writes an item unless the store holds the same value already.
+    pub fn put_if_changed(&self, key: &str, value: &Value) {
+        let encoded = BASE64_STANDARD.encode(value.to_string());
+        let is_there = self.lock().items.get(key).is_some_and(|item| item["value"] == encoded);
         if !is_there {
             self.put(key, value);
         }
     }
 
-    /// Writes an item of any bytes.
+    /// Writes an item with an arbitrary value.
     pub fn put_bytes(&self, key: &str, value: &[u8]) {
         let mut state = self.lock();
         state.revision += 1;
         let revision = state.revision;
-        let text = BASE64_STANDARD.encode(value);
+        let encoded = BASE64_STANDARD.encode(value);
         let created = match state.items.get(key) {
             Some(known) => known["created"].clone(),
             None => revision.into(),
         };
         let item = json!({
-            "key": key, "value": text, "revision": revision, "created": created, "lease": 0,
+            "key": key, "value": encoded, "revision": revision, "created": created, "lease": 0,
         });
         state.items.insert(key.to_owned(), item.clone());
-        state.log.push((revision, item));
+        state.history.push((revision, item));
         drop(state);
         self.changed.notify_waiters();
     }
@@ -146,54 +146,56 @@
         }
         state.revision += 1;
         let revision = state.revision;
-        state.log.push((revision, json!({"key": key, "revision": revision, "tombstone": true})));
+        state
+            .history
+            .push((revision, json!({"key": key, "revision": revision, "tombstone": true})));
         drop(state);
         self.changed.notify_waiters();
     }
 
-    /// Drops the history.
+    /// Discards the history of changes.
     pub fn compact(&self) {
         let mut state = self.lock();
-        state.floor = state.revision;
-        state.log.clear();
+        state.compacted_revision = state.revision;
+        state.history.clear();
     }
 
-    /// Copies what the store holds now.
-    pub fn copy(&self) -> StoreCopy {
+    /// Returns a copy of the current contents.
+    pub fn snapshot(&self) -> StoreSnapshot {
         let state = self.lock();
-        StoreCopy { items: state.items.clone(), revision: state.revision }
+        StoreSnapshot { items: state.items.clone(), revision: state.revision }
     }
 
-    /// Comes back from a copy: what was written since is gone, and its revisions are given out
-    /// again.
-    pub fn restore(&self, copy: &StoreCopy) {
+    /// Restores a snapshot: later changes are lost, and their revisions are assigned again.
+    pub fn restore(&self, copy: &StoreSnapshot) {
         let mut state = self.lock();
         state.items.clone_from(&copy.items);
-        state.log.clear();
-        (state.revision, state.floor) = (copy.revision, copy.revision);
-        state.era += 1;
+        state.history.clear();
+        (state.revision, state.compacted_revision) = (copy.revision, copy.revision);
+        state.epoch += 1;
         drop(state);
         self.changed.notify_waiters();
     }
 
-    /// Keys of the items whose keys begin so.
+    /// Returns the keys that begin with `prefix`.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let state = self.lock();
         state.items.keys().filter(|key| key.starts_with(prefix)).cloned().collect()
     }
 
-    /// Changes how the store answers.
+    /// Sets how the store responds to requests.
     pub fn set_mode(&self, mode: StoreMode) {
         self.lock().mode = mode;
         self.changed.notify_waiters();
     }
 
-    /// Calls so far.
-    pub fn calls(&self) -> u64 {
+    /// Returns the number of requests so far.
+    pub fn call_count(&self) -> u64 {
         self.lock().calls
     }
 
-    /// Waits as the mode asks; an answer when the call is turned away.
+    /// Counts a request and applies the mode: waits, and returns a response if the request is
+    /// refused.
     async fn admit(&self) -> Option<Response> {
         let mode = {
             let mut state = self.lock();
@@ -216,13 +218,13 @@
 
     fn events_after(&self, prefix: &str, after: u64) -> Result<(Vec<Value>, u64), StatusCode> {
         let state = self.lock();
-        if after < state.floor || after > state.revision {
+        if after < state.compacted_revision || after > state.revision {
             return Err(StatusCode::GONE);
         }
         let is_wanted = |(revision, item): &&(u64, Value)| {
             *revision > after && item["key"].as_str().is_some_and(|key| key.starts_with(prefix))
         };
-        let events = state.log.iter().filter(is_wanted).map(|(_, item)| item.clone()).collect();
+        let events = state.history.iter().filter(is_wanted).map(|(_, item)| item.clone()).collect();
         Ok((events, state.revision))
     }
 
@@ -231,9 +233,13 @@
     }
 }
 
-async fn tell_era(State(store): State<StandInStore>, call: Request, next: Next) -> Response {
+async fn add_epoch_header(
+    State(store): State<StandInStore>,
+    call: Request,
+    next: Next,
+) -> Response {
     let mut answer = next.run(call).await;
-    let era = store.lock().era;
+    let era = store.lock().epoch;
     answer.headers_mut().insert("store-era", era.into());
     answer
 }
@@ -248,8 +254,8 @@
     };
     let mut items: Vec<_> =
         state.items.iter().filter(is_wanted).map(|(_, item)| item.clone()).collect();
-    let truncated = items.len() > PAGE;
-    items.truncate(PAGE);
+    let truncated = items.len() > PAGE_SIZE;
+    items.truncate(PAGE_SIZE);
     let body = json!({"items": items, "truncated": truncated, "as_of": state.revision});
     Json(body).into_response()
 }
