--- a/crates/foxledge-admission/src/accounts.rs
+++ b/crates/foxledge-admission/src/accounts.rs
@@ -1,4 +1,6 @@
 //! Detection of client accounts that exceed their fair rate, from samples.
+//!
+//! The fair rate is the max-min fair share of the admitted openings; see [`fair_level`].
 
 use std::{collections::BTreeMap, net::Ipv4Addr, num::NonZeroUsize};
 
@@ -25,8 +27,8 @@
 pub struct AccountKey(pub u32);
 
 impl AccountKey {
-    /// Returns the key of the account with this caller's address.
-    pub fn of(caller: Ipv4Addr) -> AccountKey {
+    /// Returns the key of the account that the caller's address stands for.
+    pub fn from_address(caller: Ipv4Addr) -> AccountKey {
         AccountKey(xxh3_64(&caller.octets()) as u32)
     }
 }
@@ -53,8 +55,8 @@
     /// of its priority.
     ///
     /// Limits the load that a single account causes. The decision depends on a hash of the time,
-    /// which spreads the admitted openings evenly; an account that was admitted by the readmission
-    /// window would use its whole share at once.
+    /// which spreads the admitted openings evenly. The readmission window would instead admit all
+    /// openings of the account for a part of each rotation, and none in the rest.
     pub fn admits(&self, now: ClockTime, caller: Ipv4Addr, share: f64) -> bool {
         let draw = xxh3_64_with_seed(&caller.octets(), now.as_micros());
         (draw as f64) < share * self.admitted_share() * u64::MAX as f64
@@ -116,8 +118,9 @@
         }
     }
 
-    /// Returns the accounts that exceed their fair rate if the fraction `served` of all openings
-    /// can be admitted and an account may use `share_multiple` times the fair rate.
+    /// Returns the accounts that open more than `share_multiple` times the fair rate, if the
+    /// fraction `served` of all openings can be admitted. Accounts with few samples are never among
+    /// them, nor those below [`HEAVY_FACTOR`] times the mean rate of the others.
     ///
     /// `sampled_per_s` is the rate of the openings that samples were taken from; not all of these
     /// samples are received. If it is 0, the received samples stand for all openings.
--- a/crates/foxledge-admission/src/capacity.rs
+++ b/crates/foxledge-admission/src/capacity.rs
@@ -9,9 +9,9 @@
 /// The range of the target load, in requests per slot: at the lower end all slots stay busy, at the
 /// upper end requests wait as long as they run.
 const TARGET_LOADS: (f64, f64) = (1.25, 2.0);
-/// The gain of the load controller: the fraction of the slots by which the capacity changes per
-/// request per slot of deviation from the target. Larger gains follow the noise of the views, and
-/// the load settles above the target.
+/// The gain of the load controller: the fraction of the slots by which the capacity changes for
+/// each request per slot that the load deviates from its target. Larger gains follow the noise of
+/// the views, and the load settles above the target.
 const GAIN: f64 = 0.3;
 /// The minimum capacity, as a fraction of the slots. At 0.1, a load of five times the slots seen
 /// through views that are 250 ms late oscillates: slots run empty before the end of the backlog is
@@ -19,7 +19,8 @@
 const MIN_CAPACITY: f64 = 0.3;
 /// The load, in requests per slot, below which nothing is refused.
 const REFUSAL_LOAD: f64 = 1.0;
-/// The same while work times are unknown, and demand can only be estimated from the load.
+/// The load, in requests per slot, below which nothing is refused while work times are unknown and
+/// the demand can only be estimated from the load.
 const REFUSAL_LOAD_WITHOUT_WORK_TIME: f64 = 3.0;
 
 /// The estimated load and capacity of a service at one moment.
@@ -27,7 +28,8 @@
 pub struct CapacityEstimate {
     /// Requests that run or wait, per slot, as reported.
     pub load: f64,
-    /// The load that is expected by now, in requests per slot.
+    /// The load that is expected now, in requests per slot: the reported one, corrected for what
+    /// was admitted and served since.
     pub expected_load: f64,
     /// Usable slots.
     pub slots: f64,
@@ -36,22 +38,21 @@
     /// The load, in requests per slot, at which all slots stay busy and waiting requests still meet
     /// the latency target.
     pub target: f64,
-    /// Slots that new requests may use.
+    /// Slots that new requests may use; more or less than all slots, to steer the load to its
+    /// target.
     pub capacity: f64,
-    /// Demanded requests per second.
+    /// Requests per second, without retries of refused ones.
     pub requests_per_s: f64,
-    /// Slots that the demanded requests need, by priority.
+    /// Slots that these requests need, by priority.
     pub demands: BTreeMap<u32, f64>,
     /// The load, in requests per slot, from which openings may be refused.
     pub refusal_load: f64,
 }
 
 impl CapacityEstimate {
-    /// Estimates the load of a service from its snapshot and the demanded `requests_per_s` by
-    /// priority; `None` without slots.
-    ///
-    /// A shortage is a load above what the slots can serve within the latency target.
-    pub fn of(
+    /// Estimates the load of a service from its snapshot and its `requests_per_s` by priority,
+    /// which exclude retries. Returns `None` without slots.
+    pub fn from_snapshot(
         snapshot: &ServiceSnapshot,
         requests_per_s: &BTreeMap<u32, f64>,
     ) -> Option<CapacityEstimate> {
@@ -81,8 +82,9 @@
         })
     }
 
-    /// Returns the estimate for the load that is expected `age_s` seconds after the report, if
-    /// `admitted_s` seconds of work for one slot were admitted since then and all slots are busy.
+    /// Returns the estimate for the load that is expected `age_s` seconds after the report, if work
+    /// that keeps one slot busy for `admitted_s` seconds was admitted since, and all slots are
+    /// busy.
     ///
     /// Compensates the delay of the view during a burst or a backlog: the load that it reports does
     /// not include what was admitted in the meantime.
@@ -94,7 +96,7 @@
         self
     }
 
-    /// Returns the slots that all demanded requests need.
+    /// Returns the slots that all requests need.
     pub fn demand(&self) -> f64 {
         self.demands.values().sum()
     }
--- a/crates/foxledge-admission/src/interface.rs
+++ b/crates/foxledge-admission/src/interface.rs
@@ -15,7 +15,7 @@
     pub running: f64,
     /// Load by priority; 0 is the highest.
     pub priorities: BTreeMap<u32, PriorityLoad>,
-    /// The shortest latency target of the routes to the service, in milliseconds; 0 if none is set.
+    /// The shortest latency target of the service's routes, in milliseconds; 0 if none is set.
     pub latency_target_ms: u64,
     /// When the underlying load was reported.
     pub reported_at: ClockTime,
@@ -26,10 +26,11 @@
     /// Client account samples received since the previous update: the hash, and the openings that
     /// each stands for.
     pub account_samples: Vec<(u32, u32)>,
-    /// Arrivals per second that the samples were taken from, which are those of the local data
-    /// centre; 0 if unknown, the samples then stand for all openings.
+    /// Arrivals per second in the local data centre, from which the samples were taken. If it is
+    /// unknown, this is 0, and the rate is computed from the received samples alone.
     pub sampled_arrivals_per_s: f64,
-    /// The fleet clock that orders readmission, in milliseconds.
+    /// The reading of the clock shared by all instances, which positions the readmission window, in
+    /// milliseconds.
     pub fleet_clock_ms: u32,
 }
 
@@ -50,13 +51,13 @@
     Admitted,
     /// The service lacks capacity for its priority.
     Shortage,
-    /// Its client account has used its share.
+    /// Its client account exceeds its share.
     AccountShare,
 }
 
 /// Decides which new flows of one service are admitted.
 pub trait AdmissionPolicy {
-    /// Plans admission for the current load of the service.
+    /// Updates the plan for refusals to the current load of the service.
     fn update(&mut self, now: ClockTime, snapshot: &ServiceSnapshot);
 
     /// Decides whether a new flow is admitted.
@@ -66,6 +67,7 @@
     /// shortage.
     fn admitted_shares(&self) -> &BTreeMap<u32, f64>;
 
-    /// Returns the start of the current shortage, or `None` if there is none.
+    /// Returns the start of the current shortage, or `None` if there is none. A policy may report a
+    /// shortage for a short time after its end.
     fn shortage_since(&self) -> Option<ClockTime>;
 }
--- a/crates/foxledge-admission/src/options.rs
+++ b/crates/foxledge-admission/src/options.rs
@@ -1,8 +1,8 @@
 //! Settings of admission.
 
-/// The maximum floor, in percent of the capacity.
+/// The maximum share of the capacity that is reserved for lower priorities, in percent.
 const MAX_FLOOR_PERCENT: f64 = 50.0;
-/// The range of the share of an account, in multiples of the fair rate.
+/// The range of the rate that one client account may use, in multiples of its max-min fair rate.
 const ACCOUNT_SHARE_RANGE: (f64, f64) = (1.0, 100.0);
 
 /// The admission settings of one service.
--- a/crates/foxledge-admission/src/policy.rs
+++ b/crates/foxledge-admission/src/policy.rs
@@ -19,12 +19,12 @@
 /// How long after its start a shortage refuses nothing while a data centre has not reported its
 /// load, in milliseconds.
 const UNREPORTED_CENTRE_WAIT_MS: u64 = 600;
-/// How long a shortage is still logged after its end, in milliseconds; prevents flapping log
-/// entries.
+/// How long a shortage is still reported after its end, in milliseconds, so that short gaps don't
+/// appear as several shortages in logs.
 const SHORTAGE_LOG_HOLD_MS: u64 = 200;
 
 /// The admission policy of one service: shares of its capacity by priority and by client account,
-/// and a fixed order of readmission.
+/// and readmission of callers in the order of a ring.
 #[derive(Debug)]
 pub struct ShareAdmission {
     options: AdmissionOptions,
@@ -34,23 +34,23 @@
     plan: RefusalPlan,
 }
 
-/// A shortage as it is logged.
+/// A shortage as it is reported and logged: with its short gaps.
 #[derive(Clone, Copy, Debug)]
 struct LoggedShortage {
     started_at: ClockTime,
     /// The time from which openings may be refused even if a data centre has not reported its load.
     refuses_from: ClockTime,
-    /// The end of the logged shortage, unless it is extended.
+    /// The end of the reported shortage, unless it is extended.
     ends_at: ClockTime,
 }
 
-/// The refusals until the next plan; none if it has no shares.
+/// What is refused until the next plan; nothing if there are no planned shares.
 #[derive(Clone, Debug, Default)]
 struct RefusalPlan {
     planned: PlannedShares,
     heavy: BTreeMap<AccountKey, HeavyAccount>,
     window: ReadmissionWindow,
-    /// When the underlying view is too old to justify refusals.
+    /// When the underlying view becomes too old to justify refusals.
     expires_at: ClockTime,
 }
 
@@ -77,7 +77,7 @@
         self.accounts.len()
     }
 
-    /// Starts or extends the logged shortage, and drops one that has ended.
+    /// Starts or extends the reported shortage, and removes one that has ended.
     fn update_logged_shortage(&mut self, now: ClockTime, is_short: bool) {
         let logged = self.logged.filter(|logged| !logged.ends_at.is_past(now));
         let ends_at = now.after_millis(SHORTAGE_LOG_HOLD_MS);
@@ -119,6 +119,7 @@
         }
     }
 
+    /// Returns the client accounts that exceed their fair rate; empty if accounts are not limited.
     fn find_heavy_accounts(
         &self,
         now: ClockTime,
@@ -147,7 +148,7 @@
             snapshot.is_reliable && !snapshot.reported_at.after_millis(VIEW_TTL_MS).is_past(now);
         let requests_per_s =
             self.retries.requests_per_s(snapshot.reported_at, &snapshot.priorities);
-        let shortage = CapacityEstimate::of(snapshot, &requests_per_s)
+        let shortage = CapacityEstimate::from_snapshot(snapshot, &requests_per_s)
             .map(|estimate| {
                 let (age_s, admitted_s) = self.retries.admitted_work_until(now, &estimate.demands);
                 estimate.projected(age_s, admitted_s)
@@ -172,7 +173,7 @@
         if plan.planned.shares.is_empty() || plan.expires_at.is_past(now) {
             return AdmissionDecision::Admitted;
         }
-        if let Some(heavy) = plan.heavy.get(&AccountKey::of(opening.caller)) {
+        if let Some(heavy) = plan.heavy.get(&AccountKey::from_address(opening.caller)) {
             return match heavy.admits(now, opening.caller, share) {
                 true => AdmissionDecision::Admitted,
                 false => AdmissionDecision::AccountShare,
--- a/crates/foxledge-admission/src/readmission.rs
+++ b/crates/foxledge-admission/src/readmission.rs
@@ -1,5 +1,5 @@
-//! The order of readmission: callers are placed on a ring, and a rotating window covers those that
-//! are admitted.
+//! The order of readmission: callers are hashed to positions on a ring, and a rotating window
+//! covers those that are admitted.
 
 use std::net::Ipv4Addr;
 
@@ -16,16 +16,17 @@
 /// The position of the window of admitted callers on the ring.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReadmissionWindow {
-    /// The reading of the fleet clock, and when it was taken.
+    /// A reading of the clock that all instances share, in microseconds.
     clock_us: u64,
+    /// When the clock was read.
     read_at: ClockTime,
     /// The rotation time in microseconds; 0 before the first plan.
     rotation_us: u64,
 }
 
 impl ReadmissionWindow {
-    /// Creates the window for a service with this latency target, at the given reading of the fleet
-    /// clock.
+    /// Creates the window for a service with this latency target; `clock_ms` is the reading of the
+    /// clock shared by all instances at `now`.
     pub fn new(now: ClockTime, clock_ms: u32, latency_target_ms: u64) -> ReadmissionWindow {
         let rotation_ms = if latency_target_ms == 0 {
             DEFAULT_ROTATION_MS
--- a/crates/foxledge-admission/src/retries.rs
+++ b/crates/foxledge-admission/src/retries.rs
@@ -7,16 +7,16 @@
 
 use crate::capacity::arrivals_per_s;
 
-/// The range of the openings that a caller makes for a request that is refused every time. The
-/// initial estimate is the upper end, because a refused caller has two more tries.
+/// The range of the estimated openings for a request that is refused every time. The initial
+/// estimate is the upper end, because a caller retries a refused request twice.
 const TRIES_PER_REQUEST: (f64, f64) = (1.0, 3.0);
-/// The change of the estimate per second for each request per slot of deviation from the target
-/// load. At 1.0, a load of five times the slots oscillates.
+/// The change of the estimate per second, for each request per slot that the load deviates from its
+/// target. At 1.0, a load of five times the slots oscillates.
 const ADJUSTMENT_PER_S: f64 = 0.5;
 /// The time constant with which reported arrivals decay, in seconds.
 const ARRIVAL_DECAY_S: f64 = 0.25;
-/// The maximum excess that the estimate is adjusted by, in requests per slot. The backlog that a
-/// burst builds up before it is visible says nothing about retries.
+/// The maximum deviation from the target load that an adjustment takes into account, in requests
+/// per slot. The backlog that a burst builds up before it is visible does not result from retries.
 const MAX_EXCESS: f64 = 0.5;
 /// The maximum number of plans kept until a view arrives that was reported after them: one per
 /// 25 ms for 400 ms, the maximum age of a usable view.
@@ -27,7 +27,7 @@
 pub struct PlannedShares {
     /// Admitted share of the requests by priority; a priority without an entry is fully admitted.
     pub shares: BTreeMap<u32, f64>,
-    /// The fraction of the demand that remains without the excess of heavy accounts.
+    /// The fraction of the demand that remains after the excess of heavy accounts is refused.
     pub demand_fraction: f64,
 }
 
@@ -37,21 +37,22 @@
     }
 }
 
-/// An estimate of the requests behind the reported openings, from the share of requests that was
-/// admitted while these were counted.
+/// Estimates the requests behind the reported openings, some of which are retries, from the share
+/// of requests that was admitted while the openings were counted.
 ///
 /// The readmission window refuses all tries of a caller that follow each other closely. A refused
 /// request therefore arrives three times, an admitted one once.
 #[derive(Clone, Debug)]
 pub struct RetryEstimate {
-    /// Openings that a caller makes for a request that is refused every time.
+    /// Estimated openings that a caller makes for a request that is refused every time.
     tries: f64,
     adjusted_at: ClockTime,
     /// Mean admitted shares up to `averaged_until`, weighted like the reported arrivals.
     admitted: BTreeMap<u32, f64>,
     averaged_until: ClockTime,
-    /// The shares in force at `averaged_until`, and the later ones with their start times.
+    /// The shares in force at `averaged_until`.
     current: PlannedShares,
+    /// The later shares, with the times from which they are in force.
     later_plans: VecDeque<(ClockTime, PlannedShares)>,
 }
 
@@ -113,8 +114,9 @@
         priorities.iter().map(requests).collect()
     }
 
-    /// Returns the seconds from the last `reported_at` until `now`, and the work admitted in that
-    /// time, in seconds of one slot. `demands` is the slots that the requests need by priority.
+    /// Returns the seconds from the `reported_at` of the last [`RetryEstimate::requests_per_s`]
+    /// until `now`, and the work admitted in that time, in seconds of one busy slot. `demands` are
+    /// the slots that the requests need, by priority.
     pub fn admitted_work_until(&self, now: ClockTime, demands: &BTreeMap<u32, f64>) -> (f64, f64) {
         let admitted = |planned: &PlannedShares| -> f64 {
             let share = |priority| planned.shares.get(priority).copied().unwrap_or(1.0);
@@ -139,6 +141,7 @@
         }
     }
 
+    /// Advances the mean admitted shares to `until` with the shares in force.
     fn average_until(&mut self, until: ClockTime) {
         let elapsed_s = until.since(self.averaged_until).as_secs_f64();
         self.averaged_until = self.averaged_until.max(until);
--- a/crates/foxledge-admission/src/shares.rs
+++ b/crates/foxledge-admission/src/shares.rs
@@ -4,9 +4,9 @@
 
 /// Returns the admitted share of each priority's requests, from 0 to 1.
 ///
-/// If demand exceeds the capacity, the most urgent priority (0) is served first, except for a floor
-/// that is reserved for the priorities below it: `floor_fraction` of the capacity, and at most half
-/// of what remains.
+/// If demand exceeds the capacity, priorities are served in order, the highest (0) first. At each
+/// of them, a floor is reserved for the lower priorities: `floor_fraction` of the capacity, but at
+/// most half of the remaining capacity, and at most the demand of the lower priorities.
 pub fn priority_shares(
     capacity: f64,
     demands: &BTreeMap<u32, f64>,
@@ -27,8 +27,8 @@
     shares
 }
 
-/// Returns the level up to which each of `rates` is served when `served` is divided fairly;
-/// infinite if it suffices for all.
+/// Returns the level that caps each of `rates` when a total rate of `served` is divided fairly
+/// among them; infinite if it suffices for all.
 ///
 /// Max-min fairness by water-filling: Bertsekas and Gallager, "Data Networks", 1992, section 6.5.
 pub fn fair_level(mut rates: Vec<f64>, served: f64) -> f64 {
--- a/crates/foxledge-admission/tests/account_shares.rs
+++ b/crates/foxledge-admission/tests/account_shares.rs
@@ -87,7 +87,7 @@
 /// demand.
 fn sampled_snapshot(random: &mut StdRng, millis: u64, multiple: f64) -> ServiceSnapshot {
     let mut draw = || random.random_range(0.0..f64::from(ACCOUNTS) + multiple) as u32;
-    let key = |number: u32| (AccountKey::of(caller(number.min(ACCOUNTS))).0, 2);
+    let key = |number: u32| (AccountKey::from_address(caller(number.min(ACCOUNTS))).0, 2);
     let account_samples = (0..114).map(|_| key(draw())).collect();
     ServiceSnapshot { account_samples, ..snapshot(millis, 2.0, &[(1, 8_000.0)]) }
 }
@@ -107,7 +107,7 @@
 // of both.
 #[test]
 fn finds_heavy_account_among_two() {
-    let samples = |number, count| vec![(AccountKey::of(caller(number)).0, 10); count];
+    let samples = |number, count| vec![(AccountKey::from_address(caller(number)).0, 10); count];
     let account_samples = [samples(1, 40), samples(2, 4)].concat();
     let policy = updated_policy(&ServiceSnapshot {
         account_samples,
@@ -115,7 +115,7 @@
     });
     assert_eq!(
         policy.heavy_accounts().keys().copied().collect::<Vec<_>>(),
-        [AccountKey::of(caller(1))]
+        [AccountKey::from_address(caller(1))]
     );
     let refused = (1000..1200).map(|millis| decision(&policy, millis, 1, 1));
     assert!(refused.into_iter().any(|one| one == AdmissionDecision::AccountShare));
@@ -128,14 +128,14 @@
     let mut random = StdRng::seed_from_u64(2);
     for millis in (0..2000).step_by(50) {
         let mut account_samples: Vec<_> = (0..2_000).map(|_| (random.random(), 2)).collect();
-        account_samples.extend([(AccountKey::of(caller(1)).0, 2); 40]);
+        account_samples.extend([(AccountKey::from_address(caller(1)).0, 2); 40]);
         policy.update(
             at_ms(millis),
             &ServiceSnapshot { account_samples, ..snapshot(millis, 2.0, &[(1, 80_000.0)]) },
         );
         assert!(policy.tracked_accounts() <= 4096);
     }
-    assert!(policy.heavy_accounts().contains_key(&AccountKey::of(caller(1))));
+    assert!(policy.heavy_accounts().contains_key(&AccountKey::from_address(caller(1))));
 }
 
 // Guards against limiting an account for its demand of long ago.
--- a/crates/foxledge-admission/tests/common/model.rs
+++ b/crates/foxledge-admission/tests/common/model.rs
@@ -190,7 +190,7 @@
         one.instance = instance;
         let opening = FlowOpening { priority: USUAL[one.kind].0, caller: caller(one.caller) };
         self.rates[one.kind] += 1e6 / DECAY_US;
-        self.openings[instance].push(AccountKey::of(opening.caller).0);
+        self.openings[instance].push(AccountKey::from_address(opening.caller).0);
         let load = self.local_running[instance] * self.plan.instances as f64 / SLOTS;
         if !self.gate.admits(self.now, instance, load, &opening) {
             self.tally.refused += 1;
--- a/crates/foxledge-core/src/audit.rs
+++ b/crates/foxledge-core/src/audit.rs
@@ -14,9 +14,10 @@
     ListAccepted,
     /// A rule list was refused because of its findings.
     ListRefused,
-    /// A rule list was older than the one in force, or contradicted it.
+    /// A rule list was older than the one in force, or had the same revision but different
+    /// contents.
     ListIgnored,
-    /// An instance joined, left, was suspected, refuted a suspicion or died.
+    /// An instance joined, left, was suspected, refuted a suspicion or failed.
     MemberChanged,
     /// A backend server was observed draining.
     TargetDraining,
@@ -49,7 +50,8 @@
     pub new: String,
     /// The reason for the change.
     pub cause: String,
-    /// The source of the information: the platform, a peer, an observation or an operator.
+    /// The source of the information: the platform, another instance, an observation or an
+    /// operator.
     pub source: String,
     /// The revision of the rule list in force.
     pub revision: u64,
--- a/crates/foxledge-core/src/errors.rs
+++ b/crates/foxledge-core/src/errors.rs
@@ -8,17 +8,17 @@
 /// An error in the conversion of a basic type.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Error {
-    /// The text is not the name of any known value.
+    /// A text is not the name of any value of its type.
     #[error("unknown {what} \"{word}\"")]
     UnknownWord {
-        /// What the text should have named.
+        /// The type of value that was expected, such as `kind of traffic`.
         what: &'static str,
-        /// The text.
+        /// The rejected text.
         word: String,
     },
 }
 
-/// Creates an [`Error::UnknownWord`].
+/// Creates an [`Error::UnknownWord`] for a text that names no value of the type `what`.
 pub fn unknown_word(what: &'static str, word: &str) -> Error {
     Error::UnknownWord { what, word: word.to_owned() }
 }
--- a/crates/foxledge-core/src/hash.rs
+++ b/crates/foxledge-core/src/hash.rs
@@ -2,7 +2,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Returns the digest that messages use to compare contents.
+/// Returns the digest by which instances compare contents in messages. It is not cryptographic.
 pub fn digest_of(bytes: &[u8]) -> u64 {
     xxh3_64_with_seed(bytes, 0)
 }
--- a/crates/foxledge-core/src/lists.rs
+++ b/crates/foxledge-core/src/lists.rs
@@ -31,17 +31,17 @@
     pub const HIGHEST: PaidPriority = PaidPriority(7);
 }
 
-/// What happens to a request while the service is full.
+/// What happens to a request while all slots of its service are busy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum FullAction {
     /// The request waits in the bounded queue.
     Queue,
-    /// The request is refused immediately, with a time for the next try.
+    /// The request is refused immediately, with a time after which the caller may retry.
     Refuse,
 }
 
-/// What a rule decides for the flows that it matches.
+/// How a rule has matched flows treated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FlowTreatment {
@@ -60,8 +60,8 @@
     pub priority: PaidPriority,
     /// Relative share among members of the same priority, from 1.
     pub weight: u32,
-    /// The maximum number of one member's requests in slots and in the queue at the home instance;
-    /// 0 means no limit.
+    /// The maximum number of one member's requests in slots and in the queue at the home instance,
+    /// which schedules the service's requests; 0 means no limit.
     pub member_limit: u32,
     /// What happens while the service is full.
     pub when_full: FullAction,
@@ -141,7 +141,7 @@
     pub name: TargetName,
     /// The address at which it receives datagrams.
     pub address: SocketAddr,
-    /// Changes when another process takes over the address.
+    /// The incarnation of the process at the address; changes when another process takes it over.
     pub incarnation: u64,
     /// The data centre.
     pub data_centre: CentreName,
@@ -160,9 +160,10 @@
     pub name: ServiceName,
     /// Addresses that may resolve to the service.
     pub addresses: Vec<ServiceAddress>,
-    /// The maximum number of requests waiting at one home instance.
+    /// The maximum number of requests in the queue of one home instance.
     pub queue_limit: u32,
-    /// The number of equal shards of its targets, each with its own home instance; from 1.
+    /// The number of equal shards of its backend servers, each with a home instance that schedules
+    /// its requests; from 1.
     pub shards: u32,
     /// The backend servers of the service.
     pub targets: Vec<TargetSpec>,
@@ -181,7 +182,8 @@
 /// A key that seals tickets and flow tokens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct KeySpec {
-    /// The key id, which is carried in sealed values; the highest one seals, all of them open.
+    /// The key id, which sealed values contain. The key with the highest id seals new values;
+    /// values sealed with any published key can be opened.
     pub id: u32,
     /// The secret.
     #[serde(skip)]
@@ -209,7 +211,7 @@
         self.rules.iter().find(|rule| rule.when.matches(flow))
     }
 
-    /// Returns the published target with this address and its service, if any.
+    /// Returns the published backend server with this address and its service, if any.
     pub fn target_at(&self, address: SocketAddr) -> Option<(&ServiceSpec, &TargetSpec)> {
         self.services.values().find_map(|service| {
             let target = service.targets.iter().find(|target| target.address == address)?;
--- a/crates/foxledge-core/src/peers.rs
+++ b/crates/foxledge-core/src/peers.rs
@@ -1,4 +1,7 @@
 //! One instance's knowledge of the other instances of the fleet.
+//!
+//! The home of a service is the instance that queues and schedules its requests. It is selected by
+//! rendezvous hashing among the instances of the data centre.
 
 use std::net::SocketAddr;
 
@@ -17,7 +20,7 @@
     Joining,
     /// Serving; it can be the home of services.
     Alive,
-    /// An observer has not heard from the instance; it is still the home of its services.
+    /// The instance failed to respond to another one; it is still the home of its services.
     Suspect,
     /// Stopping as planned: it becomes the home of no further service and finishes its work.
     Leaving,
@@ -95,7 +98,8 @@
         self.peers.iter().find(|peer| peer.name.as_str() == name)
     }
 
-    /// Returns `true` if `name` is among the best `ranks` homes for `key`.
+    /// Returns `true` if `name` is among the `ranks` instances with the highest rendezvous weight
+    /// for `key`.
     ///
     /// Stops at the first `ranks` instances with a higher weight, after about `ranks * ln(n)` of
     /// `n` instances on average. A complete ranking weighs and sorts all of them.
@@ -118,7 +122,8 @@
         better < ranks
     }
 
-    /// Returns the instances that can be the home for `key`, from the highest weight to the lowest.
+    /// Returns the instances that can be the home for `key`, from the highest rendezvous weight to
+    /// the lowest.
     pub fn ranked_homes(&self, key: &str) -> Vec<&PeerInfo> {
         let mut ranked: Vec<_> = self
             .peers
--- a/crates/foxledge-core/src/time.rs
+++ b/crates/foxledge-core/src/time.rs
@@ -10,7 +10,7 @@
 pub struct ClockTime(u64);
 
 impl ClockTime {
-    /// The start of the clock.
+    /// The start of the process's clock.
     pub const ZERO: ClockTime = ClockTime(0);
     /// The latest representable time.
     pub const MAX: ClockTime = ClockTime(u64::MAX);
--- a/crates/foxledge-flows/src/candidates.rs
+++ b/crates/foxledge-flows/src/candidates.rs
@@ -77,12 +77,12 @@
     /// The local group that is shared out among instances, and the subset of it that this instance
     /// prefers.
     pub preferred_subset: Option<(usize, &'a GroupSubset)>,
-    /// Median answer time among backend servers of the service, in microseconds.
+    /// Median response time among backend servers of the service, in microseconds.
     pub median_latency_us: f64,
 }
 
 impl FlowRouter {
-    /// Returns the median answer time among backend servers of a service, in microseconds.
+    /// Returns the median response time among backend servers of a service, in microseconds.
     pub(crate) fn median_latency_us(&self, service: &ServiceName) -> f64 {
         let indexes = self.backends.service_indexes(service).iter();
         let backends = indexes.filter_map(|index| self.backends.get(*index));
--- a/crates/foxledge-flows/src/dead_backends.rs
+++ b/crates/foxledge-flows/src/dead_backends.rs
@@ -2,7 +2,7 @@
 
 use foxledge_core::time::ClockTime;
 
-/// The time, in milliseconds, between two checks for flows to reset.
+/// The interval at which dead backend servers are checked for flows to reset, in milliseconds.
 const CHECK_INTERVAL_MS: u64 = 20;
 
 /// The indexes of dead backend servers that may have flows to reset.
@@ -25,7 +25,7 @@
         self.indexes.retain(|other| *other != index);
     }
 
-    /// Removes and returns all of them if the next check is due, and none otherwise.
+    /// Removes and returns all indexes if the next check is due; returns none otherwise.
     pub fn drain_due(&mut self, now: ClockTime) -> Vec<usize> {
         if self.indexes.is_empty() || !self.next_check_at.is_past(now) {
             return Vec::new();
--- a/crates/foxledge-flows/src/decisions.rs
+++ b/crates/foxledge-flows/src/decisions.rs
@@ -44,7 +44,7 @@
     /// Hand it to another instance, which has the whole list. This instance has only a part,
     /// without the backend server of the open flow.
     Relay,
-    /// Drop it without an answer.
+    /// Drop it without a response.
     Drop(DropReason),
 }
 
@@ -134,14 +134,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "reason", rename_all = "snake_case")]
 pub enum ResetReason {
-    /// Its backend server answers neither this flow nor others.
+    /// Its backend server responds neither to this flow nor to others.
     BackendSilent {
         /// Time since the unanswered data was first forwarded, in milliseconds.
         waited_ms: u64,
         /// Time since another flow of the backend server was found unanswered, in milliseconds.
         silent_ms: u64,
     },
-    /// Its backend server is certainly dead, and its caller waits for an answer from there.
+    /// Its backend server is certainly dead, and its caller waits for a response from it.
     WaitingAtDead {
         /// Time since the unanswered data was first forwarded, in milliseconds.
         waited_ms: u64,
@@ -160,7 +160,7 @@
         /// Time since the removal of its entry was noticed, in milliseconds.
         gone_ms: u64,
     },
-    /// Its backend server doesn't answer, and neither does any other in the data centre.
+    /// Its backend server doesn't respond, and neither does any other in the data centre.
     CentreSilent {
         /// Time since the unanswered data was first forwarded, in milliseconds.
         waited_ms: u64,
@@ -182,7 +182,7 @@
     pub reason: ResetReason,
 }
 
-/// Why a packet is dropped without an answer.
+/// Why a packet is dropped without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DropReason {
@@ -231,7 +231,7 @@
 /// Counters of a router since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RouterCounters {
-    /// Openings that weren't answered in time.
+    /// Openings without a response in time.
     pub overdue_openings: u64,
     /// Retransmitted opening packets.
     pub retransmitted_openings: u64,
--- a/crates/foxledge-flows/src/groups.rs
+++ b/crates/foxledge-flows/src/groups.rs
@@ -79,7 +79,7 @@
         let service = match self.by_name.get(service) {
             Some(index) => *index,
             None => {
-                let (name, key) = (service.clone(), ServiceKey::of(service));
+                let (name, key) = (service.clone(), ServiceKey::from_name(service));
                 self.by_name.insert(service.clone(), self.services.len());
                 self.services.push(GroupedService { name, key, groups: Vec::new() });
                 self.services.len() - 1
--- a/crates/foxledge-flows/src/health.rs
+++ b/crates/foxledge-flows/src/health.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ObservationKind {
-    /// A new flow wasn't answered as fast as others are.
+    /// A new flow received no response within the usual time.
     Suspect,
     /// The backend server was ejected after several unanswered packets.
     Ejected,
@@ -124,7 +124,7 @@
     Healthy,
     /// The ejection is over, and one flow may try the backend server.
     Probation,
-    /// One packet wasn't answered in time.
+    /// One packet received no response in time.
     Suspect,
     /// Several packets stayed unanswered.
     Ejected,
--- a/crates/foxledge-flows/src/list_rows.rs
+++ b/crates/foxledge-flows/src/list_rows.rs
@@ -1,4 +1,4 @@
-//! Construction of list rows from items of the store.
+//! Construction and classification of list rows from items of the store.
 
 use std::collections::HashMap;
 
@@ -24,8 +24,8 @@
     routes
 }
 
-/// Returns the newest row of each key. A row that changed during a paged transfer is contained in
-/// it both as it was and as it is.
+/// Returns the newest row of each key. A paged transfer contains both the old and the new version
+/// of a row that changed meanwhile.
 pub(crate) fn newest_by_key(rows: Vec<ListRow>) -> Vec<ListRow> {
     let mut newest: HashMap<String, ListRow> = HashMap::new();
     for row in rows {
@@ -37,8 +37,9 @@
     newest.into_values().collect()
 }
 
-/// Returns the key of an item's row, or `None` for the operators' list, which yields many rows, for
-/// removals and for other malformed items.
+/// Returns the key of the row that an existing item of the store is converted to. Returns `None`
+/// for the operators' list, which is converted to many rows, for removals, and for malformed items
+/// other than backend servers.
 pub(crate) fn item_row_key(item: &ItemChange) -> Option<String> {
     match item {
         ItemChange::Backend { id, .. } => Some(backend_key(id)),
@@ -51,8 +52,8 @@
     }
 }
 
-/// Returns true for rows that a whole reading contains as items of their own while they are in
-/// force.
+/// Returns true for rows of items that exist in the store as long as the row is in force: backend
+/// servers and evacuations. A full reading without the item means that it was removed.
 pub(crate) fn is_item_row(row: &ListRow) -> bool {
     match &row.value {
         Some(RowValue::Backend(_)) => true,
@@ -63,8 +64,8 @@
     }
 }
 
-/// Returns true for rows that are part of the operators' list. Limits aren't among them, as they
-/// stay until they are replaced.
+/// Returns true for routes and services, which a new operators' list without them removes. Limits
+/// stay in force until they are replaced.
 pub(crate) fn is_config_row(row: &ListRow) -> bool {
     match &row.value {
         Some(RowValue::Route(_)) => true,
@@ -75,14 +76,15 @@
     }
 }
 
-/// Returns the row of a data centre that is evacuated.
+/// Creates the row of a data centre that is evacuated.
 pub(crate) fn evacuation_row(revision: u64, data_centre: String) -> ListRow {
     let key = evacuation_key(&data_centre);
     let value = ExtensionValue::Evacuation(EvacuationRow { data_centre });
     ListRow { key, revision, value: Some(RowValue::from_extension(&value)) }
 }
 
-/// Returns the number of a removed backend server.
+/// Returns the number of the backend server that a row removes, or `None` for other rows and for a
+/// removal without a known backend server.
 pub(crate) fn removed_backend_number(row: &ListRow) -> Option<u64> {
     match &row.value {
         Some(RowValue::Removed(removed)) => Some(removed.backend.as_ref()?.number),
@@ -90,19 +92,21 @@
     }
 }
 
+/// Returns true for rows of removed items.
 pub(crate) fn is_removed(row: &ListRow) -> bool {
     matches!(row.value, Some(RowValue::Removed(_)) | None)
 }
 
-/// Returns the row of an entry that can't be decoded. It names no backend server. It is added even
-/// if no valid entry was known, as an instance that gets its list from this one may know one.
+/// Creates the row of a backend server's entry that can't be decoded, without a backend server. It
+/// is added even if no valid entry was known, as an instance that receives its list from this one
+/// may know one.
 pub(crate) fn invalid_entry_row(key: String, revision: u64) -> ListRow {
     let removed = RemovedRow { backend: None, age_ms: 0 };
     ListRow { key, revision, value: Some(RowValue::Removed(removed)) }
 }
 
-/// Keeps the known backend server in the row of an entry that can no longer be decoded: its open
-/// flows continue, and it gets no new ones.
+/// Adds the known backend server, as draining, to the row of an entry that can no longer be
+/// decoded: its open flows continue, and it receives no new ones.
 pub(crate) fn keep_known_backend(known: &ListRow, mut row: ListRow) -> ListRow {
     let backend = match &known.value {
         Some(RowValue::Backend(backend)) => backend,
@@ -115,6 +119,7 @@
     row
 }
 
+/// Creates the row that replaces `row` when its item is removed at `revision`.
 pub(crate) fn removal_row(row: &ListRow, revision: u64) -> ListRow {
     let backend = match &row.value {
         Some(RowValue::Backend(backend)) => Some(backend.clone()),
--- a/crates/foxledge-flows/src/load_control/account_samples.rs
+++ b/crates/foxledge-flows/src/load_control/account_samples.rs
@@ -29,7 +29,7 @@
     pub fn record_opening(&mut self, caller: Ipv4Addr, draw: u64) {
         let interval = &mut self.current;
         interval.openings += 1;
-        let account = AccountKey::of(caller).0;
+        let account = AccountKey::from_address(caller).0;
         if interval.accounts.len() < MAX_INTERVAL_ACCOUNTS {
             return interval.accounts.push(account);
         }
--- a/crates/foxledge-flows/src/load_control/mod.rs
+++ b/crates/foxledge-flows/src/load_control/mod.rs
@@ -1,4 +1,5 @@
-//! Load control: measures the local load and applies the load of all data centres to new flows.
+//! Load control: measures the local load, and decides on the overflow and admission of new flows
+//! from the load of all data centres.
 
 mod account_samples;
 mod demand;
@@ -30,43 +31,44 @@
 const BUSY_REPORT_INTERVAL_MS: u64 = 50;
 /// Interval of local load reports otherwise, in milliseconds.
 const IDLE_REPORT_INTERVAL_MS: u64 = 250;
-/// Time, in milliseconds, for which an instance stays busy after the last cause.
+/// Time, in milliseconds, for which an instance counts as busy after a high load, a shortage, an
+/// overflow or a large change of its running requests.
 const BUSY_HOLD_MS: u64 = 2_000;
-/// Requests per slot in the local data centre from which an instance is busy.
+/// Requests per slot in the local data centre from which an instance counts as busy.
 const BUSY_LOAD_RATIO: f64 = 0.6;
-/// A report is due early when the number of running requests has changed by more than the first
-/// value, and by more than the last reported number divided by the second. A burst should be known
-/// everywhere within 200 ms.
+/// Thresholds for an early report: the running requests must have changed by more than the first
+/// value, and by more than the last reported number divided by the second value. A burst should be
+/// known everywhere within 200 ms.
 const MIN_LOAD_CHANGE: (u32, u32) = (3, 2);
-/// Age, in milliseconds, from which a view no longer steers flows.
+/// Age, in milliseconds, from which a view no longer influences the placement of flows.
 const STEERING_VIEW_TTL_MS: u64 = 2_000;
 /// Age, in milliseconds, from which a view no longer makes admission refuse flows.
 const ADMISSION_VIEW_TTL_MS: u64 = 400;
-/// Requests per slot from which instances divide the backend servers of a data centre among them.
+/// Requests per slot from which each instance prefers a subset of a data centre's backend servers.
 const SUBSET_LOAD_RATIO: f64 = 0.5;
 /// Interval at which usable slots are recomputed, in milliseconds: with 38,000 backend servers each
 /// run takes some 0.4 ms.
 const SLOTS_REFRESH_INTERVAL_MS: u64 = 200;
 
-/// The local load and the plans of all services.
+/// Measures the local load and keeps the plans of all services.
 pub(crate) struct LoadControl {
     data_centre: CentreName,
     is_overflow_on: bool,
     admission: Option<AdmissionOptions>,
     plans: Vec<ServicePlan>,
     subsets: Vec<GroupSubset>,
-    /// Whether the subset of each group is preferred now.
+    /// Whether the subset of each group is preferred now, because slots are scarce.
     is_subset_active: Vec<bool>,
     samples: AccountSamples,
     view_state: ViewState,
     report_times: ReportTimes,
     load_ratio: f64,
-    /// When usable slots are recomputed.
+    /// When usable slots are next recomputed.
     next_slots_refresh_at: ClockTime,
     events: Vec<LoadEvent>,
 }
 
-/// The last load view and how long it may be used.
+/// The last load view, and until when it may influence placement.
 #[derive(Clone, Debug, Default)]
 struct ViewState {
     view: Option<Arc<LoadView>>,
@@ -75,18 +77,18 @@
     steers_until: ClockTime,
 }
 
-/// When the local load is reported.
+/// When the local load is next reported, and the running requests in the last report.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReportTimes {
     next_report_at: ClockTime,
-    /// Time from which a large change makes the report due at once.
+    /// Time from which a large change of the running requests makes the report due immediately.
     early_report_from: ClockTime,
     busy_until: ClockTime,
     reported_running: u32,
 }
 
 impl LoadControl {
-    /// Creates the load control of an instance in `data_centre`, without a view.
+    /// Creates the load control of an instance in `data_centre`, without a load view.
     pub fn new(
         data_centre: CentreName,
         is_overflow_on: bool,
@@ -156,12 +158,12 @@
         load
     }
 
-    /// Returns the largest load of a service in the local data centre, in requests per slot.
+    /// Returns the largest load of any service in the local data centre, in requests per slot.
     pub fn load_ratio(&self) -> f64 {
         self.load_ratio
     }
 
-    /// Counts a request that began.
+    /// Counts a request that was forwarded to a backend server of a group.
     pub fn record_arrival(
         &mut self,
         now: ClockTime,
@@ -174,13 +176,13 @@
         }
     }
 
-    /// Records the time of an answer from a backend server that takes `slowness` times as long as
-    /// usual.
+    /// Records the latency of a response from a backend server that is `slowness` times as slow as
+    /// the median of its service.
     ///
-    /// The slots of slow backend servers already count for less, so their answers must not count as
-    /// more work too. The way to another data centre isn't work either: answers from there are
-    /// recorded only where the local data centre has no slots.
-    pub fn record_answer(
+    /// The slots of slow backend servers already count for less, so their responses must not count
+    /// as more work as well. The round trip to another data centre isn't work either: responses
+    /// from there are recorded only if the local data centre has no slots for the service.
+    pub fn record_response(
         &mut self,
         groups: &GroupTable,
         group: usize,
@@ -192,18 +194,19 @@
         let local_centre = self.data_centre.clone();
         let Some(plan) = self.plan_of_group(groups, group) else { return };
         if is_local || plan.slots.get(&local_centre).is_none_or(|slots| *slots <= 0.0) {
-            plan.counters.record_answer(priority, latency.div_f64(slowness.max(1.0)));
+            plan.counters.record_response(priority, latency.div_f64(slowness.max(1.0)));
         }
     }
 
-    /// Samples the client account of an opening while its service is short of slots.
+    /// Samples the client account of an opening while its service is short of slots. `draw` is a
+    /// hash of the flow, which decides whether the opening replaces an entry of a full sample.
     pub fn sample_account(&mut self, service: usize, caller: Ipv4Addr, draw: u64) {
         if self.plans.get(service).is_some_and(ServicePlan::is_short) {
             self.samples.record_opening(caller, draw);
         }
     }
 
-    /// Returns true when usable slots must be recomputed, and schedules the next time.
+    /// Returns true if the caller must recompute the usable slots now, and schedules the next time.
     pub fn start_slots_refresh(&mut self, now: ClockTime) -> bool {
         let is_due = self.next_slots_refresh_at.is_past(now);
         if is_due {
@@ -212,12 +215,12 @@
         is_due
     }
 
-    /// Makes the next view recompute the usable slots, because the list changed.
+    /// Has the usable slots recomputed before the next view is applied, because the list changed.
     pub fn invalidate_slots(&mut self) {
         self.next_slots_refresh_at = ClockTime::ZERO;
     }
 
-    /// Returns the plans of all services by index, after adding missing ones.
+    /// Returns the plans of all services by service index, and creates missing ones.
     pub fn plans_for(&mut self, groups: &GroupTable) -> &mut [ServicePlan] {
         for service in groups.services().iter().skip(self.plans.len()) {
             self.plans.push(ServicePlan::new(service.name.clone(), self.admission.clone()));
@@ -230,7 +233,7 @@
         self.plans.get(service)
     }
 
-    /// Applies the current load of all data centres to all plans.
+    /// Updates all plans to the current load of all data centres.
     pub fn apply_view(&mut self, now: ClockTime, view: Arc<LoadView>) {
         let previous = self.view_state.view.as_ref().map(|previous| previous.created_at);
         let is_new = previous != Some(view.created_at);
@@ -254,19 +257,19 @@
         }
         let load_ratios = self.plans.iter().map(|plan| plan.local_load_ratio(&self.data_centre));
         self.load_ratio = load_ratios.fold(0.0, f64::max);
-        let is_acting = |plan: &ServicePlan| plan.is_short() || plan.is_overflowing();
+        let is_limiting = |plan: &ServicePlan| plan.is_short() || plan.is_overflowing();
         if !self.plans.iter().any(ServicePlan::is_short) {
             self.samples.clear();
         }
-        if self.load_ratio >= BUSY_LOAD_RATIO || self.plans.iter().any(is_acting) {
+        if self.load_ratio >= BUSY_LOAD_RATIO || self.plans.iter().any(is_limiting) {
             self.report_times.busy_until = now.after_millis(BUSY_HOLD_MS);
             self.report_times.next_report_at =
                 self.report_times.next_report_at.min(self.report_times.early_report_from);
         }
     }
 
-    /// Updates the subsets of local groups, and of groups that receive overflow, whose slots are
-    /// scarce. `members_of` returns the index and number of a group's backend servers.
+    /// Updates the preferred subsets of groups whose slots are scarce, if they are local or receive
+    /// overflow. `backends_of` returns the indexes and numbers of a group's backend servers.
     pub fn update_subsets(
         &mut self,
         groups: &GroupTable,
@@ -292,7 +295,7 @@
         }
     }
 
-    /// Returns true while the last view may steer new flows.
+    /// Returns true while the last view is new and reliable enough to influence placement.
     pub fn is_steering(&self, now: ClockTime) -> bool {
         !self.view_state.steers_until.is_past(now)
     }
@@ -304,7 +307,7 @@
     }
 
     /// Returns the other data centre to which overflow sends a new flow, or `None` when it stays in
-    /// its own.
+    /// its own. `draw` is a hash of the flow.
     pub fn overflow_centre(
         &self,
         now: ClockTime,
@@ -328,7 +331,7 @@
         }
     }
 
-    /// Counts a refused opening.
+    /// Counts an opening that was refused because of a shortage or an account's share.
     pub fn record_refusal(&mut self, now: ClockTime, service: usize, priority: u32) {
         if let Some(plan) = self.plans.get_mut(service) {
             plan.record_refusal(now, priority);
@@ -349,7 +352,7 @@
         }
     }
 
-    /// Returns the load of a service and what is done about it.
+    /// Returns the load of a service, with its overflow and refusals.
     pub fn report(&self, now: ClockTime, service: usize) -> Option<LoadReport> {
         let plan = self.plans.get(service)?;
         Some(plan.report(self.view_state.reporting_instances, self.view_state.age_ms(now)))
@@ -365,6 +368,7 @@
         std::mem::take(&mut self.events)
     }
 
+    /// Returns true if enough instances have reported to rely on the last view.
     fn is_reliable(&self) -> bool {
         self.view_state.view.as_ref().is_some_and(|view| view.is_reliable)
     }
--- a/crates/foxledge-flows/src/load_control/reports.rs
+++ b/crates/foxledge-flows/src/load_control/reports.rs
@@ -11,13 +11,14 @@
 pub struct CentreLoad {
     /// The data centre.
     pub data_centre: CentreName,
-    /// Usable slots there, those of slow backend servers in proportion; 0 while it is evacuated.
+    /// Usable slots, those of slow backend servers in proportion; 0 while it is evacuated.
     pub slots: f64,
-    /// Requests that run or wait there, from callers of all data centres.
+    /// Requests of the service that run or wait in the data centre, from callers of all data
+    /// centres.
     pub running: f64,
-    /// Slots that the requests of its own callers need, wherever they are served.
+    /// Slots that the requests of the data centre's callers need, wherever they are served.
     pub demand: f64,
-    /// Share of this instance's new flows that overflow sends there, from 0 to 1.
+    /// Share of this instance's new flows that overflow sends to the data centre, from 0 to 1.
     #[serde(rename = "share")]
     pub overflow_share: f64,
     /// True when the view contains a load report from the data centre.
@@ -32,7 +33,7 @@
     }
 }
 
-/// Load of one service and what is done about it.
+/// Load of one service, with its overflow and refusals.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LoadReport {
     /// The service.
@@ -44,9 +45,9 @@
     pub demand: f64,
     /// Usable slots of the data centres that may serve it and whose load is known.
     pub slots: f64,
-    /// Its data centres, including the local one.
+    /// Load by data centre, including the local one.
     pub centres: Vec<CentreLoad>,
-    /// True while it is short of slots; logged when it changes.
+    /// True while the service is short of slots; changes are logged.
     pub is_short: bool,
     /// Share of each priority's new flows that is admitted; empty without a shortage.
     #[serde(rename = "admitted")]
@@ -63,7 +64,7 @@
     pub view_age_ms: Option<u64>,
 }
 
-/// What began or ended for a service.
+/// The start or end of a shortage or an overflow of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadChange {
@@ -110,7 +111,7 @@
     UnsureView,
     /// The newest report of another instance is too old.
     OldView,
-    /// The list of this instance isn't confirmed, or the process stood still.
+    /// The list of this instance isn't confirmed, or the process was paused.
     ListDoubt,
     /// The service isn't short of slots, or hasn't been for long enough.
     Room,
@@ -118,17 +119,18 @@
     Shortage,
 }
 
-/// What load control would do with a new flow, and why.
+/// Whether load control would admit a new flow and where it would send it, and why.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LoadExplanation {
-    /// Load of its service.
+    /// Load of the flow's service.
     pub report: LoadReport,
-    /// Priority of its route.
+    /// Priority of the flow's route.
     pub priority: u32,
     /// The other data centre that overflow selects; `None` when the flow stays in its own.
     pub overflow_to: Option<CentreName>,
-    /// Whether its first opening packet would be admitted.
-    pub verdict: AdmissionDecision,
-    /// Reason of the verdict.
+    /// Whether the flow's first opening packet would be admitted.
+    #[serde(rename = "verdict")]
+    pub decision: AdmissionDecision,
+    /// The reason for the decision.
     pub basis: AdmissionBasis,
 }
--- a/crates/foxledge-flows/src/load_control/service_counters.rs
+++ b/crates/foxledge-flows/src/load_control/service_counters.rs
@@ -7,11 +7,11 @@
 
 /// Time, in milliseconds, for which work times are collected before they count.
 ///
-/// A view shows a burst up to 300 ms late. The answers of the current and the previous window are
-/// discarded then, so that none that waited in a queue is counted as work.
+/// A view shows a burst up to 300 ms late. The responses of the current and the previous window
+/// are discarded then, so that no waiting time in a queue is counted as work.
 const WORK_WINDOW_MS: u64 = 300;
-/// Maximum number of answers behind the mean work time. At 20 a second, those of some ten seconds.
-const MAX_MEAN_ANSWERS: f64 = 200.0;
+/// Maximum number of responses in the mean work time. At 20 a second, those of some ten seconds.
+const MAX_MEAN_RESPONSES: f64 = 200.0;
 /// Arrivals per second below which nothing is reported: load messages can't express less.
 const MIN_ARRIVALS_PER_S: f64 = 0.001;
 
@@ -28,19 +28,20 @@
 }
 
 impl ServiceCounters {
-    /// Counts a request that began, or an opening that was refused for lack of slots.
+    /// Counts a request that was forwarded, or an opening that was refused for lack of slots.
     pub fn record_arrival(&mut self, now: ClockTime, priority: u32) {
         self.priorities.entry(priority).or_default().arrivals.record_event(now);
     }
 
-    /// Records the time of an answer.
-    pub fn record_answer(&mut self, priority: u32, work: Duration) {
+    /// Records the latency of a response.
+    pub fn record_response(&mut self, priority: u32, work: Duration) {
         if let Some(counters) = self.priorities.get_mut(&priority) {
-            counters.work.record_answer(work.as_micros() as f64);
+            counters.work.record_response(work.as_micros() as f64);
         }
     }
 
-    /// Adds the collected answers to the mean, or discards them while answers may have waited.
+    /// Adds the collected work times to the mean, or discards them while requests may have waited
+    /// in a queue.
     pub fn update_work(&mut self, now: ClockTime, learning: WorkLearning) {
         for counters in self.priorities.values_mut() {
             counters.work.update(now, learning);
@@ -57,7 +58,7 @@
     }
 }
 
-/// Whether answer times show the work of requests.
+/// Whether response times show the work of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WorkLearning {
     /// Slots are free, so requests don't wait.
@@ -70,7 +71,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct WorkGauge {
     mean_us: f64,
-    answer_count: f64,
+    response_count: f64,
     current: WorkWindow,
     previous: WorkWindow,
     window_ends_at: ClockTime,
@@ -83,7 +84,7 @@
 }
 
 impl WorkGauge {
-    fn record_answer(&mut self, work_us: f64) {
+    fn record_response(&mut self, work_us: f64) {
         self.current.sum_us += work_us;
         self.current.count += 1.0;
     }
@@ -101,8 +102,8 @@
         if window.count == 0.0 {
             return;
         }
-        let answer_count = self.answer_count + window.count;
-        self.mean_us += (window.sum_us - window.count * self.mean_us) / answer_count;
-        self.answer_count = answer_count.min(MAX_MEAN_ANSWERS);
+        let response_count = self.response_count + window.count;
+        self.mean_us += (window.sum_us - window.count * self.mean_us) / response_count;
+        self.response_count = response_count.min(MAX_MEAN_RESPONSES);
     }
 }
--- a/crates/foxledge-flows/src/load_control/service_plan.rs
+++ b/crates/foxledge-flows/src/load_control/service_plan.rs
@@ -21,7 +21,7 @@
     routes::FlowRoute,
 };
 
-/// Requests per slot below which requests don't wait, so that answer times show their work.
+/// Requests per slot below which requests don't wait, so that response times show their work.
 const MAX_LEARNING_LOAD_RATIO: f64 = 0.9;
 /// Sum of the overflow shares from which overflow is reported as begun.
 const OVERFLOW_BEGIN_SHARE: f64 = 0.02;
@@ -81,7 +81,7 @@
     pub counters: ServiceCounters,
     /// What its routes require.
     pub routes: ServiceRoutes,
-    /// Median answer time among its backend servers, in microseconds.
+    /// Median response time among its backend servers, in microseconds.
     pub median_latency_us: f64,
     /// Usable slots by data centre; evacuated data centres have 0.
     pub slots: BTreeMap<CentreName, f64>,
@@ -98,7 +98,7 @@
     /// Creates a plan that neither steers nor refuses flows.
     pub fn new(name: ServiceName, options: Option<AdmissionOptions>) -> ServicePlan {
         ServicePlan {
-            key: ServiceKey::of(&name),
+            key: ServiceKey::from_name(&name),
             name,
             counters: ServiceCounters::default(),
             routes: ServiceRoutes::default(),
--- a/crates/foxledge-flows/src/load_control/subsets.rs
+++ b/crates/foxledge-flows/src/load_control/subsets.rs
@@ -8,7 +8,7 @@
 use crate::cold::{InstanceRank, instance_rank};
 
 /// Number of instances that prefer a backend server, as long as all views agree. Each of them sees
-/// half of its requests, and so how many of them wait and how long answers take.
+/// half of its requests, and so how many of them wait and how long responses take.
 const INSTANCES_PER_BACKEND: usize = 2;
 
 /// The backend servers of one group for which this instance is among the first by rendezvous
@@ -69,7 +69,7 @@
         &self.preferred
     }
 
-    /// Returns true when the subset contains a backend server.
+    /// Returns true when the subset contains the backend server with this index.
     pub fn contains(&self, index: usize) -> bool {
         self.preferred_set.contains(&index)
     }
@@ -91,8 +91,8 @@
             return *rank;
         }
         let own_rank = instance_rank(own_address, number);
-        let preceding =
+        let preceding_instances =
             self.peers.iter().filter(|other| instance_rank(other, number) < own_rank).count();
-        BackendRank { own_rank, preceding_instances: preceding }
+        BackendRank { own_rank, preceding_instances }
     }
 }
--- a/crates/foxledge-flows/src/load_exchange.rs
+++ b/crates/foxledge-flows/src/load_exchange.rs
@@ -1,5 +1,5 @@
-//! The router's interface to load control: the local load goes out, the load of all data centres
-//! comes in.
+//! The router's interface to load control: it reports the local load and applies the load of all
+//! data centres.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -26,22 +26,23 @@
     routes::{FlowRoute, flow_hash},
 };
 
-/// Multiple of its route's latency target after which an unanswered request no longer counts as
-/// running.
+/// Multiple of a route's latency target after which its unanswered requests needn't count as
+/// running any more.
 const EXPIRY_TARGET_MULTIPLE: u64 = 2;
 /// Minimum time, in milliseconds, for which an unanswered request counts as running.
 const MIN_REQUEST_EXPIRY_MS: u64 = 1_000;
 
 impl FlowRouter {
-    /// Returns true when the local load should be reported and a new load view applied. Called
-    /// after each batch of packets; always false while load control is off.
+    /// Returns true when the local load should be reported and a new load view applied; always
+    /// false while load control is off. Called after each batch of packets.
     pub fn is_load_report_due(&self, now: ClockTime) -> bool {
         let running =
             self.tracks.running_requests().total() + self.openings.pending_by_group().total();
         self.load.is_report_due(now, running)
     }
 
-    /// Returns the load of each service as this instance sees it, and schedules the next report.
+    /// Returns the load of each service as measured by this instance, and schedules the next
+    /// report.
     pub fn collect_local_load(&mut self, now: ClockTime) -> LocalLoad {
         self.tracks.expire_requests(now, self.request_expiry_ms);
         let (running, pending) = (self.tracks.running_requests(), self.openings.pending_by_group());
@@ -75,18 +76,19 @@
         self.load.drain_events()
     }
 
-    /// Returns the load of each service and what is done about it; empty while load control is off.
+    /// Returns the load of each service with its overflow and refusals; empty while load control is
+    /// off.
     pub fn load_reports(&self, now: ClockTime) -> Vec<LoadReport> {
         self.load.reports(now)
     }
 
     /// Returns why load control refuses a new flow, or `None` when it may be placed.
     ///
-    /// This limits services that are asked for more than their slots can serve in time. Nothing is
-    /// refused for a retransmission, whose flow may be open elsewhere, nor while the list isn't
-    /// confirmed or after this process stood still, when neither the slots nor the time of the
-    /// packet are known. A flow that this instance has seen open isn't refused either, because a
-    /// network may deliver its opening packet twice.
+    /// Limits services that receive more requests than their slots can serve in time. These are
+    /// never refused: retransmissions, as the flow may be open at another instance; openings while
+    /// the list isn't confirmed or after a pause of this process, as the slots or the arrival time
+    /// of the packet are unknown; and flows that are open here already, as a network may deliver
+    /// an opening packet twice.
     pub(crate) fn load_refusal(
         &mut self,
         now: ClockTime,
@@ -99,7 +101,7 @@
             return None;
         }
         let service = self.backends.groups().service_index(service)?;
-        let opening = opening_of(route, &packet.key);
+        let opening = flow_opening(route, &packet.key);
         self.load.sample_account(service, opening.caller, flow_hash(&packet.key));
         if self.list_doubt(now).is_some() {
             return None;
@@ -113,7 +115,8 @@
         Some(reason)
     }
 
-    /// Returns what load control would do with a new flow.
+    /// Returns whether load control would admit a new flow, to which data centre overflow would
+    /// send it, and why; `None` for a service without a plan.
     pub(crate) fn explain_load(
         &self,
         now: ClockTime,
@@ -123,10 +126,10 @@
     ) -> Option<LoadExplanation> {
         let service = self.backends.groups().service_index(service)?;
         let report = self.load.report(now, service)?;
-        let (verdict, basis) = match self.list_doubt(now) {
+        let (decision, basis) = match self.list_doubt(now) {
             Some(_) => (AdmissionDecision::Admitted, AdmissionBasis::ListDoubt),
             None => (
-                self.load.admit(now, service, &opening_of(route, key)),
+                self.load.admit(now, service, &flow_opening(route, key)),
                 self.load.admission_basis(now, service),
             ),
         };
@@ -134,7 +137,7 @@
             report,
             priority: route.priority,
             overflow_to: self.load.overflow_centre(now, service, flow_hash(key)).cloned(),
-            verdict,
+            decision,
             basis,
         })
     }
@@ -168,12 +171,14 @@
         }
     }
 
-    /// Returns what routes ask of each service, and the time in milliseconds after which an
-    /// unanswered request no longer counts as running.
+    /// Returns the requirements of the routes by service, and the time in milliseconds after which
+    /// an unanswered request no longer counts as running.
     ///
-    /// That is twice the longest latency target. When flows move to other instances, their answers
-    /// pass there, and the requests would otherwise count here until their deadline. A request that
-    /// takes longer is counted for too short a time, which makes load control refuse less.
+    /// The time is the longest of any route: twice its latency target, or without a target its
+    /// timeout, or without either the idle timeout. When flows move to other instances, responses
+    /// pass through those, and the requests would otherwise count here until their deadline. A
+    /// request that takes longer is counted for too short a time, which makes load control refuse
+    /// less.
     fn routes_by_service(&self) -> (HashMap<ServiceName, ServiceRoutes>, u64) {
         let mut by_service: HashMap<ServiceName, ServiceRoutes> = HashMap::new();
         let mut longest_ms = 0;
@@ -215,14 +220,14 @@
         slots.sum()
     }
 
-    /// Returns false for a backend server that takes no flows or is certainly dead. One that is
-    /// merely ejected counts: when a network delays packets, many are ejected falsely, and leaving
-    /// out their slots would look like a shortage.
+    /// Returns false for a backend server that accepts no new flows or is certainly dead. One that
+    /// is merely ejected is usable: when a network delays packets, many are ejected falsely, and
+    /// without their slots the service would seem to be short of slots.
     fn is_usable(&self, now: ClockTime, backend: &Backend) -> bool {
         backend.accepts_new_flows(now, self.confirmed_at) && !backend.health.is_dead(now)
     }
 
-    /// Records the time of an answer as work time of its service.
+    /// Records the latency of a response as a work time of its service.
     pub(crate) fn record_work_time(
         &mut self,
         now: ClockTime,
@@ -239,10 +244,10 @@
             true => effective_slowness(backend.latency.slowness(now, median_latency_us)),
             false => 1.0,
         };
-        self.load.record_answer(groups, backend.group, priority, (latency, slowness));
+        self.load.record_response(groups, backend.group, priority, (latency, slowness));
     }
 
-    /// Counts a request that began.
+    /// Counts a request that was forwarded to a backend server.
     pub(crate) fn record_arrival(&mut self, now: ClockTime, index: usize, priority: Option<u32>) {
         let Some(backend) = self.backends.get(index) else { return };
         let Some(priority) = priority.filter(|_| self.load.is_on()) else { return };
@@ -261,12 +266,12 @@
     }
 }
 
-fn opening_of(route: &FlowRoute, key: &FlowKey) -> FlowOpening {
+fn flow_opening(route: &FlowRoute, key: &FlowKey) -> FlowOpening {
     FlowOpening { priority: route.priority, caller: *key.caller.ip() }
 }
 
-/// Returns the slowness as placement counts it: answer times of one service differ by half of their
-/// mean.
+/// Returns the slowness with the limits that placement applies: small values count as 1, because
+/// response times of one service deviate from their mean by half of it, and large ones are capped.
 fn effective_slowness(slowness: f64) -> f64 {
     let (min_slowness, max_slowness) =
         (f64::from(MIN_SLOWNESS_PERCENT) / 100.0, f64::from(MAX_SLOWNESS_PERCENT) / 100.0);
--- a/crates/foxledge-flows/src/mechanisms.rs
+++ b/crates/foxledge-flows/src/mechanisms.rs
@@ -3,7 +3,7 @@
 /// A mechanism beyond the minimum that routing needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouterMechanism {
-    /// An opening that isn't answered within 40 ms counts against its backend server.
+    /// An opening without a response within 40 ms counts against its backend server.
     Suspicion,
     /// A second unanswered packet keeps new flows away for at least a second.
     Ejection,
@@ -13,23 +13,23 @@
     PeerObservations,
     /// Instances delay their trials at ejected backend servers by different times.
     TrialDelays,
-    /// Flows that wait for an answer of a dead backend server are reset.
+    /// Flows that wait for a response of a dead backend server are reset.
     StalledResets,
     /// Idle flows of a dead backend server are reset.
     IdleResets,
     /// Flows with a repeatable request at a dead backend server are reset before the caller
     /// retransmits.
     WaitingResets,
-    /// Flows that wait for a data centre that answers nobody are reset.
+    /// Flows that wait for a data centre in which no backend server responds are reset.
     CentreResets,
     /// Packets of open flows whose backend server isn't in the list yet are relayed to another
     /// instance.
     Relays,
-    /// Missing answers count less on lossy paths.
+    /// Missing responses count less on lossy paths.
     LossDoubt,
     /// Retransmissions of an opening within 150 ms go to the same backend server as the first.
     RetransmissionWindow,
-    /// Backend servers with long answer times get fewer flows.
+    /// Backend servers with long response times get fewer flows.
     Slowness,
     /// Backend servers that started recently get fewer flows.
     Cold,
--- a/crates/foxledge-flows/src/new_flows.rs
+++ b/crates/foxledge-flows/src/new_flows.rs
@@ -17,13 +17,14 @@
 /// Age of a first opening packet, in milliseconds, up to which a retransmission goes to the same
 /// backend server.
 ///
-/// Callers retransmit after 200 ms. After a freeze of this process, the first packet and its
+/// Callers retransmit after 200 ms. After a pause of this process, the first packet and its
 /// retransmissions wait in the socket and are read together. Sent to several backend servers, they
 /// would open the flow twice, and the caller would mix the token of one with the sequence numbers
 /// of another.
 const EARLY_RETRANSMISSION_MS: u64 = 150;
 
 impl FlowRouter {
+    /// Places, refuses or drops an opening packet; `attempt` is 0 for the first one of a flow.
     pub(crate) fn handle_opening(
         &mut self,
         now: ClockTime,
@@ -55,8 +56,13 @@
             }
             self.openings.remove(&packet.key);
             self.count_remote_timeout(opening.backend);
-            self.observe_health(now, opening.backend, |health, turn_ms| {
-                health.on_unanswered(now, opening.sent_at, UnansweredPacket::Opening, turn_ms)
+            self.observe_health(now, opening.backend, |health, trial_delay_ms| {
+                health.on_unanswered(
+                    now,
+                    opening.sent_at,
+                    UnansweredPacket::Opening,
+                    trial_delay_ms,
+                )
             });
         }
         let service = route.service_for(&packet.key).clone();
@@ -91,10 +97,10 @@
 
     /// Refuses an opening packet of a service without a usable backend server.
     ///
-    /// Entries expire while the store is unreachable, and are back some two seconds after it
-    /// returns. An instance that started in between has never seen them. A refusal is final for the
-    /// caller, so during that time the packet is dropped instead, and the caller's retransmissions
-    /// may find the missing entries.
+    /// The entries of backend servers expire while the store is unreachable, and are written again
+    /// within about two seconds after it recovers. An instance that started in between has never
+    /// seen them. As a refusal is final for the caller, the packet is dropped during that time, and
+    /// a retransmission may find the missing entries.
     fn refuse_without_backend(
         &self,
         now: ClockTime,
@@ -114,8 +120,8 @@
         self.refuse_or_drop(now, RefuseReason::NoBackend)
     }
 
-    /// Counts a new flow against the quota of a cold backend server. Returns false when the quota
-    /// is used up.
+    /// Counts a new flow against the quota of a cold backend server. Returns false, without
+    /// counting, when the quota is used up.
     fn count_cold_flow(&mut self, now: ClockTime, index: usize) -> bool {
         let Some(backend) = self.backends.get_mut(index).filter(|one| one.is_cold(now)) else {
             return true;
@@ -131,7 +137,7 @@
         true
     }
 
-    /// Counts an opening that a backend server of another data centre left unanswered.
+    /// Counts an unanswered opening if its backend server is in another data centre.
     fn count_remote_timeout(&mut self, index: usize) {
         let backend = self.backends.get(index);
         if backend.is_some_and(|backend| backend.data_centre != self.options.data_centre) {
@@ -143,7 +149,8 @@
     ///
     /// A refusal is final for the caller, so an instance refuses only when the store has recently
     /// confirmed that its list is the newest. Otherwise it drops the packet: a retransmission may
-    /// find the entry that is missing here, or may already have found it.
+    /// find the entry that is missing here, or may already have opened the flow at another
+    /// instance.
     fn refuse_or_drop(&self, now: ClockTime, reason: RefuseReason) -> FlowDecision {
         match self.list_doubt(now) {
             Some(doubt) => FlowDecision::Drop(doubt),
--- a/crates/foxledge-flows/src/observations.rs
+++ b/crates/foxledge-flows/src/observations.rs
@@ -156,7 +156,7 @@
         self.latencies.push(latency);
         self.losses.record_request(retransmissions);
         if let Some(backend) = self.backends.get_mut(index) {
-            backend.latency.record_answer(now, latency);
+            backend.latency.record_response(now, latency);
         }
         self.record_work_time(now, index, priority, latency);
         self.record_alive(now, index);
--- a/crates/foxledge-flows/src/options.rs
+++ b/crates/foxledge-flows/src/options.rs
@@ -62,7 +62,7 @@
     }
 
     /// Sets the maximum age of the store's confirmation of the list, in milliseconds, at which a
-    /// flow may be refused. When it is older, the packet is dropped without an answer, and a
+    /// flow may be refused. When it is older, the packet is dropped without a response, and a
     /// retransmission may be served.
     pub fn max_list_age_ms(mut self, fresh_ms: u64) -> RouterOptions {
         self.max_list_age_ms = fresh_ms;
--- a/crates/foxledge-flows/src/packet.rs
+++ b/crates/foxledge-flows/src/packet.rs
@@ -1,11 +1,11 @@
-//! Packets as the router sees them, and the codec that reads and writes them.
+//! The packets that the router handles, and the codec that reads and writes them.
 
 use std::{fmt, net::SocketAddrV4};
 
 use thiserror::Error;
 
-/// Bytes that a receiver leaves free in front of a packet, for what [`PacketCodec::set_backend`]
-/// writes there.
+/// Bytes reserved in front of a received packet, to which [`PacketCodec::set_backend`] writes the
+/// number of the backend server.
 pub const HEADROOM_BYTES: usize = 8;
 
 /// Maximum size of a packet with its head, in bytes. Longer datagrams are malformed.
@@ -49,11 +49,11 @@
     pub key: FlowKey,
     /// What the packet does to its flow.
     pub kind: PacketKind,
-    /// Token of the backend server that serves the flow; 0 before the first answer.
+    /// Token of the backend server that serves the flow; 0 before the first response.
     pub token: u32,
     /// Sequence number of the first byte of data.
     pub sequence: u32,
-    /// Next byte that the caller expects from the backend server.
+    /// Sequence number of the next byte that the caller expects from the backend server.
     pub acknowledged: u32,
     /// Length of the data in bytes.
     pub length: u16,
@@ -97,12 +97,14 @@
     /// Returns a [`PacketFault`] when the datagram isn't a packet of a caller.
     fn parse_packet(&self, datagram: &[u8]) -> Result<FlowPacket, PacketFault>;
 
-    /// Writes the number of the intended backend server into the [`HEADROOM_BYTES`] of `frame`.
+    /// Writes the number of the backend server that the packet is forwarded to into the first
+    /// [`HEADROOM_BYTES`] of `frame`.
     fn set_backend(&self, frame: &mut [u8], backend: u64);
 
     /// Writes the token into a frame whose packet starts at [`HEADROOM_BYTES`].
     fn set_token(&self, frame: &mut [u8], token: u32);
 
-    /// Builds the packet that refuses the opening packet `packet`, or resets its open flow.
+    /// Builds the packet to the caller that refuses the opening packet `packet`, or resets the open
+    /// flow of another packet.
     fn reset_packet(&self, packet: &FlowPacket) -> Vec<u8>;
 }
--- a/crates/foxledge-flows/src/pending_openings.rs
+++ b/crates/foxledge-flows/src/pending_openings.rs
@@ -26,7 +26,7 @@
     pub group: usize,
     /// When the packet was first sent to the backend server.
     pub sent_at: ClockTime,
-    /// True once the missing answer has counted against the backend server, or if it must not
+    /// True once the missing response has counted against the backend server, or if it must not
     /// count.
     pub is_overdue: bool,
 }
@@ -52,7 +52,7 @@
     }
 
     /// Adds an opening that was forwarded so late that its caller may have given up. A missing
-    /// answer then doesn't count against the backend server.
+    /// response then doesn't count against the backend server.
     pub fn add_untimed(&mut self, now: ClockTime, key: FlowKey, backend: usize, group: usize) {
         if self.insert(key, PendingOpening { backend, group, sent_at: now, is_overdue: true }) {
             self.overdue.push_back((now, key));
--- a/crates/foxledge-flows/src/placement.rs
+++ b/crates/foxledge-flows/src/placement.rs
@@ -10,50 +10,51 @@
 pub struct PlacementCandidate {
     /// Index of the backend server.
     pub index: usize,
-    /// Health as this instance judges it.
+    /// Health, as estimated by this instance.
     pub health: HealthClass,
-    /// Openings that wait for its answer.
+    /// Openings that this instance forwarded to it and that are neither answered nor overdue.
     pub pending_openings: u32,
-    /// True when it left an earlier opening packet of this flow unanswered.
+    /// True when it did not respond to an earlier opening packet of this flow.
     pub is_unresponsive: bool,
-    /// True in the data centre in which the flow is to be placed, normally that of this instance.
+    /// True when it is in the data centre where the flow is to be placed. That is the data centre
+    /// of this instance, unless overflow selected another one.
     pub is_same_centre: bool,
-    /// Requests that run there.
+    /// Requests that this instance forwarded to it and that are still unanswered.
     pub running_requests: u32,
-    /// Requests that it can run at the same time.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Its answer time relative to the median of the service, in percent, at least 100.
+    /// Its response time relative to the median of the service, in percent; at least 100.
     pub slowness_percent: u32,
     /// True while it is cold: started recently and still slow.
     pub is_cold: bool,
-    /// True when slots are scarce and it isn't in the subset that this instance prefers.
+    /// True when slots are scarce and it isn't in the preferred subset of this instance.
     pub is_outside_subset: bool,
-    /// Open flows there.
+    /// Open flows that this instance forwards to it.
     pub open_flows: u32,
-    /// Value of the router's placement counter at the last placement there.
+    /// Value of the router's placement counter when it last received a new flow.
     pub last_placement: u64,
 }
 
 /// Sort key of a candidate; the candidate with the smallest rank is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct PlacementRank {
-    /// Penalty for bad health, and for an opening of this flow left unanswered.
+    /// Penalty for bad health, and for an unanswered opening of this flow; 0 if there is none.
     #[serde(rename = "avoidance")]
     pub health_penalty: u8,
-    /// Load, slowness and distance as one cost.
+    /// Combined cost of load, slowness and distance: 100 for each running request per slot.
     pub cost: u32,
-    /// Open flows.
+    /// Open flows that this instance forwards to the backend server.
     #[serde(rename = "flows")]
     pub open_flows: u32,
-    /// Counter of the last placement; the least recently used candidate goes first.
+    /// Placement counter of the last new flow; the least recently used candidate is preferred.
     #[serde(rename = "picked")]
     pub last_placement: u64,
 }
 
-/// Chooses among candidates.
+/// Chooses the backend server of a new flow among the candidates.
 pub trait PlacementPolicy {
-    /// Returns the index of the candidate for a new flow and its rank, or `None` without
-    /// candidates.
+    /// Returns the backend server index of the chosen candidate and its rank, or `None` if there
+    /// are no candidates.
     fn choose(
         &mut self,
         now: ClockTime,
@@ -63,18 +64,18 @@
 
 /// Cost of one running request per slot.
 const REQUEST_COST: u32 = 100;
-/// Slowness, in percent, below which it is ignored. Work times of one service differ by half of
-/// their mean, and the mean of some ten of them still by a fifth.
+/// Slowness, in percent, below which a backend server doesn't count as slow. The work times of one
+/// service deviate from their mean by half of it, and a mean of about ten of them still by a fifth.
 pub(crate) const MIN_SLOWNESS_PERCENT: u32 = 150;
-/// Maximum slowness, in percent, that is counted.
+/// Maximum slowness, in percent, in the cost; greater values are capped.
 pub(crate) const MAX_SLOWNESS_PERCENT: u32 = 1_000;
-/// Cost of a cold backend server. It takes 1.6 times as long, so a request there is as slow as one
-/// that waits behind half a request.
+/// Cost of a cold backend server. Requests take 1.6 times as long there, which is as slow as
+/// waiting behind half a request.
 const COLD_COST: u32 = 40;
-/// Cost of another data centre.
+/// Cost of a backend server in another data centre.
 ///
-/// Traffic between data centres is paid for. Flows leave the data centre only when every local
-/// backend server has this many hundredths of its slots more in use than the remote one.
+/// Traffic between data centres is paid for. A flow leaves the data centre only when every local
+/// backend server has at least two more requests per slot than the remote one.
 const REMOTE_COST: u32 = 200;
 
 /// Cost of a backend server outside the preferred subset while slots are scarce: as much as one
@@ -84,8 +85,9 @@
 /// Places a flow on the healthiest, nearest and least loaded backend server.
 ///
 /// A backend server that takes five times as long gets a flow only when the others run five times
-/// as many requests. The number of running requests is what this instance itself has seen. Two
-/// random choices would need less state, but with all counts at hand the minimum costs no more.
+/// as many requests. Running requests are those that this instance forwarded. Choosing the better
+/// of two random candidates would need less state, but as the state is kept for all of them anyway,
+/// finding the minimum costs no more.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastLoaded;
 
@@ -100,8 +102,8 @@
     }
 }
 
-/// The next class of backend servers, which needn't be examined when the best candidate found so
-/// far is good enough.
+/// A class of backend servers that weren't examined yet. They needn't be if the best candidate so
+/// far costs no more than an idle one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PlacementBound {
     /// Backend servers of the same data centre outside the preferred subset.
@@ -112,7 +114,7 @@
 
 impl PlacementBound {
     /// Returns true when a candidate of this rank is healthy and costs no more than an idle backend
-    /// server of the class beyond the bound.
+    /// server with `slots` in the class that wasn't examined.
     pub fn is_met_by(self, rank: &PlacementRank, slots: u32) -> bool {
         let next_class_cost = match self {
             PlacementBound::OutsideSubset => OUTSIDE_SUBSET_COST,
@@ -123,7 +125,8 @@
 }
 
 fn rank(candidate: &PlacementCandidate) -> PlacementRank {
-    // The flow itself is counted, so that a slow backend server costs more even when idle.
+    // The new flow's own request is counted, so that a slow backend server costs more even when
+    // idle.
     let requests = candidate.running_requests + candidate.pending_openings + 1;
     let slowness = if candidate.slowness_percent < MIN_SLOWNESS_PERCENT {
         100
@@ -145,7 +148,7 @@
 fn health_penalty(candidate: &PlacementCandidate) -> u8 {
     let class_penalty = match candidate.health {
         HealthClass::Healthy => 0,
-        // One flow at a time is sent as a trial to a backend server that didn't answer.
+        // One flow at a time is sent as a trial to a backend server that didn't respond.
         HealthClass::Probation if candidate.pending_openings == 0 => 0,
         HealthClass::Probation | HealthClass::Suspect => 1,
         HealthClass::Ejected => 3,
--- a/crates/foxledge-flows/src/router.rs
+++ b/crates/foxledge-flows/src/router.rs
@@ -26,15 +26,16 @@
     unknown_tokens::UnknownTokens,
 };
 
-/// Idle timeout of flows, in milliseconds, until a list sets another.
+/// Idle timeout of flows, in milliseconds, until a list sets a different one.
 const DEFAULT_IDLE_TIMEOUT_MS: u64 = 15_000;
 
-/// Decides on the packets of callers.
+/// Decides for each packet of a caller whether it is forwarded, refused, reset or dropped.
 pub struct FlowRouter {
     pub(crate) options: RouterOptions,
     pub(crate) routes: RouteTable,
     pub(crate) services: ServiceTable,
     pub(crate) evacuations: EvacuationTable,
+    /// The other instances of the local data centre.
     pub(crate) centre_peers: CentrePeers,
     pub(crate) backends: BackendTable,
     pub(crate) openings: OpeningTable,
@@ -46,20 +47,25 @@
     pub(crate) observations: Vec<HealthObservation>,
     pub(crate) backend_events: Vec<BackendEvent>,
     pub(crate) evacuation_events: Vec<EvacuationEvent>,
+    /// Response times since they were last drained.
     pub(crate) latencies: Vec<Duration>,
     pub(crate) counters: RouterCounters,
+    /// When the store last confirmed that the list is the newest.
     pub(crate) confirmed_at: Option<ClockTime>,
     /// When the store first confirmed a list to this instance.
     pub(crate) first_confirmed_at: Option<ClockTime>,
     /// Start of the current run of confirmations without a store outage between them.
     pub(crate) confirmed_since: Option<ClockTime>,
     pub(crate) unknown_tokens: UnknownTokens,
-    /// Openings in a row that backend servers of other data centres left unanswered. Any answer
-    /// from one of them resets it to 0.
+    /// Number of consecutive openings without a response from backend servers of other data
+    /// centres. Any response from one of them resets it to 0.
     pub(crate) remote_timeouts: u32,
+    /// True from a pause of this process until the store confirms the list again.
     pub(crate) is_awaiting_confirmation: bool,
+    /// True from a pause of this process until the packets that arrived meanwhile have been read.
     pub(crate) is_catching_up: bool,
     pub(crate) idle_timeout_ms: u64,
+    /// Number of new flows placed since the start.
     pub(crate) placement_count: u64,
     pub(crate) load: LoadControl,
     /// Time, in milliseconds, after which an unanswered request no longer counts as running.
@@ -123,17 +129,17 @@
         self.confirmed_at
     }
 
-    /// Returns the counters since the start.
+    /// Returns the counters of packets and decisions since the start.
     pub fn counters(&self) -> RouterCounters {
         self.counters
     }
 
-    /// Returns the backend server at the index of a decision.
+    /// Returns the backend server with this index, as contained in a [`FlowDecision`].
     pub fn backend(&self, index: usize) -> Option<&Backend> {
         self.backends.get(index)
     }
 
-    /// Returns the backend server with a number.
+    /// Returns the backend server that this number identifies in packets.
     pub fn backend_by_number(&self, number: u64) -> Option<&Backend> {
         self.backends.get(self.backends.by_number(number)?)
     }
@@ -143,8 +149,9 @@
         self.backends.iter()
     }
 
-    /// Returns where a flow would go now and which backend server its token names. Changes no
-    /// state.
+    /// Returns where a flow would be placed now, and which backend server its token identifies.
+    ///
+    /// Records no packet and no flow; only the placement policy may change its state.
     pub fn explain(&mut self, now: ClockTime, key: &FlowKey, token: u32) -> FlowExplanation {
         let route = self.routes.find(&key.service).cloned();
         let service = route.as_ref().map(|route| route.service_for(key).clone());
@@ -173,7 +180,8 @@
         self.tracks.len()
     }
 
-    /// Decides on a packet.
+    /// Returns what to do with a packet of a caller, and updates the state of its flow and of the
+    /// backend server.
     pub fn on_packet(&mut self, now: ClockTime, packet: &FlowPacket) -> FlowDecision {
         match packet.kind {
             PacketKind::Open { attempt } => self.handle_opening(now, packet, attempt),
@@ -181,7 +189,7 @@
         }
     }
 
-    /// Forwards a packet of an open flow to the backend server that its token names.
+    /// Forwards a packet of an open flow to the backend server that its token identifies.
     fn forward(&mut self, now: ClockTime, packet: &FlowPacket) -> FlowDecision {
         let address = &packet.key.service;
         let route = self.routes.find(address);
--- a/crates/foxledge-flows/src/routes.rs
+++ b/crates/foxledge-flows/src/routes.rs
@@ -29,7 +29,7 @@
     pub idempotent: bool,
     /// Maximum duration of a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Time, in milliseconds, within which answers are wanted; 0 without such a target.
+    /// Target for the response time, in milliseconds; 0 without a target.
     pub latency_target_ms: u64,
     /// Regions whose backend servers may serve the route; empty when any region may.
     pub regions: Vec<RegionName>,
--- a/crates/foxledge-flows/src/selection.rs
+++ b/crates/foxledge-flows/src/selection.rs
@@ -1,8 +1,9 @@
 //! Selection of the backend server for a new flow.
 //!
-//! While the load of all data centres is known and slots are scarce, the router examines a sample
-//! of the backend servers, because many openings arrive then and the list may be long. Otherwise it
-//! examines all of them.
+//! While the load of all data centres is known, and slots are scarce or a flow overflows to another
+//! data centre, the router examines a sample of the backend servers, because many openings arrive
+//! then and the list may be long. Otherwise, or without a good candidate in the sample, it examines
+//! all of them.
 
 use foxledge_core::{names::CentreName, time::ClockTime};
 
@@ -14,18 +15,18 @@
     routes::flow_hash,
 };
 
-/// Maximum number of backend servers of a group, or of its subset, that are examined for one flow.
+/// Maximum sample size: backend servers of a group, or of its preferred subset.
 const MAX_EXAMINED_BACKENDS: usize = 64;
 
 /// Where load control wants a new flow to be placed.
 struct PlacementHint {
     /// The data centre that should serve it.
     centre: CentreName,
-    /// True when that isn't the data centre of this instance.
+    /// True when overflow selected a data centre other than that of this instance.
     is_overflow: bool,
     /// The service's group there.
     group: Option<usize>,
-    /// Median answer time among backend servers of the service, in microseconds.
+    /// Median response time among backend servers of the service, in microseconds.
     median_latency_us: f64,
 }
 
@@ -52,7 +53,8 @@
         placement
     }
 
-    /// Returns where load control wants a flow to be placed, or `None` when it doesn't matter.
+    /// Returns where load control wants a flow to be placed, or `None` when the load is unknown, or
+    /// when the flow doesn't overflow and local slots are plentiful.
     fn placement_hint(&self, now: ClockTime, flow: &NewFlow<'_>) -> Option<PlacementHint> {
         if !self.load.is_steering(now) {
             return None;
@@ -73,9 +75,9 @@
         })
     }
 
-    /// Examines the preferred subset of the data centre, then a sample of all its backend servers.
-    /// Returns `None` when the best one found is unhealthy, or no better than an idle one beyond
-    /// the sample.
+    /// Examines a sample of the preferred subset, then a sample of all backend servers of the
+    /// hint's data centre. Returns `None` when the best one is unhealthy, or costs more than an
+    /// idle one in another data centre.
     fn place_in_sample(
         &mut self,
         now: ClockTime,
@@ -102,7 +104,8 @@
         self.place_within_bound(now, flow, hint, indexes, PlacementBound::Remote)
     }
 
-    /// Chooses the best of some backend servers, if it is good enough for the bound.
+    /// Chooses the best of the backend servers with these indexes, or returns `None` if it doesn't
+    /// meet the bound.
     fn place_within_bound(
         &mut self,
         now: ClockTime,
@@ -133,8 +136,8 @@
         })
     }
 
-    /// Chooses the best of all backend servers of the service. Those in `local_centre` count as
-    /// local, and of `group` the subset of this instance is preferred.
+    /// Chooses the best of all backend servers of the service. Those in `local_centre` cost the
+    /// least, and those in the preferred subset of `group` are preferred.
     fn place_among_all(
         &mut self,
         now: ClockTime,
@@ -150,11 +153,12 @@
         FlowPlacement { choice, candidates, barrier, overflow_to: None }
     }
 
+    /// Returns a group with its preferred subset, while its slots are scarce.
     fn preferred_subset(&self, now: ClockTime, group: usize) -> Option<(usize, &GroupSubset)> {
         self.load.subset(now, group).map(|subset| (group, subset))
     }
 
-    /// Returns true when a flow goes to a healthy backend server of a data centre.
+    /// Returns true when the chosen backend server is healthy and in `centre`.
     fn is_placed_in(&self, placement: &FlowPlacement, centre: &CentreName) -> bool {
         placement.choice.is_some_and(|(index, rank)| {
             let backend = self.backends.get(index);
@@ -164,7 +168,8 @@
     }
 }
 
-/// Returns a sample of the indexes; equal hashes give equal samples.
+/// Returns at most [`MAX_EXAMINED_BACKENDS`] consecutive indexes from a start that the hash
+/// determines.
 fn sample_indexes(indexes: &[usize], hash: u64) -> Vec<usize> {
     let start = hash as usize % indexes.len().max(1);
     indexes
--- a/crates/foxledge-flows/tests/common/load.rs
+++ b/crates/foxledge-flows/tests/common/load.rs
@@ -28,7 +28,7 @@
         reported_at: now,
         instances: 19,
         report_count: 8,
-        services: BTreeMap::from([(ServiceKey::of("desk"), load.clone())]),
+        services: BTreeMap::from([(ServiceKey::from_name("desk"), load.clone())]),
     };
     LoadView {
         created_at: now,
--- a/crates/foxledge-flows/tests/load_overflow.rs
+++ b/crates/foxledge-flows/tests/load_overflow.rs
@@ -202,7 +202,7 @@
         .find(|one| one.load.as_ref().is_some_and(|load| load.overflow_to.is_some()))
         .expect("some flows leave");
     let load = explanation.load.expect("load control is on");
-    assert_eq!((load.priority, load.verdict), (1, AdmissionDecision::Admitted));
+    assert_eq!((load.priority, load.decision), (1, AdmissionDecision::Admitted));
     let chosen = explanation.choice.and_then(|(index, _)| router.backend(index));
     assert_eq!(chosen.map(|one| one.data_centre.clone()), load.overflow_to);
 
--- a/crates/foxledge-flows/tests/load_shortage.rs
+++ b/crates/foxledge-flows/tests/load_shortage.rs
@@ -291,8 +291,9 @@
 #[test]
 fn heavy_account_is_limited_to_its_share() {
     let mut router = load_router(&backends());
-    let account =
-        |caller: u8| foxledge_admission::AccountKey::of(*flow_key(caller, 1).caller.ip()).0;
+    let account = |caller: u8| {
+        foxledge_admission::AccountKey::from_address(*flow_key(caller, 1).caller.ip()).0
+    };
     let mut now = 0;
     // A third of the openings belong to account 250, the others to twenty accounts.
     for step in 0..40 {
@@ -343,7 +344,7 @@
         assert_eq!((load.basis, load.priority), (AdmissionBasis::Shortage, 2));
         let decision = router.on_packet(clock_at(now), &opening_packet(key, 0));
         let is_refused = matches!(decision, FlowDecision::Refuse(_));
-        assert_eq!(is_refused, load.verdict != foxledge_admission::AdmissionDecision::Admitted);
+        assert_eq!(is_refused, load.decision != foxledge_admission::AdmissionDecision::Admitted);
     }
 
     let calm = caller_load(&[(1, 10.0), (2, 10.0)], &[(LOCAL_CENTRE, 1.0)]);
--- a/crates/foxledge-flows/tests/local_load.rs
+++ b/crates/foxledge-flows/tests/local_load.rs
@@ -18,7 +18,7 @@
 
 fn desk_load(router: &mut FlowRouter, now: u64) -> ServiceLoad {
     let load = router.collect_local_load(clock_at(now));
-    load.services.get(&ServiceKey::of("desk")).cloned().unwrap_or_default()
+    load.services.get(&ServiceKey::from_name("desk")).cloned().unwrap_or_default()
 }
 
 /// Returns the requests that run or wait in the local data centre.
@@ -338,7 +338,7 @@
     }
     let load = router.collect_local_load(clock_at(now + 50));
     assert_eq!((load.sampled_accounts.len(), load.openings_per_sample), (6, 100));
-    let heavy = foxledge_admission::AccountKey::of(*flow_key(77, 1).caller.ip()).0;
+    let heavy = foxledge_admission::AccountKey::from_address(*flow_key(77, 1).caller.ip()).0;
     assert!(load.sampled_accounts.iter().filter(|account| **account == heavy).count() >= 1);
     // Reports are sent every other time, so each opening is in one of them.
     assert_eq!(
--- a/crates/foxledge-gossip/tests/common/load_model.rs
+++ b/crates/foxledge-gossip/tests/common/load_model.rs
@@ -26,7 +26,7 @@
 
 /// Key of the model's only service.
 pub fn model_service() -> ServiceKey {
-    ServiceKey::of("desk")
+    ServiceKey::from_name("desk")
 }
 
 /// Requests that one instance has open.
--- a/crates/foxledge-gossip/tests/load_messages.rs
+++ b/crates/foxledge-gossip/tests/load_messages.rs
@@ -66,7 +66,7 @@
 #[test]
 fn load_is_unchanged_by_encoding() {
     let mut pair = pair();
-    let service_key = ServiceKey::of("desk");
+    let service_key = ServiceKey::from_name("desk");
     let load = service(7.0, &[("dublin", 3.0)]);
     let accounts: Vec<_> = (0..12).map(|index| index * 0x0101_0101).collect();
     let services = BTreeMap::from([(service_key, load.clone())]);
--- a/crates/foxledge-load/src/bounds.rs
+++ b/crates/foxledge-load/src/bounds.rs
@@ -14,17 +14,20 @@
 const MAX_PRIORITIES: usize = 8;
 /// The maximum number of sampled client accounts in one report.
 const MAX_SAMPLED_ACCOUNTS: usize = 12;
-/// The maximum number of openings that one sample stands for: all openings of one second.
+/// The maximum number of openings that one sample stands for: all openings of an instance in one
+/// second.
 const MAX_OPENINGS_PER_SAMPLE: u32 = 100_000;
-/// The maximum number of instances of one data centre: several times the largest design size.
+/// The maximum number of instances of one data centre: several times the largest supported number.
 const MAX_INSTANCES: u32 = 10_000;
 
+/// Limits the values in the load of one instance.
 pub(crate) fn bound_load(load: &mut LocalLoad) {
     bound_services(&mut load.services, 1.0);
     load.sampled_accounts.truncate(MAX_SAMPLED_ACCOUNTS);
     load.openings_per_sample = load.openings_per_sample.min(MAX_OPENINGS_PER_SAMPLE);
 }
 
+/// Limits the values in the aggregate of a data centre, in proportion to its instances.
 pub(crate) fn bound_aggregate(aggregate: &mut CentreAggregate) {
     aggregate.instances = aggregate.instances.clamp(1, MAX_INSTANCES);
     bound_services(&mut aggregate.services, f64::from(aggregate.instances));
@@ -47,6 +50,7 @@
     scale_to_limit(MAX_RUNNING * instances, running);
 }
 
+/// Removes all but the [`MAX_PRIORITIES`] highest priorities.
 fn retain_most_urgent(service: &mut ServiceLoad) {
     if let Some(first_over) = service.priorities.keys().nth(MAX_PRIORITIES).copied() {
         service.priorities.split_off(&first_over);
@@ -65,6 +69,7 @@
     }
 }
 
+/// Returns the value within 0 to `limit`; 0 if it is not a number.
 fn clamped(value: f64, limit: f64) -> f64 {
     if value.is_nan() { 0.0 } else { value.clamp(0.0, limit) }
 }
--- a/crates/foxledge-load/src/overflow.rs
+++ b/crates/foxledge-load/src/overflow.rs
@@ -4,13 +4,13 @@
 
 use foxledge_core::{names::CentreName, time::ClockTime};
 
-/// The load, in requests per slot, up to which no flow leaves its data centre.
+/// The load of a data centre, in requests per slot, up to which none of its flows overflows.
 const MIN_LEVEL: f64 = 0.8;
 /// The interval between two steps of the shares, in milliseconds.
 const STEP_INTERVAL_MS: u64 = 50;
 /// The fraction of the difference to the target share that one step closes.
 const STEP_FRACTION: f64 = 0.5;
-/// A share that decays towards zero is removed below this value.
+/// The share below which a decaying share is removed.
 const MIN_SHARE: f64 = 0.001;
 
 /// The slots and the demand of one data centre for one service.
@@ -27,8 +27,8 @@
 
 /// The share of a service's new flows that is sent to each other data centre.
 ///
-/// Relieves a burst in one data centre while others have idle slots, and spreads a shortage of the
-/// whole fleet evenly. The shares are computed from demand, which does not change when flows are
+/// Offloads a burst in one data centre to idle slots of others, and spreads a shortage of the whole
+/// fleet evenly. The shares are computed from demand, which does not change when flows are
 /// sent elsewhere, so there is no feedback that could oscillate.
 #[derive(Clone, Debug)]
 pub struct OverflowPlan {
@@ -97,9 +97,10 @@
     }
 }
 
-/// Computes the undamped shares. The local data centre sends away its excess over the level, which
-/// is the mean load of all data centres and at least `MIN_LEVEL`. The excess is divided in
-/// proportion to the spare slots of the others below that level.
+/// Computes the shares that the plan approaches step by step. The local data centre sends away its
+/// excess over the level, which is the mean load of all data centres, in demand per slot, and at
+/// least `MIN_LEVEL`. The excess is divided in proportion to the spare slots of the others below
+/// that level.
 fn target_shares(
     local_centre: &CentreName,
     capacities: &[CentreCapacity],
@@ -130,6 +131,7 @@
         .collect()
 }
 
+/// Returns the value; 0 if it is negative or not finite.
 fn sanitized(value: f64) -> f64 {
     if value.is_finite() { value.max(0.0) } else { 0.0 }
 }
--- a/crates/foxledge-load/src/rates.rs
+++ b/crates/foxledge-load/src/rates.rs
@@ -12,6 +12,7 @@
 pub struct RateGauge {
     /// Events per second at `as_of`.
     rate_per_s: f64,
+    /// When the rate was last updated.
     as_of: ClockTime,
 }
 
--- a/crates/foxledge-load/src/reports.rs
+++ b/crates/foxledge-load/src/reports.rs
@@ -6,13 +6,13 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The low 32 bits of the hash of a service's name, which replaces the name in messages.
+/// A service in messages: the low 32 bits of the hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct ServiceKey(pub u32);
 
 impl ServiceKey {
-    /// Returns the key for the name of a service.
-    pub fn of(service: &str) -> ServiceKey {
+    /// Returns the key of the service with this name.
+    pub fn from_name(service: &str) -> ServiceKey {
         ServiceKey(xxh3_64(service.as_bytes()) as u32)
     }
 }
@@ -75,12 +75,13 @@
     pub openings_per_sample: u32,
 }
 
-/// One process start of a reporting instance.
+/// Identifies one process start of a reporting instance, as its report numbers begin anew after a
+/// restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReporterId {
     /// The address on which the instance receives messages of other instances.
     pub address: SocketAddrV4,
-    /// The low 32 bits of the process's incarnation.
+    /// The low 32 bits of the incarnation of the instance's process.
     pub incarnation: u32,
 }
 
@@ -100,8 +101,8 @@
 pub struct CentreAggregate {
     /// The data centre.
     pub data_centre: CentreName,
-    /// Increases with time at every instance of the data centre, so that an older aggregate never
-    /// replaces a newer one.
+    /// The fleet clock when the aggregate was computed, so that aggregates of different instances
+    /// are ordered and an older one never replaces a newer one.
     pub serial: u32,
     /// The number of instances in the data centre.
     pub instances: u32,
--- a/crates/foxledge-load/src/schedule.rs
+++ b/crates/foxledge-load/src/schedule.rs
@@ -6,16 +6,18 @@
 const LOADED_THRESHOLD: f64 = 0.6;
 /// How long an instance keeps the fast pace after the last trigger, in milliseconds.
 const FAST_PACE_HOLD_MS: u64 = 2000;
-/// How long another data centre counts as loaded after its announcement, in milliseconds.
+/// How long an instance keeps the fast pace after another data centre announced that it is loaded,
+/// in milliseconds.
 const LOADED_HOLD_MS: u64 = 2000;
 /// The interval between reports at the slow pace, in milliseconds.
 const SLOW_INTERVAL_MS: u64 = 1000;
 /// The interval between reports at the fast pace, in milliseconds.
 const FAST_INTERVAL_MS: u64 = 100;
 /// The change of the local running requests since the last report above which the pace becomes
-/// fast.
+/// fast, if [`MIN_CHANGE_FRACTION`] is exceeded too.
 const MIN_CHANGE_REQUESTS: f64 = 3.0;
-/// The same as a fraction of the running requests in the last report; both must be exceeded.
+/// The change as a fraction of the running requests in the last report, above which the pace
+/// becomes fast if [`MIN_CHANGE_REQUESTS`] is exceeded too.
 const MIN_CHANGE_FRACTION: f64 = 0.5;
 
 /// How often an instance reports its load.
@@ -103,6 +105,8 @@
         };
     }
 
+    /// Returns `true` if the running requests have changed enough since the last report for the
+    /// fast pace.
     fn has_changed(&self) -> bool {
         let change = (self.running - self.reported_running).abs();
         change > MIN_CHANGE_REQUESTS && change > MIN_CHANGE_FRACTION * self.reported_running
--- a/crates/foxledge-load/src/table.rs
+++ b/crates/foxledge-load/src/table.rs
@@ -24,7 +24,7 @@
 const SLOW_REPORT_TTL_MS: u64 = 3000;
 /// How long a report sent at the fast pace is valid, in milliseconds.
 const FAST_REPORT_TTL_MS: u64 = 1000;
-/// The age up to which a report counts as fresh, in milliseconds.
+/// The age up to which a report counts as fresh and is preferred to older ones, in milliseconds.
 pub const REPORT_FRESHNESS_MS: u64 = 200;
 /// How long the aggregate of another data centre is valid, in milliseconds.
 const AGGREGATE_TTL_MS: u64 = 2000;
@@ -41,10 +41,11 @@
 /// receives about 400 in 100 ms.
 const MAX_ACCOUNT_SAMPLES: usize = 4096;
 
-/// The reports and aggregates known to one instance.
+/// Stores the unexpired reports and aggregates, and builds the view of the load of all data
+/// centres.
 ///
-/// An instance sees only a small share of the load of its data centre. The table estimates the
-/// whole from the mean of the received reports, which also stands for the missing ones.
+/// An instance measures only a small share of the load of its data centre. The table estimates the
+/// whole from the mean of the received reports, multiplied by the number of instances.
 #[derive(Clone, Debug)]
 pub struct LoadTable {
     data_centre: CentreName,
@@ -54,6 +55,8 @@
     alive_centres: Vec<CentreName>,
     reports: BTreeMap<SocketAddrV4, StoredReport>,
     aggregates: BTreeMap<CentreName, StoredAggregate>,
+    /// Client account samples for the next view: the hash, and the openings that the sample stands
+    /// for.
     account_samples: Vec<(u32, u32)>,
     fleet_clock: FleetClock,
 }
@@ -94,9 +97,11 @@
         self.alive_centres = others;
     }
 
-    /// Applies a report sent at `reported_at` by an instance of the local data centre, and returns
-    /// `true` if it is newer than the stored one. Relayed reports are applied with
-    /// [`ReportPace::Fast`].
+    /// Stores a report sent at `reported_at` by another instance of the local data centre. Returns
+    /// `false` if it is not newer than the stored one, has expired or exceeds the limit of reports.
+    ///
+    /// `pace` is that of the sender, which determines the validity. A relayed report does not tell
+    /// the pace of its origin and is stored with [`ReportPace::Fast`], which expires sooner.
     pub fn apply_report(
         &mut self,
         now: ClockTime,
@@ -122,8 +127,8 @@
         true
     }
 
-    /// Applies the aggregate that another data centre sent at `reported_at`, and returns `true` if
-    /// it is newer than the stored one.
+    /// Stores the aggregate that another data centre sent at `reported_at`. Returns `false` if it
+    /// is not newer than the stored one, has expired or exceeds the limit of aggregates.
     pub fn apply_aggregate(
         &mut self,
         now: ClockTime,
@@ -224,12 +229,16 @@
         })
     }
 
-    /// Synchronizes the fleet clock with the reading of another instance, if that is ahead.
+    /// Advances the fleet clock to the reading of another instance, if that is ahead. The first
+    /// reading received is adopted in any case.
     pub fn adopt_fleet_clock(&mut self, now: ClockTime, clock_ms: u32) {
         self.fleet_clock.synchronize(now, clock_ms);
     }
 
-    /// Returns the fleet clock in milliseconds; it wraps around.
+    /// Returns the reading of the fleet clock in milliseconds; it wraps around.
+    ///
+    /// The clock is shared by all instances. It orders aggregates of different instances, and
+    /// positions the readmission window.
     pub fn fleet_clock_ms(&self, now: ClockTime) -> u32 {
         self.fleet_clock.reading_at(now)
     }
@@ -250,8 +259,9 @@
         }
     }
 
-    /// Returns the reports that the local aggregate is based on: the fresh ones, or the newest ones
-    /// if too few are fresh. Older reports would hide the start of a burst.
+    /// Returns the reports that the local aggregate is based on: that of this instance, and the
+    /// fresh ones of others, or the newest ones if too few are fresh. Older reports would hide the
+    /// start of a burst.
     fn selected_reports(&self, now: ClockTime) -> Vec<&StoredReport> {
         let mut others: Vec<&StoredReport> = self.unexpired_reports(now).collect();
         others.sort_by_key(|stored| Reverse(stored.reported_at));
@@ -345,9 +355,10 @@
 
     /// Returns `true` if this aggregate is newer than `stored`.
     ///
-    /// A serial that is behind by no more than the validity of an aggregate belongs to a delayed
-    /// copy. A serial that is further behind comes from an instance whose clock was reset, and a
-    /// stored serial that is far ahead must not block all later aggregates.
+    /// An aggregate whose serial is behind by no more than the validity of an aggregate is a
+    /// delayed copy. If the serial is further behind, the sender's fleet clock was reset, and the
+    /// stored serial must not block all later aggregates. In either case an aggregate that was sent
+    /// earlier than the stored one is older.
     fn is_newer_than(&self, stored: &StoredAggregate) -> bool {
         let behind = stored.aggregate.serial.wrapping_sub(self.aggregate.serial);
         u64::from(behind) > AGGREGATE_TTL_MS && self.reported_at >= stored.reported_at
@@ -363,7 +374,8 @@
     }
 }
 
-/// A clock shared by all instances: each one adopts the latest reading that it receives.
+/// A clock shared by all instances, which adopt the latest reading that they receive. Clocks of
+/// different processes could not be compared otherwise.
 #[derive(Clone, Copy, Debug, Default)]
 struct FleetClock {
     /// The fleet clock at the zero of this process's clock, in milliseconds.
--- a/crates/foxledge-load/src/view.rs
+++ b/crates/foxledge-load/src/view.rs
@@ -9,10 +9,10 @@
     reports::{ServiceKey, ServiceLoad},
 };
 
-/// The load of one service by the callers of one data centre.
+/// The load of one service that the callers of one data centre cause.
 pub type ServiceView = ServiceLoad;
 
-/// The load of one data centre's callers.
+/// The load that the callers of one data centre cause, in all data centres.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CentreView {
     /// When the newest underlying report was sent. For the local data centre this is the newest
@@ -37,12 +37,13 @@
     /// Load by data centre, including the local one; data centres with an expired aggregate are
     /// omitted.
     pub centres: BTreeMap<CentreName, CentreView>,
-    /// Other data centres that are alive by membership but have no valid aggregate.
+    /// Other data centres that membership reports as alive but whose load is unknown.
     pub unreported_centres: Vec<CentreName>,
     /// Client account samples received since the previous view: the hash, and the openings that the
     /// sample stands for.
     pub account_samples: Vec<(u32, u32)>,
-    /// The fleet clock that orders readmission, in milliseconds.
+    /// The reading of the clock shared by all instances, which positions the readmission window, in
+    /// milliseconds.
     pub fleet_clock_ms: u32,
 }
 
@@ -56,14 +57,15 @@
             .sum()
     }
 
-    /// Returns the slots needed by the requests of a service's callers in `data_centre`.
+    /// Returns the slots that the requests from callers in `data_centre` to a service need,
+    /// wherever they are served.
     pub fn demand_of(&self, service: ServiceKey, data_centre: &CentreName) -> f64 {
         let centre = self.centres.get(data_centre);
         centre.and_then(|centre| centre.services.get(&service)).map_or(0.0, ServiceLoad::demand)
     }
 
-    /// Returns slots and demand of the data centres with known load; one missing from `slots` has
-    /// none.
+    /// Returns the slots and the demand of each data centre with known load. A data centre that is
+    /// missing from `slots` has no slots.
     pub fn centre_capacities(
         &self,
         service: ServiceKey,
--- a/crates/foxledge-load/tests/aggregate_contents.rs
+++ b/crates/foxledge-load/tests/aggregate_contents.rs
@@ -17,7 +17,7 @@
 #[test]
 fn counts_missing_service_as_zero() {
     let mut table = table_of(3, at_ms(0));
-    let rare = ServiceKey::of("rare");
+    let rare = ServiceKey::from_name("rare");
     let load = common::service_load(30.0, 3.0);
     table.apply_report(at_ms(0), report_with(1, rare, load), at_ms(0), ReportPace::Fast);
     table.apply_report(at_ms(0), report(2, 1, 10.0), at_ms(0), ReportPace::Fast);
--- a/crates/foxledge-load/tests/common/mod.rs
+++ b/crates/foxledge-load/tests/common/mod.rs
@@ -25,7 +25,7 @@
 }
 
 pub fn auction() -> ServiceKey {
-    ServiceKey::of("auction")
+    ServiceKey::from_name("auction")
 }
 
 /// Process start `incarnation` of instance `index` of the local data centre.
--- a/crates/foxledge-seal/src/credentials.rs
+++ b/crates/foxledge-seal/src/credentials.rs
@@ -6,7 +6,8 @@
 
 const CREDENTIAL_LABEL: &[u8] = b"foxledge credential 1";
 
-/// Computes the proof that `caller` acts for `member`, keyed with the member's published secret.
+/// Computes the proof that the caller with the id `caller` acts for `member`: a truncated HMAC
+/// keyed with the member's published secret.
 pub fn credential(secret: &[u8], member: &str, caller: u64) -> Vec<u8> {
     let mut state = keyed_state(secret);
     state.update(CREDENTIAL_LABEL);
@@ -15,7 +16,8 @@
     finalize_truncated(state).to_vec()
 }
 
-/// Verifies a proof in constant time.
+/// Returns `true` if `proof` is the credential of `caller` for `member`. The comparison takes
+/// constant time.
 pub fn verify_credential(secret: &[u8], member: &str, caller: u64, proof: &[u8]) -> bool {
     let expected = credential(secret, member, caller);
     subtle::ConstantTimeEq::ct_eq(expected.as_slice(), proof).into()
--- a/crates/foxledge-seal/src/errors.rs
+++ b/crates/foxledge-seal/src/errors.rs
@@ -9,13 +9,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Error {
     /// No key is published, so nothing can be sealed.
-    #[error("no key to seal with")]
+    #[error("no key is published to seal with")]
     NoKey,
     /// The value was sealed with a key that is not published, or no longer published.
-    #[error("unknown key {0}")]
+    #[error("value is sealed with unknown key {0}")]
     UnknownKey(u32),
     /// The message authentication code does not match the contents.
-    #[error("wrong message authentication code")]
+    #[error("message authentication code doesn't match")]
     InvalidMac,
     /// The bytes do not encode a sealed value.
     #[error("malformed sealed value")]
--- a/crates/foxledge-seal/src/keys.rs
+++ b/crates/foxledge-seal/src/keys.rs
@@ -21,7 +21,7 @@
 #[derive(Clone)]
 struct RingKey {
     id: u32,
-    // The keyed state: cloning it costs less than hashing the secret again.
+    // HMAC state keyed with the secret: cloning it costs less than hashing the secret again.
     state: Hmac<Sha256>,
 }
 
@@ -47,33 +47,35 @@
         self.keys.iter().map(|key| key.id).collect()
     }
 
-    /// Returns the id of the newest key and the code of `body` under that key.
+    /// Returns the id of the newest key, and the message authentication code of `body` under that
+    /// key.
     ///
     /// # Errors
     ///
     /// Returns [`Error::NoKey`] if the ring is empty.
     pub fn sign(&self, purpose: Purpose, body: &[u8]) -> Result<(u32, [u8; MAC_LENGTH])> {
         let key = self.keys.last().ok_or(Error::NoKey)?;
-        Ok((key.id, compute_code(key, purpose, body)))
+        Ok((key.id, compute_mac(key, purpose, body)))
     }
 
-    /// Verifies a code in constant time.
+    /// Verifies the message authentication code of `body` in constant time.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::UnknownKey`] or [`Error::InvalidMac`].
-    pub fn verify(&self, key_id: u32, purpose: Purpose, body: &[u8], code: &[u8]) -> Result<()> {
+    /// Returns [`Error::UnknownKey`] if no published key has the id, and [`Error::InvalidMac`] if
+    /// the code doesn't match.
+    pub fn verify(&self, key_id: u32, purpose: Purpose, body: &[u8], mac: &[u8]) -> Result<()> {
         let key = self.keys.iter().find(|key| key.id == key_id).ok_or(Error::UnknownKey(key_id))?;
-        let expected = compute_code(key, purpose, body);
-        let is_equal: bool = subtle::ConstantTimeEq::ct_eq(&expected[..], code).into();
+        let expected = compute_mac(key, purpose, body);
+        let is_equal: bool = subtle::ConstantTimeEq::ct_eq(&expected[..], mac).into();
         if is_equal { Ok(()) } else { Err(Error::InvalidMac) }
     }
 }
 
 /// What a sealed value is used for.
 ///
-/// The purpose is part of the code. Otherwise a ticket presented as a flow token would open if its
-/// fields happened to parse as those of a token.
+/// The purpose is part of the authenticated data. Otherwise a ticket presented as a flow token
+/// would be accepted if its fields happened to parse as those of a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     /// A ticket.
@@ -102,7 +104,8 @@
     <Hmac<Sha256> as Mac>::new_from_slice(secret).expect("HMAC takes keys of every length")
 }
 
-fn compute_code(key: &RingKey, purpose: Purpose, body: &[u8]) -> [u8; MAC_LENGTH] {
+/// Computes the truncated HMAC of a body for a purpose.
+fn compute_mac(key: &RingKey, purpose: Purpose, body: &[u8]) -> [u8; MAC_LENGTH] {
     let mut state = key.state.clone();
     state.update(purpose.label());
     state.update(&key.id.to_be_bytes());
@@ -110,9 +113,10 @@
     finalize_truncated(state)
 }
 
+/// Returns the first [`MAC_LENGTH`] bytes of the HMAC.
 pub(crate) fn finalize_truncated(state: Hmac<Sha256>) -> [u8; MAC_LENGTH] {
-    let full_code = state.finalize().into_bytes();
-    let mut code = [0; MAC_LENGTH];
-    code.copy_from_slice(&full_code[..MAC_LENGTH]);
-    code
+    let full_mac = state.finalize().into_bytes();
+    let mut mac = [0; MAC_LENGTH];
+    mac.copy_from_slice(&full_mac[..MAC_LENGTH]);
+    mac
 }
--- a/crates/foxledge-seal/src/seals.rs
+++ b/crates/foxledge-seal/src/seals.rs
@@ -1,4 +1,7 @@
 //! Sealing and opening of tickets, flow tokens, datagrams and return paths.
+//!
+//! A sealed value is authenticated but not encrypted: it contains the encoded message, the id of
+//! the key and a message authentication code. Opening verifies the code and decodes the message.
 
 use prost::Message;
 
@@ -51,8 +54,9 @@
 
 /// Reseals a flow token with the newest key; returns `None` if it is sealed with that key already.
 ///
-/// A feed outlives keys. Without resealing, its token could no longer be opened once its key is
-/// withdrawn, and the feed would break at the second rotation after it was opened.
+/// Feeds are flows that last longer than keys are published. Without resealing, a feed's token
+/// could no longer be opened once its key is withdrawn, and the feed would break at the second
+/// rotation after it was opened.
 pub fn reseal_token(ring: &KeyRing, bytes: &[u8]) -> Result<Option<Vec<u8>>> {
     let (token, key_id) = open::<FlowToken>(ring, Purpose::Token, bytes)?;
     if ring.ids().last() == Some(&key_id) {
@@ -63,8 +67,8 @@
 
 fn seal<M: Message>(ring: &KeyRing, purpose: Purpose, message: &M) -> Result<Vec<u8>> {
     let body = message.encode_to_vec();
-    let (key_id, code) = ring.sign(purpose, &body)?;
-    Ok(Sealed { key_id, mac: code.to_vec(), body }.encode_to_vec())
+    let (key_id, mac) = ring.sign(purpose, &body)?;
+    Ok(Sealed { key_id, mac: mac.to_vec(), body }.encode_to_vec())
 }
 
 fn open<M: Message + Default>(ring: &KeyRing, purpose: Purpose, bytes: &[u8]) -> Result<(M, u32)> {
