--- a/crates/foxledge-ctl/src/check.rs
+++ b/crates/foxledge-ctl/src/check.rs
@@ -14,7 +14,7 @@
     command::{OutputFormat, output_format},
 };
 
-/// Carries out `check settings`, `check packets` or `check rules`.
+/// Carries out `check settings`, `check packets` or `check rules` and prints the findings.
 pub fn run(matches: &ArgMatches) -> Result<CommandOutcome> {
     let (name, matches) = matches.subcommand().context("the check subcommand is missing")?;
     let files: Vec<PathBuf> =
--- a/crates/foxledge-ctl/src/command.rs
+++ b/crates/foxledge-ctl/src/command.rs
@@ -205,7 +205,7 @@
             Arg::new("at")
                 .long("at")
                 .value_name("MILLISECONDS")
-                .help("When the request failed, as in at_ms; adds which instances came and went")
+                .help("When the request failed, as in at_ms; adds starts and stops of instances")
                 .value_parser(value_parser!(u64)),
         )
         .arg(logs_argument())
--- a/crates/foxledge-ctl/src/losses.rs
+++ b/crates/foxledge-ctl/src/losses.rs
@@ -144,7 +144,8 @@
 
 fn loss_text(rows: &[LossRow]) -> String {
     if rows.is_empty() {
-        return "no flow was in trouble, as far as these lines tell\n".to_owned();
+        return "the log lines report no delayed, ended, dropped, refused or lost flow\n"
+            .to_owned();
     }
     let header = ["SECOND", "OUTCOME", "CAUSE", "FLOWS"].map(str::to_owned).to_vec();
     let cells = |row: &LossRow| {
--- a/crates/foxledge-ctl/src/main.rs
+++ b/crates/foxledge-ctl/src/main.rs
@@ -16,7 +16,8 @@
 use anyhow::Result;
 use clap::ArgMatches;
 
-/// The exit code of a check with findings, or of a request that the daemon declined.
+/// The exit code of a check with findings, a trace that found no line of its flow, or a request
+/// that the daemon declined.
 const EXIT_DECLINED: u8 = 1;
 /// The exit code of a command that could not be carried out.
 const EXIT_FAILED: u8 = 3;
--- a/crates/foxledge-ctl/src/report/explain.rs
+++ b/crates/foxledge-ctl/src/report/explain.rs
@@ -59,14 +59,14 @@
 }
 
 /// Returns the policy and the state of the backend servers from which this home chooses.
-fn targets_text(queue: &Value) -> String {
-    let Some(targets) = queue["targets"].as_array() else {
+fn targets_text(scheduler: &Value) -> String {
+    let Some(targets) = scheduler["targets"].as_array() else {
         return String::new();
     };
     let header = ["name", "state", "busy", "slots", "connections", "pace", "warmth"];
     let rows = targets.iter().map(|target| header.map(|key| value_text(&target[key])).to_vec());
     let table = format_table("  ", header.map(str::to_owned).to_vec(), rows.collect());
-    let (policy, queued) = (value_text(&queue["policy"]), value_text(&queue["queued"]));
+    let (policy, queued) = (value_text(&scheduler["policy"]), value_text(&scheduler["queued"]));
     format!("chosen here by policy {policy}, {queued} waiting:\n{table}")
 }
 
--- a/crates/foxledge-daemon/src/context.rs
+++ b/crates/foxledge-daemon/src/context.rs
@@ -23,7 +23,7 @@
 
 /// State that every part can access and that outlives a failed part.
 pub struct DaemonContext {
-    /// The settings.
+    /// The settings of this process, read once at its start.
     pub settings: DaemonSettings,
     /// The clock of the process.
     pub clock: ProcessClock,
@@ -33,11 +33,12 @@
     pub metrics: Arc<MetricSet>,
     /// The phase of the process.
     pub phase: Arc<PhaseCell>,
-    /// The running actor of each part.
+    /// The running actor of each part, by which parts call each other.
     pub directory: PartDirectory,
-    /// Information on this instance as peers get it; its state remains that of the start.
+    /// The record of this instance that peers receive. Its `state` isn't updated here and stays
+    /// `Joining`; the current state follows from `phase`.
     pub local_info: RefCell<PeerInfo>,
-    /// The newest accepted list, from which a restarted list manager continues.
+    /// The newest accepted rule list, from which a restarted list manager continues.
     ///
     /// Without it, a restarted list manager would have no list, accept an older one
     /// from a lagging peer and spread it, so that the revision would go back.
@@ -46,22 +47,23 @@
     pub peer_view: RefCell<Arc<PeerView>>,
     /// True while this instance reads the platform for its data centre.
     pub is_reader: Cell<bool>,
-    /// Set by a signal. Stored here so that it isn't lost while the life cycle is restarted.
+    /// True after a signal has requested a planned stop, until the life cycle reads it. Stored
+    /// here so that the request isn't lost while that part is restarted.
     pub is_stop_requested: Cell<bool>,
-    /// Replaced addresses, for tests.
+    /// Replaced destination addresses, by which tests can cut traffic; otherwise empty.
     pub routes: RouteTable,
     seed_rng: RefCell<StdRng>,
     audit: OnceCell<Fwd<AuditChange>>,
 }
 
 impl DaemonContext {
-    /// Creates the context of a starting process.
+    /// Creates the context of a starting process; `seed_rng` generates the seeds of the parts.
     pub fn new(
         settings: DaemonSettings,
         clock: ProcessClock,
         sockets: ListenSockets,
-        me: PeerInfo,
-        seeds: StdRng,
+        local_info: PeerInfo,
+        seed_rng: StdRng,
     ) -> Rc<DaemonContext> {
         Rc::new(DaemonContext {
             routes: route_table(&settings),
@@ -71,22 +73,22 @@
             metrics: Arc::new(MetricSet::new()),
             phase: Arc::new(PhaseCell::default()),
             directory: PartDirectory::default(),
-            local_info: RefCell::new(me),
+            local_info: RefCell::new(local_info),
             accepted_list: RefCell::new(None),
             peer_view: RefCell::new(Arc::new(PeerView::default())),
             is_reader: Cell::new(false),
             is_stop_requested: Cell::new(false),
-            seed_rng: RefCell::new(seeds),
+            seed_rng: RefCell::new(seed_rng),
             audit: OnceCell::new(),
         })
     }
 
-    /// Returns a new random seed for a starting part.
+    /// Returns a new seed for the random numbers of a starting part.
     pub fn next_seed(&self) -> u64 {
         self.seed_rng.borrow_mut().next_u64()
     }
 
-    /// Sets the receiver of changes for the audit trail.
+    /// Sets the actor that records changes in the audit trail; changes before that are lost.
     pub fn set_audit(&self, audit: Fwd<AuditChange>) {
         // The root supervisor is created once, so the cell is empty.
         let _ = self.audit.set(audit);
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Returns the version of the list in force, or revision 0 without one.
+    /// Returns the version of the newest accepted rule list, or revision 0 without one.
     pub fn list_version(&self) -> ListVersion {
         self.accepted_list
             .borrow()
--- a/crates/foxledge-daemon/src/control_link.rs
+++ b/crates/foxledge-daemon/src/control_link.rs
@@ -1,4 +1,4 @@
-//! The part that connects the main loop with the side thread.
+//! The part that connects the main loop with the side thread, which runs control calls.
 
 use std::{io, net::SocketAddr, rc::Rc};
 
@@ -27,7 +27,7 @@
     supervisor::PartReport,
 };
 
-/// Owns the side thread.
+/// Owns the side thread, sends commands to it and forwards its events to the other parts.
 ///
 /// The thread ends together with this part, as its command channel is closed then.
 pub struct ControlLink {
@@ -37,7 +37,7 @@
 }
 
 impl ControlLink {
-    /// Starts the side thread.
+    /// Starts the side thread and notifies the list manager; fails the part if it can't start.
     pub fn init(cx: CX![], context: Rc<DaemonContext>) -> Option<ControlLink> {
         let events: Fwd<LinkEvent> = fwd_to!([cx], handle_event() as (LinkEvent));
         let (channel, guard) = Channel::new(cx, events);
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Sends a command to the side thread.
+    /// Sends a command to the side thread; fails the part when the thread has ended.
     pub fn send_command(&mut self, cx: CX![], command: LinkCommand) {
         if self.commands.send(command).is_err() {
             fail!(cx, "can't send a command, as the side thread has ended");
--- a/crates/foxledge-daemon/src/daemon.rs
+++ b/crates/foxledge-daemon/src/daemon.rs
@@ -46,8 +46,10 @@
 /// Work that is left over from the last run of the main loop and can continue at once.
 #[derive(Clone, Copy, Debug, Default)]
 struct PendingWork {
-    idle: bool,
-    io: bool,
+    /// The actor system has calls queued that run when nothing else is pending.
+    has_idle_calls: bool,
+    /// The poll has more I/O events to deliver.
+    has_io: bool,
 }
 
 impl Daemon {
@@ -62,19 +64,19 @@
         let info = local_info(&settings, &sockets)?;
         info!("daemon: {} in {}, incarnation {}", info.name, info.data_centre, info.incarnation);
         for key in settings.trial.disabled_mechanisms() {
-            warn!("daemon: trial.{key} is off, promises are not kept");
+            warn!("daemon: trial.{key} is off, so its guarantee does not hold");
         }
-        let seeds = StdRng::from_os_rng();
-        let context = DaemonContext::new(settings, clock, sockets, info, seeds);
+        let seed_rng = StdRng::from_os_rng();
+        let context = DaemonContext::new(settings, clock, sockets, info, seed_rng);
 
         let mut stakker = Stakker::new(Instant::now());
-        let poll = Poll::new().context("can't create the poll")?;
+        let poll = Poll::new().context("can't create the I/O poll")?;
         let events = Events::with_capacity(POLL_EVENT_CAPACITY);
         let poll = MioPoll::new(&mut stakker, poll, events, POLL_PRIORITY)?;
         let signals = watch_signals(&mut stakker, context.clone())?;
         let root = start_root(&mut stakker, &context);
-        let idle = stakker.run(Instant::now(), false);
-        let pending = PendingWork { idle, io: false };
+        let has_idle_calls = stakker.run(Instant::now(), false);
+        let pending = PendingWork { has_idle_calls, has_io: false };
         Ok(Daemon { stakker, poll, context, pending, _signals: signals, _root: root })
     }
 
@@ -97,12 +99,16 @@
     }
 
     /// Runs one iteration of the main loop: waits for events, up to `max_wait`, and handles them.
+    ///
+    /// # Errors
+    ///
+    /// Fails when polling fails.
     pub fn run_once(&mut self, max_wait: Duration) -> Result<()> {
-        let is_pending = self.pending.idle || self.pending.io;
+        let is_pending = self.pending.has_idle_calls || self.pending.has_io;
         let wait = self.stakker.next_wait_max(Instant::now(), max_wait, is_pending);
-        let (is_active, io) = self.poll.poll(wait)?;
-        let idle = self.stakker.run(Instant::now(), !is_active);
-        self.pending = PendingWork { idle, io };
+        let (is_active, has_io) = self.poll.poll(wait)?;
+        let has_idle_calls = self.stakker.run(Instant::now(), !is_active);
+        self.pending = PendingWork { has_idle_calls, has_io };
         Ok(())
     }
 
--- a/crates/foxledge-daemon/src/life_cycle.rs
+++ b/crates/foxledge-daemon/src/life_cycle.rs
@@ -26,7 +26,7 @@
 /// Minimum number of heartbeats sent in state leaving before the process may end.
 const MIN_LEAVING_HEARTBEATS: u64 = 3;
 
-/// Sets the phase of the process.
+/// Sets the phase of the process and carries out its planned stop.
 pub struct LifeCycle {
     context: Rc<DaemonContext>,
     gate: StartGate,
@@ -36,9 +36,9 @@
 /// The time bounds of a planned stop.
 #[derive(Clone, Copy, Debug)]
 struct LeaveDeadlines {
-    /// The process doesn't end before, so that peers learn that it leaves.
+    /// The process doesn't end before this time, so that peers learn that it leaves.
     earliest_stop_at: ClockTime,
-    /// The process ends then, even with unfinished requests.
+    /// The process ends at this time, even with unfinished requests.
     latest_stop_at: ClockTime,
 }
 
@@ -67,12 +67,13 @@
         self.gate.record_answer(from);
     }
 
-    /// Handles a heartbeat that a peer left unanswered.
+    /// Handles a heartbeat to a peer that got no response, so that the start doesn't wait for it.
     pub fn on_peer_failure(&mut self, _cx: CX![], from: SocketAddr) {
         self.gate.record_failure(from);
     }
 
-    /// Handles the platform's listing of instances, which are queried for the newest list too.
+    /// Adds the instances that the platform lists to the peers whose list versions the start waits
+    /// for.
     pub fn on_platform_listing(&mut self, _cx: CX![], addresses: Vec<SocketAddr>) {
         let local_address = self.context.local_info.borrow().control_address;
         self.gate.add_peers(addresses.into_iter().filter(|address| *address != local_address));
@@ -83,14 +84,15 @@
         self.gate.record_platform_contact();
     }
 
-    /// Begins a planned stop. Passes false to `answer` when one is already in progress.
+    /// Begins a planned stop, requested by `source`. Passes true to `answer`, or false when a stop
+    /// is already in progress.
     pub fn leave(&mut self, _cx: CX![], source: &'static str, answer: Box<dyn FnOnce(bool)>) {
         answer(self.begin_leaving(source));
     }
 
     fn begin_leaving(&mut self, source: &'static str) -> bool {
         if self.context.phase.get() == EnginePhase::Leaving {
-            info!("life: leaving already");
+            info!("life: ignored a stop request, as a planned stop is in progress");
             return false;
         }
         self.set_phase(EnginePhase::Leaving, "planned stop", source);
@@ -172,7 +174,7 @@
         let before = self.context.phase.as_str();
         self.context.phase.set(phase);
         let after = self.context.phase.as_str();
-        info!("life: {after}");
+        info!("life: the phase is now {after}");
         let directory = &self.context.directory;
         if let Some(engine) = directory.get::<EnginePart>() {
             call!([engine], set_phase(phase));
--- a/crates/foxledge-daemon/src/packets/fleet_part.rs
+++ b/crates/foxledge-daemon/src/packets/fleet_part.rs
@@ -1,4 +1,5 @@
-//! The part that maintains the list and communicates with other instances and the store.
+//! The part that maintains the list of backend servers and communicates with other instances and
+//! the store.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -44,7 +45,8 @@
 }
 
 impl FleetPart {
-    /// Starts the part on a duplicate of the bound socket, with the shared state of the member.
+    /// Starts the part on a duplicate of the bound peer socket, with the fleet member of
+    /// `context`, whose state outlives a failed part.
     pub fn init(cx: CX![], context: SharedContext) -> Option<FleetPart> {
         match FleetPart::open(cx, context) {
             Ok(part) => {
@@ -79,7 +81,8 @@
         self.apply_effects(cx);
     }
 
-    /// Queries other instances for backend servers that were removed before this one started.
+    /// Queries other instances for the backend servers of unknown tokens, which may have been
+    /// removed from the list before this instance started.
     pub fn query_tokens(&mut self, cx: CX![], tokens: Vec<u32>) {
         let now = self.context.clock.now();
         self.context.member.borrow_mut().query_removed_backends(now, tokens);
--- a/crates/foxledge-daemon/src/packets/flow_log.rs
+++ b/crates/foxledge-daemon/src/packets/flow_log.rs
@@ -1,4 +1,4 @@
-//! Logging of the flow part.
+//! Log lines and metrics of the flow part for decisions, backend servers and evacuations.
 
 use foxledge_core::time::ClockTime;
 use foxledge_flows::{
@@ -11,6 +11,7 @@
 };
 
 impl FlowPart {
+    /// Logs that the flow of `packet` was opened to the backend server at `index`, with the reason.
     pub(super) fn log_opening(
         &self,
         now: ClockTime,
@@ -27,6 +28,7 @@
         });
     }
 
+    /// Logs a retransmission of data on an open flow to the backend server at `index`.
     pub(super) fn log_stall(
         &self,
         now: ClockTime,
@@ -59,6 +61,7 @@
         });
     }
 
+    /// Logs and counts a restart of a backend server or a conflict between list entries.
     pub(super) fn log_backend_event(&self, event: &BackendEvent) {
         let (BackendEvent::Restarted { index, .. } | BackendEvent::EntryConflict { index, .. }) =
             event;
@@ -69,6 +72,7 @@
         self.context.log_event(kind, &line);
     }
 
+    /// Logs and counts a change of the evacuation of a data centre.
     pub(super) fn log_evacuation(&self, event: &EvacuationEvent) {
         let now = self.context.clock.now();
         let centre_backends =
@@ -82,6 +86,7 @@
         self.context.log.borrow_mut().flush(now);
     }
 
+    /// Logs and counts an observation of a backend server; `observer` is the label of its origin.
     pub(super) fn log_observation(&self, observation: &HealthObservation, observer: &'static str) {
         let now = self.context.clock.now();
         let Some(backend) = self.router.backend_by_number(observation.number) else { return };
--- a/crates/foxledge-daemon/src/packets/lifecycle_part.rs
+++ b/crates/foxledge-daemon/src/packets/lifecycle_part.rs
@@ -52,7 +52,9 @@
 #[derive(Clone, Copy, Debug)]
 struct StopDeadlines {
     begun_at: ClockTime,
+    /// The process doesn't end before this time, so that routers stop sending to it first.
     earliest_stop_at: ClockTime,
+    /// The process ends at this time, even while packets arrive.
     latest_stop_at: ClockTime,
 }
 
@@ -85,7 +87,8 @@
         Some(part)
     }
 
-    /// Begins to serve once a list is known and confirmed, or the wait for that has ended.
+    /// Begins to serve when a list is known and either confirmed as the newest or
+    /// `MAX_CONFIRMATION_WAIT_MS` have passed since it became known.
     pub fn serve_when_ready(&mut self, cx: CX![]) {
         if self.context.phase.get() != EnginePhase::Joining {
             return;
--- a/crates/foxledge-daemon/src/packets/parts.rs
+++ b/crates/foxledge-daemon/src/packets/parts.rs
@@ -26,7 +26,7 @@
 }
 
 impl PacketParts {
-    /// Creates a starter for parts that share `context`.
+    /// Creates the starter of parts that share `context`.
     pub fn new(context: SharedContext) -> PacketParts {
         PacketParts { context }
     }
--- a/crates/foxledge-daemon/src/restarts.rs
+++ b/crates/foxledge-daemon/src/restarts.rs
@@ -24,19 +24,19 @@
 }
 
 impl RestartLimits {
-    /// Sets the delay after the first failure.
+    /// Sets the delay after the first failure, which doubles with each further one.
     pub fn initial_delay(mut self, initial_delay: Duration) -> RestartLimits {
         self.initial_delay = initial_delay;
         self
     }
 
-    /// Sets the maximum delay.
+    /// Sets the maximum delay between a failure and the restart.
     pub fn max_delay(mut self, max_delay: Duration) -> RestartLimits {
         self.max_delay = max_delay;
         self
     }
 
-    /// Sets the run time after which the failure count of a part is reset.
+    /// Sets the run time without a failure after which the failure count of a part is reset.
     pub fn stable_after(mut self, stable_after: Duration) -> RestartLimits {
         self.stable_after = stable_after;
         self
--- a/crates/foxledge-daemon/src/side/clients.rs
+++ b/crates/foxledge-daemon/src/side/clients.rs
@@ -1,4 +1,4 @@
-//! Pool of connections to other processes.
+//! Pool of gRPC channels to other instances and to the platform.
 
 use std::{
     collections::HashMap,
@@ -20,13 +20,13 @@
 
 use super::{counted::CountedStream, messages::CallError, tls::TlsBundle};
 
-/// Maximum number of open connections; the least recently used one is evicted.
+/// Maximum number of pooled channels; the least recently used one is evicted.
 const MAX_CHANNELS: usize = 64;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(10);
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A pool of connections for outgoing calls.
+/// A pool of gRPC channels for outgoing calls, one per address.
 #[derive(Clone)]
 pub struct ClientPool {
     channels: Arc<Mutex<ChannelTable>>,
@@ -38,7 +38,8 @@
 #[derive(Default)]
 struct ChannelTable {
     entries: HashMap<SocketAddr, ChannelEntry>,
-    /// The last sequence number; numbers order openings, uses and responses.
+    /// The last sequence number that was assigned. Sequence numbers order the openings and uses
+    /// of channels and the responses on them.
     last_seq: u64,
 }
 
@@ -46,7 +47,7 @@
     channel: Channel,
     opened_seq: u64,
     last_use_seq: u64,
-    last_answer_seq: u64,
+    last_response_seq: u64,
     tls_generation: u64,
 }
 
@@ -68,7 +69,7 @@
         ClientPool { channels: Arc::default(), metrics, bundles, routes }
     }
 
-    /// Makes a call to `to` with a deadline.
+    /// Makes a call to the address `to` and waits up to `timeout` for its response.
     ///
     /// A middlebox may lose the state of a connection, which then stays unresponsive
     /// while new connections work, and calls time out although the other process is
@@ -82,7 +83,7 @@
     pub async fn call<T, F, R>(
         &self,
         to: SocketAddr,
-        limit: Duration,
+        timeout: Duration,
         call: F,
     ) -> Result<T, CallError>
     where
@@ -90,16 +91,16 @@
         R: Future<Output = Result<Response<T>, Status>>,
     {
         let pooled = self.acquire(to)?;
-        match time::timeout(limit, call(pooled.channel.clone())).await {
+        match time::timeout(timeout, call(pooled.channel.clone())).await {
             Ok(Ok(response)) => {
-                self.record_answer(to, &pooled);
+                self.record_response(to, &pooled);
                 Ok(response.into_inner())
             }
             Ok(Err(status)) => {
                 if status.code() == Code::Unavailable {
                     self.discard_unresponsive(to, &pooled);
                 } else {
-                    self.record_answer(to, &pooled);
+                    self.record_response(to, &pooled);
                 }
                 Err(CallError::Refused(status.message().to_owned()))
             }
@@ -132,7 +133,7 @@
             channel: channel.clone(),
             opened_seq: seq,
             last_use_seq: seq,
-            last_answer_seq: 0,
+            last_response_seq: 0,
             tls_generation: bundle.generation,
         };
         table.entries.insert(to, entry);
@@ -152,11 +153,11 @@
                 .tls_config(client.clone())
                 .map_err(|error| CallError::Refused(error.to_string()))?;
         }
-        let (metrics, via) = (self.metrics.clone(), self.routes.resolve(to));
+        let (metrics, destination) = (self.metrics.clone(), self.routes.resolve(to));
         let connector = service_fn(move |_: Uri| {
             let metrics = metrics.clone();
             async move {
-                let stream = TcpStream::connect(via).await?;
+                let stream = TcpStream::connect(destination).await?;
                 stream.set_nodelay(true)?;
                 Ok::<_, std::io::Error>(TokioIo::new(CountedStream::new(stream, &metrics)))
             }
@@ -164,21 +165,21 @@
         Ok(endpoint.connect_with_connector_lazy(connector))
     }
 
-    fn record_answer(&self, to: SocketAddr, pooled: &PooledChannel) {
+    fn record_response(&self, to: SocketAddr, pooled: &PooledChannel) {
         let mut table = self.lock();
         table.last_seq += 1;
         let seq = table.last_seq;
         if let Some(entry) =
             table.entries.get_mut(&to).filter(|entry| entry.opened_seq == pooled.opened_seq)
         {
-            entry.last_answer_seq = seq;
+            entry.last_response_seq = seq;
         }
     }
 
     fn discard_unresponsive(&self, to: SocketAddr, pooled: &PooledChannel) {
         let mut table = self.lock();
         let is_unresponsive = table.entries.get(&to).is_some_and(|entry| {
-            entry.opened_seq == pooled.opened_seq && entry.last_answer_seq < pooled.acquired_seq
+            entry.opened_seq == pooled.opened_seq && entry.last_response_seq < pooled.acquired_seq
         });
         if is_unresponsive {
             table.entries.remove(&to);
--- a/crates/foxledge-settings/src/choices.rs
+++ b/crates/foxledge-settings/src/choices.rs
@@ -1,12 +1,13 @@
 //! Settings with a fixed set of values.
 
-/// Where new work of a service is admitted.
+/// Which instance admits new requests of a service. An instance that admits requests for other
+/// instances and dispatches them to backend servers is a home instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PlacementChoice {
     /// At one home instance per service and data centre.
     #[default]
     ServiceHome,
-    /// At the instance where it arrives.
+    /// At the instance where the request arrives.
     EntryLocal,
     /// At one home instance per backend server.
     TargetHome,
@@ -27,17 +28,18 @@
     }
 }
 
-/// How a home instance selects one of its backend servers.
+/// The policy by which a home instance selects one of its backend servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PolicyChoice {
-    /// The backend server with the most free slots.
+    /// The backend server with the lowest utilization, where slow and cold backend servers, and
+    /// slots that other schedulers occupy, count as additional utilization.
     #[default]
     Freest,
-    /// By a hash of the flow.
+    /// By rendezvous hashing of the flow id.
     Hash,
     /// In rotation.
     RoundRobin,
-    /// The less loaded of two backend servers selected at random.
+    /// The less loaded of two backend servers selected at random, by their load reports.
     TwoChoices,
 }
 
--- a/crates/foxledge-settings/src/packet_settings.rs
+++ b/crates/foxledge-settings/src/packet_settings.rs
@@ -31,9 +31,11 @@
     /// Rate of new flows that a backend server may get during its slow start, in percent of
     /// its published limit.
     pub cold_overrun_percent: u32,
-    /// Additional new flows per second that it may get.
+    /// New flows per second that a backend server may get during its slow start in addition to
+    /// that rate.
     pub cold_slack: u32,
-    /// Bandwidth of the link of the instance, in Mbit/s; 0 when unknown.
+    /// Bandwidth of the instance's network link, in Mbit/s; 0 when unknown. Instances with more
+    /// bandwidth are preferred as readers of the store.
     pub link_mbps: u32,
     /// UDP address for packets of callers.
     pub data: SocketAddrV4,
@@ -49,7 +51,7 @@
     pub metrics: Option<SocketAddr>,
     /// Address of the platform's store.
     pub store: SocketAddrV4,
-    /// Instances to contact first.
+    /// Peer addresses of instances to join the fleet through.
     pub seeds: Vec<SocketAddrV4>,
     /// Time limit of a planned stop, in milliseconds.
     pub stop_limit_ms: u64,
@@ -93,10 +95,10 @@
     if text.len() > MAX_FILE_BYTES {
         return Err(file_finding(source, "is larger than 1 MB"));
     }
-    let notes = SourceFindings::new(source, text);
-    match read_document(&notes, text, read_settings).flatten() {
-        Some(settings) if notes.is_empty() => Ok(settings),
-        _ => Err(notes.into_findings()),
+    let findings = SourceFindings::new(source, text);
+    match read_document(&findings, text, read_settings).flatten() {
+        Some(settings) if findings.is_empty() => Ok(settings),
+        _ => Err(findings.into_findings()),
     }
 }
 
@@ -186,7 +188,7 @@
 }
 
 impl PacketSettings {
-    /// Returns the differences to `newer`, each as key, old value and new value.
+    /// Returns the settings that differ in `newer`, each as its key, old value and new value.
     pub fn changes(&self, newer: &PacketSettings) -> Vec<(Arc<str>, String, String)> {
         let pairs = [
             ("instance.name", self.name.to_string(), newer.name.to_string()),
@@ -277,14 +279,14 @@
     Some(text)
 }
 
-/// Reads an IPv4 address, as packets identify their ends by IPv4 addresses.
+/// Reads an IPv4 address; packets identify callers and services by IPv4 addresses only.
 fn ipv4_address(table: &TableReader<'_>, key: &'static str) -> Option<SocketAddrV4> {
     let address = table.address(key)?;
-    let found = as_ipv4(address);
-    if found.is_none() {
+    let ipv4_address = as_ipv4(address);
+    if ipv4_address.is_none() {
         table.add_finding(key, "must be an IPv4 address");
     }
-    found
+    ipv4_address
 }
 
 fn as_ipv4(address: SocketAddr) -> Option<SocketAddrV4> {
--- a/crates/foxledge-settings/src/parse.rs
+++ b/crates/foxledge-settings/src/parse.rs
@@ -49,10 +49,10 @@
     if text.len() > MAX_FILE_BYTES {
         return Err(file_finding(source_name, "is larger than 1 MB"));
     }
-    let notes = SourceFindings::new(source_name, text);
-    match read_document(&notes, text, read_settings).flatten() {
-        Some(settings) if notes.is_empty() => Ok(settings),
-        _ => Err(notes.into_findings()),
+    let findings = SourceFindings::new(source_name, text);
+    match read_document(&findings, text, read_settings).flatten() {
+        Some(settings) if findings.is_empty() => Ok(settings),
+        _ => Err(findings.into_findings()),
     }
 }
 
--- a/crates/foxledge-settings/src/settings.rs
+++ b/crates/foxledge-settings/src/settings.rs
@@ -43,7 +43,7 @@
     pub data_centre: CentreName,
 }
 
-/// The addresses that the instance listens on; they are announced to peers.
+/// The addresses that the instance listens on; all but `admin` are announced to peers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListenSettings {
     /// UDP address for callers and backend servers.
@@ -56,7 +56,7 @@
     pub admin: SocketAddr,
 }
 
-/// How the platform is read.
+/// How the rule list and the instances are read from the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformSettings {
     /// Addresses of the platform, used in rotation.
@@ -67,7 +67,7 @@
     pub readers_per_centre: u32,
 }
 
-/// Membership of instances.
+/// Failure detection between instances, and joining.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerSettings {
     /// Control addresses of instances to join through.
@@ -85,11 +85,11 @@
 /// Placement, tickets and forwarding.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FlowSettings {
-    /// Where new work is admitted.
+    /// Which instance admits new requests of a service.
     pub placement: PlacementChoice,
     /// How a home instance selects one of its backend servers.
     pub policy: PolicyChoice,
-    /// Time for which a ticket can start requests, in milliseconds.
+    /// Time for which a ticket is valid for starting requests, in milliseconds.
     pub ticket_ms: u64,
     /// Number of requests that one ticket admits.
     pub ticket_count: u32,
@@ -100,7 +100,7 @@
     pub passed_over_ms: u64,
 }
 
-/// Admission and health checking of backend servers by the scheduler of a home.
+/// Dispatch to backend servers and their health checks by the scheduler of a home instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DeskSettings {
     /// Timeout of a backend server's first response, after which the dispatch is
@@ -153,7 +153,7 @@
     pub key: PathBuf,
 }
 
-/// Switches that disable single mechanisms, for experiments that show their effect.
+/// Switches that disable single mechanisms, for tests of what fails without them.
 ///
 /// In production all of them are on; the daemon logs a warning for each that is off.
 #[derive(Clone, Debug, PartialEq, Eq)]
