--- a/crates/foxledge-daemon/src/packets/fleet_part.rs
+++ b/crates/foxledge-daemon/src/packets/fleet_part.rs
@@ -245,15 +245,16 @@
                 metrics.refused_items.with_label_values(&[what]).inc();
             }
             FleetEvent::StoreEpochChanged { epoch, .. } => metrics.store_epoch.set(*epoch as i64),
-            FleetEvent::ReadingPassedOver { .. } => metrics.readings_passed_over.inc(),
+            FleetEvent::ResponseIgnored { .. } => metrics.readings_passed_over.inc(),
             // The rows in force may be the same before and after.
-            FleetEvent::ConfigHeld { .. } | FleetEvent::ConfigReleased { .. } => {
+            FleetEvent::ConfigRetained { .. } | FleetEvent::ConfigReleased { .. } => {
                 self.set_list_metrics();
             }
             _ => {}
         }
-        if let FleetEvent::ListTaken { version, epoch, revision, former_revision, source, .. } =
-            event
+        if let FleetEvent::ListApplied {
+            version, epoch, revision, former_revision, source, ..
+        } = event
         {
             let newer = match epoch {
                 0 => revision.to_string(),
--- a/crates/foxledge-document/src/reader.rs
+++ b/crates/foxledge-document/src/reader.rs
@@ -30,7 +30,7 @@
     read_keys: RefCell<Vec<&'static str>>,
 }
 
-/// Whether a missing key of the table is reported.
+/// Whether the table could be read. Missing keys are reported only if it could.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TableState {
     /// The value is a table or absent.
--- a/crates/foxledge-engine/src/forwarding.rs
+++ b/crates/foxledge-engine/src/forwarding.rs
@@ -18,7 +18,8 @@
 /// The number of forwards after which the instance that has the packet handles it itself.
 ///
 /// Two instances with different peer views may each consider the other the home. Without this limit
-/// a packet would circle between them: peer traffic would grow while nothing is admitted.
+/// a packet would be forwarded between them in a loop: peer traffic would grow while nothing is
+/// admitted.
 pub(crate) const MAX_HOPS: u32 = 3;
 
 /// The number of times a packet is forwarded towards its ticket's home before the home counts as
@@ -135,8 +136,9 @@
 
     /// Forwards a packet through a relay because its ticket's home was recently unresponsive.
     ///
-    /// Possibly only the link from this instance to the home is cut. Without a relay, bids would
-    /// end with an unknown outcome although their home is alive and a third instance can reach it.
+    /// Possibly only the link from this instance to the home is cut. Without a relay, requests
+    /// such as bids would end with an unknown outcome although their home is alive and a third
+    /// instance can reach it.
     pub(crate) fn forward_via_relay(&mut self, now: ClockTime, mut forward: PendingForward) {
         match self.find_relay(now, &forward) {
             Some((name, address)) if forward.hops == 0 => {
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Returns an instance that hasn't been tried and isn't unresponsive.
+    /// Returns another instance that can be a home, hasn't been tried and isn't unresponsive.
     fn find_relay(
         &self,
         now: ClockTime,
@@ -208,7 +210,7 @@
             return self.route_by_rank(now, caller, packet, forward.hops);
         }
         // The sender considers this instance the home. Unless it is leaving, it admits the packet
-        // here, so that no packet circles.
+        // here, so that no packet is forwarded in a loop.
         if self.phase == EnginePhase::Leaving {
             return self.route_by_rank(now, caller, packet, forward.hops);
         }
--- a/crates/foxledge-engine/src/forwards.rs
+++ b/crates/foxledge-engine/src/forwards.rs
@@ -11,7 +11,7 @@
 /// The reason why a packet is forwarded to an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ForwardRoute {
-    /// The packet may be handled by any home of the service.
+    /// The packet may be handled by any home candidate of the service, in the order of their ranks.
     ByRank,
     /// The packet needs a backend server in another data centre, as the local ones can't serve it.
     OtherCentre,
--- a/crates/foxledge-engine/src/other_centres.rs
+++ b/crates/foxledge-engine/src/other_centres.rs
@@ -29,7 +29,7 @@
         treatment: &ServeTreatment,
         hops: u32,
     ) -> bool {
-        // The contact may have to forward the packet once more within its data centre.
+        // The contact instance may have to forward the packet once more within its data centre.
         if hops + 1 >= MAX_HOPS || self.has_local_target(now, packet, treatment) {
             return false;
         }
@@ -47,8 +47,8 @@
         true
     }
 
-    /// Refuses a packet that the contact in the other data centre didn't acknowledge, and skips
-    /// that contact for a while.
+    /// Refuses a packet that the contact instance in the other data centre didn't acknowledge, and
+    /// skips that instance for a while.
     pub(crate) fn refuse_unreachable_centre(&mut self, now: ClockTime, forward: PendingForward) {
         if let Some(contact) = forward.tried_instances.last() {
             self.unresponsive_homes.insert(contact.clone(), now.after(self.options.home_backoff));
@@ -57,8 +57,8 @@
         self.send_refusal(now, forward.caller, &forward.packet, refusal);
     }
 
-    /// Returns true when a backend server in this data centre is expected to accept the packet's
-    /// work.
+    /// Returns true when the packet's shard has a backend server in this data centre that is in
+    /// service and answers its probes.
     pub(crate) fn has_local_target(
         &mut self,
         now: ClockTime,
@@ -70,8 +70,10 @@
         self.schedulers.find(&key).is_some_and(|scheduler| scheduler.has_responsive_target())
     }
 
-    /// Returns the flow's contact by rendezvous hashing, among those in data centres that have
-    /// published backend servers of the service which aren't draining.
+    /// Returns the instance of another data centre that the flow's work is forwarded to.
+    ///
+    /// It is chosen by rendezvous hashing of the flow id among the contact instances of those data
+    /// centres that have published backend servers of the service which aren't draining.
     fn best_contact(
         &self,
         now: ClockTime,
--- a/crates/foxledge-gossip/src/config_pull.rs
+++ b/crates/foxledge-gossip/src/config_pull.rs
@@ -40,13 +40,13 @@
         from: SocketAddrV4,
         heartbeat: &HeartbeatMessage,
     ) {
-        let is_newer = heartbeat.held_version > self.effective_version();
+        let is_newer = heartbeat.retained_version > self.effective_version();
         let is_pulling =
             self.config_pull.as_ref().is_some_and(|pull| !pull.expires_at.is_past(now));
         if !is_newer || is_pulling || self.list.head() == 0 || heartbeat.head > self.list.head() {
             return;
         }
-        let version = heartbeat.held_version;
+        let version = heartbeat.retained_version;
         let expires_at = now.after_millis(PAGE_TIMEOUT_MS);
         // A version has the same rows at all instances, so the pages received before a loss are
         // kept.
--- a/crates/foxledge-gossip/src/dissemination.rs
+++ b/crates/foxledge-gossip/src/dissemination.rs
@@ -306,7 +306,7 @@
             wants_response: false,
             peer_count: self.peers.len() as u32,
             is_from_remote_centre: self.update_origin == UpdateOrigin::RemoteCentre,
-            held_version: self.retained_config.as_ref().map_or(0, RetainedConfig::version),
+            retained_version: self.retained_config.as_ref().map_or(0, RetainedConfig::version),
         };
         // Rows take precedence: missing rows have to be requested, while instances are named by
         // other heartbeats too.
--- a/crates/foxledge-gossip/src/effective_config.rs
+++ b/crates/foxledge-gossip/src/effective_config.rs
@@ -18,12 +18,12 @@
         if self.retained_config.is_some() {
             return;
         }
-        let (known_head, partial_head) = (self.list.head(), self.preview.head());
+        let (known_head, partial_head) = (self.list.head(), self.partial_list.head());
         if epoch_of(known_head.max(partial_head)) >= epoch_of(head) {
             return;
         }
         self.retained_config = match known_head {
-            0 => RetainedConfig::from_rows(self.preview.rows()),
+            0 => RetainedConfig::from_rows(self.partial_list.rows()),
             _ => RetainedConfig::from_rows(self.list.rows()),
         };
     }
@@ -47,15 +47,17 @@
     }
 
     /// Sets the version that is retained and emits an event if it changes.
-    pub(crate) fn set_retained_version(&mut self, held_version: Option<u64>) {
-        let former_version = std::mem::replace(&mut self.logged_retained_version, held_version);
-        if former_version == held_version {
+    pub(crate) fn set_retained_version(&mut self, retained_version: Option<u64>) {
+        let former_version = std::mem::replace(&mut self.logged_retained_version, retained_version);
+        if former_version == retained_version {
             return;
         }
         let (version, head) = (self.list.version(), self.list.head());
         let (epoch, revision) = (epoch_of(head), number_of(head));
-        self.effects.push(FleetEffect::LogEvent(match held_version {
-            Some(held_version) => FleetEvent::ConfigHeld { held_version, version, epoch, revision },
+        self.effects.push(FleetEffect::LogEvent(match retained_version {
+            Some(retained_version) => {
+                FleetEvent::ConfigRetained { retained_version, version, epoch, revision }
+            }
             None => FleetEvent::ConfigReleased { version, epoch, revision },
         }));
     }
--- a/crates/foxledge-gossip/src/effects.rs
+++ b/crates/foxledge-gossip/src/effects.rs
@@ -100,7 +100,7 @@
     },
     /// Queries the store. At most one call is in flight at a time.
     CallStore(StoreCall),
-    /// Applies rows that changed in the list.
+    /// Applies the rows of the list that changed.
     ApplyRows(Vec<ListRow>),
     /// Applies rows that differ in the list of a store that was restored from a backup.
     ApplyRestoredRows(Vec<ListRow>),
@@ -121,7 +121,8 @@
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum FleetEvent {
     /// A newer list was applied.
-    ListTaken {
+    #[serde(rename = "list_taken")]
+    ListApplied {
         /// Version of the operators' list.
         version: u64,
         /// Epoch of the store's history.
@@ -139,7 +140,8 @@
     },
     /// The first page of a list that is too long for one response was applied; flows are assigned
     /// by it until the rest is known.
-    ListPreviewed {
+    #[serde(rename = "list_previewed")]
+    PartialListApplied {
         /// Version of the operators' list.
         version: u64,
         /// Epoch of the store's history.
@@ -150,13 +152,14 @@
         rows: usize,
     },
     /// This instance starts to read the store.
-    ReadingBegun {
+    #[serde(rename = "reading_begun")]
+    ReadingStarted {
         /// Time since the store last confirmed the list, in milliseconds.
         confirmed_age_ms: Option<u64>,
         /// Number of live instances that are ranked before this one.
         rank: usize,
     },
-    /// The store is queried for another reason than to wait for changes.
+    /// The store is queried for a reason other than [`ReadReason::Changes`].
     StoreCalled {
         /// The query.
         order: &'static str,
@@ -198,7 +201,8 @@
         known_revision: u64,
     },
     /// A response of the store is older than the known list and was ignored.
-    ReadingPassedOver {
+    #[serde(rename = "reading_passed_over")]
+    ResponseIgnored {
         /// The query.
         order: &'static str,
         /// Epoch of the response.
@@ -212,11 +216,13 @@
         /// Time since the store last confirmed the list, in milliseconds.
         confirmed_age_ms: Option<u64>,
     },
-    /// A restored store has an older version of the operators' list; the newer version stays in
-    /// force.
-    ConfigHeld {
-        /// The version in force.
-        held_version: u64,
+    /// The store was restored and has an older version of the operators' list; this instance
+    /// retains the newer version in force.
+    #[serde(rename = "config_held")]
+    ConfigRetained {
+        /// The retained version, which is in force.
+        #[serde(rename = "held_version")]
+        retained_version: u64,
         /// The version in the store.
         version: u64,
         /// Epoch of the store's history.
@@ -224,7 +230,7 @@
         /// Revision of the store.
         revision: u64,
     },
-    /// The version in the store is in force again.
+    /// The retained version was given up, and the version in the store is in force again.
     ConfigReleased {
         /// The version in force.
         version: u64,
@@ -273,7 +279,7 @@
 }
 
 impl FleetEvent {
-    /// Returns the event for a change in the peer table, if it is worth a log line.
+    /// Returns the event for a change in the peer table; `None` for a change that isn't logged.
     pub(crate) fn from_change(
         change: PeerChange,
         descriptor: &PeerDescriptor,
@@ -303,16 +309,16 @@
     /// Returns the name of the event in log lines.
     pub fn kind(&self) -> &'static str {
         match self {
-            FleetEvent::ListTaken { .. } => "list_taken",
-            FleetEvent::ListPreviewed { .. } => "list_previewed",
-            FleetEvent::ReadingBegun { .. } => "reading_begun",
+            FleetEvent::ListApplied { .. } => "list_taken",
+            FleetEvent::PartialListApplied { .. } => "list_previewed",
+            FleetEvent::ReadingStarted { .. } => "reading_begun",
             FleetEvent::StoreCalled { .. } => "store_called",
             FleetEvent::ReadingEnded { .. } => "reading_ended",
             FleetEvent::StoreLost { .. } => "store_lost",
             FleetEvent::StoreRegained { .. } => "store_regained",
             FleetEvent::StoreEpochChanged { .. } => "store_epoch_changed",
-            FleetEvent::ReadingPassedOver { .. } => "reading_passed_over",
-            FleetEvent::ConfigHeld { .. } => "config_held",
+            FleetEvent::ResponseIgnored { .. } => "reading_passed_over",
+            FleetEvent::ConfigRetained { .. } => "config_held",
             FleetEvent::ConfigReleased { .. } => "config_released",
             FleetEvent::ItemRefused(_) => "item_refused",
             FleetEvent::PeerFound { .. } => "peer_found",
--- a/crates/foxledge-gossip/src/election.rs
+++ b/crates/foxledge-gossip/src/election.rs
@@ -26,15 +26,16 @@
 const MAX_READERS: usize = 2;
 /// Maximum number of confirmations that are remembered.
 const MAX_CONFIRMATIONS: usize = 6;
-/// Delay before the first retry of a failed call, in milliseconds. It doubles with each failure.
+/// Delay before the first retry by one of the [`EARLY_RETRY_RANKS`], in milliseconds. It doubles
+/// with each failure, up to [`MAX_RETRY_DELAY_MS`].
 const INITIAL_RETRY_DELAY_MS: u64 = 200;
-/// Number of best ranked instances that retry early. Their calls notice soon enough that the store
-/// serves again, even if it refuses some of them.
+/// Number of best ranked instances that retry with the short, growing delay. They are enough to
+/// detect soon that the store responds again, even if it refuses some of their calls.
 const EARLY_RETRY_RANKS: usize = 8;
-/// Delay before all other instances retry, in milliseconds: during an outage half of a fleet calls
-/// the store.
+/// Delay before a retry by any other instance, in milliseconds. It limits the load on the store,
+/// since half of a fleet calls it during an outage.
 const LATE_RETRY_DELAY_MS: u64 = 3_000;
-/// Maximum delay before a retry, in milliseconds.
+/// Maximum delay before a retry by one of the [`EARLY_RETRY_RANKS`], in milliseconds.
 const MAX_RETRY_DELAY_MS: u64 = 1_000;
 /// Minimum interval between calls while a better ranked reader is known, in milliseconds. That
 /// reader's responses reach all instances; if it dies, changes are read later by this much at most.
@@ -209,7 +210,7 @@
         &self.confirmations
     }
 
-    /// Returns the latest confirmations of other instances that are known to read.
+    /// Returns the confirmations of other readers that are at most [`CONFIRMATION_TTL_MS`] old.
     pub fn other_readers(&self, now: ClockTime) -> impl Iterator<Item = &StoreConfirmation> {
         let own_rank = self.rank;
         let is_other = move |confirmation: &&StoreConfirmation| {
@@ -221,7 +222,7 @@
             .filter(is_other)
     }
 
-    /// Returns true if a better ranked instance reads.
+    /// Returns true while a better ranked instance reads, so that this one may call less often.
     fn is_standby(&self, now: ClockTime) -> bool {
         self.other_readers(now)
             .any(|confirmation| ReaderRank::from_descriptor(&confirmation.reader) < self.rank)
--- a/crates/foxledge-gossip/src/evidence.rs
+++ b/crates/foxledge-gossip/src/evidence.rs
@@ -1,11 +1,11 @@
 //! Evidence about the health of backend servers, merged from the observations of all instances into
 //! one state per backend server.
 //!
-//! A hall that loses power kills a hundred backend servers at the same moment, and each instance
-//! that has a caller there observes something of it. Sent one by one, hundreds of observations
-//! compete for the space in a message, and most never leave the instance that made them. Merged
-//! states avoid that: for each backend server only the few decisive observations are kept, and
-//! observations of different instances add up.
+//! A power failure in a server room stops a hundred backend servers at the same moment, and each
+//! instance whose callers use them observes some of the failures. Sent one by one, hundreds of
+//! observations compete for the space in a message, and most never leave the instance that made
+//! them. Merged states avoid that: for each backend server only the few decisive observations are
+//! kept, and observations of different instances add up.
 
 use std::collections::BTreeMap;
 
@@ -46,8 +46,8 @@
 }
 
 impl EvidenceTable {
-    /// Adds an observation. Returns it with the kind that it amounts to together with the known
-    /// ones, if that changes or renews the inferred health.
+    /// Adds an observation and merges it with the known ones of the same backend server. Returns an
+    /// observation of the resulting kind if the merge changes or renews the inferred health.
     pub fn record(
         &mut self,
         now: ClockTime,
@@ -72,7 +72,8 @@
         Some(HealthObservation { number, incarnation, kind, observed_at: record.observed_at })
     }
 
-    /// Records that another instance sent all of the evidence that is known here.
+    /// Records that another instance sent all the evidence about a backend server that is known
+    /// here. With enough such echoes, this instance sends the evidence less often.
     pub fn record_echo(&mut self, now: ClockTime, key: BackendKey, records: &[ObservationRecord]) {
         let Some(evidence) = self.backends.get_mut(&key) else { return };
         if !evidence.is_covered_by(records) {
--- a/crates/foxledge-gossip/src/heartbeat_handling.rs
+++ b/crates/foxledge-gossip/src/heartbeat_handling.rs
@@ -190,7 +190,7 @@
         let rows = self.filter_retained_rows(rows);
         let is_restored = former_head > 0 && epoch_of(former_head) < epoch_of(self.list.head());
         if is_restored || !rows.is_empty() {
-            let event = FleetEvent::ListTaken {
+            let event = FleetEvent::ListApplied {
                 version: self.list.version(),
                 epoch: epoch_of(self.list.head()),
                 revision: number_of(self.list.head()),
--- a/crates/foxledge-gossip/src/list_pull.rs
+++ b/crates/foxledge-gossip/src/list_pull.rs
@@ -43,7 +43,7 @@
     rows: Vec<ListRow>,
     /// Index of the next page among those that respond to the request.
     next_index: u32,
-    /// Pages that were received before it, by index.
+    /// Later pages that arrived before that one, by index.
     early_pages: BTreeMap<u32, PullPage>,
     attempts: u32,
     /// Time at which the request is repeated.
--- a/crates/foxledge-gossip/src/list_transfer.rs
+++ b/crates/foxledge-gossip/src/list_transfer.rs
@@ -32,20 +32,21 @@
 const MIN_BUSY_DELAY_MS: u64 = 20;
 
 /// Time, in milliseconds, to wait for an instance of the same data centre that has the list before
-/// a snapshot is requested from a remote one: some instances of each data centre read the list at
-/// once.
+/// rows, of a snapshot or of changes, are requested from a remote one: some instances of each data
+/// centre read the list at once.
 const REMOTE_SNAPSHOT_DELAY_MS: u64 = 60;
 /// Maximum jitter added to [`REMOTE_SNAPSHOT_DELAY_MS`], in milliseconds.
 const REMOTE_SNAPSHOT_JITTER_MS: u64 = 100;
 /// Number of instances of a data centre of which, on average, one requests changes from a remote
 /// instance at once.
 const INSTANCES_PER_REMOTE_PULL: u32 = 4;
-/// Number of instances that have the list and are named to a peer that can't be served now.
+/// Maximum number of other instances with the list that are named to a peer whose request can't be
+/// served now.
 const MAX_NAMED_HOLDERS: usize = 4;
 
 impl FleetMember {
     /// Requests the changes that are missing here, or a snapshot: from an instance of the same data
-    /// centre that has them, or else from `from`.
+    /// centre that has them, or else from `peer`.
     pub(crate) fn begin_pull(&mut self, now: ClockTime, peer: SocketAddrV4) {
         if self.pull.is_some() {
             return;
@@ -81,7 +82,7 @@
             return false;
         }
         if self.list.head() == 0 {
-            return self.preview.was_received();
+            return self.partial_list.was_received();
         }
         let instances = self.peers.count_same_centre(now) as u32 + 1;
         !self.rng.random_ratio(1, instances.min(INSTANCES_PER_REMOTE_PULL))
@@ -250,7 +251,7 @@
             }
             PullStep::Complete { rows, kind, head, floor } => {
                 let former_head = self.list.head();
-                if former_head == 0 && head < self.preview.head() {
+                if former_head == 0 && head < self.partial_list.head() {
                     return;
                 }
                 self.retain_config_across_restore(head);
--- a/crates/foxledge-gossip/src/member.rs
+++ b/crates/foxledge-gossip/src/member.rs
@@ -52,7 +52,7 @@
     pub(crate) descriptor: PeerDescriptor,
     /// Source of random choices.
     pub(crate) rng: StdRng,
-    /// The list as it is known.
+    /// The list as far as this instance knows it.
     pub(crate) list: FleetList,
     /// The operators' list that is retained in force while the store has an older version.
     pub(crate) retained_config: Option<RetainedConfig>,
@@ -61,7 +61,7 @@
     /// Transfer of a list that another instance retains.
     pub(crate) config_pull: Option<ConfigPull>,
     /// First part of the list, used until all of it is known.
-    pub(crate) preview: PartialList,
+    pub(crate) partial_list: PartialList,
     /// The known instances.
     pub(crate) peers: PeerTable,
     /// Election of readers, as seen by this instance.
@@ -71,7 +71,7 @@
     /// Time and peer of the next transfer, after a peer was busy or to wait for one of the same
     /// data centre.
     pub(crate) next_pull: Option<(ClockTime, SocketAddrV4)>,
-    /// Peers that are being sent rows, each with the time until which it counts.
+    /// Peers that are being sent rows, each with the time at which it no longer counts as such.
     pub(crate) served_peers: HashMap<SocketAddrV4, ClockTime>,
     /// Health evidence of backend servers that is disseminated.
     pub(crate) evidence: EvidenceTable,
@@ -98,7 +98,7 @@
     /// Time at which peers are next queried for a newer confirmation; `None` after the second
     /// query.
     pub(crate) next_confirmation_query_at: Option<ClockTime>,
-    /// Time from which peers are assumed to send no more rows.
+    /// Time from which a transfer of rows from peers counts as stalled, unless more rows arrive.
     pub(crate) transfer_stalled_at: ClockTime,
     /// Time from which an instance that has heard from no other assumes that it is the only one.
     pub(crate) isolation_assumed_at: ClockTime,
@@ -156,7 +156,7 @@
             retained_config: None,
             config_pull: None,
             logged_retained_version: None,
-            preview: PartialList::default(),
+            partial_list: PartialList::default(),
             peers: PeerTable::new(options.data_centre.as_str()),
             pull: None,
             next_pull: None,
@@ -194,7 +194,7 @@
         self.list.has_routes() || self.is_retaining_config()
     }
 
-    /// Returns the list as it is known.
+    /// Returns the list as far as this instance knows it.
     pub fn list(&self) -> &FleetList {
         &self.list
     }
@@ -273,10 +273,11 @@
         next
     }
 
-    /// Carries out everything whose time has come.
+    /// Does everything that is due: queries to seeds, transfers of rows, reading of the store,
+    /// evidence, load reports and heartbeats.
     pub fn handle_timers(&mut self, now: ClockTime) {
         if !self.has_all_routes() && self.next_seed_query_at.is_past(now) {
-            let interval_ms = if self.preview.was_received() {
+            let interval_ms = if self.partial_list.was_received() {
                 PARTIAL_SEED_QUERY_INTERVAL_MS
             } else {
                 SEED_QUERY_INTERVAL_MS
--- a/crates/foxledge-gossip/src/messages.rs
+++ b/crates/foxledge-gossip/src/messages.rs
@@ -211,7 +211,7 @@
     /// Version of the operators' list that the sender retains because the store has an older one; 0
     /// if it retains none.
     #[prost(uint64, tag = "12")]
-    pub held_version: u64,
+    pub retained_version: u64,
     /// Revision after which `rows` hold the differences at `head`, if the sender read the whole
     /// list in between and so doesn't know every change.
     #[prost(uint64, optional, tag = "13")]
--- a/crates/foxledge-gossip/src/options.rs
+++ b/crates/foxledge-gossip/src/options.rs
@@ -47,7 +47,7 @@
         self
     }
 
-    /// Sets the instances that are queried first.
+    /// Sets the seeds: the instances that are queried while no list or no peer is known.
     pub fn seeds(mut self, seeds: Vec<SocketAddrV4>) -> MemberOptions {
         self.seeds = seeds;
         self
--- a/crates/foxledge-gossip/src/packet_relay.rs
+++ b/crates/foxledge-gossip/src/packet_relay.rs
@@ -1,6 +1,6 @@
 //! Relaying of callers' packets that an instance can't map to a backend server yet.
 //!
-//! An instance that has just started serves by a part of a large list until it has all of it.
+//! An instance that has just started uses the first part of a large list until it has all of it.
 //! Packets of open flows mostly name backend servers that it doesn't know yet, but that its peers
 //! know. Each dropped packet makes its caller wait 200 ms or more. A relayed packet travels inside
 //! a message, so that its receiver knows that it was relayed and doesn't relay it again.
--- a/crates/foxledge-gossip/src/partial_list.rs
+++ b/crates/foxledge-gossip/src/partial_list.rs
@@ -26,7 +26,7 @@
     }
 
     /// Removes and returns the rows, because the whole list is used from now on.
-    pub(crate) fn take_rows(&mut self) -> Vec<ListRow> {
+    pub(crate) fn drain_rows(&mut self) -> Vec<ListRow> {
         std::mem::take(&mut self.rows)
     }
 
--- a/crates/foxledge-gossip/src/partial_start.rs
+++ b/crates/foxledge-gossip/src/partial_start.rs
@@ -26,7 +26,7 @@
 impl FleetMember {
     /// Returns whether flows can be placed, by the list or by its first part.
     pub fn can_serve(&self) -> bool {
-        self.list.has_routes() || self.preview.has_routes() || self.is_retaining_config()
+        self.list.has_routes() || self.partial_list.has_routes() || self.is_retaining_config()
     }
 
     /// Applies the first part of the list; the rest comes from peers or is read later.
@@ -38,10 +38,10 @@
         let rows = self.list.partial_rows(reading.items);
         let version = rows.iter().find_map(ListRow::config_version).unwrap_or(0);
         let (epoch, revision) = (epoch_of(head), number_of(head));
-        let event = FleetEvent::ListPreviewed { version, epoch, revision, rows: rows.len() };
+        let event = FleetEvent::PartialListApplied { version, epoch, revision, rows: rows.len() };
         self.effects.push(FleetEffect::LogEvent(event));
         self.effects.push(FleetEffect::ApplyRows(rows.clone()));
-        self.preview = PartialList::new(rows, head);
+        self.partial_list = PartialList::new(rows, head);
         let is_seed = self.options.seeds.contains(&self.options.address);
         let wait = match is_seed || self.rng.random_ratio(1, EAGER_READER_RATIO) {
             true => 0,
@@ -55,7 +55,7 @@
     /// Otherwise a backend server that left in between would receive new flows forever, because the
     /// list never says that it is gone.
     pub(crate) fn end_partial_list(&mut self) -> Vec<ListRow> {
-        let rows = self.preview.take_rows();
+        let rows = self.partial_list.drain_rows();
         let head = self.list.head();
         let is_unlisted = |row: &ListRow| !self.list.contains(&row.key);
         rows.into_iter().filter(is_unlisted).map(|row| removed_row(row, head)).collect()
--- a/crates/foxledge-gossip/src/peers.rs
+++ b/crates/foxledge-gossip/src/peers.rs
@@ -221,7 +221,7 @@
     }
 
     /// Removes quiet instances of other data centres, except for the most recently heard one of
-    /// each: once a network partition is over, it is the way back.
+    /// each, through which contact is restored once a network partition is over.
     fn remove_quiet_remote(&mut self, now: ClockTime) -> Vec<PeerLoss> {
         let latest: BTreeMap<String, ClockTime> = self
             .latest_remote()
@@ -381,8 +381,9 @@
         peers.filter(move |record| !record.is_quiet(now))
     }
 
-    /// Evicts another instance of the same data centre if the table holds the maximum of them;
-    /// returns false if all of them were heard from no earlier than `heard_at`.
+    /// Makes room for an instance: if the table holds the maximum for its data centre, evicts the
+    /// instance of that data centre that was heard from least recently. Returns false if all of
+    /// them were heard from at `heard_at` or later.
     fn evict_for(&mut self, descriptor: &PeerDescriptor, heard_at: ClockTime) -> bool {
         let centre = descriptor.data_centre.as_str();
         let limit = if centre == self.local_centre {
@@ -395,7 +396,8 @@
         if same_centre_records.clone().count() < limit {
             return true;
         }
-        // Evicting the instance that was heard from longest ago keeps the tables mixing.
+        // Evicting the least recently heard instance keeps changing which instances each table
+        // holds.
         let oldest =
             same_centre_records.min_by_key(|(address, record)| (record.last_heard_at, **address));
         let Some((address, record)) = oldest else { return true };
--- a/crates/foxledge-gossip/src/store_reading.rs
+++ b/crates/foxledge-gossip/src/store_reading.rs
@@ -28,8 +28,9 @@
 const MAX_SINGLE_RESPONSE_ROWS: usize = 500;
 /// Wait of a watch that only checks whether a list is still the newest, in milliseconds.
 const REVISION_CHECK_WAIT_MS: u64 = 20;
-/// Maximum number of changes that delay the next call: they fit one message with room to spare.
-/// More changes are read sooner, since those that take several messages take effect later.
+/// Maximum number of changes in a response after which the next call is delayed to collect more of
+/// them. That many fit easily into one message. After more changes the next call isn't delayed,
+/// since changes that take several messages take effect later.
 const MAX_DELAYED_CHANGES: usize = 8;
 /// Delay before a first reading that failed is repeated, in milliseconds.
 const FIRST_READ_RETRY_MS: u64 = 250;
@@ -53,7 +54,8 @@
         }
         if !self.election.is_reading() {
             let rank = self.estimated_rank(now);
-            // The first reader after a start may have a narrow link.
+            // The first reader after a start may have a narrow link, so the best ranked instance
+            // with a wider link replaces it at once.
             let is_replacing_reader = rank == 0 && self.election.has_widest_link(now);
             if !is_replacing_reader && !self.reading_starts_at(now).is_past(now) {
                 return;
@@ -61,7 +63,7 @@
             self.election.start_reading(now);
             let confirmed_age_ms = self.confirmation_age_ms(now);
             self.effects
-                .push(FleetEffect::LogEvent(FleetEvent::ReadingBegun { confirmed_age_ms, rank }));
+                .push(FleetEffect::LogEvent(FleetEvent::ReadingStarted { confirmed_age_ms, rank }));
         }
         if self.election.next_call_at().is_some_and(|at| at.is_past(now)) {
             let call = self.next_store_call(now);
@@ -92,7 +94,7 @@
         if self.election.is_call_pending() || !self.first_read_at.is_past(now) {
             return;
         }
-        let (query, reason) = match self.preview.was_received() {
+        let (query, reason) = match self.partial_list.was_received() {
             true => (StoreQuery::All(ReadMode::Serializable), ReadReason::Remainder),
             false => (StoreQuery::FirstPage, ReadReason::Start),
         };
@@ -188,7 +190,7 @@
         }
         let former_head = self.list.head();
         let head = reading.head;
-        if former_head == 0 && head < self.preview.head() {
+        if former_head == 0 && head < self.partial_list.head() {
             // The list is older than the partial list that is used already.
             self.first_read_at = now.after_millis(FIRST_READ_RETRY_MS);
             return;
@@ -237,7 +239,7 @@
             }));
         }
         if reading.head < known_head {
-            self.effects.push(FleetEffect::LogEvent(FleetEvent::ReadingPassedOver {
+            self.effects.push(FleetEffect::LogEvent(FleetEvent::ResponseIgnored {
                 order: query.as_str(),
                 epoch,
                 revision: number_of(reading.head),
@@ -250,8 +252,8 @@
 
     /// Records that the store has just responded to this instance.
     ///
-    /// A response that comes later than any can was delayed by a pause of this process, of unknown
-    /// time; it counts from the call.
+    /// A response that arrives after the maximum wait and delay was held up by a pause of this
+    /// process of unknown length. Its confirmation then counts from the time of the call.
     fn record_own_confirmation(&mut self, now: ClockTime, head: u64) {
         self.response_serial += 1;
         let is_late = self
@@ -292,7 +294,7 @@
             .confirmed_at
             .is_some_and(|at| !at.after_millis(self.options.takeover_ms).is_past(now));
         if is_confirmed {
-            // The store responds to others.
+            // The store responds to other instances, so reading it is left to them.
             let readers = self.election.other_readers(now).count();
             self.election.stop_reading();
             self.effects.push(FleetEffect::LogEvent(FleetEvent::ReadingEnded { readers }));
--- a/crates/foxledge-gossip/tests/store_epoch.rs
+++ b/crates/foxledge-gossip/tests/store_epoch.rs
@@ -29,7 +29,7 @@
     drain_events(&mut member);
     member.handle_store_response(now, all, Ok(ListReading::complete(Vec::new(), 7)));
     let logged = drain_events(&mut member);
-    let ignored = FleetEvent::ReadingPassedOver {
+    let ignored = FleetEvent::ResponseIgnored {
         order: "all",
         epoch: 0,
         revision: 7,
--- a/crates/foxledge-members/src/effects.rs
+++ b/crates/foxledge-members/src/effects.rs
@@ -31,7 +31,8 @@
     },
     /// The view of the data centre has changed.
     ViewChanged(Arc<PeerView>),
-    /// Another instance has a list version that is newer than the local one or conflicts with it.
+    /// Another instance has a list version that is newer than the local one or conflicts with it;
+    /// with [`StaleLists::Accept`](crate::StaleLists::Accept), also an older one.
     PeerVersion {
         /// The control address of that instance.
         from: SocketAddr,
--- a/crates/foxledge-members/src/hints.rs
+++ b/crates/foxledge-members/src/hints.rs
@@ -48,7 +48,7 @@
 
     /// Returns at most `limit` addresses to contact now, those due the longest first, and schedules
     /// their next attempts.
-    pub(crate) fn take_due(
+    pub(crate) fn poll_due(
         &mut self,
         now: ClockTime,
         limit: usize,
--- a/crates/foxledge-members/src/lists/audit.rs
+++ b/crates/foxledge-members/src/lists/audit.rs
@@ -21,7 +21,7 @@
 /// The subject of the entries.
 const SUBJECT: &str = "rule list";
 
-/// Makes the effect that records an entry.
+/// Creates the effect that records an audit entry.
 pub(super) fn audit_effect(
     kind: AuditKind,
     old: ListVersion,
--- a/crates/foxledge-members/src/lists/sources.rs
+++ b/crates/foxledge-members/src/lists/sources.rs
@@ -93,8 +93,8 @@
 
     /// Selects an available source of a version and records the start of the fetch.
     ///
-    /// Peers are preferred to the platform, whose reads are rationed, and among them those with the
-    /// fewest fetches.
+    /// Sources with the fewest failures in a row are preferred; among equals, peers to the
+    /// platform, whose reads are limited, and among peers those with the fewest fetches.
     pub(super) fn start_fetch(
         &mut self,
         now: ClockTime,
--- a/crates/foxledge-members/src/lists/store.rs
+++ b/crates/foxledge-members/src/lists/store.rs
@@ -35,8 +35,9 @@
 
 /// The newest accepted list with its parts.
 ///
-/// Lists are ordered by the platform's revision, and the store never goes back: an older list from
-/// a platform restarted at an older state, or from a peer that lags, is ignored. The list in force
+/// Lists are ordered by the platform's revision. Unless [`StaleLists::Accept`] is set, the store
+/// never goes back: an older list from a platform restarted at an older state, or from a peer that
+/// lags, is ignored. The list in force
 /// remains until a newer one has all its parts and has been validated.
 #[derive(Debug)]
 pub struct ListStore {
@@ -219,7 +220,7 @@
         self.sources.record_version(now, from, version);
     }
 
-    /// Makes the audit entry of a list that is older than the one in force or conflicts with it.
+    /// Creates the audit entry of a list that is older than the one in force or conflicts with it.
     fn audit_ignored(&mut self, from: ListSource, version: ListVersion) -> Option<ListEffect> {
         let ignored = Some((from, version));
         if version == self.version()
@@ -237,7 +238,8 @@
         Some(audit_effect(AuditKind::ListIgnored, self.version(), version, cause, from))
     }
 
-    /// Makes a manifest the pending one, unless the pending one is as new.
+    /// Makes a manifest the pending one, unless the pending one is as new or newer, or the manifest
+    /// has too many parts.
     fn set_pending(
         &mut self,
         from: ListSource,
--- a/crates/foxledge-members/src/membership/claims.rs
+++ b/crates/foxledge-members/src/membership/claims.rs
@@ -22,7 +22,7 @@
 
 impl Membership {
     /// Reports the list version of another instance if it is newer than the local one or conflicts
-    /// with it.
+    /// with it; with [`StaleLists::Accept`], also if it is older.
     pub(super) fn compare_list_version(
         &self,
         sender: &PeerInfo,
@@ -56,11 +56,11 @@
         &mut self,
         now: ClockTime,
         reporter: &InstanceName,
-        news: &[PeerRecord],
+        records: &[PeerRecord],
         effects: &mut Vec<MemberEffect>,
     ) -> Vec<PeerInfo> {
         let mut corrections = Vec::new();
-        for record in news.iter().take(MAX_RECORDS_PER_MESSAGE) {
+        for record in records.iter().take(MAX_RECORDS_PER_MESSAGE) {
             let Ok(claim) = convert::peer_info(record) else { continue };
             if claim.data_centre != self.local_peer.data_centre || claim.name == *reporter {
                 continue;
--- a/crates/foxledge-members/src/membership/failure_detection.rs
+++ b/crates/foxledge-members/src/membership/failure_detection.rs
@@ -45,7 +45,7 @@
 
     /// Suspects observed instances that answer neither directly nor to a relay.
     pub(super) fn suspect_unresponsive(&mut self, now: ClockTime, effects: &mut Vec<MemberEffect>) {
-        for name in self.observed.take_unresponsive(now) {
+        for name in self.observed.poll_unresponsive(now) {
             let dead_deadline = self.dead_deadline(now);
             let Some(entry) = self.table.get(&name) else { continue };
             let refutation = entry.info.refutation;
--- a/crates/foxledge-members/src/membership/heartbeats.rs
+++ b/crates/foxledge-members/src/membership/heartbeats.rs
@@ -128,7 +128,7 @@
         known.insert(self.local_peer.control_address);
         known.extend(self.centres.reachable_addresses(now));
         let limit = if is_isolated { MAX_HINTS_WHEN_ISOLATED } else { 1 };
-        for address in self.hints.take_due(now, limit, |address| known.contains(address)) {
+        for address in self.hints.poll_due(now, limit, |address| known.contains(address)) {
             let name = self.table.dead_with_address(address);
             effects.push(self.make_heartbeat(now, address, name.as_ref()));
         }
@@ -168,7 +168,7 @@
         // A suspected or dead instance is sent its own record first, so that it can refute.
         let accusation = name.and_then(|name| self.accusation_against(name));
         let mut news: Vec<_> = accusation.into_iter().collect();
-        news.extend(self.take_update_records(self.options.update_limit - news.len()));
+        news.extend(self.select_update_records(self.options.update_limit - news.len()));
         let page = self.next_own_page(now, to);
         let join = page.is_some();
         news.extend(page.into_iter().flatten());
@@ -192,7 +192,7 @@
     ) -> HeartbeatReply {
         let mut news: Vec<_> = corrections.iter().map(convert::peer_record).collect();
         news.truncate(self.options.update_limit);
-        news.extend(self.take_update_records(self.options.update_limit - news.len()));
+        news.extend(self.select_update_records(self.options.update_limit - news.len()));
         if heartbeat.join {
             news.extend(self.missing_records(heartbeat));
         }
@@ -243,7 +243,7 @@
         is_accused.then(|| convert::peer_record(info))
     }
 
-    fn take_update_records(&mut self, limit: usize) -> Vec<PeerRecord> {
+    fn select_update_records(&mut self, limit: usize) -> Vec<PeerRecord> {
         let names = self.updates.select_batch(limit, &mut self.rng);
         let record_of = |name| self.table.get(name).map(|entry| convert::peer_record(&entry.info));
         names.iter().filter_map(|name| record_of(name)).collect()
--- a/crates/foxledge-members/src/observed_peers.rs
+++ b/crates/foxledge-members/src/observed_peers.rs
@@ -30,7 +30,7 @@
     isolation_grace: IsolationGrace,
 }
 
-/// Whether the extra wait that is granted when all peers are silent has been used.
+/// Whether the extra wait that is granted when all peers are unresponsive has been used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum IsolationGrace {
     /// The extra wait is available.
@@ -116,14 +116,15 @@
         }
     }
 
-    /// Returns the peers whose deadline has passed, and gives each a new one, so that it is
-    /// returned again only after another wait.
+    /// Returns the peers with an unanswered heartbeat whose deadline has passed, and sets a new
+    /// deadline for each, so that it is returned again only after another wait.
     ///
-    /// When all peers are silent at once, the fault is more likely local than at all of them: a
-    /// process that loses its answers would disseminate suspicions of every peer that it observes.
-    /// It therefore waits a second time before it suspects them (Dadgar, Phillips and Currey,
-    /// "Lifeguard: local health awareness for more accurate failure detection", DSN-W 2018).
-    pub(crate) fn take_unresponsive(&mut self, now: ClockTime) -> Vec<InstanceName> {
+    /// When all peers are unresponsive at once, the fault is more likely local than at all of them:
+    /// a process that loses its answers would disseminate suspicions of every peer that it
+    /// observes. It therefore waits a second time before it suspects them (Dadgar, Phillips and
+    /// Currey, "Lifeguard: local health awareness for more accurate failure detection", DSN-W
+    /// 2018).
+    pub(crate) fn poll_unresponsive(&mut self, now: ClockTime) -> Vec<InstanceName> {
         let mut overdue = Vec::new();
         let is_overdue =
             |peer: &ObservedPeer| peer.unanswered > 0 && peer.suspect_deadline.is_past(now);
@@ -143,7 +144,7 @@
         overdue
     }
 
-    /// Gives every peer a full new suspicion time.
+    /// Sets a full new suspicion time for every peer and clears its unanswered heartbeats.
     pub(crate) fn reset_deadlines(&mut self, now: ClockTime) {
         for peer in self.peers.values_mut() {
             peer.suspect_deadline = now.after(self.suspect_after);
--- a/crates/foxledge-members/src/table.rs
+++ b/crates/foxledge-members/src/table.rs
@@ -252,7 +252,7 @@
     }
 
     /// Returns the digest of this table and the local record. It is equal at two instances whose
-    /// tables contain the same living instances in the same states.
+    /// tables contain the same living instances with the same incarnations, refutations and states.
     pub(crate) fn digest_with(&self, local_peer: &PeerInfo) -> u64 {
         self.digest ^ record_digest(local_peer)
     }
--- a/crates/foxledge-members/src/update_queue.rs
+++ b/crates/foxledge-members/src/update_queue.rs
@@ -5,12 +5,13 @@
 use foxledge_core::names::InstanceName;
 use rand::{Rng, rngs::StdRng};
 
-/// The sends of one update for each doubling of the data centre's size.
+/// The number of sends of one update for each doubling of the data centre's size.
 ///
 /// SWIM's bound of lambda * log(n) sends, with its lambda of 3.
 const SENDS_PER_DOUBLING: u32 = 3;
 
-/// The sends skipped each time the other instances turn out to have an equal table.
+/// The number of sends of each update that are skipped each time enough other instances in a row
+/// have had a table equal to the local one.
 const SENDS_SKIPPED_PER_MATCH: u32 = 4;
 
 /// The names whose records have changed recently, with the number of times each is still to be
@@ -27,7 +28,7 @@
         self.remaining_sends.insert(name, SENDS_PER_DOUBLING * doublings.max(1));
     }
 
-    /// Selects at most `limit` names to send now, those sent least often first.
+    /// Selects at most `limit` names to send now, those with the most remaining sends first.
     ///
     /// Ties are broken at random. If they were broken by name, all instances would send the same
     /// names first, and the last names of a large change would arrive late.
--- a/crates/foxledge-policy/src/dispatch_events.rs
+++ b/crates/foxledge-policy/src/dispatch_events.rs
@@ -11,8 +11,8 @@
     scheduler::ShardScheduler,
 };
 
-// The mean run times after which a request has most likely ended: with exponential run times,
-// one in 3,000 is longer.
+// The age, in multiples of the mean run time, from which a request is presumed to have ended: with
+// exponential run times, one in 3,000 is longer.
 const PRESUMED_END_RUN_TIMES: u32 = 8;
 
 impl ShardScheduler {
@@ -210,7 +210,8 @@
     // Takes a retry out of the budget if the work item may be sent to another target.
     fn try_acquire_retry(&mut self, now: ClockTime, running: &RunningDispatch) -> bool {
         let attempts = running.pending.tried_targets.len() as u32 + 1;
-        // Callers keep the opening packet of accepted work only if accepted work is queried.
+        // The opening packet of accepted work is available for a retry only if the state of
+        // accepted work is queried.
         let has_packet = running.phase == DispatchPhase::Sent || self.options.checks_requests();
         let in_time = !running.pending.latest_start.is_past(now);
         attempts < self.options.max_attempts
@@ -302,7 +303,7 @@
     }
 
     // Releases the slot once the caller's deadline and the grace time have passed. Otherwise
-    // work whose end was lost would hold it for good.
+    // work whose final response was lost would occupy it indefinitely.
     fn expire_lease(&mut self, dispatch: u64, effects: &mut Vec<SchedulerEffect>) {
         let Some(running) = self.remove_dispatch(dispatch) else {
             return;
@@ -328,7 +329,7 @@
         };
         let busy = load.busy_slots + load.queued;
         let excess = entry.ledger.busy().saturating_sub(busy);
-        // The report of a target that is slow or sheds is contradicted by observation.
+        // The report of a target that was observed to be slow or to shed isn't trusted.
         let is_trusted = entry.health.trusted_report(now, &self.options).is_some();
         if excess == 0 || !is_trusted || !entry.health.try_start_reconcile(now) {
             return;
--- a/crates/foxledge-policy/src/dispatches.rs
+++ b/crates/foxledge-policy/src/dispatches.rs
@@ -27,7 +27,7 @@
     pub target_id: u64,
     /// The target as it was published at the time of the dispatch.
     pub spec: Arc<TargetSpec>,
-    /// Whether the target has acknowledged the dispatch.
+    /// The progress at the target: whether it has acknowledged the dispatch.
     pub phase: DispatchPhase,
     /// Whether the caller still waits for the work item.
     pub caller: CallerState,
@@ -89,7 +89,7 @@
         now.since(self.sent_at)
     }
 
-    /// Returns whether the caller's deadline has passed without a cancellation sent so far.
+    /// Returns whether the caller's deadline has passed and no cancellation was sent yet.
     pub fn is_overdue(&self, now: ClockTime) -> bool {
         self.caller == CallerState::Waiting && self.caller_deadline().is_past(now)
     }
--- a/crates/foxledge-policy/src/policies.rs
+++ b/crates/foxledge-policy/src/policies.rs
@@ -88,7 +88,7 @@
 pub fn policy_by_name(name: &str, seed: u64) -> Result<Box<dyn TargetPolicy>> {
     let random = StdRng::seed_from_u64(seed);
     match name {
-        "freest" => Ok(Box::new(FreestTarget { random })),
+        "freest" => Ok(Box::new(LeastUtilized { random })),
         "hash" => Ok(Box::new(HashTarget)),
         "round-robin" => Ok(Box::new(RoundRobin { next: 0 })),
         "two-choices" => Ok(Box::new(TwoChoices { random })),
@@ -98,21 +98,21 @@
 
 // The least utilized of this many targets is hardly busier than the least utilized of all, and
 // the cost of a request doesn't grow with the size of the service.
-const FREEST_SAMPLE_SIZE: usize = 64;
+const UTILIZATION_SAMPLE_SIZE: usize = 64;
 
 /// Chooses the target with the lowest utilization, with a penalty for slow and cold targets and
 /// for slots that other schedulers occupy.
-struct FreestTarget {
+struct LeastUtilized {
     random: StdRng,
 }
 
-impl TargetPolicy for FreestTarget {
+impl TargetPolicy for LeastUtilized {
     fn name(&self) -> &'static str {
         "freest"
     }
 
     fn sample_size(&self) -> usize {
-        FREEST_SAMPLE_SIZE
+        UTILIZATION_SAMPLE_SIZE
     }
 
     fn pick(
@@ -124,7 +124,7 @@
         let mut best: Option<(usize, f64)> = None;
         let mut equal_count = 0u32;
         for (index, state) in candidates.iter().enumerate() {
-            let score = freest_score(state, work.kind);
+            let score = utilization_score(state, work.kind);
             match best {
                 Some((_, lowest)) if score > lowest => continue,
                 Some((_, lowest)) if score == lowest => {
@@ -144,7 +144,7 @@
 
 // Run time ratios are rounded to quarters, so that random differences don't direct every request
 // to one target.
-fn freest_score(state: &TargetState, kind: TrafficKind) -> f64 {
+fn utilization_score(state: &TargetState, kind: TrafficKind) -> f64 {
     let ratio = (state.run_time_ratio * 4.0).round() / 4.0;
     let penalty = (ratio - 1.0).max(0.0) + (1.0 - state.warmup_progress);
     state.utilization(kind) + penalty * 0.25 + f64::from(state.other_busy().min(4)) * 0.1
--- a/crates/foxledge-policy/src/scheduler.rs
+++ b/crates/foxledge-policy/src/scheduler.rs
@@ -241,7 +241,7 @@
     }
 
     // Refuses all queued work items if no target is open. Otherwise their callers would wait
-    // until their deadlines in vain.
+    // until their deadlines without a response.
     fn refuse_if_no_target(&mut self, effects: &mut Vec<SchedulerEffect>) {
         if self.table.has_open_target() {
             return;
--- a/crates/foxledge-policy/src/targets.rs
+++ b/crates/foxledge-policy/src/targets.rs
@@ -65,7 +65,7 @@
     Unlisted,
 }
 
-/// The expected wait in the queue, by which slow targets are used or not.
+/// The expected wait in the queue, which decides whether slow targets are used.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitEstimate {
     /// The expected wait for a free slot of a target of mean speed.
@@ -74,7 +74,7 @@
     pub mean_run_time: Duration,
 }
 
-/// The number of candidates that a policy requests, and where their selection begins.
+/// The maximum number of candidates that a policy requests, and the offset of their selection.
 #[derive(Clone, Copy, Debug)]
 pub struct TargetSample {
     /// The maximum number of candidates.
@@ -297,7 +297,7 @@
 
     // Reports of unhealthy targets are used only while at least half of the open targets are
     // neither suspect nor ejected: health endpoints can be wrong, and reports of most targets
-    // at once say nothing about a single one.
+    // at once don't show that any single one is unhealthy.
     fn trusts_unhealthy_reports(&self, now: ClockTime) -> bool {
         let open = self.entries.values().filter(|entry| entry.is_open());
         let (count, suspects) = open.fold((0, 0), |(count, suspects), entry| {
--- a/crates/foxledge-rules/src/checks.rs
+++ b/crates/foxledge-rules/src/checks.rs
@@ -72,7 +72,8 @@
     pub(crate) parsed: &'a ParsedRule,
     /// The addresses that the rule names, or else all addresses of its service.
     pub(crate) addresses: Cow<'a, [ServiceAddress]>,
-    /// Whether the conditions are known well enough to compare the rule with others.
+    /// Whether the rule was parsed without findings, and its service and addresses are known, so
+    /// that it can be compared with others.
     pub(crate) is_comparable: bool,
 }
 
--- a/crates/foxledge-rules/src/shadows.rs
+++ b/crates/foxledge-rules/src/shadows.rs
@@ -162,7 +162,8 @@
         }
     }
 
-    /// Returns the rules without the condition, and the rules with the rarest of the names.
+    /// Returns the rules without the condition, and the rules with the one of the names that the
+    /// fewest rules have.
     fn candidates(&self, names: &NameSet) -> [&[usize]; 2] {
         let lists = names.ids.iter().map(|id| self.with_name(*id));
         let rarest = lists.min_by_key(|list| list.len()).unwrap_or(&[]);
