--- a/crates/foxledge-daemon/src/packets/fleet_part.rs
+++ b/crates/foxledge-daemon/src/packets/fleet_part.rs
@@ -254,15 +254,16 @@
                 metrics.refused_items.with_label_values(&[kind]).inc();
             }
             FleetEvent::StoreEpochChanged { epoch, .. } => metrics.store_epoch.set(*epoch as i64),
-            FleetEvent::ReadingPassedOver { .. } => metrics.outdated_readings.inc(),
+            FleetEvent::ResponseIgnored { .. } => metrics.outdated_readings.inc(),
             // No rows may have changed, in which case nothing else updates the metrics.
-            FleetEvent::ConfigHeld { .. } | FleetEvent::ConfigReleased { .. } => {
+            FleetEvent::ConfigRetained { .. } | FleetEvent::ConfigReleased { .. } => {
                 self.set_list_metrics();
             }
             _ => {}
         }
-        if let FleetEvent::ListTaken { version, epoch, revision, former_revision, source, .. } =
-            event
+        if let FleetEvent::ListApplied {
+            version, epoch, revision, former_revision, source, ..
+        } = event
         {
             let revision_text = match epoch {
                 0 => revision.to_string(),
