--- a/crates/foxledge-bench/src/flows/callers.rs
+++ b/crates/foxledge-bench/src/flows/callers.rs
@@ -106,9 +106,9 @@
         self.acknowledged += ANSWER_BYTES;
     }
 
-    pub(crate) fn opening(&self, copy: u32) -> FlowPacket {
-        let kind = PacketKind::Open { attempt: copy };
-        FlowPacket { kind, token: 0, acknowledged: copy, length: 0, ..self.packet() }
+    pub(crate) fn opening(&self, attempt: u32) -> FlowPacket {
+        let kind = PacketKind::Open { attempt };
+        FlowPacket { kind, token: 0, acknowledged: attempt, length: 0, ..self.packet() }
     }
 
     pub(crate) fn request_packet(&self) -> FlowPacket {
